--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -7,7 +7,7 @@
 use jackdawwick::collections::FastMap;
 use jackdawwick::fleet::{FleetTable, PathQuery, RequestSize, TargetEntry, choose_path};
 use jackdawwick::ingress::{AcceleratorKind, EngineModel};
-use jackdawwick::placing::{EngineView, plan_zone};
+use jackdawwick::placement::{EngineView, plan_zone};
 
 /// Sizes of zones, in engines.
 const ZONES: [usize; 4] = [38, 96, 333, 1000];
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -9,7 +9,7 @@
 use crate::entry::EntrySettings;
 use crate::entry::log_copy::LogCopy;
 use crate::entry::poison_log::note_poison;
-use crate::fleet::{UseScope, UseSource};
+use crate::fleet::{UsageScope, UsageSource};
 use crate::forward::{ServingTables, socket};
 use crate::ids::{HostId, IncarnationId, ZoneId};
 use crate::membership::{GossipTable, host_strength};
@@ -153,8 +153,8 @@
     ) -> HostView {
         let uses = match view.scope {
             // What one host alone does is of no use to another zone.
-            UseScope::Host if !is_neighbour => Vec::new(),
-            scope => self.tables.fleet.lock().uses(scope, listener),
+            UsageScope::Host if !is_neighbour => Vec::new(),
+            scope => self.tables.fleet.lock().usage(scope, listener),
         };
         HostView {
             configuration_version: self.copy.configuration_version(),
@@ -209,10 +209,10 @@
         if let Some(log) = view.log {
             self.copy.observe_word(&view.zone, log, now);
         }
-        let source = UseSource::of(view.scope, &view.host, &view.zone, &self.zone);
+        let source = UsageSource::of(view.scope, &view.host, &view.zone, &self.zone);
         if let Some(source) = source {
             let mut fleet = self.tables.fleet.lock();
-            fleet.observe_uses(source, view.uses.clone(), now);
+            fleet.observe_usage(source, view.uses.clone(), now);
         }
     }
 
@@ -306,7 +306,7 @@
         }
         // Taken first, so that its lock is not held while the copy's is taken.
         let remote = match question.wants_remote {
-            true => self.tables.fleet.lock().remote_uses(),
+            true => self.tables.fleet.lock().remote_usage(),
             false => Vec::new(),
         };
         FollowAnswer {
--- a/src/entry/placing.rs
+++ b/src/entry/placing.rs
@@ -14,7 +14,7 @@
 use crate::ids::TargetId;
 use crate::ids::ZoneId;
 use crate::ingress::{EngineModel, IngressConfiguration, ServiceSpec};
-use crate::placing::{ANEW_PATIENCE, EngineView, PlannedRange, has_holes, plan_zone};
+use crate::placement::{EngineView, PlannedRange, REPLAN_DELAY, has_uncovered_layers, plan_zone};
 use crate::platform::target_record::platform_id;
 use crate::platform::{names, order};
 
@@ -213,7 +213,7 @@
         now: Instant,
     ) -> Option<PlanningTask> {
         let holed_for = self.holed_for(model, &zone, &engines, now);
-        let overdue = holed_for >= ANEW_PATIENCE;
+        let overdue = holed_for >= REPLAN_DELAY;
         let zone_view = SettledZone { engines, overdue };
         (self.settled.get(&zone) != Some(&zone_view)).then(|| PlanningTask {
             service: service.clone(),
@@ -279,7 +279,7 @@
         engines: &[EngineView],
         now: Instant,
     ) -> Duration {
-        if !has_holes(model, engines) {
+        if !has_uncovered_layers(model, engines) {
             self.holed_since.remove(zone);
             return Duration::ZERO;
         }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -7,7 +7,7 @@
 mod pick;
 mod state;
 mod table;
-mod uses;
+mod usage;
 
 pub use entry::{EngineReport, LayerRange, TargetEntry};
 pub use load::{RequestSize, TargetLoad};
@@ -15,4 +15,4 @@
 pub use pick::choose_target;
 pub use state::TargetState;
 pub use table::{FleetTable, ServiceMembers};
-pub use uses::{TargetUse, UseScope, UseSource, ZoneUses, target_key};
+pub use usage::{TargetUsage, UsageScope, UsageSource, ZoneUsage, target_key};
--- a/src/fleet/path.rs
+++ b/src/fleet/path.rs
@@ -214,7 +214,7 @@
     // A request waits for the rest of a pass and then for its own: the work of
     // an engine that is busy all the time costs about one and a half passes.
     let pass_ms = stride * step_ms * f64::from(range.width()) / layers;
-    let room = model.cache_room(kind, range.width());
+    let room = model.cache_capacity(kind, range.width());
     let need = query.size.tokens() * f64::from(range.width());
     let filled = (load.reserved + need) / (room * USABLE_MEMORY).max(1.0);
     let full = filled > 1.0 || state.is_full(now);
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -32,7 +32,7 @@
         } else {
             ZONE_PENALTY
         };
-        let out = if state.is_out(now) { 1e6 } else { 0.0 };
+        let out = if state.is_ejected(now) { 1e6 } else { 0.0 };
         let wait = state.permit_wait(now).as_secs_f64() * REQUESTS_PER_S;
         f64::from(state.load().requests) + far + out + wait
     };
--- a/src/fleet/state.rs
+++ b/src/fleet/state.rs
@@ -25,7 +25,7 @@
     /// Failures in a row.
     pub failures: u32,
     /// Takes nothing before this moment.
-    pub out_until: Option<Instant>,
+    pub ejected_until: Option<Instant>,
     /// Refusals in a row.
     pub refusals: u32,
     /// Refused for want of room; takes nothing before this moment.
@@ -37,7 +37,7 @@
     /// What it last said of its speed, and when; over 1 when it is slow.
     pub pace: Option<(f64, Instant)>,
     /// When it was last asked for its speed.
-    pub pace_asked: Option<Instant>,
+    pub pace_requested: Option<Instant>,
 }
 
 impl TargetState {
@@ -49,13 +49,13 @@
             near: TargetLoad::default(),
             remote: TargetLoad::default(),
             failures: 0,
-            out_until: None,
+            ejected_until: None,
             refusals: 0,
             full_until: None,
             withheld_until: None,
             silent_until: None,
             pace: None,
-            pace_asked: None,
+            pace_requested: None,
         }
     }
 
@@ -69,7 +69,7 @@
 
     /// Whether the target may be given work.
     pub fn is_usable(&self, now: Instant) -> bool {
-        !self.entry.draining && !self.is_out(now)
+        !self.entry.draining && !self.is_ejected(now)
     }
 
     /// Whether the target is taken to be dead or cut off.
@@ -95,7 +95,7 @@
     }
 
     /// Whether the target was put out because of failures.
-    pub fn is_out(&self, now: Instant) -> bool {
-        self.out_until.is_some_and(|until| now < until)
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.ejected_until.is_some_and(|until| now < until)
     }
 }
--- a/src/fleet/table.rs
+++ b/src/fleet/table.rs
@@ -5,9 +5,9 @@
 use std::time::{Duration, Instant};
 
 use crate::collections::FastMap;
-use crate::fleet::uses::UseTable;
+use crate::fleet::usage::UsageTable;
 use crate::fleet::{LayerRange, TargetEntry, TargetLoad, TargetState};
-use crate::fleet::{TargetUse, UseScope, UseSource, ZoneUses};
+use crate::fleet::{TargetUsage, UsageScope, UsageSource, ZoneUsage};
 use crate::ids::{HostId, ServiceId, TargetId, TargetKey};
 
 /// First time that a target stays out after a failure that may pass. The
@@ -40,7 +40,7 @@
     services: FastMap<ServiceId, ServiceMembers>,
     service_of: FastMap<TargetId, ServiceId>,
     id_of: FastMap<TargetKey, TargetId>,
-    uses: UseTable,
+    usage: UsageTable,
 }
 
 impl FleetTable {
@@ -131,36 +131,36 @@
     }
 
     /// Takes in what requests other hosts have on targets.
-    pub fn observe_uses(&mut self, source: UseSource, uses: Vec<TargetUse>, now: Instant) {
-        self.uses.observe(source, uses, now);
-        self.add_up_uses();
+    pub fn observe_usage(&mut self, source: UsageSource, usage: Vec<TargetUsage>, now: Instant) {
+        self.usage.observe(source, usage, now);
+        self.add_up_usage();
     }
 
     /// Takes in what requests the hosts of other zones have on targets.
-    pub fn observe_remote(&mut self, zones: Vec<ZoneUses>, now: Instant) {
+    pub fn observe_remote(&mut self, zones: Vec<ZoneUsage>, now: Instant) {
         if zones.is_empty() {
             return;
         }
         for zone in zones {
-            self.uses
-                .observe(UseSource::Zone(zone.zone), zone.uses, now);
+            self.usage
+                .observe(UsageSource::Zone(zone.zone), zone.usage, now);
         }
-        self.add_up_uses();
+        self.add_up_usage();
     }
 
     /// This host adds up its zone's requests itself from now on.
     pub fn forget_neighbours(&mut self) {
-        self.uses.forget_neighbours();
-        self.add_up_uses();
+        self.usage.forget_neighbours();
+        self.add_up_usage();
     }
 
-    fn add_up_uses(&mut self) {
+    fn add_up_usage(&mut self) {
         for state in self.services.values_mut().flat_map(BTreeMap::values_mut) {
             state.near = TargetLoad::default();
             state.remote = TargetLoad::default();
         }
-        for (source, uses) in self.uses.all() {
-            for used in uses {
+        for (source, usage) in self.usage.all() {
+            for used in usage {
                 let Some(id) = self.id_of.get(&used.key) else {
                     continue;
                 };
@@ -178,23 +178,23 @@
     }
 
     /// Requests of other zones' hosts, as last heard.
-    pub fn remote_uses(&self) -> Vec<ZoneUses> {
-        self.uses.remote()
+    pub fn remote_usage(&self) -> Vec<ZoneUsage> {
+        self.usage.remote()
     }
 
     /// Requests on targets to tell `listener` of.
-    pub fn uses(&self, scope: UseScope, listener: Option<&HostId>) -> Vec<TargetUse> {
+    pub fn usage(&self, scope: UsageScope, listener: Option<&HostId>) -> Vec<TargetUsage> {
         let reported = match scope {
-            UseScope::Group => self.uses.reported(),
+            UsageScope::Group => self.usage.reported(),
             _ => FastMap::default(),
         };
         let told = match (scope, listener) {
-            (UseScope::Neighbours, Some(listener)) => self.uses.said_by(listener),
+            (UsageScope::Neighbours, Some(listener)) => self.usage.said_by(listener),
             _ => FastMap::default(),
         };
         let used = self.targets().map(|state| {
             let mut load = state.own;
-            if matches!(scope, UseScope::Neighbours | UseScope::Zone) {
+            if matches!(scope, UsageScope::Neighbours | UsageScope::Zone) {
                 load.add(state.near);
             }
             if let Some(reported) = reported.get(&state.key) {
@@ -203,7 +203,7 @@
             if let Some(told) = told.get(&state.key) {
                 load.remove(*told);
             }
-            TargetUse {
+            TargetUsage {
                 key: state.key,
                 load,
             }
@@ -212,13 +212,13 @@
     }
 
     /// Whether to ask a target for its speed now; it then counts as asked.
-    pub fn ask_pace(&mut self, id: &str, now: Instant) -> bool {
+    pub fn begin_pace_request(&mut self, id: &str, now: Instant) -> bool {
         let Some(state) = self.get_mut(id) else {
             return false;
         };
-        let due = state.pace_asked.is_none_or(|at| now >= at + PACE_PAUSE);
+        let due = state.pace_requested.is_none_or(|at| now >= at + PACE_PAUSE);
         if due {
-            state.pace_asked = Some(now);
+            state.pace_requested = Some(now);
         }
         due
     }
@@ -234,7 +234,7 @@
     pub fn observe_success(&mut self, id: &str) {
         if let Some(state) = self.get_mut(id) {
             state.failures = 0;
-            state.out_until = None;
+            state.ejected_until = None;
             state.silent_until = None;
             state.refusals = 0;
             state.full_until = None;
@@ -253,8 +253,8 @@
         }
         let doublings = (state.failures - EJECTING_FAILURES).min(4);
         let time = (FIRST_EJECTION * 2_u32.pow(doublings)).min(LONGEST_EJECTION);
-        state.out_until = Some(now + time);
-        state.out_until
+        state.ejected_until = Some(now + time);
+        state.ejected_until
     }
 
     /// A target refused for want of room.
@@ -293,8 +293,8 @@
     pub fn observe_silence(&mut self, id: &str, now: Instant) {
         if let Some(state) = self.get_mut(id) {
             state.failures = state.failures.max(EJECTING_FAILURES);
-            state.out_until = Some(now + SILENT_EJECTION);
-            state.silent_until = state.out_until;
+            state.ejected_until = Some(now + SILENT_EJECTION);
+            state.silent_until = state.ejected_until;
         }
     }
 
--- a/src/fleet/uses.rs
+++ b/src/fleet/usage.rs
@@ -29,7 +29,7 @@
 
 /// Requests that some hosts have on a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct TargetUse {
+pub struct TargetUsage {
     /// The target.
     pub key: TargetKey,
     /// The requests.
@@ -38,16 +38,16 @@
 
 /// Requests that the hosts of another zone have on targets.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ZoneUses {
+pub struct ZoneUsage {
     /// The zone.
     pub zone: ZoneId,
     /// The requests.
-    pub uses: Vec<TargetUse>,
+    pub usage: Vec<TargetUsage>,
 }
 
 /// Whose requests a statement is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum UseScope {
+pub enum UsageScope {
     /// Those of the host that speaks.
     #[default]
     Host,
@@ -61,7 +61,7 @@
 
 /// Where word of other hosts' requests comes from.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum UseSource {
+pub enum UsageSource {
     /// A host of this zone, for itself.
     Host(HostId),
     /// A host of this zone, for itself and those that report to it.
@@ -72,15 +72,15 @@
     Zone(ZoneId),
 }
 
-impl UseSource {
+impl UsageSource {
     /// The source of a statement by a host of some zone, as a host of `own_zone`
     /// takes it; `None` for one that says nothing to it.
-    pub fn of(scope: UseScope, host: &HostId, zone: &ZoneId, own_zone: &ZoneId) -> Option<Self> {
+    pub fn of(scope: UsageScope, host: &HostId, zone: &ZoneId, own_zone: &ZoneId) -> Option<Self> {
         match (scope, zone == own_zone) {
-            (UseScope::Host, true) => Some(Self::Host(host.clone())),
-            (UseScope::Group, true) => Some(Self::Group(host.clone())),
-            (UseScope::Neighbours, true) => Some(Self::Neighbours),
-            (UseScope::Zone, false) => Some(Self::Zone(zone.clone())),
+            (UsageScope::Host, true) => Some(Self::Host(host.clone())),
+            (UsageScope::Group, true) => Some(Self::Group(host.clone())),
+            (UsageScope::Neighbours, true) => Some(Self::Neighbours),
+            (UsageScope::Zone, false) => Some(Self::Zone(zone.clone())),
             _ => None,
         }
     }
@@ -113,43 +113,43 @@
 
 /// What a source last said, and when.
 #[derive(Debug)]
-struct SourceUses {
+struct SourceUsage {
     at: Instant,
-    uses: Vec<TargetUse>,
+    usage: Vec<TargetUsage>,
 }
 
 /// What all sources last said.
 #[derive(Debug, Default)]
-pub(super) struct UseTable {
-    sources: FastMap<UseSource, SourceUses>,
+pub(super) struct UsageTable {
+    sources: FastMap<UsageSource, SourceUsage>,
 }
 
-impl UseTable {
+impl UsageTable {
     /// Takes in what a source says, in place of what it said before.
-    pub(super) fn observe(&mut self, source: UseSource, uses: Vec<TargetUse>, now: Instant) {
+    pub(super) fn observe(&mut self, source: UsageSource, usage: Vec<TargetUsage>, now: Instant) {
         self.sources
             .retain(|earlier, said| now < said.at + earlier.lapse() && !source.replaces(earlier));
-        self.sources.insert(source, SourceUses { at: now, uses });
+        self.sources.insert(source, SourceUsage { at: now, usage });
     }
 
     /// Drops what a speaker said of the zone.
     pub(super) fn forget_neighbours(&mut self) {
-        self.sources.remove(&UseSource::Neighbours);
+        self.sources.remove(&UsageSource::Neighbours);
     }
 
     /// Everything that was said, by source.
-    pub(super) fn all(&self) -> impl Iterator<Item = (&UseSource, &[TargetUse])> {
+    pub(super) fn all(&self) -> impl Iterator<Item = (&UsageSource, &[TargetUsage])> {
         let sources = self.sources.iter();
-        sources.map(|(source, said)| (source, said.uses.as_slice()))
+        sources.map(|(source, said)| (source, said.usage.as_slice()))
     }
 
     /// Requests of the hosts that report to this one, added up by target.
     pub(super) fn reported(&self) -> FastMap<TargetKey, TargetLoad> {
         let reports = self
             .all()
-            .filter(|(source, _)| matches!(source, UseSource::Host(_)));
+            .filter(|(source, _)| matches!(source, UsageSource::Host(_)));
         let mut sums = FastMap::<TargetKey, TargetLoad>::default();
-        for used in reports.flat_map(|(_, uses)| uses) {
+        for used in reports.flat_map(|(_, usage)| usage) {
             sums.entry(used.key).or_default().add(used.load);
         }
         sums
@@ -158,23 +158,23 @@
     /// What a host of this zone last said, by target.
     pub(super) fn said_by(&self, host: &HostId) -> FastMap<TargetKey, TargetLoad> {
         let own = [
-            UseSource::Host(host.clone()),
-            UseSource::Group(host.clone()),
+            UsageSource::Host(host.clone()),
+            UsageSource::Group(host.clone()),
         ];
         let said = own.iter().filter_map(|source| self.sources.get(source));
-        let uses = said.flat_map(|said| said.uses.iter());
-        uses.map(|used| (used.key, used.load)).collect()
+        let usage = said.flat_map(|said| said.usage.iter());
+        usage.map(|used| (used.key, used.load)).collect()
     }
 
     /// What other zones last said.
-    pub(super) fn remote(&self) -> Vec<ZoneUses> {
+    pub(super) fn remote(&self) -> Vec<ZoneUsage> {
         let remote = self
             .sources
             .iter()
             .filter_map(|(source, said)| match source {
-                UseSource::Zone(zone) => Some(ZoneUses {
+                UsageSource::Zone(zone) => Some(ZoneUsage {
                     zone: zone.clone(),
-                    uses: said.uses.clone(),
+                    usage: said.usage.clone(),
                 }),
                 _ => None,
             });
--- a/src/forward/conduct.rs
+++ b/src/forward/conduct.rs
@@ -211,7 +211,7 @@
             }
             Some(FailureCause::Connect) => {
                 fleet.observe_silence(&id, now);
-                fleet.get(&id).and_then(|state| state.out_until)
+                fleet.get(&id).and_then(|state| state.ejected_until)
             }
             _ => fleet.observe_failure(&id, now),
         };
--- a/src/forward/watch.rs
+++ b/src/forward/watch.rs
@@ -263,7 +263,7 @@
         let due = {
             let mut fleet = tables.fleet.lock();
             let hops = path.hops.iter();
-            let due = hops.filter(|hop| fleet.ask_pace(&hop.target, now));
+            let due = hops.filter(|hop| fleet.begin_pace_request(&hop.target, now));
             due.collect::<Vec<_>>()
         };
         let reports = due.into_iter().map(|hop| async move {
--- a/src/ingress/configuration.rs
+++ b/src/ingress/configuration.rs
@@ -164,13 +164,13 @@
 
 impl EngineModel {
     /// Most layers that an accelerator can hold.
-    pub fn most_layers(&self, kind: AcceleratorKind) -> u32 {
+    pub fn max_layers(&self, kind: AcceleratorKind) -> u32 {
         let layers = (kind.memory_mb / self.layer_mb).floor();
         (layers as u32).min(self.layers)
     }
 
     /// Room for requests beside `held` layers, in tokens times layers.
-    pub fn cache_room(&self, kind: AcceleratorKind, held: u32) -> f64 {
+    pub fn cache_capacity(&self, kind: AcceleratorKind, held: u32) -> f64 {
         let free_mb = kind.memory_mb - f64::from(held) * self.layer_mb;
         let layer_token_bytes = self.kv_token_bytes / f64::from(self.layers);
         (free_mb * 1e6 / layer_token_bytes).max(0.0)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -55,7 +55,7 @@
 #[rustfmt::skip]
 pub mod peer_capnp;
 pub mod permits;
-pub mod placing;
+pub mod placement;
 pub mod platform;
 pub mod poison;
 pub mod reason;
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::GossipTable;
-use crate::fleet::UseScope;
+use crate::fleet::UsageScope;
 use crate::ids::HostId;
 use crate::membership::gossip_member::{DEAD_AFTER, GossipMember};
 use crate::peer::{HostListing, HostView, KnownHost, SeenListing, ZoneCount};
@@ -20,7 +20,7 @@
         let callee = callee.map(|(host, member)| (host.clone(), member.clone()));
         let Some((host, member)) = callee else {
             return self.view(
-                UseScope::Host,
+                UsageScope::Host,
                 HostListing::default(),
                 SeenListing::default(),
             );
@@ -28,8 +28,8 @@
         let scope = self.scope_to(&host, &member, now);
         let listing = match scope {
             // Whoever reports hears of others, and tells of itself alone.
-            UseScope::Host | UseScope::Neighbours => HostListing::default(),
-            UseScope::Group | UseScope::Zone => {
+            UsageScope::Host | UsageScope::Neighbours => HostListing::default(),
+            UsageScope::Group | UsageScope::Zone => {
                 let from = listed_from(member.told, scope);
                 self.listing(&member.zone, from, scope, now)
             }
@@ -40,10 +40,10 @@
     /// What to answer to a view that was taken in before.
     pub fn answer_view(&mut self, view: &HostView, now: Instant) -> HostView {
         let scope = match (view.zone == self.zone, view.scope) {
-            (true, UseScope::Host) => UseScope::Neighbours,
-            (false, UseScope::Zone) => UseScope::Zone,
-            (true, _) => UseScope::Group,
-            (false, _) => UseScope::Host,
+            (true, UsageScope::Host) => UsageScope::Neighbours,
+            (false, UsageScope::Zone) => UsageScope::Zone,
+            (true, _) => UsageScope::Group,
+            (false, _) => UsageScope::Host,
         };
         let from = match view.seen.incarnation == self.incarnation {
             true => listed_from(view.seen, scope),
@@ -55,17 +55,17 @@
         self.view(scope, listing, seen)
     }
 
-    fn scope_to(&self, host: &HostId, member: &GossipMember, now: Instant) -> UseScope {
+    fn scope_to(&self, host: &HostId, member: &GossipMember, now: Instant) -> UsageScope {
         let speakers = self.speakers(now);
         let speaks = speakers.contains(&self.host);
         match member.zone == self.zone {
-            true if speaks && speakers.contains(host) => UseScope::Group,
-            false if self.is_lead(now) => UseScope::Zone,
-            _ => UseScope::Host,
+            true if speaks && speakers.contains(host) => UsageScope::Group,
+            false if self.is_lead(now) => UsageScope::Zone,
+            _ => UsageScope::Host,
         }
     }
 
-    fn view(&mut self, scope: UseScope, listing: HostListing, seen: SeenListing) -> HostView {
+    fn view(&mut self, scope: UsageScope, listing: HostListing, seen: SeenListing) -> HostView {
         self.sequence += 1;
         let counts = match listing.to {
             0 => Vec::new(),
@@ -92,7 +92,7 @@
 
     /// Hosts that changed after version `from`, as far as a host of `zone` has
     /// to know them: all of its own zone, the first ones of each other one.
-    fn listing(&self, zone: &str, from: u64, scope: UseScope, now: Instant) -> HostListing {
+    fn listing(&self, zone: &str, from: u64, scope: UsageScope, now: Instant) -> HostListing {
         let wanted = |member: &GossipMember| {
             member.changed > from && (*member.zone == *zone || member.is_top())
         };
@@ -130,7 +130,7 @@
 /// The version from which on changes are listed to a host that has seen so much.
 /// One that became a speaker, or is one no longer, hears everything again:
 /// speakers are told of fewer live hosts than the others.
-fn listed_from(seen: SeenListing, scope: UseScope) -> u64 {
+fn listed_from(seen: SeenListing, scope: UsageScope) -> u64 {
     match seen.scope == scope {
         true => seen.to,
         false => 0,
@@ -156,9 +156,9 @@
 /// it is by now: a member that falls silent and is heard again before the next
 /// note changes nothing there, and a listener that was told of the silence in
 /// between would never hear of the end of it.
-fn silence(member: &GossipMember, scope: UseScope, now: Instant) -> Duration {
+fn silence(member: &GossipMember, scope: UsageScope, now: Instant) -> Duration {
     let silent = now.saturating_duration_since(member.heard());
-    match member.is_told_live(scope == UseScope::Group) {
+    match member.is_told_live(scope == UsageScope::Group) {
         true => silent.min(DEAD_AFTER - Duration::from_millis(1)),
         false => silent.max(DEAD_AFTER),
     }
--- a/src/membership/gossip_member.rs
+++ b/src/membership/gossip_member.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use crate::fleet::UseScope;
+use crate::fleet::UsageScope;
 use crate::ids::{HostId, HostStrength, IncarnationId, ZoneId};
 use crate::peer::{KnownHost, SeenListing};
 
@@ -72,7 +72,7 @@
     /// Version of its own table up to which its lists were taken in.
     pub(super) heard_to: u64,
     /// Scope of the view that held the last one.
-    pub(super) heard_scope: UseScope,
+    pub(super) heard_scope: UsageScope,
     /// Up to where it has taken in the lists of this host.
     pub(super) told: SeenListing,
     noted: NotedState,
@@ -94,7 +94,7 @@
             called: None,
             changed: version,
             heard_to: 0,
-            heard_scope: UseScope::default(),
+            heard_scope: UsageScope::default(),
             told: SeenListing::default(),
             noted: NotedState::default(),
         }
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -6,7 +6,7 @@
 
 use super::permits::{read_limits, write_limits};
 use super::{address, length, milliseconds, short_milliseconds, text};
-use crate::fleet::{TargetLoad, TargetUse, UseScope, ZoneUses};
+use crate::fleet::{TargetLoad, TargetUsage, UsageScope, ZoneUsage};
 use crate::peer::view::{
     FollowAnswer, FollowQuestion, FollowedLog, HostListing, HostView, KnownHost, LogAges,
     SeenListing, TargetChange, ZoneCount,
@@ -119,26 +119,26 @@
     })
 }
 
-fn write_scope(scope: UseScope) -> wire::UseScope {
+fn write_scope(scope: UsageScope) -> wire::UseScope {
     match scope {
-        UseScope::Host => wire::UseScope::Host,
-        UseScope::Group => wire::UseScope::Group,
-        UseScope::Neighbours => wire::UseScope::Neighbours,
-        UseScope::Zone => wire::UseScope::Zone,
+        UsageScope::Host => wire::UseScope::Host,
+        UsageScope::Group => wire::UseScope::Group,
+        UsageScope::Neighbours => wire::UseScope::Neighbours,
+        UsageScope::Zone => wire::UseScope::Zone,
     }
 }
 
-fn read_scope(scope: wire::UseScope) -> UseScope {
+fn read_scope(scope: wire::UseScope) -> UsageScope {
     match scope {
-        wire::UseScope::Host => UseScope::Host,
-        wire::UseScope::Group => UseScope::Group,
-        wire::UseScope::Neighbours => UseScope::Neighbours,
-        wire::UseScope::Zone => UseScope::Zone,
+        wire::UseScope::Host => UsageScope::Host,
+        wire::UseScope::Group => UsageScope::Group,
+        wire::UseScope::Neighbours => UsageScope::Neighbours,
+        wire::UseScope::Zone => UsageScope::Zone,
     }
 }
 
 /// One list for each field: a list of structures takes twice the bytes.
-fn write_uses(mut builder: wire::target_uses::Builder<'_>, uses: &[TargetUse]) {
+fn write_uses(mut builder: wire::target_uses::Builder<'_>, uses: &[TargetUsage]) {
     let count = length(uses.len());
     let mut keys = builder.reborrow().init_keys(count);
     for (index, used) in (0..).zip(uses) {
@@ -158,7 +158,7 @@
     }
 }
 
-fn read_uses(reader: wire::target_uses::Reader<'_>) -> capnp::Result<Vec<TargetUse>> {
+fn read_uses(reader: wire::target_uses::Reader<'_>) -> capnp::Result<Vec<TargetUsage>> {
     let keys = reader.get_keys()?;
     let requests = reader.get_requests()?;
     let (reserved, unread) = (reader.get_reserved()?, reader.get_unread()?);
@@ -167,7 +167,7 @@
         let text = "the lists of uses differ in length";
         return Err(capnp::Error::failed(text.to_owned()));
     }
-    let uses = (0..keys.len()).map(|index| TargetUse {
+    let uses = (0..keys.len()).map(|index| TargetUsage {
         key: keys.get(index),
         load: TargetLoad {
             requests: requests.get(index),
@@ -284,7 +284,7 @@
     for (index, zone) in (0..).zip(&answer.remote) {
         let mut entry = remote.reborrow().get(index);
         entry.set_zone(&*zone.zone);
-        write_uses(entry.init_uses(), &zone.uses);
+        write_uses(entry.init_uses(), &zone.usage);
     }
 }
 
@@ -304,9 +304,9 @@
         })
     });
     let remote = reader.get_remote()?.iter().map(|entry| {
-        Ok(ZoneUses {
+        Ok(ZoneUsage {
             zone: text(entry.get_zone())?,
-            uses: read_uses(entry.get_uses()?)?,
+            usage: read_uses(entry.get_uses()?)?,
         })
     });
     Ok(FollowAnswer {
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 
-use crate::fleet::{TargetUse, UseScope, ZoneUses};
+use crate::fleet::{TargetUsage, UsageScope, ZoneUsage};
 use crate::ids::{HostId, HostStrength, IncarnationId, LogOffset, TargetId, ZoneId};
 use crate::permits::LimitListing;
 use crate::poison::PoisonListing;
@@ -30,9 +30,9 @@
     /// What it has for duties besides its callers' requests.
     pub strength: HostStrength,
     /// Whose requests `uses` are.
-    pub scope: UseScope,
+    pub scope: UsageScope,
     /// Requests under way on targets.
-    pub uses: Vec<TargetUse>,
+    pub uses: Vec<TargetUsage>,
     /// Hosts that it knows, as far as they are news to the listener.
     pub listing: HostListing,
     /// What the speaker has taken in of the listener's own listings.
@@ -67,7 +67,7 @@
     /// Version of its table; 0 if nothing was taken in.
     pub to: u64,
     /// Scope of the view that held the last listing.
-    pub scope: UseScope,
+    pub scope: UsageScope,
 }
 
 /// Since when a host has had the log of targets, read by itself or by a host of its zone.
@@ -139,7 +139,7 @@
     /// Where the next question goes on from.
     pub next: u64,
     /// Requests of other zones' hosts.
-    pub remote: Vec<ZoneUses>,
+    pub remote: Vec<ZoneUsage>,
     /// Offset up to which the answering host covers the log of targets.
     pub read_to: LogOffset,
     /// What it has of the log of targets; `None` if it never had it.
--- a/src/placing/mend.rs
+++ b/src/placement/adjust.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use crate::ingress::EngineModel;
-use crate::placing::anew::{ANEW_PATIENCE, plan_anew};
-use crate::placing::best_range::{
+use crate::placement::best_range::{
     LoadCost, RangeChange, best_range, distinct_engines, over_horizon,
 };
-use crate::placing::figure::{ZoneFigure, hole_count};
-use crate::placing::fill::fill_empty;
-use crate::placing::{EngineView, PlannedRange};
+use crate::placement::fill::fill_empty;
+use crate::placement::replan::{REPLAN_DELAY, replan_zone};
+use crate::placement::zone_estimate::{ZoneEstimate, uncovered_count};
+use crate::placement::{EngineView, PlannedRange};
 
 /// How much more a zone has to carry after an engine changes its layers for
 /// the load to be worth it: each is priced and takes a share of the weights
@@ -21,7 +21,7 @@
 
 /// Gives empty engines the range in which they help most; closes holes, or
 /// makes one change that lets the zone carry clearly more.
-pub(super) fn plan_changes(
+pub(super) fn plan_adjustments(
     model: &EngineModel,
     engines: &[EngineView],
     holed_for: Duration,
@@ -31,11 +31,11 @@
     if let Some(rearranged) = rearrange(model, engines, &changed) {
         changed = rearranged;
     }
-    if hole_count(model, &changed) > 0 {
+    if uncovered_count(model, &changed) > 0 {
         // Half a mend only takes room from what still works.
         let closed = close_holes(model, &changed);
         let closed = match closed {
-            None if holed_for >= ANEW_PATIENCE => plan_anew(model, &changed),
+            None if holed_for >= REPLAN_DELAY => replan_zone(model, &changed),
             closed => closed,
         };
         changed = closed.unwrap_or(changed);
@@ -68,16 +68,16 @@
     if engines.iter().all(|engine| engine.layers.is_some()) {
         return None;
     }
-    let zone = ZoneFigure::of(model, filled, None);
-    let (scarcest, now) = (zone.scarcest_layer(), zone.worth());
+    let zone = ZoneEstimate::of(model, filled, None);
+    let (scarcest, now) = (zone.scarcest_layer(), zone.score());
     let holds = |engine: &EngineView| engine.layers.is_some_and(|held| held.contains(scarcest));
     let holders = (0..engines.len()).filter(|index| holds(&engines[*index]));
     let options = distinct_engines(engines, holders).into_iter().map(|index| {
         let mut option = engines.to_vec();
         option[index].layers = None;
         fill_empty(model, &mut option);
-        let worth = rearranged_worth(model, engines, &option, index);
-        (worth / now, option)
+        let score = rearranged_worth(model, engines, &option, index);
+        (score / now, option)
     });
     let best = options.max_by(|one, other| one.0.total_cmp(&other.0))?;
     (best.0 > LEAST_GAIN).then_some(best.1)
@@ -91,8 +91,8 @@
     option: &[EngineView],
     index: usize,
 ) -> f64 {
-    let after = ZoneFigure::of(model, option, None).worth();
-    let during = ZoneFigure::of(model, option, Some(index)).worth();
+    let after = ZoneEstimate::of(model, option, None).score();
+    let during = ZoneEstimate::of(model, option, Some(index)).score();
     match (engines[index].layers, option[index].layers) {
         (Some(held), Some(wanted)) => over_horizon(model, held, wanted, during, after),
         _ => after,
@@ -105,7 +105,7 @@
     for _ in 0..MOST_MOVES {
         let change = best_change(model, &engines)?;
         engines[change.engine].layers = Some(change.layers);
-        if hole_count(model, &engines) == 0 {
+        if uncovered_count(model, &engines) == 0 {
             return Some(engines);
         }
     }
--- a/src/placing/best_range.rs
+++ b/src/placement/best_range.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::LayerRange;
 use crate::ingress::EngineModel;
-use crate::placing::EngineView;
-use crate::placing::figure::ZoneFigure;
+use crate::placement::EngineView;
+use crate::placement::zone_estimate::ZoneEstimate;
 
 /// Time over which a change has to pay, in seconds. A zone that lost engines
 /// was short of room for 10 to 20 s on the days that were traced.
@@ -65,22 +65,22 @@
     cost: LoadCost,
 ) -> Option<RangeChange> {
     let engine = &engines[index];
-    let zone = ZoneFigure::of(model, engines, None);
-    let others = ZoneFigure::of(model, engines, Some(index)).sharing_steps_of(&zone);
-    let now = zone.worth();
+    let zone = ZoneEstimate::of(model, engines, None);
+    let others = ZoneEstimate::of(model, engines, Some(index)).sharing_steps_of(&zone);
+    let now = zone.score();
     let without = others.run_totals();
     let mut best: Option<RangeChange> = None;
-    for width in 1..=model.most_layers(engine.kind) {
+    for width in 1..=model.max_layers(engine.kind) {
         let figure = others.with_width(engine.kind, width, &without);
         for from in 0..=model.layers - width {
             let layers = LayerRange {
                 from,
                 to: from + width,
             };
-            let after = figure.worth(layers);
+            let after = figure.score(layers);
             let gain = match (cost, engine.layers) {
                 (LoadCost::Counted, Some(held)) => {
-                    let during = figure.worth(shared(held, layers));
+                    let during = figure.score(shared(held, layers));
                     over_horizon(model, held, layers, during, after) / now
                 }
                 _ => after / now,
--- a/src/placing/estimate.rs
+++ b/src/placement/estimate.rs
@@ -2,7 +2,7 @@
 
 use crate::fleet::LayerRange;
 use crate::ingress::{AcceleratorKind, EngineModel};
-use crate::placing::EngineView;
+use crate::placement::EngineView;
 
 /// Time that a token step takes in all, in times of the engines' own work:
 /// a request waits for the rest of the pass that an engine is in.
@@ -35,13 +35,13 @@
     /// Room for requests at each of its layers, in tokens.
     pub(super) fn room(&self, model: &EngineModel) -> f64 {
         let width = self.layers.width().max(1);
-        model.cache_room(self.kind, self.layers.width()) / f64::from(width)
+        model.cache_capacity(self.kind, self.layers.width()) / f64::from(width)
     }
 }
 
 /// Requests a second that a zone carries, plus what is left of that after the
 /// loss of the engine that is missed most.
-pub fn plan_worth(model: &EngineModel, held: &[HeldRange]) -> f64 {
+pub fn plan_score(model: &EngineModel, held: &[HeldRange]) -> f64 {
     let mut layers = vec![LayerShare::default(); model.layers as usize];
     for range in held {
         let share = HolderShare::of(model, range);
--- a/src/placing/fill.rs
+++ b/src/placement/fill.rs
@@ -1,8 +1,8 @@
 //! Ranges for engines that may be placed freely.
 
 use crate::ingress::EngineModel;
-use crate::placing::EngineView;
-use crate::placing::best_range::{LoadCost, are_interchangeable, best_range};
+use crate::placement::EngineView;
+use crate::placement::best_range::{LoadCost, are_interchangeable, best_range};
 
 /// Rounds over the engines that may be placed freely: bounds the time of a
 /// plan. What is left is found by the next look.
--- a/src/placing/first.rs
+++ b/src/placement/initial.rs
@@ -2,10 +2,10 @@
 
 use crate::fleet::LayerRange;
 use crate::ingress::EngineModel;
-use crate::placing::estimate::{HeldRange, plan_worth};
-use crate::placing::fill::{fill_empty, fill_roughly, settle};
-use crate::placing::parts::plan_parts;
-use crate::placing::{EngineView, PlannedRange};
+use crate::placement::estimate::{HeldRange, plan_score};
+use crate::placement::fill::{fill_empty, fill_roughly, settle};
+use crate::placement::partition::plan_partitioned;
+use crate::placement::{EngineView, PlannedRange};
 
 /// Most copies of the weights that whole chains are made of. More would leave
 /// no room for requests on the accelerators of today.
@@ -25,8 +25,8 @@
 /// A request holds memory for as long as it runs, so that slow engines in the
 /// way of all requests cost room everywhere. As second holders they are a
 /// spare and take what is too much.
-pub(super) fn plan_empty(model: &EngineModel, engines: &[EngineView]) -> Vec<PlannedRange> {
-    let planned = plan_parts(model, engines).into_iter();
+pub(super) fn plan_initial(model: &EngineModel, engines: &[EngineView]) -> Vec<PlannedRange> {
+    let planned = plan_partitioned(model, engines).into_iter();
     let ranges = planned.filter_map(|engine| {
         let layers = engine.layers?;
         Some(PlannedRange {
@@ -51,13 +51,13 @@
 /// The best of the plans: all are compared roughly, and the best of these again
 /// as they would be made.
 pub(super) fn best_plan(model: &EngineModel, sorted: &[EngineView]) -> Vec<EngineView> {
-    let worth = |planned: &[EngineView]| plan_worth(model, &HeldRange::all(planned));
+    let score = |planned: &[EngineView]| plan_score(model, &HeldRange::all(planned));
     let all = (0..sorted.len()).collect::<Vec<_>>();
     let finalists = (1..=MOST_CHAINS).flat_map(|chains| rough_best(model, sorted, chains));
     let finalists = finalists.map(|(fast, chains)| {
         let mut planned = plan_with(model, sorted, (fast, chains), fill_empty);
         settle(model, &mut planned, &all);
-        (worth(&planned), planned)
+        (score(&planned), planned)
     });
     let mut best = (f64::NEG_INFINITY, Vec::new());
     for finalist in finalists {
@@ -73,7 +73,7 @@
 fn rough_best(model: &EngineModel, sorted: &[EngineView], chains: usize) -> Vec<(usize, usize)> {
     let rough = fast_counts(sorted).into_iter().map(|fast| {
         let planned = plan_with(model, sorted, (fast, chains), fill_roughly);
-        (plan_worth(model, &HeldRange::all(&planned)), (fast, chains))
+        (plan_score(model, &HeldRange::all(&planned)), (fast, chains))
     });
     let mut rough = rough.collect::<Vec<_>>();
     // A stable sort: of equal plans the one with fewer fast engines comes first.
@@ -154,7 +154,7 @@
     let ideal = ideal.collect::<Vec<_>>();
     let most = chain
         .iter()
-        .map(|engine| model.most_layers(engine.kind))
+        .map(|engine| model.max_layers(engine.kind))
         .collect::<Vec<_>>();
     let mut widths = ideal
         .iter()
--- a/src/placing/parts.rs
+++ b/src/placement/partition.rs
@@ -1,8 +1,8 @@
 //! The first plan of a large zone, as plans of parts of it.
 
 use crate::ingress::EngineModel;
-use crate::placing::EngineView;
-use crate::placing::first::{best_plan, sorted_by_pace};
+use crate::placement::EngineView;
+use crate::placement::initial::{best_plan, sorted_by_pace};
 
 /// Most engines of a part. The time of a plan grows faster than its engines.
 pub(super) const PART_ENGINES: usize = 64;
@@ -16,7 +16,7 @@
 /// Answers a start of a zone of hundreds of engines: planned as one, it holds no
 /// layers for half a minute and longer. Equal parts are planned once. Requests
 /// may cross from part to part.
-pub(super) fn plan_parts(model: &EngineModel, engines: &[EngineView]) -> Vec<EngineView> {
+pub(super) fn plan_partitioned(model: &EngineModel, engines: &[EngineView]) -> Vec<EngineView> {
     let sorted = sorted_by_pace(engines);
     let mut planned: Vec<Vec<EngineView>> = Vec::new();
     for part in deal(sorted, part_count(model, engines)) {
@@ -32,7 +32,7 @@
 
 /// How many parts a zone is planned in.
 fn part_count(model: &EngineModel, engines: &[EngineView]) -> usize {
-    let layers = engines.iter().map(|engine| model.most_layers(engine.kind));
+    let layers = engines.iter().map(|engine| model.max_layers(engine.kind));
     let copies = f64::from(layers.sum::<u32>()) / f64::from(model.layers.max(1));
     let by_memory = (copies / LEAST_COPIES) as usize;
     engines.len().div_ceil(PART_ENGINES).min(by_memory).max(1)
--- a/src/placing/plan.rs
+++ b/src/placement/plan.rs
@@ -5,7 +5,7 @@
 use crate::fleet::LayerRange;
 use crate::ids::TargetId;
 use crate::ingress::{AcceleratorKind, EngineModel};
-use crate::placing::{figure, first, mend};
+use crate::placement::{adjust, initial, zone_estimate};
 
 /// An engine as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
@@ -43,12 +43,12 @@
     let mut engines = engines.to_vec();
     engines.sort_by(|one, other| one.id.cmp(&other.id));
     match engines.iter().any(|engine| engine.layers.is_some()) {
-        false => first::plan_empty(model, &engines),
-        true => mend::plan_changes(model, &engines, holed_for),
+        false => initial::plan_initial(model, &engines),
+        true => adjust::plan_adjustments(model, &engines, holed_for),
     }
 }
 
 /// Whether a zone lacks layers, or has no useful room for some.
-pub fn has_holes(model: &EngineModel, engines: &[EngineView]) -> bool {
-    figure::hole_count(model, engines) > 0
+pub fn has_uncovered_layers(model: &EngineModel, engines: &[EngineView]) -> bool {
+    zone_estimate::uncovered_count(model, engines) > 0
 }
--- a/src/placing/anew.rs
+++ b/src/placement/replan.rs
@@ -4,35 +4,35 @@
 
 use crate::fleet::LayerRange;
 use crate::ingress::EngineModel;
-use crate::placing::EngineView;
-use crate::placing::best_range::shared;
-use crate::placing::figure::hole_count;
-use crate::placing::first::plan_empty;
+use crate::placement::EngineView;
+use crate::placement::best_range::shared;
+use crate::placement::initial::plan_initial;
+use crate::placement::zone_estimate::uncovered_count;
 
 /// How long a zone that cannot be mended otherwise lacks layers before it is
 /// planned anew. An engine that crashed is back, empty, within about a second
 /// of its entry's end; to load most layers of the zone anew before that lowered
 /// the mean worth of 40 simulated days with faults from 0.747 to 0.740.
-pub const ANEW_PATIENCE: Duration = Duration::from_millis(2500);
+pub const REPLAN_DELAY: Duration = Duration::from_millis(2500);
 
 /// The engines as if none held anything yet; `None` if that leaves holes too.
 ///
 /// A zone that lost two large engines for good cannot be made whole by one
 /// change after the other, each better than the one before. It served nothing
 /// for the rest of the day, although its engines had room for ninety requests.
-pub(super) fn plan_anew(model: &EngineModel, engines: &[EngineView]) -> Option<Vec<EngineView>> {
+pub(super) fn replan_zone(model: &EngineModel, engines: &[EngineView]) -> Option<Vec<EngineView>> {
     let mut anew = engines.to_vec();
     for engine in &mut anew {
         engine.layers = None;
     }
-    let planned = plan_empty(model, &anew);
+    let planned = plan_initial(model, &anew);
     for range in planned {
         if let Some(engine) = anew.iter_mut().find(|engine| engine.id == range.id) {
             engine.layers = Some(range.layers);
         }
     }
     keep_ranges(engines, &mut anew);
-    (hole_count(model, &anew) == 0).then_some(anew)
+    (uncovered_count(model, &anew) == 0).then_some(anew)
 }
 
 /// Exchanges ranges between engines of one kind, so that each keeps as much of
--- a/src/placing/figure.rs
+++ b/src/placement/zone_estimate.rs
@@ -3,8 +3,8 @@
 
 use crate::fleet::LayerRange;
 use crate::ingress::{AcceleratorKind, EngineModel};
-use crate::placing::EngineView;
-use crate::placing::estimate::{WAIT_FACTOR, usual_tokens};
+use crate::placement::EngineView;
+use crate::placement::estimate::{WAIT_FACTOR, usual_tokens};
 
 /// Exponent of the mean that stands for the layer with the least room. A hard
 /// minimum gives no sign of whether a change goes the right way while another
@@ -43,20 +43,20 @@
 
 /// An engine's figures at one width.
 #[derive(Debug, Clone, Copy)]
-struct HolderFigure {
+struct HolderEstimate {
     room: f64,
     step_ms: f64,
     each_ms: f64,
     hop_ms: f64,
 }
 
-impl HolderFigure {
+impl HolderEstimate {
     fn of(model: &EngineModel, kind: AcceleratorKind, width: u32) -> Self {
         let usual_k = usual_tokens(model) / 1000.0;
         let context_ms = model.per_context_k_ms * usual_k * kind.pace;
         let width = width.max(1);
         Self {
-            room: model.cache_room(kind, width) / f64::from(width),
+            room: model.cache_capacity(kind, width) / f64::from(width),
             step_ms: model.step_ms * kind.pace,
             each_ms: model.per_request_ms * kind.read_factor + context_ms,
             hop_ms: HOP_MS * f64::from(model.layers)
@@ -67,7 +67,7 @@
 }
 
 impl LayerSum {
-    fn with(mut self, holder: HolderFigure) -> Self {
+    fn with(mut self, holder: HolderEstimate) -> Self {
         self.room += holder.room;
         self.largest = self.largest.max(holder.room);
         self.step += holder.room * holder.step_ms;
@@ -97,7 +97,7 @@
 }
 
 impl RunTotal {
-    fn of(zone: &ZoneFigure<'_>, layer: &LayerSum) -> Self {
+    fn of(zone: &ZoneEstimate<'_>, layer: &LayerSum) -> Self {
         let usual = usual_tokens(zone.model);
         let need = |room: f64| (room / usual).max(zone.least_room).powi(-NEED_POWER);
         Self {
@@ -126,7 +126,7 @@
 
 /// The layers of a zone as some engines hold them.
 #[derive(Debug, Clone)]
-pub(super) struct ZoneFigure<'a> {
+pub(super) struct ZoneEstimate<'a> {
     model: &'a EngineModel,
     layers: Vec<LayerSum>,
     /// Requests that each step is shared with.
@@ -135,7 +135,7 @@
     least_room: f64,
 }
 
-impl<'a> ZoneFigure<'a> {
+impl<'a> ZoneEstimate<'a> {
     /// The layers as `engines` hold them; one of them may count as empty.
     pub(super) fn of(
         model: &'a EngineModel,
@@ -147,7 +147,7 @@
         let held = held.filter_map(|(_, engine)| Some((engine.kind, engine.layers?)));
         let mut layers = vec![LayerSum::default(); model.layers as usize];
         for (kind, range) in held {
-            let holder = HolderFigure::of(model, kind, range.width());
+            let holder = HolderEstimate::of(model, kind, range.width());
             let within = layers.iter_mut().take(range.to as usize);
             for layer in within.skip(range.from as usize) {
                 *layer = layer.with(holder);
@@ -193,7 +193,7 @@
 
     /// Requests a second that the zone carries, plus what is left of that
     /// where each layer is without its largest holder.
-    pub(super) fn worth(&self) -> f64 {
+    pub(super) fn score(&self) -> f64 {
         let totals = self.layers.iter();
         let totals = totals.map(|layer| RunTotal::of(self, layer));
         self.rate(totals.fold(RunTotal::default(), RunTotal::plus))
@@ -225,9 +225,9 @@
         kind: AcceleratorKind,
         width: u32,
         without: &'b RunTotals,
-    ) -> WidthFigure<'b> {
-        let holder = HolderFigure::of(self.model, kind, width);
-        WidthFigure {
+    ) -> WidthEstimate<'b> {
+        let holder = HolderEstimate::of(self.model, kind, width);
+        WidthEstimate {
             zone: self,
             without,
             with: self.totals_of(|layer| layer.with(holder)),
@@ -259,23 +259,23 @@
 
 /// A zone with one more holder of a fixed width.
 #[derive(Debug)]
-pub(super) struct WidthFigure<'a> {
-    zone: &'a ZoneFigure<'a>,
+pub(super) struct WidthEstimate<'a> {
+    zone: &'a ZoneEstimate<'a>,
     without: &'a RunTotals,
     with: RunTotals,
 }
 
-impl WidthFigure<'_> {
+impl WidthEstimate<'_> {
     /// The zone's worth where the holder has these layers.
-    pub(super) fn worth(&self, range: LayerRange) -> f64 {
+    pub(super) fn score(&self, range: LayerRange) -> f64 {
         let others = self.without.all().minus(self.without.within(range));
         self.zone.rate(others.plus(self.with.within(range)))
     }
 }
 
 /// Layers of a zone without holder, or with too little room to count.
-pub(super) fn hole_count(model: &EngineModel, engines: &[EngineView]) -> usize {
-    ZoneFigure::of(model, engines, None).holes()
+pub(super) fn uncovered_count(model: &EngineModel, engines: &[EngineView]) -> usize {
+    ZoneEstimate::of(model, engines, None).holes()
 }
 
 /// Room under which a layer of a zone counts as without holder, in usual
--- a/standins/src/pipeline/engine.rs
+++ b/standins/src/pipeline/engine.rs
@@ -35,7 +35,7 @@
 impl SimEngine {
     pub(super) fn room(&self, model: &EngineModel) -> f64 {
         let held = self.layers.map_or(0, LayerRange::width);
-        model.cache_room(self.kind, held)
+        model.cache_capacity(self.kind, held)
     }
 
     pub(super) fn holds(&self, layers: LayerRange) -> bool {
--- a/standins/src/pipeline/world.rs
+++ b/standins/src/pipeline/world.rs
@@ -167,7 +167,7 @@
             return;
         }
         state.orders += 1;
-        if layers.width() > model.most_layers(state.kind) {
+        if layers.width() > model.max_layers(state.kind) {
             self.kill(engine, now);
             return;
         }
--- a/standins/src/trial/plans.rs
+++ b/standins/src/trial/plans.rs
@@ -4,7 +4,7 @@
 
 use jackdawwick::fleet::LayerRange;
 use jackdawwick::ingress::{AcceleratorKind, EngineModel};
-use jackdawwick::placing::{EngineView, plan_zone};
+use jackdawwick::placement::{EngineView, plan_zone};
 
 /// Which engine of a zone holds which layers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -57,7 +57,7 @@
 }
 
 fn equal_ranges(model: &EngineModel, engines: &[AcceleratorKind]) -> Vec<Option<LayerRange>> {
-    let least = engines.iter().map(|kind| model.most_layers(*kind)).min();
+    let least = engines.iter().map(|kind| model.max_layers(*kind)).min();
     let width = (least.unwrap_or(1) * 3 / 4).max(1);
     let mut from = 0;
     let ranges = engines.iter().map(|_| {
@@ -85,7 +85,7 @@
             let from = (reached * f64::from(model.layers)).round() as u32;
             reached += engines[index].memory_mb / memory;
             let to = (reached * f64::from(model.layers)).round() as u32;
-            let to = to.min(from + model.most_layers(engines[index]));
+            let to = to.min(from + model.max_layers(engines[index]));
             ranges[index] = Some(LayerRange { from, to });
         }
     }
--- a/tests/entry_decisions.rs
+++ b/tests/entry_decisions.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use jackdawwick::admission::OverloadGauge;
-use jackdawwick::fleet::UseScope;
+use jackdawwick::fleet::UsageScope;
 use jackdawwick::forward::EventSplitter;
 use jackdawwick::logging::BoundedWriter;
 use jackdawwick::membership::GossipTable;
@@ -175,7 +175,7 @@
         sequence,
         configuration_version: 0,
         strength: 0,
-        scope: UseScope::Host,
+        scope: UsageScope::Host,
         uses: Vec::new(),
         listing: HostListing::default(),
         seen: SeenListing::default(),
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures::FutureExt;
-use jackdawwick::fleet::{TargetLoad, TargetUse, UseScope, ZoneUses, target_key};
+use jackdawwick::fleet::{TargetLoad, TargetUsage, UsageScope, ZoneUsage, target_key};
 use jackdawwick::peer::{
     self, EntryHandlers, FollowAnswer, FollowQuestion, HostListing, HostView, KnownHost, LogAges,
     PeerHandle, PeerSettings, SeenListing, ZoneCount,
@@ -27,13 +27,13 @@
         sequence: 7,
         configuration_version: 40,
         strength: 8,
-        scope: UseScope::Neighbours,
+        scope: UsageScope::Neighbours,
         uses: Vec::new(),
         listing: HostListing::default(),
         seen: SeenListing {
             incarnation: 1 << 51,
             to: 12,
-            scope: UseScope::Group,
+            scope: UsageScope::Group,
         },
         counts: Vec::new(),
         log: Some(LogAges {
@@ -52,8 +52,8 @@
     }
 }
 
-fn used(number: usize) -> TargetUse {
-    TargetUse {
+fn used(number: usize) -> TargetUsage {
+    TargetUsage {
         key: target_key(&format!("i-{number:08}")),
         load: TargetLoad {
             requests: 12,
@@ -85,12 +85,12 @@
     }
 }
 
-fn remote_uses() -> FollowAnswer {
+fn remote_usage() -> FollowAnswer {
     FollowAnswer {
         incarnation: 5,
-        remote: vec![ZoneUses {
+        remote: vec![ZoneUsage {
             zone: "vake".into(),
-            uses: vec![used(1), used(2)],
+            usage: vec![used(1), used(2)],
         }],
         ..FollowAnswer::default()
     }
@@ -125,7 +125,7 @@
 fn spawn() -> PeerHandle {
     let handlers = EntryHandlers {
         exchange: Arc::new(|view| view),
-        follow: Arc::new(|_| async { remote_uses() }.boxed()),
+        follow: Arc::new(|_| async { remote_usage() }.boxed()),
         permit: Arc::new(|question| async move { answer_permit(&question) }.boxed()),
     };
     peer::spawn(PeerSettings::new(loopback(0)), handlers).expect("a free port")
@@ -135,7 +135,7 @@
 async fn a_view_arrives_as_it_was_sent() {
     let (caller, callee) = (spawn(), spawn());
     let sent = HostView {
-        scope: UseScope::Group,
+        scope: UsageScope::Group,
         uses: (0..3).map(used).collect(),
         listing: HostListing {
             from: 4,
@@ -162,7 +162,7 @@
     let question = FollowQuestion::default();
     let wait = Duration::from_secs(20);
     let followed = caller.follow(address, question, wait).await;
-    assert_eq!(followed.expect("an answer"), remote_uses());
+    assert_eq!(followed.expect("an answer"), remote_usage());
     caller.shutdown().await;
     callee.shutdown().await;
 }
--- a/tests/fleet_in_memory/mod.rs
+++ b/tests/fleet_in_memory/mod.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use jackdawwick::fleet::{FleetTable, TargetEntry, TargetLoad, UseSource};
+use jackdawwick::fleet::{FleetTable, TargetEntry, TargetLoad, UsageSource};
 use jackdawwick::ids::{HostId, HostStrength, IncarnationId, ZoneId};
 use jackdawwick::membership::GossipTable;
 use jackdawwick::peer::HostView;
@@ -241,7 +241,7 @@
         address: SocketAddr,
     ) -> HostView {
         let host = &self.hosts[place];
-        let uses = host.fleet.uses(view.scope, listener);
+        let uses = host.fleet.usage(view.scope, listener);
         let poison = host.poison.listing_for(address, self.now);
         HostView {
             uses,
@@ -258,9 +258,9 @@
         }
         host.poison
             .take_listing(view.address, view.incarnation, &view.poison, now);
-        let source = UseSource::of(view.scope, &view.host, &view.zone, &host.zone);
+        let source = UsageSource::of(view.scope, &view.host, &view.zone, &host.zone);
         if let Some(source) = source {
-            host.fleet.observe_uses(source, view.uses.clone(), now);
+            host.fleet.observe_usage(source, view.uses.clone(), now);
         }
     }
 }
--- a/tests/ingress.rs
+++ b/tests/ingress.rs
@@ -89,7 +89,7 @@
         .engine
         .as_ref()
         .expect("an engine");
-    assert_eq!(model.most_layers(model.kinds["fast"]), 41);
+    assert_eq!(model.max_layers(model.kinds["fast"]), 41);
     assert!(configuration.services["plain"].engine.is_none());
 }
 
--- a/tests/paths.rs
+++ b/tests/paths.rs
@@ -1,17 +1,17 @@
 //! Paths over engines: every layer once and in order, the least loaded first.
 
-mod placing_support;
+mod placement_support;
 
 use std::time::{Duration, Instant};
 
 use jackdawwick::collections::FastMap;
 use jackdawwick::fleet::{
-    EnginePath, FleetTable, LayerRange, PathQuery, RequestSize, TargetEntry, TargetLoad, TargetUse,
-    UseSource, choose_path, repair_path, target_key,
+    EnginePath, FleetTable, LayerRange, PathQuery, RequestSize, TargetEntry, TargetLoad,
+    TargetUsage, UsageSource, choose_path, repair_path, target_key,
 };
 use jackdawwick::ids::TargetId;
 use jackdawwick::ingress::EngineModel;
-use placing_support::{FAST, SLOW};
+use placement_support::{FAST, SLOW};
 use proptest::prelude::*;
 
 const SIZE: RequestSize = RequestSize {
@@ -23,7 +23,7 @@
     let kinds = [("fast".into(), FAST), ("slow".into(), SLOW)];
     EngineModel {
         kinds: kinds.into_iter().collect::<FastMap<_, _>>(),
-        ..placing_support::model()
+        ..placement_support::model()
     }
 }
 
@@ -167,7 +167,7 @@
         engine(1, "near", "fast", 40, 80),
     ]);
     assert!(!choose(&fleet, &model, &[], now).expect("a path").full);
-    let uses = vec![TargetUse {
+    let uses = vec![TargetUsage {
         key: target_key("i-1"),
         load: TargetLoad {
             requests: 4,
@@ -175,9 +175,9 @@
             unread: 0.0,
         },
     }];
-    fleet.observe_uses(UseSource::Host("other".into()), uses, now);
+    fleet.observe_usage(UsageSource::Host("other".into()), uses, now);
     assert!(choose(&fleet, &model, &[], now).expect("a path").full);
-    fleet.observe_uses(UseSource::Host("other".into()), Vec::new(), now);
+    fleet.observe_usage(UsageSource::Host("other".into()), Vec::new(), now);
     assert!(!choose(&fleet, &model, &[], now).expect("a path").full);
 }
 
@@ -225,8 +225,8 @@
         engine(2, "far", "fast", 0, 40),
         engine(3, "far", "fast", 40, 80),
     ]);
-    assert!(fleet.ask_pace("i-1", now));
-    assert!(!fleet.ask_pace("i-1", now));
+    assert!(fleet.begin_pace_request("i-1", now));
+    assert!(!fleet.begin_pace_request("i-1", now));
     fleet.observe_pace("i-1", 12.0, now);
     let path = choose(&fleet, &model, &[], now).expect("a path");
     assert!(path.hops.iter().all(|hop| &*hop.target != "i-1"));
@@ -280,7 +280,7 @@
         let state = fleet.get(id).expect("an engine");
         let kind = model.kinds[state.entry.kind.as_deref().expect("a kind")];
         let width = state.entry.layers.expect("layers").width();
-        model.cache_room(kind, width) - state.load().reserved
+        model.cache_capacity(kind, width) - state.load().reserved
     };
     let mut count = 0;
     for turn in 0..400 {
--- a/tests/placing.rs
+++ b/tests/placement.rs
@@ -1,14 +1,14 @@
 //! The planner: no engine is given more than it holds, every layer has a
 //! holder, and the plan carries more than naive ones.
 
-mod placing_support;
+mod placement_support;
 
 use std::time::Duration;
 
 use jackdawwick::fleet::LayerRange;
 use jackdawwick::ingress::EngineModel;
-use jackdawwick::placing::{EngineView, plan_zone};
-use placing_support::{FAST, SLOW, USUAL, apply, engines, holders, model, worth};
+use jackdawwick::placement::{EngineView, plan_zone};
+use placement_support::{FAST, SLOW, USUAL, apply, engines, holders, model, score};
 use proptest::prelude::*;
 
 #[test]
@@ -81,7 +81,7 @@
     let room = |layer: u32| {
         let held = engines.iter().filter_map(|engine| {
             let layers = engine.layers.filter(|layers| layers.contains(layer))?;
-            let room = model.cache_room(engine.kind, layers.width());
+            let room = model.cache_capacity(engine.kind, layers.width());
             Some(room / f64::from(layers.width()) / usual)
         });
         held.sum::<f64>()
@@ -155,7 +155,7 @@
     engines.truncate(6);
     apply(&model, &mut engines);
     let widened = engines[0].layers.expect("a range");
-    let room = model.cache_room(FAST, widened.width()) / f64::from(widened.width());
+    let room = model.cache_capacity(FAST, widened.width()) / f64::from(widened.width());
     assert!(room / 977.0 > 15.0, "room for {} requests", room / 977.0);
 }
 
@@ -214,7 +214,7 @@
 fn equal_ranges(model: &EngineModel, engines: &mut [EngineView]) {
     let width = engines
         .iter()
-        .map(|engine| model.most_layers(engine.kind))
+        .map(|engine| model.max_layers(engine.kind))
         .min()
         .unwrap_or(1);
     let mut from = 0;
@@ -235,7 +235,7 @@
         let mut from = 0.0;
         for engine in chain {
             let to = from + f64::from(model.layers) * engine.kind.memory_mb / memory;
-            let most = model.most_layers(engine.kind);
+            let most = model.max_layers(engine.kind);
             let range = LayerRange {
                 from: from.round() as u32,
                 to: (to.round() as u32).min(from.round() as u32 + most),
@@ -260,10 +260,10 @@
         equal_ranges(&model, &mut equal);
         let mut copies = engines(&kinds);
         copies_by_kind(&model, &mut copies, 6);
-        let best = worth(&model, &planned);
+        let best = score(&model, &planned);
         assert!(best > 0.0);
-        assert!(best >= worth(&model, &equal));
-        assert!(best >= worth(&model, &copies));
+        assert!(best >= score(&model, &equal));
+        assert!(best >= score(&model, &copies));
     }
 }
 
@@ -285,7 +285,7 @@
         apply(&model, &mut engines);
         for engine in &engines {
             let layers = engine.layers.expect("a range");
-            prop_assert!(layers.width() <= model.most_layers(engine.kind));
+            prop_assert!(layers.width() <= model.max_layers(engine.kind));
             prop_assert!(layers.from < layers.to && layers.to <= model.layers);
         }
     }
@@ -328,7 +328,7 @@
     for ((fast, usual, slow), exhaustive) in LARGE_ZONES {
         let mut zone = engines(&[(FAST, fast), (USUAL, usual), (SLOW, slow)]);
         apply(&model, &mut zone);
-        let carried = worth(&model, &zone);
+        let carried = score(&model, &zone);
         let least = exhaustive * (1.0 - LARGE_LOSS);
         assert!(carried >= least, "{fast}, {usual}, {slow}: {carried}");
     }
--- a/tests/placing_parts.rs
+++ b/tests/placement_partition.rs
@@ -1,12 +1,12 @@
 //! Zones of many engines, which are planned in parts.
 
-mod placing_support;
+mod placement_support;
 
 use std::collections::BTreeSet;
 
 use jackdawwick::ingress::{AcceleratorKind, EngineModel};
-use jackdawwick::placing::EngineView;
-use placing_support::{FAST, SLOW, USUAL, apply, engines, holders, model, worth};
+use jackdawwick::placement::EngineView;
+use placement_support::{FAST, SLOW, USUAL, apply, engines, holders, model, score};
 
 /// What a plan in parts may carry less than one of the whole zone.
 const PARTS_LOSS: f64 = 0.04;
@@ -29,7 +29,7 @@
     let zone = planned(&[(FAST, 24), (USUAL, 84), (SLOW, 144)]);
     assert!(cases(&zone) <= cases(&part), "{} cases", cases(&zone));
     let model = model();
-    let (alone, together) = (worth(&model, &part), worth(&model, &zone));
+    let (alone, together) = (score(&model, &part), score(&model, &zone));
     assert!(together >= 4.0 * alone, "{together} of four times {alone}");
 }
 
@@ -49,7 +49,7 @@
     let model = model();
     for ((fast, usual, slow), whole) in WHOLE_PLANS {
         let zone = planned(&[(FAST, fast), (USUAL, usual), (SLOW, slow)]);
-        let carried = worth(&model, &zone);
+        let carried = score(&model, &zone);
         let least = whole * (1.0 - PARTS_LOSS);
         assert!(carried >= least, "{fast}, {usual}, {slow}: {carried}");
     }
--- a/tests/placing_support/mod.rs
+++ b/tests/placement_support/mod.rs
@@ -4,7 +4,7 @@
 
 use jackdawwick::collections::FastMap;
 use jackdawwick::ingress::{AcceleratorKind, EngineModel};
-use jackdawwick::placing::{ANEW_PATIENCE, EngineView, HeldRange, plan_worth, plan_zone};
+use jackdawwick::placement::{EngineView, HeldRange, REPLAN_DELAY, plan_score, plan_zone};
 
 pub(crate) const FAST: AcceleratorKind = AcceleratorKind {
     memory_mb: 72_000.0,
@@ -53,7 +53,7 @@
 
 /// Carries the plan out.
 pub(crate) fn apply(model: &EngineModel, engines: &mut [EngineView]) -> usize {
-    let planned = plan_zone(model, engines, ANEW_PATIENCE);
+    let planned = plan_zone(model, engines, REPLAN_DELAY);
     for range in &planned {
         let engine = engines.iter_mut().find(|engine| engine.id == range.id);
         engine.expect("a known engine").layers = Some(range.layers);
@@ -66,12 +66,12 @@
     ranges.filter(|range| range.contains(layer)).count()
 }
 
-pub(crate) fn worth(model: &EngineModel, engines: &[EngineView]) -> f64 {
+pub(crate) fn score(model: &EngineModel, engines: &[EngineView]) -> f64 {
     let held = engines.iter().filter_map(|engine| {
         Some(HeldRange {
             kind: engine.kind,
             layers: engine.layers?,
         })
     });
-    plan_worth(model, &held.collect::<Vec<_>>())
+    plan_score(model, &held.collect::<Vec<_>>())
 }
