--- a/src/fleet/path.rs
+++ b/src/fleet/path.rs
@@ -17,13 +17,13 @@
 /// engines are late when the zones are cut from each other, and at 10 ms two
 /// requests of five went there without need. Mean worth over 40 simulated
 /// days with faults at 10, 30 and 70 ms: 0.735, 0.740 and 0.744.
-const FAR_ZONE_MS: f64 = 70.0;
+const REMOTE_ZONE_MS: f64 = 70.0;
 /// Part of an engine's memory that may be promised. A request holds its whole
 /// answer only at its end, and half of it on average; where it still does not
 /// fit the newest one is read again, which is late and not lost. Mean worth at
 /// 1.0, 1.2 and 1.5: 0.721, 0.733 and 0.716 (40 simulated days with faults;
 /// 1.5 with callers that come back later).
-const USABLE_MEMORY: f64 = 1.2;
+const MEMORY_OVERCOMMIT: f64 = 1.2;
 /// Random part of an engine's cost. Hosts know each other's requests some
 /// hundred milliseconds late; without it all would choose the same engines in
 /// that time.
@@ -33,10 +33,10 @@
 /// milliseconds an event. After the loss of an engine all that passed it is
 /// read again elsewhere, 60 requests of 1,000 tokens at once, and whatever is
 /// sent there meanwhile waits for some 300 ms more of its aim of 500 ms.
-const READ_SHARE: f64 = 0.3;
+const PREFILL_WEIGHT: f64 = 0.3;
 /// Cost of an engine whose memory is full, in milliseconds an event: preferred
 /// only to no path at all.
-const FULL_MS: f64 = 1e4;
+const FULL_ENGINE_MS: f64 = 1e4;
 
 /// One engine of a path and the layers that it runs.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -89,21 +89,21 @@
         from: 0,
         to: query.model.layers,
     };
-    let near = engines.iter().copied();
-    let near = near.filter(|state| *state.entry.zone == *query.zone);
-    let near = near.collect::<Vec<_>>();
-    let mut best = cheapest(&near, query, whole, now, &mut draw);
+    let local = engines.iter().copied();
+    let local = local.filter(|state| *state.entry.zone == *query.zone);
+    let local = local.collect::<Vec<_>>();
+    let mut best = cheapest(&local, query, whole, now, &mut draw);
     if best
         .as_ref()
-        .is_some_and(|near| near.cost_ms <= FAR_ZONE_MS)
+        .is_some_and(|local| local.cost_ms <= REMOTE_ZONE_MS)
     {
         return best;
     }
-    for zone in far_zones(&engines, query.zone) {
+    for zone in remote_zones(&engines, query.zone) {
         let Some(mut path) = cheapest(&zone, query, whole, now, &mut draw) else {
             continue;
         };
-        path.cost_ms += FAR_ZONE_MS;
+        path.cost_ms += REMOTE_ZONE_MS;
         if best.as_ref().is_none_or(|best| path.cost_ms < best.cost_ms) {
             best = Some(path);
         }
@@ -112,7 +112,7 @@
         Some(path) if !path.full => Some(path),
         found => cheapest(&engines, query, whole, now, &mut draw)
             .map(|mut path| {
-                path.cost_ms += FAR_ZONE_MS;
+                path.cost_ms += REMOTE_ZONE_MS;
                 path
             })
             .filter(|path| {
@@ -142,10 +142,10 @@
     let on_path = |state: &&TargetState| path.hops.iter().any(|hop| hop.target == state.entry.id);
     let mut engines = usable_engines(members, query, now);
     engines.retain(|state| !on_path(state));
-    let near = engines.iter().copied();
-    let near = near.filter(|state| *state.entry.zone == *query.zone);
-    let near = near.collect::<Vec<_>>();
-    let part = match cheapest(&near, query, span, now, &mut draw) {
+    let local = engines.iter().copied();
+    let local = local.filter(|state| *state.entry.zone == *query.zone);
+    let local = local.collect::<Vec<_>>();
+    let part = match cheapest(&local, query, span, now, &mut draw) {
         Some(part) if !part.full => Some(part),
         found => cheapest(&engines, query, span, now, &mut draw).or(found),
     }?;
@@ -172,7 +172,7 @@
 }
 
 /// The engines of each other availability zone, in the order of the zones' names.
-fn far_zones<'a>(engines: &[&'a TargetState], own: &str) -> Vec<Vec<&'a TargetState>> {
+fn remote_zones<'a>(engines: &[&'a TargetState], own: &str) -> Vec<Vec<&'a TargetState>> {
     let mut zones = BTreeMap::<&ZoneId, Vec<&TargetState>>::new();
     for engine in engines.iter().filter(|state| *state.entry.zone != *own) {
         zones.entry(&engine.entry.zone).or_default().push(engine);
@@ -207,30 +207,30 @@
     let context_k = query.size.tokens() / 1000.0;
     let load = state.load();
     let others = f64::from(load.requests);
-    let each_ms =
+    let request_time_ms =
         model.per_request_ms * kind.read_factor + context_k * model.per_context_k_ms * kind.pace;
-    let usual_ms = model.step_ms * kind.pace + (others + 1.0) * each_ms;
-    let step_ms = usual_ms * state.pace(now);
+    let nominal_step_ms = model.step_ms * kind.pace + (others + 1.0) * request_time_ms;
+    let step_ms = nominal_step_ms * state.pace(now);
     // A request waits for the rest of a pass and then for its own: the work of
     // an engine that is busy all the time costs about one and a half passes.
     let pass_ms = stride * step_ms * f64::from(range.width()) / layers;
-    let room = model.cache_capacity(kind, range.width());
+    let capacity = model.cache_capacity(kind, range.width());
     let need = query.size.tokens() * f64::from(range.width());
-    let filled = (load.reserved + need) / (room * USABLE_MEMORY).max(1.0);
-    let full = filled > 1.0 || state.is_full(now);
+    let fill_level = (load.reserved + need) / (capacity * MEMORY_OVERCOMMIT).max(1.0);
+    let full = fill_level > 1.0 || state.is_full(now);
     let unread = load.unread + f64::from(query.size.prompt) * f64::from(range.width());
     let read_ms =
         unread / layers * kind.read_factor * state.pace(now) * 1000.0 / model.read_per_s.max(1.0);
     let wait_ms = state.permit_wait(now).as_secs_f64() * 1000.0;
-    let crowding = filled.min(1.0).powi(4) * pass_ms;
+    let crowding_ms = fill_level.min(1.0).powi(4) * pass_ms;
     Some(EngineCost {
         engine,
         range,
         hop_ms: (HOP_MS
             + 0.5 * pass_ms
-            + crowding
-            + READ_SHARE * (read_ms + wait_ms)
-            + if full { FULL_MS } else { 0.0 })
+            + crowding_ms
+            + PREFILL_WEIGHT * (read_ms + wait_ms)
+            + if full { FULL_ENGINE_MS } else { 0.0 })
             * (1.0 + COST_SPREAD * draw),
         layer_ms: stride * step_ms / layers,
         full,
@@ -251,61 +251,61 @@
 {
     let costs = engines.iter().enumerate();
     let costs = costs.filter_map(|(engine, state)| engine_cost(engine, state, query, now, draw()));
-    let costs = undominated(costs.collect());
+    let costs = pareto_costs(costs.collect());
     let ranges = costs.iter().map(|cost| cost.range);
-    let mut bounds = ranges
+    let mut boundaries = ranges
         .flat_map(|range| [range.from, range.to])
         .collect::<Vec<_>>();
-    bounds.extend([span.from, span.to]);
-    bounds.retain(|bound| (span.from..=span.to).contains(bound));
-    bounds.sort_unstable();
-    bounds.dedup();
+    boundaries.extend([span.from, span.to]);
+    boundaries.retain(|bound| (span.from..=span.to).contains(bound));
+    boundaries.sort_unstable();
+    boundaries.dedup();
     // Cheapest way to each bound: cost, bound before, place of the engine's cost.
-    let mut ways = vec![(f64::INFINITY, 0_usize, usize::MAX); bounds.len()];
-    ways[0].0 = 0.0;
-    for here in 0..bounds.len() {
-        let so_far = ways[here].0;
+    let mut cheapest_to = vec![(f64::INFINITY, 0_usize, usize::MAX); boundaries.len()];
+    cheapest_to[0].0 = 0.0;
+    for here in 0..boundaries.len() {
+        let so_far = cheapest_to[here].0;
         if !so_far.is_finite() {
             continue;
         }
-        for (place, cost) in costs.iter().enumerate() {
-            if !cost.range.contains(bounds[here]) {
+        for (index, cost) in costs.iter().enumerate() {
+            if !cost.range.contains(boundaries[here]) {
                 continue;
             }
-            for there in here + 1..bounds.len() {
-                if bounds[there] > cost.range.to {
+            for there in here + 1..boundaries.len() {
+                if boundaries[there] > cost.range.to {
                     break;
                 }
-                let width = f64::from(bounds[there] - bounds[here]);
+                let width = f64::from(boundaries[there] - boundaries[here]);
                 let total = so_far + cost.hop_ms + width * cost.layer_ms;
-                if total < ways[there].0 {
-                    ways[there] = (total, here, place);
+                if total < cheapest_to[there].0 {
+                    cheapest_to[there] = (total, here, index);
                 }
             }
         }
     }
-    let mut there = bounds.len() - 1;
-    let cost_ms = ways[there].0;
+    let mut there = boundaries.len() - 1;
+    let cost_ms = cheapest_to[there].0;
     if !cost_ms.is_finite() {
         return None;
     }
     let mut hops = Vec::new();
     while there > 0 {
-        let (_, here, place) = ways[there];
+        let (_, here, index) = cheapest_to[there];
         hops.push((
-            place,
+            index,
             LayerRange {
-                from: bounds[here],
-                to: bounds[there],
+                from: boundaries[here],
+                to: boundaries[there],
             },
         ));
         there = here;
     }
     hops.reverse();
-    let hops = join_repeated(hops);
-    let full = hops.iter().any(|(place, _)| costs[*place].full);
-    let hops = hops.into_iter().map(|(place, layers)| {
-        let entry = &engines[costs[place].engine].entry;
+    let hops = merge_repeated(hops);
+    let full = hops.iter().any(|(index, _)| costs[*index].full);
+    let hops = hops.into_iter().map(|(index, layers)| {
+        let entry = &engines[costs[index].engine].entry;
         PathHop {
             target: entry.id.clone(),
             address: entry.address,
@@ -324,28 +324,28 @@
 ///
 /// Of a zone of hundreds of engines, many hold the same; the time of a choice
 /// then grows with the ranges that are held, not with the engines.
-fn undominated(mut costs: Vec<EngineCost>) -> Vec<EngineCost> {
-    costs.sort_by(|one, other| {
-        let range = one.range.cmp(&other.range);
-        let hop = one.hop_ms.total_cmp(&other.hop_ms);
-        let layer = one.layer_ms.total_cmp(&other.layer_ms);
+fn pareto_costs(mut costs: Vec<EngineCost>) -> Vec<EngineCost> {
+    costs.sort_by(|left, right| {
+        let range = left.range.cmp(&right.range);
+        let hop = left.hop_ms.total_cmp(&right.hop_ms);
+        let layer = left.layer_ms.total_cmp(&right.layer_ms);
         range.then(hop).then(layer)
     });
     let mut least: Option<EngineCost> = None;
     costs.retain(|cost| {
         let same_range = least.filter(|least| least.range == cost.range);
-        let undercuts = same_range.is_none_or(|least| cost.layer_ms < least.layer_ms);
-        if undercuts {
+        let is_cheaper = same_range.is_none_or(|least| cost.layer_ms < least.layer_ms);
+        if is_cheaper {
             least = Some(*cost);
         }
-        undercuts
+        is_cheaper
     });
     costs
 }
 
 /// An engine may stand on a path once only: one that appears twice holds all
 /// that lies between, and takes it over.
-fn join_repeated(hops: Vec<(usize, LayerRange)>) -> Vec<(usize, LayerRange)> {
+fn merge_repeated(hops: Vec<(usize, LayerRange)>) -> Vec<(usize, LayerRange)> {
     let mut joined: Vec<(usize, LayerRange)> = Vec::with_capacity(hops.len());
     for (engine, layers) in hops {
         match joined.iter().position(|(earlier, _)| *earlier == engine) {
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -23,9 +23,9 @@
     now: Instant,
     draw: f64,
 ) -> Option<TargetId> {
-    let leaving = |state: &&TargetState| !state.entry.draining;
-    let fresh = |state: &&TargetState| !avoid.contains(&state.entry.id);
-    let candidates = members.values().filter(leaving).filter(fresh);
+    let accepts_work = |state: &&TargetState| !state.entry.draining;
+    let untried = |state: &&TargetState| !avoid.contains(&state.entry.id);
+    let candidates = members.values().filter(accepts_work).filter(untried);
     let cost = |state: &TargetState| {
         let far = if &*state.entry.zone == zone {
             0.0
--- a/src/fleet/state.rs
+++ b/src/fleet/state.rs
@@ -7,7 +7,7 @@
 
 /// How long what a target said of its speed counts. It is asked again when a
 /// request that passes it falls silent.
-const PACE_LAPSE: Duration = Duration::from_secs(4);
+const PACE_LIFETIME: Duration = Duration::from_secs(4);
 
 /// A target, as heard of and as seen.
 #[derive(Debug, Clone)]
@@ -79,7 +79,7 @@
 
     /// Factor on the times that are usual for its kind.
     pub fn pace(&self, now: Instant) -> f64 {
-        let recent = self.pace.filter(|(_, at)| now < *at + PACE_LAPSE);
+        let recent = self.pace.filter(|(_, at)| now < *at + PACE_LIFETIME);
         recent.map_or(1.0, |(pace, _)| pace.max(1.0))
     }
 
--- a/src/fleet/table.rs
+++ b/src/fleet/table.rs
@@ -15,19 +15,19 @@
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 /// Longest time that a target stays out: a fault that lasts longer is probed
 /// by one request in this time.
-const LONGEST_EJECTION: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 /// Failures in a row that put a target out. A single failure can be one
 /// spoiled answer of a sound target.
 const EJECTING_FAILURES: u32 = 2;
 /// Pause between two questions for a target's speed: each is priced, and
 /// slowness lasts for seconds.
-const PACE_PAUSE: Duration = Duration::from_secs(1);
+const PACE_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a target that refused for want of room is left alone: about the
 /// time after which hosts know each other's requests.
 const FULL_PAUSE: Duration = Duration::from_millis(300);
 /// Doublings of that pause while refusals follow each other: an engine that
 /// drains refuses everything too, and while the log is away nobody is told.
-const MOST_FULL_DOUBLINGS: u32 = 4;
+const MAX_FULL_DOUBLINGS: u32 = 4;
 /// How long a target that does not answer at all stays out.
 const SILENT_EJECTION: Duration = Duration::from_secs(3);
 
@@ -182,14 +182,14 @@
         self.usage.remote()
     }
 
-    /// Requests on targets to tell `listener` of.
-    pub fn usage(&self, scope: UsageScope, listener: Option<&HostId>) -> Vec<TargetUsage> {
+    /// Requests on targets to tell `recipient` of.
+    pub fn usage(&self, scope: UsageScope, recipient: Option<&HostId>) -> Vec<TargetUsage> {
         let reported = match scope {
             UsageScope::Group => self.usage.reported(),
             _ => FastMap::default(),
         };
-        let told = match (scope, listener) {
-            (UsageScope::Neighbours, Some(listener)) => self.usage.said_by(listener),
+        let sent = match (scope, recipient) {
+            (UsageScope::Neighbours, Some(recipient)) => self.usage.reported_by(recipient),
             _ => FastMap::default(),
         };
         let used = self.targets().map(|state| {
@@ -200,8 +200,8 @@
             if let Some(reported) = reported.get(&state.key) {
                 load.add(*reported);
             }
-            if let Some(told) = told.get(&state.key) {
-                load.remove(*told);
+            if let Some(sent) = sent.get(&state.key) {
+                load.remove(*sent);
             }
             TargetUsage {
                 key: state.key,
@@ -216,7 +216,9 @@
         let Some(state) = self.get_mut(id) else {
             return false;
         };
-        let due = state.pace_requested.is_none_or(|at| now >= at + PACE_PAUSE);
+        let due = state
+            .pace_requested
+            .is_none_or(|at| now >= at + PACE_REQUEST_INTERVAL);
         if due {
             state.pace_requested = Some(now);
         }
@@ -252,7 +254,7 @@
             return None;
         }
         let doublings = (state.failures - EJECTING_FAILURES).min(4);
-        let time = (FIRST_EJECTION * 2_u32.pow(doublings)).min(LONGEST_EJECTION);
+        let time = (FIRST_EJECTION * 2_u32.pow(doublings)).min(MAX_EJECTION);
         state.ejected_until = Some(now + time);
         state.ejected_until
     }
@@ -264,7 +266,7 @@
     /// the retries.
     pub fn observe_full(&mut self, id: &str, now: Instant) {
         if let Some(state) = self.get_mut(id) {
-            let doublings = state.refusals.min(MOST_FULL_DOUBLINGS);
+            let doublings = state.refusals.min(MAX_FULL_DOUBLINGS);
             state.refusals += 1;
             state.full_until = Some(now + FULL_PAUSE * 2_u32.pow(doublings));
         }
--- a/src/fleet/usage.rs
+++ b/src/fleet/usage.rs
@@ -12,11 +12,11 @@
 /// Age at which the word of a host of this zone no longer counts. A host that
 /// reports elsewhere from now on is counted there, and would count twice; its
 /// next report is due after a quarter of a second.
-const NEAR_LAPSE: Duration = Duration::from_millis(1500);
+const ZONE_REPORT_LIFETIME: Duration = Duration::from_millis(1500);
 /// Age at which the word of another zone, or of this zone's speaker, no longer
 /// counts: requests take a few seconds, so that until then an old count is
 /// closer to the truth than none.
-const WIDE_LAPSE: Duration = Duration::from_secs(3);
+const AGGREGATE_LIFETIME: Duration = Duration::from_secs(3);
 
 /// The key of a target in messages.
 ///
@@ -103,10 +103,10 @@
         }
     }
 
-    fn lapse(&self) -> Duration {
+    fn lifetime(&self) -> Duration {
         match self {
-            Self::Host(_) | Self::Group(_) => NEAR_LAPSE,
-            Self::Neighbours | Self::Zone(_) => WIDE_LAPSE,
+            Self::Host(_) | Self::Group(_) => ZONE_REPORT_LIFETIME,
+            Self::Neighbours | Self::Zone(_) => AGGREGATE_LIFETIME,
         }
     }
 }
@@ -127,8 +127,9 @@
 impl UsageTable {
     /// Takes in what a source says, in place of what it said before.
     pub(super) fn observe(&mut self, source: UsageSource, usage: Vec<TargetUsage>, now: Instant) {
-        self.sources
-            .retain(|earlier, said| now < said.at + earlier.lapse() && !source.replaces(earlier));
+        self.sources.retain(|earlier, report| {
+            now < report.at + earlier.lifetime() && !source.replaces(earlier)
+        });
         self.sources.insert(source, SourceUsage { at: now, usage });
     }
 
@@ -140,7 +141,7 @@
     /// Everything that was said, by source.
     pub(super) fn all(&self) -> impl Iterator<Item = (&UsageSource, &[TargetUsage])> {
         let sources = self.sources.iter();
-        sources.map(|(source, said)| (source, said.usage.as_slice()))
+        sources.map(|(source, report)| (source, report.usage.as_slice()))
     }
 
     /// Requests of the hosts that report to this one, added up by target.
@@ -156,13 +157,13 @@
     }
 
     /// What a host of this zone last said, by target.
-    pub(super) fn said_by(&self, host: &HostId) -> FastMap<TargetKey, TargetLoad> {
+    pub(super) fn reported_by(&self, host: &HostId) -> FastMap<TargetKey, TargetLoad> {
         let own = [
             UsageSource::Host(host.clone()),
             UsageSource::Group(host.clone()),
         ];
-        let said = own.iter().filter_map(|source| self.sources.get(source));
-        let usage = said.flat_map(|said| said.usage.iter());
+        let report = own.iter().filter_map(|source| self.sources.get(source));
+        let usage = report.flat_map(|report| report.usage.iter());
         usage.map(|used| (used.key, used.load)).collect()
     }
 
@@ -171,10 +172,10 @@
         let remote = self
             .sources
             .iter()
-            .filter_map(|(source, said)| match source {
+            .filter_map(|(source, report)| match source {
                 UsageSource::Zone(zone) => Some(ZoneUsage {
                     zone: zone.clone(),
-                    usage: said.usage.clone(),
+                    usage: report.usage.clone(),
                 }),
                 _ => None,
             });
--- a/src/placement/adjust.rs
+++ b/src/placement/adjust.rs
@@ -4,7 +4,7 @@
 
 use crate::ingress::EngineModel;
 use crate::placement::best_range::{
-    LoadCost, RangeChange, best_range, distinct_engines, over_horizon,
+    LoadCost, RangeChange, best_range, distinct_engines, mean_over_horizon,
 };
 use crate::placement::fill::fill_empty;
 use crate::placement::replan::{REPLAN_DELAY, replan_zone};
@@ -15,16 +15,16 @@
 /// the load to be worth it: each is priced and takes a share of the weights
 /// store. Without any such change mean worth was the same in 40 simulated days
 /// of 41 s with faults (0.721); a zone that stays short gains by it for longer.
-const LEAST_GAIN: f64 = 1.15;
+const MIN_GAIN: f64 = 1.15;
 /// Changes of engines that hold layers in one plan, to close holes.
-const MOST_MOVES: usize = 12;
+const MAX_MOVES: usize = 12;
 
 /// Gives empty engines the range in which they help most; closes holes, or
 /// makes one change that lets the zone carry clearly more.
 pub(super) fn plan_adjustments(
     model: &EngineModel,
     engines: &[EngineView],
-    holed_for: Duration,
+    uncovered_for: Duration,
 ) -> Vec<PlannedRange> {
     let mut changed = engines.to_vec();
     fill_empty(model, &mut changed);
@@ -33,9 +33,9 @@
     }
     if uncovered_count(model, &changed) > 0 {
         // Half a mend only takes room from what still works.
-        let closed = close_holes(model, &changed);
+        let closed = cover_all_layers(model, &changed);
         let closed = match closed {
-            None if holed_for >= REPLAN_DELAY => replan_zone(model, &changed),
+            None if uncovered_for >= REPLAN_DELAY => replan_zone(model, &changed),
             closed => closed,
         };
         changed = closed.unwrap_or(changed);
@@ -79,8 +79,8 @@
         let score = rearranged_worth(model, engines, &option, index);
         (score / now, option)
     });
-    let best = options.max_by(|one, other| one.0.total_cmp(&other.0))?;
-    (best.0 > LEAST_GAIN).then_some(best.1)
+    let best = options.max_by(|left, right| left.0.total_cmp(&right.0))?;
+    (best.0 > MIN_GAIN).then_some(best.1)
 }
 
 /// Worth of an option in which one engine holds other layers than before, with
@@ -94,15 +94,15 @@
     let after = ZoneEstimate::of(model, option, None).score();
     let during = ZoneEstimate::of(model, option, Some(index)).score();
     match (engines[index].layers, option[index].layers) {
-        (Some(held), Some(wanted)) => over_horizon(model, held, wanted, during, after),
+        (Some(held), Some(wanted)) => mean_over_horizon(model, held, wanted, during, after),
         _ => after,
     }
 }
 
 /// The engines after all holes are closed; `None` if some cannot be.
-fn close_holes(model: &EngineModel, engines: &[EngineView]) -> Option<Vec<EngineView>> {
+fn cover_all_layers(model: &EngineModel, engines: &[EngineView]) -> Option<Vec<EngineView>> {
     let mut engines = engines.to_vec();
-    for _ in 0..MOST_MOVES {
+    for _ in 0..MAX_MOVES {
         let change = best_change(model, &engines)?;
         engines[change.engine].layers = Some(change.layers);
         if uncovered_count(model, &engines) == 0 {
@@ -116,6 +116,6 @@
 fn best_change(model: &EngineModel, engines: &[EngineView]) -> Option<RangeChange> {
     let changes = distinct_engines(engines, 0..engines.len()).into_iter();
     let changes = changes.filter_map(|index| best_range(model, engines, index, LoadCost::Counted));
-    let best = changes.max_by(|one, other| one.gain.total_cmp(&other.gain))?;
-    (best.gain > LEAST_GAIN).then_some(best)
+    let best = changes.max_by(|left, right| left.gain.total_cmp(&right.gain))?;
+    (best.gain > MIN_GAIN).then_some(best)
 }
--- a/src/placement/best_range.rs
+++ b/src/placement/best_range.rs
@@ -10,7 +10,7 @@
 const HORIZON_S: f64 = 20.0;
 /// Time from an order until its engine is used again, besides the load itself,
 /// in seconds: half a heartbeat and the pauses of two hosts.
-const ORDER_S: f64 = 1.0;
+const ORDER_DELAY_S: f64 = 1.0;
 
 /// Time until an engine is rid of layers that it gives up, in seconds: it waits
 /// for the requests that pass them, the longest of which take 8 to 10 s. An
@@ -44,8 +44,8 @@
 {
     let mut chosen: Vec<usize> = Vec::new();
     for index in indexes {
-        let is_alike = |other: &usize| are_interchangeable(&engines[*other], &engines[index]);
-        if !chosen.iter().any(is_alike) {
+        let is_equal = |known: &usize| are_interchangeable(&engines[*known], &engines[index]);
+        if !chosen.iter().any(is_equal) {
             chosen.push(index);
         }
     }
@@ -53,8 +53,8 @@
 }
 
 /// Whether two engines are of one kind and hold the same.
-pub(super) fn are_interchangeable(one: &EngineView, other: &EngineView) -> bool {
-    one.kind == other.kind && one.layers == other.layers
+pub(super) fn are_interchangeable(left: &EngineView, right: &EngineView) -> bool {
+    left.kind == right.kind && left.layers == right.layers
 }
 
 /// The best range for an engine; `None` where it should stay as it is.
@@ -68,7 +68,7 @@
     let zone = ZoneEstimate::of(model, engines, None);
     let others = ZoneEstimate::of(model, engines, Some(index)).sharing_steps_of(&zone);
     let now = zone.score();
-    let without = others.run_totals();
+    let without = others.prefix_sums();
     let mut best: Option<RangeChange> = None;
     for width in 1..=model.max_layers(engine.kind) {
         let figure = others.with_width(engine.kind, width, &without);
@@ -80,8 +80,8 @@
             let after = figure.score(layers);
             let gain = match (cost, engine.layers) {
                 (LoadCost::Counted, Some(held)) => {
-                    let during = figure.score(shared(held, layers));
-                    over_horizon(model, held, layers, during, after) / now
+                    let during = figure.score(intersection(held, layers));
+                    mean_over_horizon(model, held, layers, during, after) / now
                 }
                 _ => after / now,
             };
@@ -99,7 +99,7 @@
 
 /// Mean worth of a zone over the horizon in which an engine changes its layers:
 /// `during` until it holds them, `after` from then on.
-pub(super) fn over_horizon(
+pub(super) fn mean_over_horizon(
     model: &EngineModel,
     held: LayerRange,
     wanted: LayerRange,
@@ -113,18 +113,18 @@
 /// The layers that two ranges have in common. Empty where there are none, and
 /// within `other` also then: what an engine says that it holds may lie outside
 /// of the model, and the planner would end with an index out of bounds.
-pub(super) fn shared(one: LayerRange, other: LayerRange) -> LayerRange {
-    let from = one.from.max(other.from).min(other.to);
+pub(super) fn intersection(range: LayerRange, bounds: LayerRange) -> LayerRange {
+    let from = range.from.max(bounds.from).min(bounds.to);
     LayerRange {
         from,
-        to: one.to.min(other.to).max(from),
+        to: range.to.min(bounds.to).max(from),
     }
 }
 
 /// Seconds until an engine that holds some layers holds others.
 fn load_time(model: &EngineModel, held: LayerRange, wanted: LayerRange) -> f64 {
-    let kept = shared(held, wanted).width();
+    let kept = intersection(held, wanted).width();
     let new = wanted.width() - kept;
     let drain_s = if kept < held.width() { DRAIN_S } else { 0.0 };
-    ORDER_S + drain_s + model.load_s * f64::from(new) / f64::from(model.layers)
+    ORDER_DELAY_S + drain_s + model.load_s * f64::from(new) / f64::from(model.layers)
 }
--- a/src/placement/fill.rs
+++ b/src/placement/fill.rs
@@ -6,14 +6,14 @@
 
 /// Rounds over the engines that may be placed freely: bounds the time of a
 /// plan. What is left is found by the next look.
-const MOST_SWEEPS: usize = 4;
+const MAX_SWEEPS: usize = 4;
 /// Engines of a zone up to which each plan is worked out as well as the one
 /// that is made: small zones are planned as if every plan were.
-const EXACT_ENGINES: usize = 16;
+const MAX_EXACT_ENGINES: usize = 16;
 /// Groups into which equal engines are divided where a plan is only compared.
 const BATCHES: usize = 12;
 /// Least gain for which an engine that is not ordered yet is placed anew.
-const SETTLED_GAIN: f64 = 1.002;
+const MIN_IMPROVEMENT: f64 = 1.002;
 
 /// Gives ranges to the empty engines, largest first, and then to each again
 /// while that helps: what the first took without knowing of the others may
@@ -21,17 +21,17 @@
 pub(super) fn fill_empty(model: &EngineModel, engines: &mut [EngineView]) {
     let empty = (0..engines.len()).filter(|index| engines[*index].layers.is_none());
     let mut empty = empty.collect::<Vec<_>>();
-    empty.sort_by(|one, other| {
+    empty.sort_by(|left, right| {
         let memory = |index: &usize| engines[*index].kind.memory_mb;
-        memory(other).total_cmp(&memory(one))
+        memory(right).total_cmp(&memory(left))
     });
-    settle(model, engines, &empty);
+    improve_ranges(model, engines, &empty);
 }
 
 /// Like [`fill_empty`], for one of many plans that are compared: in a large zone
 /// equal engines take the same range several at a time, and none is placed again.
-pub(super) fn fill_roughly(model: &EngineModel, engines: &mut [EngineView]) {
-    if engines.len() <= EXACT_ENGINES {
+pub(super) fn fill_approximate(model: &EngineModel, engines: &mut [EngineView]) {
+    if engines.len() <= MAX_EXACT_ENGINES {
         return fill_empty(model, engines);
     }
     let empty = (0..engines.len()).filter(|index| engines[*index].layers.is_none());
@@ -46,9 +46,9 @@
             None => kinds.push(vec![index]),
         }
     }
-    kinds.sort_by(|one, other| {
+    kinds.sort_by(|left, right| {
         let memory = |equal: &Vec<usize>| engines[equal[0]].kind.memory_mb;
-        memory(other).total_cmp(&memory(one))
+        memory(right).total_cmp(&memory(left))
     });
     for equal in kinds {
         for batch in equal.chunks(equal.len().div_ceil(BATCHES)) {
@@ -62,26 +62,26 @@
 
 /// Gives each of these engines in turn the range in which it helps most, until
 /// none can do better elsewhere.
-pub(super) fn settle(model: &EngineModel, engines: &mut [EngineView], free: &[usize]) {
+pub(super) fn improve_ranges(model: &EngineModel, engines: &mut [EngineView], free: &[usize]) {
     // Engines that are best as they are, one of each set of equal ones, as long
     // as no other one changes.
-    let mut settled: Vec<usize> = Vec::new();
-    for _ in 0..MOST_SWEEPS {
+    let mut optimal: Vec<usize> = Vec::new();
+    for _ in 0..MAX_SWEEPS {
         let mut changed = false;
         for index in free.iter().copied() {
-            let is_alike = |other: &usize| are_interchangeable(&engines[*other], &engines[index]);
-            if settled.iter().any(is_alike) {
+            let is_equal = |known: &usize| are_interchangeable(&engines[*known], &engines[index]);
+            if optimal.iter().any(is_equal) {
                 continue;
             }
             let best = best_range(model, engines, index, LoadCost::Free);
             let is_empty = engines[index].layers.is_none();
-            match best.filter(|best| is_empty || best.gain > SETTLED_GAIN) {
+            match best.filter(|best| is_empty || best.gain > MIN_IMPROVEMENT) {
                 Some(best) => {
                     engines[index].layers = Some(best.layers);
-                    settled.clear();
+                    optimal.clear();
                     changed = true;
                 }
-                None => settled.push(index),
+                None => optimal.push(index),
             }
         }
         if !changed {
--- a/src/placement/initial.rs
+++ b/src/placement/initial.rs
@@ -3,20 +3,20 @@
 use crate::fleet::LayerRange;
 use crate::ingress::EngineModel;
 use crate::placement::estimate::{HeldRange, plan_score};
-use crate::placement::fill::{fill_empty, fill_roughly, settle};
+use crate::placement::fill::{fill_approximate, fill_empty, improve_ranges};
 use crate::placement::partition::plan_partitioned;
 use crate::placement::{EngineView, PlannedRange};
 
 /// Most copies of the weights that whole chains are made of. More would leave
 /// no room for requests on the accelerators of today.
-const MOST_CHAINS: usize = 4;
+const MAX_CHAINS: usize = 4;
 /// Counts of fast engines that are tried at the most, besides those that end
 /// with a kind. Up to so many engines each count is tried.
-const MOST_COUNTS: usize = 24;
+const MAX_FAST_COUNTS: usize = 24;
 /// Rough plans that are worked out whole, for each count of chains. With all of
 /// them, a plan of 38 engines takes 0.7 s of a core in place of 0.2 s; with the
 /// roughly best one alone, zones of 24 to 46 engines carried 1 to 4 in 100 less.
-const FINALISTS_EACH: usize = 4;
+const FINALISTS_PER_CHAIN_COUNT: usize = 4;
 
 /// Tries plans of one kind and keeps the one that carries most: the fastest
 /// engines make up whole chains, each of which holds every layer once; the
@@ -40,10 +40,10 @@
 /// The fastest first, of equal ones those with the most memory.
 pub(super) fn sorted_by_pace(engines: &[EngineView]) -> Vec<EngineView> {
     let mut sorted = engines.to_vec();
-    sorted.sort_by(|one, other| {
-        let pace = one.kind.pace.total_cmp(&other.kind.pace);
-        let memory = other.kind.memory_mb.total_cmp(&one.kind.memory_mb);
-        pace.then(memory).then_with(|| one.id.cmp(&other.id))
+    sorted.sort_by(|left, right| {
+        let pace = left.kind.pace.total_cmp(&right.kind.pace);
+        let memory = right.kind.memory_mb.total_cmp(&left.kind.memory_mb);
+        pace.then(memory).then_with(|| left.id.cmp(&right.id))
     });
     sorted
 }
@@ -53,10 +53,10 @@
 pub(super) fn best_plan(model: &EngineModel, sorted: &[EngineView]) -> Vec<EngineView> {
     let score = |planned: &[EngineView]| plan_score(model, &HeldRange::all(planned));
     let all = (0..sorted.len()).collect::<Vec<_>>();
-    let finalists = (1..=MOST_CHAINS).flat_map(|chains| rough_best(model, sorted, chains));
+    let finalists = (1..=MAX_CHAINS).flat_map(|chains| best_approximate(model, sorted, chains));
     let finalists = finalists.map(|(fast, chains)| {
         let mut planned = plan_with(model, sorted, (fast, chains), fill_empty);
-        settle(model, &mut planned, &all);
+        improve_ranges(model, &mut planned, &all);
         (score(&planned), planned)
     });
     let mut best = (f64::NEG_INFINITY, Vec::new());
@@ -70,15 +70,19 @@
 
 /// Counts of fast engines and chains whose plans are roughly the best with so
 /// many chains.
-fn rough_best(model: &EngineModel, sorted: &[EngineView], chains: usize) -> Vec<(usize, usize)> {
-    let rough = fast_counts(sorted).into_iter().map(|fast| {
-        let planned = plan_with(model, sorted, (fast, chains), fill_roughly);
+fn best_approximate(
+    model: &EngineModel,
+    sorted: &[EngineView],
+    chains: usize,
+) -> Vec<(usize, usize)> {
+    let approximate = fast_counts(sorted).into_iter().map(|fast| {
+        let planned = plan_with(model, sorted, (fast, chains), fill_approximate);
         (plan_score(model, &HeldRange::all(&planned)), (fast, chains))
     });
-    let mut rough = rough.collect::<Vec<_>>();
+    let mut approximate = approximate.collect::<Vec<_>>();
     // A stable sort: of equal plans the one with fewer fast engines comes first.
-    rough.sort_by(|one, other| other.0.total_cmp(&one.0));
-    let best = rough.into_iter().take(FINALISTS_EACH);
+    approximate.sort_by(|left, right| right.0.total_cmp(&left.0));
+    let best = approximate.into_iter().take(FINALISTS_PER_CHAIN_COUNT);
     best.map(|(_, counts)| counts).collect()
 }
 
@@ -86,7 +90,7 @@
 /// count tried, a plan took 0.75 s of a core for 38 engines and 4.4 s for 96.
 fn fast_counts(sorted: &[EngineView]) -> Vec<usize> {
     let all = sorted.len();
-    let step = all.div_ceil(MOST_COUNTS).max(1);
+    let step = all.div_ceil(MAX_FAST_COUNTS).max(1);
     let spread = (1..=all).filter(|count| count % step == 0);
     let ends = (1..=all).filter(|count| {
         let next = sorted.get(*count);
@@ -110,8 +114,10 @@
     F: Fn(&EngineModel, &mut [EngineView]),
 {
     let mut engines = sorted.to_vec();
-    let parts = split(&sorted[..fast], chains);
-    let planned = parts.iter().flat_map(|chain| plan_chain(model, chain));
+    let chain_members = split_into_chains(&sorted[..fast], chains);
+    let planned = chain_members
+        .iter()
+        .flat_map(|chain| plan_chain(model, chain));
     for range in planned {
         if let Some(engine) = engines.iter_mut().find(|engine| engine.id == range.id) {
             engine.layers = Some(range.layers);
@@ -122,23 +128,26 @@
 }
 
 /// Largest first, each to the chain with the least memory so far.
-fn split(engines: &[EngineView], chains: usize) -> Vec<Vec<&EngineView>> {
+fn split_into_chains(engines: &[EngineView], chains: usize) -> Vec<Vec<&EngineView>> {
     let mut sorted = engines.iter().collect::<Vec<_>>();
-    sorted.sort_by(|one, other| {
-        let size = other.kind.memory_mb.total_cmp(&one.kind.memory_mb);
-        size.then_with(|| one.id.cmp(&other.id))
+    sorted.sort_by(|left, right| {
+        let size = right.kind.memory_mb.total_cmp(&left.kind.memory_mb);
+        size.then_with(|| left.id.cmp(&right.id))
     });
-    let mut parts = vec![(0.0_f64, Vec::new()); chains];
+    let mut chain_members = vec![(0.0_f64, Vec::new()); chains];
     for engine in sorted {
-        let least = parts
+        let smallest = chain_members
             .iter_mut()
-            .min_by(|one, other| one.0.total_cmp(&other.0));
-        if let Some((memory, members)) = least {
+            .min_by(|left, right| left.0.total_cmp(&right.0));
+        if let Some((memory, members)) = smallest {
             *memory += engine.kind.memory_mb;
             members.push(engine);
         }
     }
-    parts.into_iter().map(|(_, members)| members).collect()
+    chain_members
+        .into_iter()
+        .map(|(_, members)| members)
+        .collect()
 }
 
 /// Layers by memory, rounded so that they add up, within what each can hold.
@@ -165,7 +174,7 @@
     while missing > 0 {
         let rest = |index: &usize| ideal[*index] - f64::from(widths[*index]);
         let open = (0..chain.len()).filter(|index| widths[*index] < most[*index]);
-        let Some(neediest) = open.max_by(|one, other| rest(one).total_cmp(&rest(other))) else {
+        let Some(neediest) = open.max_by(|left, right| rest(left).total_cmp(&rest(right))) else {
             break;
         };
         widths[neediest] += 1;
--- a/src/placement/plan.rs
+++ b/src/placement/plan.rs
@@ -34,17 +34,17 @@
 /// the zone then carries clearly more: a load takes seconds and its share of the
 /// weights store.
 ///
-/// `holed_for` says for how long the zone has lacked layers.
+/// `uncovered_for` says for how long the zone has lacked layers.
 pub fn plan_zone(
     model: &EngineModel,
     engines: &[EngineView],
-    holed_for: Duration,
+    uncovered_for: Duration,
 ) -> Vec<PlannedRange> {
     let mut engines = engines.to_vec();
-    engines.sort_by(|one, other| one.id.cmp(&other.id));
+    engines.sort_by(|left, right| left.id.cmp(&right.id));
     match engines.iter().any(|engine| engine.layers.is_some()) {
         false => initial::plan_initial(model, &engines),
-        true => adjust::plan_adjustments(model, &engines, holed_for),
+        true => adjust::plan_adjustments(model, &engines, uncovered_for),
     }
 }
 
--- a/src/placement/replan.rs
+++ b/src/placement/replan.rs
@@ -5,7 +5,7 @@
 use crate::fleet::LayerRange;
 use crate::ingress::EngineModel;
 use crate::placement::EngineView;
-use crate::placement::best_range::shared;
+use crate::placement::best_range::intersection;
 use crate::placement::initial::plan_initial;
 use crate::placement::zone_estimate::uncovered_count;
 
@@ -21,35 +21,35 @@
 /// change after the other, each better than the one before. It served nothing
 /// for the rest of the day, although its engines had room for ninety requests.
 pub(super) fn replan_zone(model: &EngineModel, engines: &[EngineView]) -> Option<Vec<EngineView>> {
-    let mut anew = engines.to_vec();
-    for engine in &mut anew {
+    let mut replanned = engines.to_vec();
+    for engine in &mut replanned {
         engine.layers = None;
     }
-    let planned = plan_initial(model, &anew);
+    let planned = plan_initial(model, &replanned);
     for range in planned {
-        if let Some(engine) = anew.iter_mut().find(|engine| engine.id == range.id) {
+        if let Some(engine) = replanned.iter_mut().find(|engine| engine.id == range.id) {
             engine.layers = Some(range.layers);
         }
     }
-    keep_ranges(engines, &mut anew);
-    (uncovered_count(model, &anew) == 0).then_some(anew)
+    minimize_moves(engines, &mut replanned);
+    (uncovered_count(model, &replanned) == 0).then_some(replanned)
 }
 
 /// Exchanges ranges between engines of one kind, so that each keeps as much of
 /// what it holds as can be.
-fn keep_ranges(engines: &[EngineView], anew: &mut [EngineView]) {
+fn minimize_moves(engines: &[EngineView], replanned: &mut [EngineView]) {
     let kept = |engine: usize, layers: Option<LayerRange>| {
         let held = engines[engine].layers.zip(layers);
-        held.map_or(0, |(held, wanted)| shared(held, wanted).width())
+        held.map_or(0, |(held, wanted)| intersection(held, wanted).width())
     };
-    for one in 0..anew.len() {
-        for other in one + 1..anew.len() {
-            let (first, second) = (anew[one].layers, anew[other].layers);
-            let as_planned = kept(one, first) + kept(other, second);
-            let exchanged = kept(one, second) + kept(other, first);
-            if anew[one].kind == anew[other].kind && exchanged > as_planned {
-                anew[one].layers = second;
-                anew[other].layers = first;
+    for left in 0..replanned.len() {
+        for right in left + 1..replanned.len() {
+            let (first, second) = (replanned[left].layers, replanned[right].layers);
+            let as_planned = kept(left, first) + kept(right, second);
+            let exchanged = kept(left, second) + kept(right, first);
+            if replanned[left].kind == replanned[right].kind && exchanged > as_planned {
+                replanned[left].layers = second;
+                replanned[right].layers = first;
             }
         }
     }
--- a/src/routing/affinity.rs
+++ b/src/routing/affinity.rs
@@ -5,18 +5,18 @@
 use crate::collections::FastMap;
 use crate::target::wire::CacheEvents;
 
-use super::load::fade;
+use super::load::decay_weight;
 
 /// Prefixes remembered per target and generation; two generations are kept.
 const GENERATION_SIZE: usize = 2_048;
 
 /// Certainty left in older knowledge after one gap in the events.
-const CERTAINTY_AFTER_GAP: f64 = 0.5;
+const CONFIDENCE_AFTER_GAP: f64 = 0.5;
 
 /// A prefix that was stored, and when this host learnt of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct StoredPrefix {
-    learnt: Instant,
+    learned_at: Instant,
     gaps_before: u32,
 }
 
@@ -50,8 +50,8 @@
             }
             self.next = event.number + 1;
             match event.stored {
-                true => self.remember(event.prefix, now),
-                false => self.forget(event.prefix),
+                true => self.insert_prefix(event.prefix, now),
+                false => self.evict(event.prefix),
             }
         }
         if events.next > self.next {
@@ -60,31 +60,31 @@
         }
     }
 
-    fn remember(&mut self, prefix: u64, now: Instant) {
+    fn insert_prefix(&mut self, prefix: u64, now: Instant) {
         if self.newer.len() >= GENERATION_SIZE {
             self.older = std::mem::take(&mut self.newer);
         }
         let stored = StoredPrefix {
-            learnt: now,
+            learned_at: now,
             gaps_before: self.gaps,
         };
         self.newer.insert(prefix, stored);
     }
 
-    fn forget(&mut self, prefix: u64) {
+    fn evict(&mut self, prefix: u64) {
         self.newer.remove(&prefix);
         self.older.remove(&prefix);
     }
 
     /// Probability that the prefix is held, from 0 to 1.
-    fn certainty(&self, prefix: u64, decay: Duration, now: Instant) -> f64 {
+    fn confidence(&self, prefix: u64, decay: Duration, now: Instant) -> f64 {
         let stored = self.newer.get(&prefix).or_else(|| self.older.get(&prefix));
         let Some(stored) = stored else {
             return 0.0;
         };
         let gaps = self.gaps.saturating_sub(stored.gaps_before);
-        let age = now.saturating_duration_since(stored.learnt);
-        CERTAINTY_AFTER_GAP.powf(f64::from(gaps)) * fade(age, decay)
+        let age = now.saturating_duration_since(stored.learned_at);
+        CONFIDENCE_AFTER_GAP.powf(f64::from(gaps)) * decay_weight(age, decay)
     }
 
     /// Part of a prompt that is expected to be held, from 0 to 1.
@@ -101,7 +101,7 @@
             if covered <= best {
                 break;
             }
-            let hit = self.certainty(*prefix, decay, now) * covered;
+            let hit = self.confidence(*prefix, decay, now) * covered;
             best = f64::max(best, hit);
         }
         best
--- a/src/routing/commands.rs
+++ b/src/routing/commands.rs
@@ -65,19 +65,21 @@
         let Some(entry) = self.targets.get_mut(target) else {
             return;
         };
-        let part = self.load_sums.local_part();
-        let ahead = entry.steps_ahead(1.0, part, settings, now).max(1.0);
+        let share = self.load_sums.local_share();
+        let steps_at_target = entry.total_steps(1.0, share, settings, now).max(1.0);
         entry.steps = entry.steps.saturating_sub(1);
 
         let link = entry.link_time(settings, now);
-        let at_target = (latency.as_secs_f64() - link).max(SHORTEST_STEP);
+        let service_seconds = (latency.as_secs_f64() - link).max(MIN_STEP_SECONDS);
         // A step waits while more steps than slots are there; only the time
         // in the slot says how fast the target is.
-        let in_slot = at_target / (ahead / entry.slots()).max(1.0);
+        let slot_seconds = service_seconds / (steps_at_target / entry.slots()).max(1.0);
         match tokens {
             0 | 1 => {
-                let slow = in_slot > settings.ejection.slow_factor * entry.declared_step();
-                entry.step_seconds.add(at_target, settings.rate_window, now);
+                let slow = slot_seconds > settings.ejection.slow_factor * entry.declared_step();
+                entry
+                    .step_seconds
+                    .add(service_seconds, settings.rate_window, now);
                 match slow {
                     true => entry.health.answered_slowly(&settings.ejection, now),
                     false => entry.health.answered(&settings.ejection, now),
@@ -85,7 +87,7 @@
             }
             _ => {
                 let prior = entry.spec.tokens_per_second.recip();
-                let sample = in_slot / tokens as f64;
+                let sample = slot_seconds / tokens as f64;
                 MeasuredValue::add(&mut entry.prefill_seconds, prior, sample, now);
                 entry.health.answered(&settings.ejection, now);
             }
@@ -161,4 +163,4 @@
 
 /// Seconds that a step takes at least; guards against links that were
 /// overestimated.
-const SHORTEST_STEP: f64 = 1e-5;
+const MIN_STEP_SECONDS: f64 = 1e-5;
--- a/src/routing/compare.rs
+++ b/src/routing/compare.rs
@@ -11,7 +11,7 @@
 
 use super::entry::TargetEntry;
 use super::estimate::{StageEstimate, route_score};
-use super::policy::{highest, lowest, two_of};
+use super::policy::{draw_two, index_of_highest, index_of_lowest};
 use super::table::DeclaredPipeline;
 use super::{PlannedRoute, RoutePolicy, RouteRequest, RouteTable};
 
@@ -44,7 +44,7 @@
 impl RouteTable {
     /// The pipelines to plan and compare: all if few, else two drawn in
     /// proportion to their rate, and the one that holds most of the prompt.
-    pub(super) fn compared<'t, R>(
+    pub(super) fn compared_pipelines<'t, R>(
         &self,
         pipelines: &'t [DeclaredPipeline],
         request: &RouteRequest,
@@ -61,14 +61,14 @@
         match self.settings.policy {
             _ if all.len() <= 1 => all,
             RoutePolicy::Random => vec![all[rng.random_range(0..all.len())]],
-            RoutePolicy::RoundRobin => vec![all[self.turn(all.len())]],
+            RoutePolicy::RoundRobin => vec![all[self.round_robin_index(all.len())]],
             RoutePolicy::LeastOutstanding => all,
             RoutePolicy::Estimate if all.len() <= self.settings.score_all => all,
             RoutePolicy::Estimate => {
                 let weights: Vec<_> = all.iter().map(|pipeline| pipeline.rate).collect();
-                let hit = |index: usize| self.pipeline_hit(all[index], request, now);
-                let mut chosen = two_of(&weights, rng).to_vec();
-                chosen.extend(highest(all.len(), hit));
+                let prefix_hit = |index: usize| self.pipeline_prefix_hit(all[index], request, now);
+                let mut chosen = draw_two(&weights, rng).to_vec();
+                chosen.extend(index_of_highest(all.len(), prefix_hit));
                 chosen.into_iter().map(|index| all[index]).collect()
             }
         }
@@ -145,33 +145,38 @@
         };
         let index = match self.settings.policy {
             RoutePolicy::Random => rng.random_range(0..count),
-            RoutePolicy::RoundRobin => self.turn(count),
-            RoutePolicy::LeastOutstanding => lowest(count, outstanding, rng)?,
+            RoutePolicy::RoundRobin => self.round_robin_index(count),
+            RoutePolicy::LeastOutstanding => index_of_lowest(count, outstanding, rng)?,
             RoutePolicy::Estimate if count <= self.settings.score_all => {
-                lowest(count, estimate, rng)?
+                index_of_lowest(count, estimate, rng)?
             }
             RoutePolicy::Estimate => {
                 let weights: Vec<_> = candidates
                     .iter()
                     .map(|candidate| candidate.entry.trusted_rate(&self.settings, now))
                     .collect();
-                let hit = |index: usize| self.hit(candidates[index].entry, request, now);
-                let mut compared = two_of(&weights, rng).to_vec();
-                compared.extend(highest(count, hit));
-                compared[lowest(compared.len(), |nth| estimate(compared[nth]), rng)?]
+                let prefix_hit =
+                    |index: usize| self.prefix_hit(candidates[index].entry, request, now);
+                let mut compared_pipelines = draw_two(&weights, rng).to_vec();
+                compared_pipelines.extend(index_of_highest(count, prefix_hit));
+                compared_pipelines[index_of_lowest(
+                    compared_pipelines.len(),
+                    |nth| estimate(compared_pipelines[nth]),
+                    rng,
+                )?]
             }
         };
         Some(candidates[index])
     }
 
     /// Part of the request's prompt that the target is expected to hold.
-    fn hit(&self, entry: &TargetEntry, request: &RouteRequest, now: Instant) -> f64 {
+    fn prefix_hit(&self, entry: &TargetEntry, request: &RouteRequest, now: Instant) -> f64 {
         let decay = self.settings.cache_decay;
         entry.prefixes.expected_hit(&request.prefixes, decay, now)
     }
 
     /// Part of the prompt that the pipeline's stages hold, at their best.
-    fn pipeline_hit(
+    fn pipeline_prefix_hit(
         &self,
         pipeline: &DeclaredPipeline,
         request: &RouteRequest,
@@ -182,7 +187,7 @@
                 .targets
                 .iter()
                 .filter_map(|target| self.targets.get(target))
-                .map(|entry| self.hit(entry, request, now))
+                .map(|entry| self.prefix_hit(entry, request, now))
                 .fold(0.0, f64::max)
         };
         pipeline.stages.iter().map(stage_hit).sum()
@@ -203,7 +208,7 @@
     }
 
     /// Index whose turn it is among `count`.
-    fn turn(&self, count: usize) -> usize {
+    fn round_robin_index(&self, count: usize) -> usize {
         (self.started % count as u64) as usize
     }
 
@@ -214,8 +219,8 @@
         stages: usize,
         now: Instant,
     ) -> StageEstimate {
-        let part = self.load_sums.local_part();
-        StageEstimate::new(entry, request, stages, part, &self.settings, now)
+        let share = self.load_sums.local_share();
+        StageEstimate::new(entry, request, stages, share, &self.settings, now)
     }
 
     /// The members of a group that may get new work.
--- a/src/routing/declare.rs
+++ b/src/routing/declare.rs
@@ -35,13 +35,13 @@
                 }
                 ResourceSpec::Pipeline(pipeline) => pipelines.push((key, pipeline)),
                 ResourceSpec::Target(target) => {
-                    let entry = self.kept_entry(key, target);
+                    let entry = self.entry_for(key, target);
                     targets.insert(key.name.clone(), entry);
                 }
                 ResourceSpec::Service(_) | ResourceSpec::Organisation(_) => (),
             }
         }
-        pipelines.sort_by(|one, other| one.0.cmp(other.0));
+        pipelines.sort_by(|left, right| left.0.cmp(right.0));
         for (key, pipeline) in pipelines {
             add_pipeline(&mut models, &targets, key, pipeline);
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    fn kept_entry(&self, key: &ResourceKey, spec: &TargetSpec) -> TargetEntry {
+    fn entry_for(&self, key: &ResourceKey, spec: &TargetSpec) -> TargetEntry {
         let fresh = TargetEntry::new(spec.clone());
         match self.targets.get(&key.name) {
             Some(known) if known.spec.address == spec.address => TargetEntry {
@@ -76,7 +76,7 @@
     key: &ResourceKey,
     pipeline: &PipelineSpec,
 ) {
-    if !tiles(&pipeline.stages) {
+    if !is_contiguous(&pipeline.stages) {
         return;
     }
     let Some(routes) = models.get_mut(&pipeline.model) else {
@@ -116,7 +116,7 @@
 /// A gap would leave a layer out of every answer and show only as wrong text.
 /// Declarations are checked before they are accepted; this holds even for one
 /// that slipped past, since a plan is made from nothing else.
-fn tiles(stages: &[StageSpec]) -> bool {
+fn is_contiguous(stages: &[StageSpec]) -> bool {
     let mut expected = 0;
     for stage in stages {
         if stage.first_layer != expected || stage.last_layer < stage.first_layer {
--- a/src/routing/entry.rs
+++ b/src/routing/entry.rs
@@ -7,7 +7,7 @@
 
 use super::RouteSettings;
 use super::affinity::PrefixView;
-use super::load::{ReportedLoad, fade};
+use super::load::{ReportedLoad, decay_weight};
 
 /// Weight of a new sample in a moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
@@ -38,7 +38,7 @@
         let Some(measured) = measured else {
             return prior;
         };
-        let weight = fade(now.saturating_duration_since(measured.sampled), decay);
+        let weight = decay_weight(now.saturating_duration_since(measured.sampled), decay);
         prior + weight * (measured.value - prior)
     }
 }
@@ -189,18 +189,18 @@
         f64::from(self.steps).max(f64::from(self.runs) / stages)
     }
 
-    /// Steps at the target, this host's and the others'; `part` is the part
+    /// Steps at the target, this host's and the others'; `share` is the part
     /// of all steps that are this host's.
-    pub(super) fn steps_ahead(
+    pub(super) fn total_steps(
         &self,
         stages: f64,
-        part: f64,
+        share: f64,
         settings: &RouteSettings,
         now: Instant,
     ) -> f64 {
         let local = self.local_steps(stages);
         match self.load {
-            Some(load) => load.steps(local, part, settings.load_decay, now),
+            Some(load) => load.steps(local, share, settings.load_decay, now),
             None => local,
         }
     }
--- a/src/routing/estimate.rs
+++ b/src/routing/estimate.rs
@@ -6,7 +6,7 @@
 use super::{RouteRequest, RouteScore, RouteSettings};
 
 /// What a step that joins a crowded target costs in all, against its own time.
-const CROWDING_COST: f64 = 2.0;
+const CROWDING_FACTOR: f64 = 2.0;
 
 /// Seconds that one target adds to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -35,25 +35,25 @@
         self.step * (self.crowding - 1.0).max(0.0)
     }
 
-    /// The estimate for one target of a route with `stages` stages; `part` is
+    /// The estimate for one target of a route with `stages` stages; `share` is
     /// the part of all steps that are this host's.
     pub(super) fn new(
         entry: &TargetEntry,
         request: &RouteRequest,
         stages: usize,
-        part: f64,
+        share: f64,
         settings: &RouteSettings,
         now: Instant,
     ) -> Self {
         let weight = entry.health.weight(&settings.ejection, now);
         let step = entry.step_time(settings, now) / weight;
-        let ahead = entry.steps_ahead(stages as f64, part, settings, now);
+        let steps_at_target = entry.total_steps(stages as f64, share, settings, now);
         let hit = entry
             .prefixes
             .expected_hit(&request.prefixes, settings.cache_decay, now);
         let computed = request.prompt_tokens as f64 * (1.0 - hit);
         Self {
-            crowding: (ahead + 1.0) / entry.slots(),
+            crowding: (steps_at_target + 1.0) / entry.slots(),
             step,
             link: entry.link_time(settings, now),
             prefill: entry.prefill_time(settings, now) / weight * computed,
@@ -69,7 +69,7 @@
     /// crowds a target four times as fast as another until it is four times
     /// as slow, and one would see the median rise to that of the slow ones.
     pub(super) fn cost(&self, max_tokens: u64) -> f64 {
-        let step = self.step * (CROWDING_COST * self.crowding).max(1.0);
+        let step = self.step * (CROWDING_FACTOR * self.crowding).max(1.0);
         (step + self.link) * step_count(max_tokens) + self.prefill
     }
 }
@@ -80,7 +80,7 @@
 /// so every part counts once a token.
 pub(super) fn route_score(stages: &[StageEstimate], max_tokens: u64) -> RouteScore {
     let count = step_count(max_tokens);
-    let sum = |part: fn(&StageEstimate) -> f64| stages.iter().map(part).sum::<f64>();
+    let sum = |share: fn(&StageEstimate) -> f64| stages.iter().map(share).sum::<f64>();
     RouteScore {
         queue: seconds(sum(StageEstimate::wait) * count),
         prefill: seconds(sum(|stage| stage.prefill)),
@@ -90,8 +90,8 @@
 }
 
 /// Longest estimate, so that sums of estimates cannot overflow.
-const LONGEST_ESTIMATE: f64 = 1e6;
+const MAX_ESTIMATE_SECONDS: f64 = 1e6;
 
 fn seconds(value: f64) -> Duration {
-    Duration::try_from_secs_f64(value.min(LONGEST_ESTIMATE)).unwrap_or_default()
+    Duration::try_from_secs_f64(value.min(MAX_ESTIMATE_SECONDS)).unwrap_or_default()
 }
--- a/src/routing/load.rs
+++ b/src/routing/load.rs
@@ -8,10 +8,10 @@
 const REPORT_WEIGHT: f64 = 0.1;
 
 /// Steps that a fresh report counts for against the local count.
-const REPORT_STRENGTH: f64 = 2.0;
+const REPORT_PRIOR_WEIGHT: f64 = 2.0;
 
 /// Smallest mean, so that a target reported idle can still be thought busy.
-const SMALLEST_MEAN: f64 = 0.1;
+const MIN_MEAN_LOAD: f64 = 0.1;
 
 /// What the load reports of a target say.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -54,17 +54,17 @@
     /// Steps believed to be at the target, given the `local` count and the
     /// part of all steps that are this host's.
     ///
-    /// The local count is fresh but a sample, of which `part` is the sampling
+    /// The local count is fresh but a sample, of which `share` is the sampling
     /// rate; the reported mean is a prior that counts for fewer steps the
     /// older it is. Every host hears the same reports, so choosing by them
     /// sends all hosts to one target; one sees load swing between targets at
     /// the reporting interval. The hosts' own counts differ, and scaled up
     /// they spread the load.
-    pub(super) fn steps(&self, local: f64, part: f64, decay: Duration, now: Instant) -> f64 {
+    pub(super) fn steps(&self, local: f64, share: f64, decay: Duration, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.observed);
-        let strength = REPORT_STRENGTH * fade(age, decay);
-        let mean = self.total.max(SMALLEST_MEAN);
-        ((local + strength) / (part + strength / mean)).max(local)
+        let prior_weight = REPORT_PRIOR_WEIGHT * decay_weight(age, decay);
+        let mean = self.total.max(MIN_MEAN_LOAD);
+        ((local + prior_weight) / (share + prior_weight / mean)).max(local)
     }
 }
 
@@ -76,7 +76,7 @@
 }
 
 /// Smallest part that this host's steps are taken for.
-const SMALLEST_PART: f64 = 1e-3;
+const MIN_LOCAL_SHARE: f64 = 1e-3;
 
 impl LoadSums {
     /// Takes out one target's averages.
@@ -95,16 +95,16 @@
 
     /// Part of all steps that are this host's, above 0 and up to 1; 1 as long
     /// as nothing is reported.
-    pub(super) fn local_part(&self) -> f64 {
+    pub(super) fn local_share(&self) -> f64 {
         match self.total > 0.0 {
-            true => (self.local / self.total).clamp(SMALLEST_PART, 1.0),
+            true => (self.local / self.total).clamp(MIN_LOCAL_SHARE, 1.0),
             false => 1.0,
         }
     }
 }
 
 /// Weight of something that was true `age` ago: 1 at first, 1/e at `decay`.
-pub(super) fn fade(age: Duration, decay: Duration) -> f64 {
+pub(super) fn decay_weight(age: Duration, decay: Duration) -> f64 {
     if decay.is_zero() {
         return if age.is_zero() { 1.0 } else { 0.0 };
     }
--- a/src/routing/policy.rs
+++ b/src/routing/policy.rs
@@ -38,7 +38,7 @@
 
 /// Index of the candidate with the lowest cost; ties go to a random start so
 /// that hosts which know nothing do not all begin with the first target.
-pub(super) fn lowest<C, R>(count: usize, cost: C, rng: &mut R) -> Option<usize>
+pub(super) fn index_of_lowest<C, R>(count: usize, cost: C, rng: &mut R) -> Option<usize>
 where
     C: Fn(usize) -> f64,
     R: Rng + ?Sized,
@@ -55,7 +55,7 @@
 }
 
 /// Index of the highest gain above zero, if any is.
-pub(super) fn highest<G>(count: usize, gain: G) -> Option<usize>
+pub(super) fn index_of_highest<G>(count: usize, gain: G) -> Option<usize>
 where
     G: Fn(usize) -> f64,
 {
@@ -71,7 +71,7 @@
 /// Drawn evenly, two slow targets of a mixed group come up together far more
 /// often than their part of the work, and the slower of them is overloaded
 /// while fast ones idle; one would see a long tail at moderate load.
-pub(super) fn two_of<R>(weights: &[f64], rng: &mut R) -> [usize; 2]
+pub(super) fn draw_two<R>(weights: &[f64], rng: &mut R) -> [usize; 2]
 where
     R: Rng + ?Sized,
 {
--- a/src/routing/queries.rs
+++ b/src/routing/queries.rs
@@ -46,7 +46,7 @@
         let version = request.version.as_ref().unwrap_or(&routes.offered);
         let pipelines = routes.versions.get(version).map_or(&[][..], Vec::as_slice);
         let best = self
-            .compared(pipelines, request, now, rng)
+            .compared_pipelines(pipelines, request, now, rng)
             .into_iter()
             .filter_map(|pipeline| self.plan_pipeline(pipeline, version, request, now, rng))
             .reduce(|best, next| if next.cost < best.cost { next } else { best });
