--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,5 +1,8 @@
-//! Which engine holds which layers. Pure: from the engines that are seen to
-//! the ranges that they should hold, the same on every host that sees the same.
+//! Placement of model layers on engines.
+//!
+//! The planner is a pure function: it maps the engines of a zone to the layer ranges that
+//! they should hold, so that every host that sees the same engines computes the same
+//! plan.
 
 mod adjust;
 mod best_range;
--- a/src/placement/adjust.rs
+++ b/src/placement/adjust.rs
@@ -1,4 +1,4 @@
-//! Changes to a zone whose engines hold layers already.
+//! Adjusts the plan of a zone whose engines already hold layers.
 
 use std::time::Duration;
 
@@ -11,16 +11,15 @@
 use crate::placement::zone_estimate::{ZoneEstimate, uncovered_count};
 use crate::placement::{EngineView, PlannedRange};
 
-/// How much more a zone has to carry after an engine changes its layers for
-/// the load to be worth it: each is priced and takes a share of the weights
-/// store. Without any such change mean worth was the same in 40 simulated days
-/// of 41 s with faults (0.721); a zone that stays short gains by it for longer.
+/// Least ratio of the score after a change of an engine that holds layers to the score
+/// before. Each load is billed and takes bandwidth of the weights store, so small gains
+/// are not worth it; a zone that stays short of capacity gains for longer.
 const MIN_GAIN: f64 = 1.15;
-/// Changes of engines that hold layers in one plan, to close holes.
+/// Most changes of engines that hold layers in one plan, when layers are uncovered.
 const MAX_MOVES: usize = 12;
 
-/// Gives empty engines the range in which they help most; closes holes, or
-/// makes one change that lets the zone carry clearly more.
+/// Gives each empty engine the range in which it helps most, then covers layers without a
+/// holder, or makes one change that clearly raises the score of the zone.
 pub(super) fn plan_adjustments(
     model: &EngineModel,
     engines: &[EngineView],
@@ -32,7 +31,7 @@
         changed = rearranged;
     }
     if uncovered_count(model, &changed) > 0 {
-        // Half a mend only takes room from what still works.
+        // A partial repair only takes capacity from layers that still work.
         let closed = cover_all_layers(model, &changed);
         let closed = match closed {
             None if uncovered_for >= REPLAN_DELAY => replan_zone(model, &changed),
@@ -54,12 +53,13 @@
     planned.collect()
 }
 
-/// Places the empty engines together with one that holds the layer which is
-/// still scarcest after they were `filled` in; `None` if that is no better.
+/// Places the empty engines together with one that holds the layer which is still
+/// scarcest in `filled`, the plan that only fills the empty engines. Returns `None` if
+/// that is not clearly better.
 ///
-/// An engine that was widened to close a hole has no room left. When an empty
-/// one comes, neither can do better alone: the first would leave the hole again,
-/// the second only helps where the first is short of room.
+/// An engine that was widened to cover missing layers has no capacity left. When an empty
+/// engine joins, neither can improve the plan alone: narrowing the first would uncover
+/// layers again, and the second helps only where the first is short of capacity.
 fn rearrange(
     model: &EngineModel,
     engines: &[EngineView],
@@ -83,8 +83,8 @@
     (best.0 > MIN_GAIN).then_some(best.1)
 }
 
-/// Worth of an option in which one engine holds other layers than before, with
-/// what is missing until it does.
+/// Returns the mean score of an option in which one engine changes its layers, including
+/// the time in which the engine serves nothing.
 fn rearranged_worth(
     model: &EngineModel,
     engines: &[EngineView],
@@ -99,7 +99,7 @@
     }
 }
 
-/// The engines after all holes are closed; `None` if some cannot be.
+/// Returns the engines with every layer covered, or `None` if some layers stay uncovered.
 fn cover_all_layers(model: &EngineModel, engines: &[EngineView]) -> Option<Vec<EngineView>> {
     let mut engines = engines.to_vec();
     for _ in 0..MAX_MOVES {
@@ -112,7 +112,7 @@
     None
 }
 
-/// The one change that lets the zone carry clearly more.
+/// Returns the single change with the highest gain, if the gain is large enough.
 fn best_change(model: &EngineModel, engines: &[EngineView]) -> Option<RangeChange> {
     let changes = distinct_engines(engines, 0..engines.len()).into_iter();
     let changes = changes.filter_map(|index| best_range(model, engines, index, LoadCost::Counted));
--- a/src/placement/best_range.rs
+++ b/src/placement/best_range.rs
@@ -1,43 +1,43 @@
-//! The range in which one engine helps its zone most.
+//! Search for the layer range in which one engine helps its zone most.
 
 use crate::fleet::LayerRange;
 use crate::ingress::EngineModel;
 use crate::placement::EngineView;
 use crate::placement::zone_estimate::ZoneEstimate;
 
-/// Time over which a change has to pay, in seconds. A zone that lost engines
-/// was short of room for 10 to 20 s on the days that were traced.
+/// Time over which a change has to pay off, in seconds. A zone that lost engines is short
+/// of capacity for 10 to 20 s.
 const HORIZON_S: f64 = 20.0;
-/// Time from an order until its engine is used again, besides the load itself,
-/// in seconds: half a heartbeat and the pauses of two hosts.
+/// Time from an order until its engine is used again, excluding the load itself, in
+/// seconds: half a heartbeat interval and the poll intervals of two hosts.
 const ORDER_DELAY_S: f64 = 1.0;
 
-/// Time until an engine is rid of layers that it gives up, in seconds: it waits
-/// for the requests that pass them, the longest of which take 8 to 10 s. An
-/// engine that was moved while others were slow was out for 13 s.
+/// Time until an engine has drained layers that it gives up, in seconds. The engine waits
+/// for the requests that use them, the longest of which take 8 to 10 s; the drain takes
+/// up to 13 s if other engines are slow.
 const DRAIN_S: f64 = 8.0;
 
-/// A range for one engine and what the zone gains by it.
+/// A new range for one engine and the gain for the zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct RangeChange {
     /// Index of the engine.
     pub(super) engine: usize,
     pub(super) layers: LayerRange,
-    /// Worth after the change, in times of the worth before.
+    /// Score after the change divided by the score before.
     pub(super) gain: f64,
 }
 
-/// Whether loads take time.
+/// Whether the time of a load counts against a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LoadCost {
-    /// Nothing is served yet.
+    /// Loads are free: the engine serves nothing yet.
     Free,
-    /// What an engine gives up is missing for the time of its load.
+    /// Layers that the engine gives up are missing until its load is done.
     Counted,
 }
 
-/// One of each set of interchangeable engines, in order: what is best for one of them
-/// is best for all.
+/// Returns the first of each set of interchangeable engines, in order: the best range for
+/// one of them is the best for all.
 pub(super) fn distinct_engines<I>(engines: &[EngineView], indexes: I) -> Vec<usize>
 where
     I: Iterator<Item = usize>,
@@ -52,12 +52,12 @@
     chosen
 }
 
-/// Whether two engines are of one kind and hold the same.
+/// Returns whether two engines have the same kind and hold the same layers.
 pub(super) fn are_interchangeable(left: &EngineView, right: &EngineView) -> bool {
     left.kind == right.kind && left.layers == right.layers
 }
 
-/// The best range for an engine; `None` where it should stay as it is.
+/// Returns the best range for an engine, or `None` if its present range is the best.
 pub(super) fn best_range(
     model: &EngineModel,
     engines: &[EngineView],
@@ -97,8 +97,8 @@
     best.filter(|best| engine.layers != Some(best.layers))
 }
 
-/// Mean worth of a zone over the horizon in which an engine changes its layers:
-/// `during` until it holds them, `after` from then on.
+/// Returns the mean score of a zone over the horizon in which an engine changes its
+/// layers: `during` until the engine holds them, `after` from then on.
 pub(super) fn mean_over_horizon(
     model: &EngineModel,
     held: LayerRange,
@@ -110,9 +110,11 @@
     after * (1.0 - out) + during * out
 }
 
-/// The layers that two ranges have in common. Empty where there are none, and
-/// within `other` also then: what an engine says that it holds may lie outside
-/// of the model, and the planner would end with an index out of bounds.
+/// Returns the layers of `range` that lie within `bounds`.
+///
+/// The result is empty if there are none, and always lies within `bounds`: an engine may
+/// report layers that the model does not have, which must not become indexes of the
+/// planner.
 pub(super) fn intersection(range: LayerRange, bounds: LayerRange) -> LayerRange {
     let from = range.from.max(bounds.from).min(bounds.to);
     LayerRange {
@@ -121,7 +123,7 @@
     }
 }
 
-/// Seconds until an engine that holds some layers holds others.
+/// Returns the time in seconds to change an engine from the layers held to those wanted.
 fn load_time(model: &EngineModel, held: LayerRange, wanted: LayerRange) -> f64 {
     let kept = intersection(held, wanted).width();
     let new = wanted.width() - kept;
--- a/src/placement/estimate.rs
+++ b/src/placement/estimate.rs
@@ -1,16 +1,17 @@
-//! What a plan can carry.
+//! Estimates the throughput of a plan.
 
 use crate::fleet::LayerRange;
 use crate::ingress::{AcceleratorKind, EngineModel};
 use crate::placement::EngineView;
 
-/// Time that a token step takes in all, in times of the engines' own work:
-/// a request waits for the rest of the pass that an engine is in.
+/// Ratio of the duration of a token step to the compute time of the engines: a request
+/// waits for the pass that an engine is running.
 pub(super) const WAIT_FACTOR: f64 = 1.5;
-/// Room of a layer that is none, in tokens: what subtraction leaves of zero.
+/// Capacity in tokens below which a layer has no holder: the floating-point error left
+/// when a holder is subtracted.
 const ZERO_CAPACITY: f64 = 1.0;
 
-/// An engine and its range, as far as they count here.
+/// The kind and the layer range of an engine that holds layers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HeldRange {
     /// The engine's kind.
@@ -20,7 +21,7 @@
 }
 
 impl HeldRange {
-    /// The engines that hold something.
+    /// Returns the ranges of all engines that hold layers.
     pub(super) fn all(engines: &[EngineView]) -> Vec<Self> {
         let held = engines.iter().filter_map(|engine| {
             let layers = engine.layers?;
@@ -32,15 +33,15 @@
         held.collect()
     }
 
-    /// Room for requests at each of its layers, in tokens.
+    /// Returns the cache capacity for requests at each of its layers, in tokens.
     pub(super) fn capacity(&self, model: &EngineModel) -> f64 {
         let width = self.layers.width().max(1);
         model.cache_capacity(self.kind, self.layers.width()) / f64::from(width)
     }
 }
 
-/// Requests a second that a zone carries, plus what is left of that after the
-/// loss of the engine that is missed most.
+/// Returns the score of a plan: its throughput in requests a second, plus the throughput
+/// that remains after the loss of the most critical engine.
 pub fn plan_score(model: &EngineModel, held: &[HeldRange]) -> f64 {
     let mut layers = vec![LayerTotal::default(); model.layers as usize];
     for range in held {
@@ -62,7 +63,7 @@
     whole + lowest
 }
 
-/// One holder's part of what a layer has.
+/// What one engine contributes to each layer that it holds.
 #[derive(Debug, Clone, Copy)]
 struct HolderContribution {
     capacity: f64,
@@ -82,14 +83,14 @@
     }
 }
 
-/// What the holders of a layer have, added up.
+/// Sums over the holders of a layer.
 #[derive(Debug, Clone, Copy, Default)]
 struct LayerTotal {
-    /// Tokens.
+    /// Cache capacity, in tokens.
     capacity: f64,
-    /// Step times, weighted by room.
+    /// Step times, weighted by capacity.
     step_ms: f64,
-    /// Times for each request, weighted by room squared.
+    /// Step time added by each request, weighted by the square of capacity.
     request_time_ms: f64,
 }
 
@@ -115,8 +116,8 @@
     within.skip(range.from as usize)
 }
 
-/// Each kind with each of its ranges once: the loss of one of several equal
-/// engines costs the same whichever it is.
+/// Returns each distinct pair of kind and range once: losing any one of several equal
+/// engines costs the same.
 fn distinct(held: &[HeldRange]) -> Vec<&HeldRange> {
     let mut distinct: Vec<&HeldRange> = Vec::new();
     for range in held {
@@ -127,11 +128,12 @@
     distinct
 }
 
-/// Requests of usual size a second, with all memory in use.
+/// Returns the throughput in requests of usual size a second with all cache memory in
+/// use.
 ///
-/// The layer with the least room says how many requests there can be; their
-/// steps pass the holders of each layer in the ratio of their rooms. The more
-/// there are, the longer a step takes.
+/// The layer with the least capacity limits the number of concurrent requests. Their
+/// steps are distributed over the holders of each layer in proportion to capacity, and a
+/// step takes longer the more requests share it.
 fn throughput(model: &EngineModel, layers: &[LayerTotal]) -> f64 {
     let mut lowest = f64::INFINITY;
     let mut step_ms = 0.0;
@@ -151,7 +153,7 @@
     requests / answer_s
 }
 
-/// Tokens of a usual request at its end.
+/// Returns the number of tokens of a usual request at its end.
 pub(super) fn usual_tokens(model: &EngineModel) -> f64 {
     f64::from(model.usual_prompt + model.usual_answer).max(1.0)
 }
--- a/src/placement/fill.rs
+++ b/src/placement/fill.rs
@@ -1,23 +1,24 @@
-//! Ranges for engines that may be placed freely.
+//! Assigns ranges to engines that can be placed without cost.
 
 use crate::ingress::EngineModel;
 use crate::placement::EngineView;
 use crate::placement::best_range::{LoadCost, are_interchangeable, best_range};
 
-/// Rounds over the engines that may be placed freely: bounds the time of a
-/// plan. What is left is found by the next look.
+/// Most sweeps over the engines, which bounds the time of a plan. Later plans continue
+/// the improvement.
 const MAX_SWEEPS: usize = 4;
-/// Engines of a zone up to which each plan is worked out as well as the one
-/// that is made: small zones are planned as if every plan were.
+/// Number of engines up to which candidate plans are computed exactly instead of
+/// approximately.
 const MAX_EXACT_ENGINES: usize = 16;
-/// Groups into which equal engines are divided where a plan is only compared.
+/// Number of batches into which equal engines are divided in an approximate plan.
 const BATCHES: usize = 12;
-/// Least gain for which an engine that is not ordered yet is placed anew.
+/// Least ratio of scores for which an engine that has no order yet is moved to another
+/// range.
 const MIN_IMPROVEMENT: f64 = 1.002;
 
-/// Gives ranges to the empty engines, largest first, and then to each again
-/// while that helps: what the first took without knowing of the others may
-/// suit another better.
+/// Gives a range to each empty engine, largest first, and then improves the ranges
+/// repeatedly: a range that was chosen before the others were placed may suit another
+/// engine better.
 pub(super) fn fill_empty(model: &EngineModel, engines: &mut [EngineView]) {
     let empty = (0..engines.len()).filter(|index| engines[*index].layers.is_none());
     let mut empty = empty.collect::<Vec<_>>();
@@ -28,8 +29,8 @@
     improve_ranges(model, engines, &empty);
 }
 
-/// Like [`fill_empty`], for one of many plans that are compared: in a large zone
-/// equal engines take the same range several at a time, and none is placed again.
+/// Like [`fill_empty`], for a plan that is only compared with others: in a large zone
+/// equal engines get the same range in batches, and no range is improved afterwards.
 pub(super) fn fill_approximate(model: &EngineModel, engines: &mut [EngineView]) {
     if engines.len() <= MAX_EXACT_ENGINES {
         return fill_empty(model, engines);
@@ -60,11 +61,11 @@
     }
 }
 
-/// Gives each of these engines in turn the range in which it helps most, until
-/// none can do better elsewhere.
+/// Gives each of the `free` engines in turn the range in which it helps most, until no
+/// engine gains by a change.
 pub(super) fn improve_ranges(model: &EngineModel, engines: &mut [EngineView], free: &[usize]) {
-    // Engines that are best as they are, one of each set of equal ones, as long
-    // as no other one changes.
+    // Engines whose range is already the best, one of each set of equal engines; valid
+    // until any range changes.
     let mut optimal: Vec<usize> = Vec::new();
     for _ in 0..MAX_SWEEPS {
         let mut changed = false;
--- a/src/placement/initial.rs
+++ b/src/placement/initial.rs
@@ -1,4 +1,4 @@
-//! The plan of engines that hold nothing yet.
+//! Plans a zone whose engines hold no layers yet.
 
 use crate::fleet::LayerRange;
 use crate::ingress::EngineModel;
@@ -7,24 +7,24 @@
 use crate::placement::partition::plan_partitioned;
 use crate::placement::{EngineView, PlannedRange};
 
-/// Most copies of the weights that whole chains are made of. More would leave
-/// no room for requests on the accelerators of today.
+/// Most chains that are tried, each a full copy of the weights. More copies leave no
+/// memory for requests.
 const MAX_CHAINS: usize = 4;
-/// Counts of fast engines that are tried at the most, besides those that end
-/// with a kind. Up to so many engines each count is tried.
+/// Most counts of fast engines that are tried, besides those at which a kind ends. Up to
+/// this number of engines every count is tried.
 const MAX_FAST_COUNTS: usize = 24;
-/// Rough plans that are worked out whole, for each count of chains. With all of
-/// them, a plan of 38 engines takes 0.7 s of a core in place of 0.2 s; with the
-/// roughly best one alone, zones of 24 to 46 engines carried 1 to 4 in 100 less.
+/// Approximate plans that are computed exactly, for each number of chains. All of them
+/// would take 0.7 s instead of 0.2 s of a core for 38 engines; the best alone loses 1 to
+/// 4 % of throughput in zones of 24 to 46 engines.
 const FINALISTS_PER_CHAIN_COUNT: usize = 4;
 
-/// Tries plans of one kind and keeps the one that carries most: the fastest
-/// engines make up whole chains, each of which holds every layer once; the
-/// others stand by where they are missed most.
+/// Compares plans of one form and returns the one with the highest score: the fastest
+/// engines form complete chains, each of which holds every layer once, and the other
+/// engines hold additional copies where they help most.
 ///
-/// A request holds memory for as long as it runs, so that slow engines in the
-/// way of all requests cost room everywhere. As second holders they are a
-/// spare and take what is too much.
+/// A request occupies memory on every engine of its path for as long as it runs, so a
+/// slow engine on all paths reduces capacity everywhere. As an additional holder, a slow
+/// engine is a spare and takes the overflow.
 pub(super) fn plan_initial(model: &EngineModel, engines: &[EngineView]) -> Vec<PlannedRange> {
     let planned = plan_partitioned(model, engines).into_iter();
     let ranges = planned.filter_map(|engine| {
@@ -37,7 +37,7 @@
     ranges.collect()
 }
 
-/// The fastest first, of equal ones those with the most memory.
+/// Returns the engines sorted by pace, fastest first, and by memory, largest first.
 pub(super) fn sorted_by_pace(engines: &[EngineView]) -> Vec<EngineView> {
     let mut sorted = engines.to_vec();
     sorted.sort_by(|left, right| {
@@ -48,8 +48,8 @@
     sorted
 }
 
-/// The best of the plans: all are compared roughly, and the best of these again
-/// as they would be made.
+/// Returns the plan with the highest score: all candidates are planned approximately, and
+/// the best of these exactly.
 pub(super) fn best_plan(model: &EngineModel, sorted: &[EngineView]) -> Vec<EngineView> {
     let score = |planned: &[EngineView]| plan_score(model, &HeldRange::all(planned));
     let all = (0..sorted.len()).collect::<Vec<_>>();
@@ -68,8 +68,8 @@
     best.1
 }
 
-/// Counts of fast engines and chains whose plans are roughly the best with so
-/// many chains.
+/// Returns the counts of fast engines and of chains of the best approximate plans with
+/// `chains` chains.
 fn best_approximate(
     model: &EngineModel,
     sorted: &[EngineView],
@@ -80,14 +80,14 @@
         (plan_score(model, &HeldRange::all(&planned)), (fast, chains))
     });
     let mut approximate = approximate.collect::<Vec<_>>();
-    // A stable sort: of equal plans the one with fewer fast engines comes first.
+    // The sort is stable: among equal plans the one with fewer fast engines comes first.
     approximate.sort_by(|left, right| right.0.total_cmp(&left.0));
     let best = approximate.into_iter().take(FINALISTS_PER_CHAIN_COUNT);
     best.map(|(_, counts)| counts).collect()
 }
 
-/// How many of the fastest engines may make up the whole chains. With each
-/// count tried, a plan took 0.75 s of a core for 38 engines and 4.4 s for 96.
+/// Returns the numbers of fast engines to try for the complete chains. Trying each count
+/// costs 0.75 s of a core for 38 engines and 4.4 s for 96.
 fn fast_counts(sorted: &[EngineView]) -> Vec<usize> {
     let all = sorted.len();
     let step = all.div_ceil(MAX_FAST_COUNTS).max(1);
@@ -102,8 +102,8 @@
     counts
 }
 
-/// The engines with ranges: the first `fast` in `chains` chains, the others as
-/// `fill` places them where they are missed most.
+/// Returns the engines with ranges: the first `fast` engines form `chains` chains, the
+/// others are placed by `fill`.
 fn plan_with<F>(
     model: &EngineModel,
     sorted: &[EngineView],
@@ -127,7 +127,8 @@
     engines
 }
 
-/// Largest first, each to the chain with the least memory so far.
+/// Splits the engines into chains, adding each engine, largest first, to the chain with
+/// the least memory.
 fn split_into_chains(engines: &[EngineView], chains: usize) -> Vec<Vec<&EngineView>> {
     let mut sorted = engines.iter().collect::<Vec<_>>();
     sorted.sort_by(|left, right| {
@@ -150,7 +151,8 @@
         .collect()
 }
 
-/// Layers by memory, rounded so that they add up, within what each can hold.
+/// Divides the layers over a chain in proportion to memory, rounded so that they add up,
+/// within the most layers that each engine can hold.
 fn plan_chain(model: &EngineModel, chain: &[&EngineView]) -> Vec<PlannedRange> {
     let total = chain
         .iter()
--- a/src/placement/partition.rs
+++ b/src/placement/partition.rs
@@ -1,21 +1,23 @@
-//! The first plan of a large zone, as plans of parts of it.
+//! Initial plan of a large zone, computed in partitions.
 
 use crate::ingress::EngineModel;
 use crate::placement::EngineView;
 use crate::placement::initial::{best_plan, sorted_by_pace};
 
-/// Most engines of a part. The time of a plan grows faster than its engines.
+/// Most engines of a partition. The time to plan grows faster than linearly in the number
+/// of engines.
 pub(super) const MAX_PARTITION_ENGINES: usize = 64;
-/// Least memory of a part, in copies of the weights: with fewer, a part has no
-/// second holder of its layers, or no room for requests.
+/// Least memory of a partition, in copies of the weights. A smaller partition has no
+/// second holder of its layers, or no memory for requests.
 const MIN_COPIES: f64 = 2.0;
 
-/// Plans a zone whose engines hold nothing yet; a zone of more than
-/// [`MAX_PARTITION_ENGINES`] as parts that are alike, each of them a whole zone by itself.
+/// Plans a zone whose engines hold no layers yet. A zone of more than
+/// [`MAX_PARTITION_ENGINES`] engines is divided into similar partitions, each of which
+/// holds every layer.
 ///
-/// Answers a start of a zone of hundreds of engines: planned as one, it holds no
-/// layers for half a minute and longer. Equal parts are planned once. Requests
-/// may cross from part to part.
+/// Planned as a whole, a zone of hundreds of engines would hold no layers for half a
+/// minute or longer after its start. Equal partitions are planned once. Requests may use
+/// engines of several partitions.
 pub(super) fn plan_partitioned(model: &EngineModel, engines: &[EngineView]) -> Vec<EngineView> {
     let sorted = sorted_by_pace(engines);
     let mut planned: Vec<Vec<EngineView>> = Vec::new();
@@ -32,7 +34,7 @@
     planned.into_iter().flatten().collect()
 }
 
-/// How many parts a zone is planned in.
+/// Returns the number of partitions of a zone.
 fn partition_count_for(model: &EngineModel, engines: &[EngineView]) -> usize {
     let layers = engines.iter().map(|engine| model.max_layers(engine.kind));
     let copies = f64::from(layers.sum::<u32>()) / f64::from(model.layers.max(1));
@@ -44,7 +46,7 @@
         .max(1)
 }
 
-/// Deals engines out in turn, so that each part gets its share of each kind.
+/// Distributes engines round robin, so that each partition gets its share of each kind.
 fn distribute(sorted: Vec<EngineView>, partition_count: usize) -> Vec<Vec<EngineView>> {
     let mut partitions = vec![Vec::new(); partition_count];
     for (index, engine) in sorted.into_iter().enumerate() {
@@ -53,7 +55,7 @@
     partitions
 }
 
-/// Whether two parts consist of the same kinds, one by one.
+/// Returns whether two partitions have engines of the same kinds in the same order.
 fn have_same_kinds(left: &[EngineView], right: &[EngineView]) -> bool {
     let kinds = |partition: &[EngineView]| {
         partition
@@ -64,7 +66,7 @@
     kinds(left) == kinds(right)
 }
 
-/// A part with the ranges of one that is alike.
+/// Returns the partition with the ranges of the engines of `template`.
 fn copy_ranges(mut partition: Vec<EngineView>, template: &[EngineView]) -> Vec<EngineView> {
     for (engine, planned_engine) in partition.iter_mut().zip(template) {
         engine.layers = planned_engine.layers;
--- a/src/placement/plan.rs
+++ b/src/placement/plan.rs
@@ -10,15 +10,15 @@
 /// An engine as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineView {
-    /// Id of this life of the engine.
+    /// Id of this start of the engine.
     pub id: TargetId,
-    /// What it can hold.
+    /// Its kind of accelerator, which limits what it can hold.
     pub kind: AcceleratorKind,
-    /// What it holds, or was ordered to hold.
+    /// Layers that it holds or was ordered to hold.
     pub layers: Option<LayerRange>,
 }
 
-/// What an engine should hold.
+/// The layers that an engine should hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedRange {
     /// The engine.
@@ -27,14 +27,14 @@
     pub layers: LayerRange,
 }
 
-/// Ranges to order, for the engines of one availability zone; engines that are
-/// to stay as they are do not appear.
+/// Returns the ranges to order for the engines of one availability zone; engines whose
+/// range stays do not appear.
 ///
-/// Engines that hold layers already change them only to close a hole, or where
-/// the zone then carries clearly more: a load takes seconds and its share of the
-/// weights store.
+/// Engines that hold layers change them only to cover a layer without a holder, or if the
+/// score of the zone rises clearly: a load takes seconds and bandwidth of the weights
+/// store.
 ///
-/// `uncovered_for` says for how long the zone has lacked layers.
+/// `uncovered_for` is the time for which the zone has had uncovered layers.
 pub fn plan_zone(
     model: &EngineModel,
     engines: &[EngineView],
@@ -48,7 +48,8 @@
     }
 }
 
-/// Whether a zone lacks layers, or has no useful room for some.
+/// Returns whether some layer of a zone has no holder, or too little capacity to be
+/// useful.
 pub fn has_uncovered_layers(model: &EngineModel, engines: &[EngineView]) -> bool {
     zone_estimate::uncovered_count(model, engines) > 0
 }
--- a/src/placement/replan.rs
+++ b/src/placement/replan.rs
@@ -1,4 +1,4 @@
-//! A plan for a zone that no single change makes whole.
+//! Plans a zone again from scratch where single changes cannot cover all layers.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use crate::placement::initial::plan_initial;
 use crate::placement::zone_estimate::uncovered_count;
 
-/// How long a zone that cannot be mended otherwise lacks layers before it is
-/// planned anew. An engine that crashed is back, empty, within about a second
-/// of its entry's end; to load most layers of the zone anew before that lowered
-/// the mean worth of 40 simulated days with faults from 0.747 to 0.740.
+/// Time for which a zone has uncovered layers before it is planned again from scratch. An
+/// engine that crashed is back, without layers, within about a second after its entry
+/// ends; replanning earlier reloads most layers of the zone without need and lowers its
+/// throughput.
 pub const REPLAN_DELAY: Duration = Duration::from_millis(2500);
 
-/// The engines as if none held anything yet; `None` if that leaves holes too.
+/// Returns the engines planned as if none held layers, or `None` if that leaves layers
+/// uncovered.
 ///
-/// A zone that lost two large engines for good cannot be made whole by one
-/// change after the other, each better than the one before. It served nothing
-/// for the rest of the day, although its engines had room for ninety requests.
+/// After the loss of two large engines, no sequence of changes that each raise the score
+/// may cover all layers, although the remaining engines have the capacity.
 pub(super) fn replan_zone(model: &EngineModel, engines: &[EngineView]) -> Option<Vec<EngineView>> {
     let mut replanned = engines.to_vec();
     for engine in &mut replanned {
@@ -35,8 +35,8 @@
     (uncovered_count(model, &replanned) == 0).then_some(replanned)
 }
 
-/// Exchanges ranges between engines of one kind, so that each keeps as much of
-/// what it holds as can be.
+/// Swaps ranges between engines of the same kind, so that each keeps as many of its
+/// layers as possible.
 fn minimize_moves(engines: &[EngineView], replanned: &mut [EngineView]) {
     let kept = |engine: usize, layers: Option<LayerRange>| {
         let held = engines[engine].layers.zip(layers);
--- a/src/placement/zone_estimate.rs
+++ b/src/placement/zone_estimate.rs
@@ -1,47 +1,49 @@
-//! What a zone carries, added up layer by layer, so that the effect of one
-//! more range is known without going through all engines again.
+//! Estimates the throughput of a zone from sums over its layers.
+//!
+//! The effect of one more range follows from the sums, without another pass over all
+//! engines.
 
 use crate::fleet::LayerRange;
 use crate::ingress::{AcceleratorKind, EngineModel};
 use crate::placement::EngineView;
 use crate::placement::estimate::{WAIT_FACTOR, usual_tokens};
 
-/// Exponent of the mean that stands for the layer with the least room. A hard
-/// minimum gives no sign of whether a change goes the right way while another
-/// layer is as short of room; the fourth power does, and stays within a fifth
-/// of the minimum where half of the layers have it.
+/// Exponent of the power mean that approximates the capacity of the layer with the least.
+/// A hard minimum does not change, and so gives no direction, while another layer is
+/// equally short; the fourth power does, and stays within a fifth of the minimum if half
+/// of the layers have it.
 const MEAN_EXPONENT: i32 = 4;
-/// Least room of a layer that is worth anything, as a part of the room that
-/// the zone would have with one copy of the weights. An engine that takes over
-/// so many layers that less is left cannot hold what runs on it: on a traced day
-/// one went from 107 requests to four, and 540 requests were read again.
+/// Least capacity of a layer that counts, as a share of the capacity that the zone would
+/// have with one copy of the weights. An engine that is widened further cannot keep its
+/// running requests: widened from a capacity of 107 requests to one of four, it causes
+/// 540 requests to be read again.
 const MIN_CAPACITY_SHARE: f64 = 0.08;
-/// The same for a zone without memory to spare, in usual requests: above zero
-/// so that half a hole is better than a whole one.
+/// Lower bound of that capacity for a zone without spare memory, in usual requests. It is
+/// above zero so that a partly covered gap scores higher than an uncovered one.
 const MIN_CAPACITY: f64 = 0.5;
-/// Pace that a layer without holder counts with: slower than any kind, since
-/// a zone would otherwise look faster the more layers it lacks.
+/// Pace assumed for a layer without a holder. It is slower than any kind, since a zone
+/// would otherwise look faster the more layers it lacks.
 const UNCOVERED_PACE: f64 = 20.0;
-/// Time of one more engine on a path, in milliseconds an event: 0.2 ms each
-/// way in the availability zone and the time until a pass begins.
+/// Time of one more engine on a path, in milliseconds per event: 0.2 ms each way within
+/// the availability zone and the wait for the next pass.
 const HOP_MS: f64 = 2.0;
 
-/// One layer's share of what its holders give.
+/// Sums over the holders of a layer.
 #[derive(Debug, Clone, Copy, Default)]
 struct LayerTotal {
-    /// Room for requests over all holders, in tokens.
+    /// Cache capacity, in tokens.
     capacity: f64,
-    /// On the holder with the most.
+    /// Capacity of the largest holder.
     largest: f64,
-    /// Step time of each holder, weighted by its room.
+    /// Step times, weighted by capacity.
     step_time: f64,
-    /// Time for each request of each holder, weighted by its room squared.
+    /// Step time added by each request, weighted by the square of capacity.
     request_time: f64,
-    /// Time of a hop spread over the holder's layers, weighted by its room.
+    /// Time of a hop spread over the holder's layers, weighted by capacity.
     hop_time: f64,
 }
 
-/// An engine's figures at one width.
+/// What an engine contributes to each layer if it holds a given number of layers.
 #[derive(Debug, Clone, Copy)]
 struct HolderEstimate {
     capacity: f64,
@@ -76,7 +78,7 @@
         self
     }
 
-    /// Time of a token step at this layer, in milliseconds times layers.
+    /// Returns the duration of a token step at this layer, in milliseconds times layers.
     fn time_ms(&self, model: &EngineModel, requests: f64) -> f64 {
         if self.capacity <= 0.0 {
             return WAIT_FACTOR * model.step_ms * UNCOVERED_PACE;
@@ -87,10 +89,10 @@
     }
 }
 
-/// What the layers of a zone have, summed over a run of them.
+/// Sums over a range of layers.
 #[derive(Debug, Clone, Copy, Default)]
 struct RangeTotal {
-    /// Of the rooms to the power of minus four, in usual requests.
+    /// Capacities raised to the power of -4, in usual requests.
     inverse_sum: f64,
     /// The same without the largest holder of each layer.
     spare_inverse_sum: f64,
@@ -129,19 +131,20 @@
     }
 }
 
-/// The layers of a zone as some engines hold them.
+/// The layers of a zone with the sums over their holders.
 #[derive(Debug, Clone)]
 pub(super) struct ZoneEstimate<'a> {
     model: &'a EngineModel,
     layers: Vec<LayerTotal>,
-    /// Requests that each step is shared with.
+    /// Requests that share each step.
     requests: f64,
-    /// Room under which a layer counts as without holder, in usual requests.
+    /// Capacity under which a layer counts as uncovered, in usual requests.
     min_capacity: f64,
 }
 
 impl<'a> ZoneEstimate<'a> {
-    /// The layers as `engines` hold them; one of them may count as empty.
+    /// Builds the estimate from the layers that `engines` hold; the engine at the index
+    /// `emptied` counts as empty.
     pub(super) fn of(
         model: &'a EngineModel,
         engines: &[EngineView],
@@ -168,20 +171,21 @@
         figure
     }
 
-    /// Usual requests for which there is room at once.
+    /// Returns the number of usual requests that fit in memory at once.
     fn concurrent_requests(&self) -> f64 {
         let needs = self.layers.iter();
         let needs = needs.map(|layer| RangeTotal::of(self, layer).inverse_sum);
         power_mean(needs.sum(), self.layers.len())
     }
 
-    /// Works as if each step were shared with as many requests as there.
+    /// Uses the number of requests that share a step in `other`.
     pub(super) fn sharing_steps_of(mut self, other: &Self) -> Self {
         self.requests = other.requests;
         self
     }
 
-    /// Layers without holder, or with too little room to count.
+    /// Returns the number of layers without a holder, or with too little capacity to
+    /// count.
     pub(super) fn uncovered_layers(&self) -> usize {
         let usual = usual_tokens(self.model);
         let uncovered_layers = self.layers.iter();
@@ -190,7 +194,7 @@
         uncovered_layers.count()
     }
 
-    /// The layer with the least room.
+    /// Returns the layer with the least capacity.
     pub(super) fn scarcest_layer(&self) -> u32 {
         let layers = self.layers.iter().enumerate();
         let scarcest =
@@ -198,15 +202,15 @@
         scarcest.map_or(0, |(layer, _)| layer as u32)
     }
 
-    /// Requests a second that the zone carries, plus what is left of that
-    /// where each layer is without its largest holder.
+    /// Returns the score of the zone: its throughput in requests a second, plus the
+    /// throughput if each layer loses its largest holder.
     pub(super) fn score(&self) -> f64 {
         let totals = self.layers.iter();
         let totals = totals.map(|layer| RangeTotal::of(self, layer));
         self.rate(totals.fold(RangeTotal::default(), RangeTotal::plus))
     }
 
-    /// What the layers have up to each of them.
+    /// Returns the prefix sums over the layers.
     pub(super) fn prefix_sums(&self) -> PrefixSums {
         self.prefix_sums_with(|layer| *layer)
     }
@@ -225,8 +229,8 @@
         PrefixSums(totals)
     }
 
-    /// The zone with one more holder of so many layers, wherever they lie;
-    /// `without` are the totals of this zone.
+    /// Returns the estimate with one more holder of `width` layers at any position;
+    /// `without` are the prefix sums of this zone.
     pub(super) fn with_width<'b>(
         &'b self,
         kind: AcceleratorKind,
@@ -251,7 +255,7 @@
     }
 }
 
-/// What the layers of a zone have up to each of them, none first.
+/// Prefix sums over the layers of a zone; the first sum is empty.
 #[derive(Debug)]
 pub(super) struct PrefixSums(Vec<RangeTotal>);
 
@@ -265,7 +269,7 @@
     }
 }
 
-/// A zone with one more holder of a fixed width.
+/// The estimate of a zone with one more holder of a fixed width.
 #[derive(Debug)]
 pub(super) struct WidthEstimate<'a> {
     zone: &'a ZoneEstimate<'a>,
@@ -274,19 +278,20 @@
 }
 
 impl WidthEstimate<'_> {
-    /// The zone's worth where the holder has these layers.
+    /// Returns the score of the zone if the holder has these layers.
     pub(super) fn score(&self, range: LayerRange) -> f64 {
         let others = self.without.all().minus(self.without.within(range));
         self.zone.rate(others.plus(self.with.within(range)))
     }
 }
 
-/// Layers of a zone without holder, or with too little room to count.
+/// Returns the number of layers of a zone without a holder, or with too little capacity
+/// to count.
 pub(super) fn uncovered_count(model: &EngineModel, engines: &[EngineView]) -> usize {
     ZoneEstimate::of(model, engines, None).uncovered_layers()
 }
 
-/// Room under which a layer of a zone counts as without holder, in usual
+/// Returns the capacity under which a layer of a zone counts as uncovered, in usual
 /// requests.
 fn min_capacity(model: &EngineModel, engines: &[EngineView]) -> f64 {
     let memory_mb = engines.iter().map(|engine| engine.kind.memory_mb);
@@ -296,11 +301,10 @@
     (MIN_CAPACITY_SHARE * requests).max(MIN_CAPACITY)
 }
 
-/// The mean that stands for the least room, from the sum of the rooms to the
-/// power of minus four.
+/// Returns the power mean of the capacities from the sum of their powers of -4.
 fn power_mean(inverse_sum: f64, layers: usize) -> f64 {
     let mean = inverse_sum / layers.max(1) as f64;
-    // The fourth root, by two square roots: a plan takes it some hundred thousand
+    // Two square roots instead of `powf`: a plan computes this some hundred thousand
     // times.
     const { assert!(MEAN_EXPONENT == 4) };
     mean.max(f64::MIN_POSITIVE).sqrt().sqrt().recip()
