--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What this host believes about the targets, and the choice of engines for a
-//! request. Pure: the present time is an argument.
+//! The state of the targets as this host knows it, and the choice of engines for a
+//! request. Pure: the current time is passed as an argument.
 
 mod entry;
 mod load;
--- a/src/fleet/entry.rs
+++ b/src/fleet/entry.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves.
+//! What targets report about themselves.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,31 +16,31 @@
 }
 
 impl LayerRange {
-    /// Number of layers.
+    /// Returns the number of layers.
     pub fn width(self) -> u32 {
         self.to.saturating_sub(self.from)
     }
 
-    /// Whether `layer` lies in the range.
+    /// Returns whether `layer` lies in the range.
     pub fn contains(self, layer: u32) -> bool {
         (self.from..self.to).contains(&layer)
     }
 }
 
-/// A target as its newest heartbeat tells.
+/// A target as described by its newest heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetEntry {
-    /// Id of this start of the target: another start has another one.
+    /// Id of this start of the target; a restart gets a new one.
     pub id: TargetId,
-    /// When it started, in milliseconds since the Unix epoch, if it tells.
+    /// Start time in milliseconds since the Unix epoch, if reported.
     pub started_ms: Option<u64>,
     /// The service that it belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// It takes nothing new and will end.
+    /// Whether it accepts no new work and is about to end.
     pub draining: bool,
     /// Kind of accelerator, for model engines.
     pub kind: Option<Arc<str>>,
@@ -48,28 +48,27 @@
     pub layers: Option<LayerRange>,
 }
 
-/// An engine's answer to the question how it is doing; some hundred
-/// milliseconds old when it arrives.
+/// Status report of an engine; some hundred milliseconds old when it arrives.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineReport {
-    /// When it started, in milliseconds since the Unix epoch, if it tells.
+    /// Start time in milliseconds since the Unix epoch, if reported.
     pub started_ms: Option<u64>,
-    /// An order is being carried out.
+    /// Whether it is executing an order.
     pub order_busy: bool,
     /// Orders accepted since the engine started.
     pub order_sequence: u64,
-    /// Requests being worked on.
+    /// Requests in progress.
     pub running: u32,
     /// Requests waiting.
     pub queued: u32,
-    /// Memory of requests that cannot be given up, in tokens times layers.
+    /// Memory of requests that cannot be evicted, in tokens times layers.
     pub cache_used: f64,
-    /// Memory for requests in all, in tokens times layers.
+    /// Total memory for requests, in tokens times layers.
     pub cache_total: f64,
-    /// Over 1 when the engine is slower than its kind.
+    /// Factor on the times that are usual for its kind; above 1 when it is slower.
     pub pace: f64,
     /// Layers held.
     pub layers: Option<LayerRange>,
-    /// Requests that wait for another engine: request id and that engine.
+    /// Requests that wait for another engine: the request id and the engine's address.
     pub stalled: Vec<(String, SocketAddr)>,
 }
--- a/src/fleet/load.rs
+++ b/src/fleet/load.rs
@@ -1,22 +1,22 @@
-//! How large a request is expected to be, and what requests ask of a target.
+//! Expected size of a request, and the load of requests on a target.
 
 /// Expected size of a request, in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestSize {
-    /// Tokens to read.
+    /// Tokens of the prompt.
     pub prompt: u32,
-    /// Tokens expected in the answer.
+    /// Expected tokens of the response.
     pub answer: u32,
 }
 
 impl RequestSize {
-    /// Tokens that the request holds in memory at its end.
+    /// Returns the number of tokens that the request holds in memory at its end.
     pub fn tokens(self) -> f64 {
         f64::from(self.prompt) + f64::from(self.answer)
     }
 
-    /// What one request asks of an engine that runs `layers` of it and has
-    /// read nothing of it yet.
+    /// Returns the load of one request on an engine that runs `layers` layers and has
+    /// processed none of the prompt yet.
     pub fn load(self, layers: u32) -> TargetLoad {
         TargetLoad {
             requests: 1,
@@ -26,27 +26,26 @@
     }
 }
 
-/// Requests on a target, and what they ask of it.
+/// Requests on a target and the load that they cause.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct TargetLoad {
-    /// Requests under way.
+    /// Requests in flight.
     pub requests: u32,
     /// Memory that they are expected to need, in tokens times layers.
     pub reserved: f64,
-    /// What the target has to read before their first event, in tokens times
-    /// layers.
+    /// Prompt processing left before their first events, in tokens times layers.
     pub unread: f64,
 }
 
 impl TargetLoad {
-    /// Takes in further requests.
+    /// Adds the load of further requests.
     pub fn add(&mut self, other: Self) {
         self.requests += other.requests;
         self.reserved += other.reserved;
         self.unread += other.unread;
     }
 
-    /// Takes requests out that were taken in before.
+    /// Removes the load of requests that was added before.
     pub fn remove(&mut self, other: Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.reserved = (self.reserved - other.reserved).max(0.0);
--- a/src/fleet/path.rs
+++ b/src/fleet/path.rs
@@ -8,34 +8,30 @@
 use crate::ids::ZoneId;
 use crate::ingress::EngineModel;
 
-/// Fixed cost of one more engine on a path, in milliseconds an event: a hop in
-/// the availability zone takes 0.2 ms one way, and a request waits for the
-/// pass that an engine is in, a few milliseconds at light load.
+/// Fixed cost of one more engine on a path, in milliseconds per event: a hop within the
+/// availability zone takes 0.2 ms one way, and a request waits for the pass that the
+/// engine is running, a few milliseconds at light load.
 const HOP_MS: f64 = 2.0;
-/// Cost of a path outside the availability zone, in milliseconds an event:
-/// about that of two more engines that are busy. Streams on another zone's
-/// engines are late when the zones are cut from each other, and at 10 ms two
-/// requests of five went there without need. Mean worth over 40 simulated
-/// days with faults at 10, 30 and 70 ms: 0.735, 0.740 and 0.744.
+/// Cost of a path outside the availability zone, in milliseconds per event: about that of
+/// two more busy engines. Streams on engines of another zone are late when the zones are
+/// cut off from each other; at 10 ms, two requests of five use another zone without need.
 const REMOTE_ZONE_MS: f64 = 70.0;
-/// Part of an engine's memory that may be promised. A request holds its whole
-/// answer only at its end, and half of it on average; where it still does not
-/// fit the newest one is read again, which is late and not lost. Mean worth at
-/// 1.0, 1.2 and 1.5: 0.721, 0.733 and 0.716 (40 simulated days with faults;
-/// 1.5 with callers that come back later).
+/// Ratio of the memory that may be reserved to the memory of an engine. A request holds
+/// its whole response only at its end, and half of it on average. If the requests still
+/// do not fit, the newest one is prefilled again, which makes it late but does not lose
+/// it.
 const MEMORY_OVERCOMMIT: f64 = 1.2;
-/// Random part of an engine's cost. Hosts know each other's requests some
-/// hundred milliseconds late; without it all would choose the same engines in
-/// that time.
+/// Random part of an engine's cost. Hosts learn of each other's requests some hundred
+/// milliseconds late; without the random part, all of them would choose the same engines
+/// in the meantime.
 const COST_SPREAD: f64 = 0.3;
-/// What a millisecond of reading before the first event, or of waiting for a permit,
-/// counts, in
-/// milliseconds an event. After the loss of an engine all that passed it is
-/// read again elsewhere, 60 requests of 1,000 tokens at once, and whatever is
-/// sent there meanwhile waits for some 300 ms more of its aim of 500 ms.
+/// Cost of a millisecond of prompt processing before the first event, or of waiting for a
+/// permit, in milliseconds per event. After the loss of an engine, its requests are
+/// prefilled elsewhere, such as 60 requests of 1,000 tokens at once; a request sent to
+/// the same engine then waits for some 300 ms of its latency aim of 500 ms.
 const PREFILL_WEIGHT: f64 = 0.3;
-/// Cost of an engine whose memory is full, in milliseconds an event: preferred
-/// only to no path at all.
+/// Cost of an engine whose memory is full, in milliseconds per event. Such an engine is
+/// used only if no other path exists.
 const FULL_ENGINE_MS: f64 = 1e4;
 
 /// One engine of a path and the layers that it runs.
@@ -54,16 +50,16 @@
 pub struct EnginePath {
     /// The engines, in the order of their layers.
     pub hops: Vec<PathHop>,
-    /// Expected cost, in milliseconds an event.
+    /// Expected cost, in milliseconds per event.
     pub cost_ms: f64,
-    /// Whether an engine on it has no room left for the request.
+    /// Whether an engine on it has no memory left for the request.
     pub full: bool,
 }
 
-/// What the choice depends on besides the engines.
+/// The inputs of the choice besides the engines.
 #[derive(Debug, Clone, Copy)]
 pub struct PathQuery<'a> {
-    /// How the engines work.
+    /// Costs and sizes of the engines.
     pub model: &'a EngineModel,
     /// Size of the request.
     pub size: RequestSize,
@@ -73,8 +69,8 @@
     pub avoid: &'a [TargetId],
 }
 
-/// Chooses the cheapest path within one availability zone; if none has a
-/// whole one, across zones.
+/// Chooses the cheapest path within one availability zone, or across zones if no zone has
+/// a complete path.
 pub fn choose_path<D>(
     members: &ServiceMembers,
     query: PathQuery<'_>,
@@ -124,9 +120,9 @@
     }
 }
 
-/// Replaces the engine of one hop by others, and keeps the rest of the path:
-/// the other engines keep what they have read. `None` if no engine that is not
-/// on the path yet holds those layers.
+/// Replaces the engine of one hop by others and keeps the rest of the path, so that the
+/// other engines keep the prompt that they have processed. Returns `None` if no engine
+/// outside of the path holds those layers.
 pub fn repair_path<D>(
     members: &ServiceMembers,
     query: PathQuery<'_>,
@@ -171,7 +167,7 @@
     members.values().filter(usable).collect()
 }
 
-/// The engines of each other availability zone, in the order of the zones' names.
+/// Returns the engines of each other availability zone, in the order of the zones' names.
 fn remote_zones<'a>(engines: &[&'a TargetState], own: &str) -> Vec<Vec<&'a TargetState>> {
     let mut zones = BTreeMap::<&ZoneId, Vec<&TargetState>>::new();
     for engine in engines.iter().filter(|state| *state.entry.zone != *own) {
@@ -180,10 +176,10 @@
     zones.into_values().collect()
 }
 
-/// Cost of an engine for a request, apart from the layers.
+/// The cost of an engine for a request, for any of its layers.
 #[derive(Debug, Clone, Copy)]
 struct EngineCost {
-    /// Place among the engines that the path is chosen from.
+    /// Index among the engines that the path is chosen from.
     engine: usize,
     range: LayerRange,
     hop_ms: f64,
@@ -211,8 +207,8 @@
         model.per_request_ms * kind.read_factor + context_k * model.per_context_k_ms * kind.pace;
     let nominal_step_ms = model.step_ms * kind.pace + (others + 1.0) * request_time_ms;
     let step_ms = nominal_step_ms * state.pace(now);
-    // A request waits for the rest of a pass and then for its own: the work of
-    // an engine that is busy all the time costs about one and a half passes.
+    // A request waits for the rest of a pass and then for its own: on an engine that is
+    // always busy, the work costs about one and a half passes.
     let pass_ms = stride * step_ms * f64::from(range.width()) / layers;
     let capacity = model.cache_capacity(kind, range.width());
     let need = query.size.tokens() * f64::from(range.width());
@@ -237,8 +233,8 @@
     })
 }
 
-/// Shortest path through the layers of `span`, over the boundaries of the
-/// engines' ranges.
+/// Finds the cheapest path through the layers of `span`. The nodes are the boundaries of
+/// the engines' ranges.
 fn cheapest<D>(
     engines: &[&TargetState],
     query: PathQuery<'_>,
@@ -260,7 +256,8 @@
     boundaries.retain(|bound| (span.from..=span.to).contains(bound));
     boundaries.sort_unstable();
     boundaries.dedup();
-    // Cheapest way to each bound: cost, bound before, place of the engine's cost.
+    // Cheapest path to each boundary: cost, previous boundary, index of the engine's
+    // cost.
     let mut cheapest_to = vec![(f64::INFINITY, 0_usize, usize::MAX); boundaries.len()];
     cheapest_to[0].0 = 0.0;
     for here in 0..boundaries.len() {
@@ -319,11 +316,11 @@
     })
 }
 
-/// The costs of those engines that no other one with the same layers undercuts,
-/// whichever of its layers a path takes.
+/// Keeps the costs of the engines that no other engine with the same layers undercuts,
+/// whichever of its layers a path uses.
 ///
-/// Of a zone of hundreds of engines, many hold the same; the time of a choice
-/// then grows with the ranges that are held, not with the engines.
+/// In a zone of hundreds of engines many hold the same layers; the time of a choice then
+/// grows with the number of distinct ranges instead of the number of engines.
 fn pareto_costs(mut costs: Vec<EngineCost>) -> Vec<EngineCost> {
     costs.sort_by(|left, right| {
         let range = left.range.cmp(&right.range);
@@ -343,8 +340,8 @@
     costs
 }
 
-/// An engine may stand on a path once only: one that appears twice holds all
-/// that lies between, and takes it over.
+/// Merges the hops of an engine that appears twice: an engine may be on a path only once,
+/// and it holds all layers between its hops.
 fn merge_repeated(hops: Vec<(usize, LayerRange)>) -> Vec<(usize, LayerRange)> {
     let mut joined: Vec<(usize, LayerRange)> = Vec::with_capacity(hops.len());
     for (engine, layers) in hops {
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -5,17 +5,17 @@
 use crate::fleet::{ServiceMembers, TargetState};
 use crate::ids::TargetId;
 
-/// What a target in another availability zone has to be better by, in
-/// requests in flight: a crossing takes about a millisecond, a request 30.
+/// Cost of a target in another availability zone, in requests in flight: crossing zones
+/// takes about a millisecond, a request 30.
 const ZONE_PENALTY: f64 = 1.0;
 
-/// Requests that a place takes one after the other in a second: what a second of waiting
-/// for a permit counts, in requests in flight.
+/// Requests that one slot serves in a second: the cost of a second of waiting for a
+/// permit, in requests in flight.
 const REQUESTS_PER_S: f64 = 30.0;
 
-/// Picks the target with the fewest requests, the availability
-/// zone's own first; `avoid` was tried already and comes last. Targets that are
-/// out are taken only when no other is left.
+/// Chooses the target with the fewest requests, preferring the host's own availability
+/// zone. Targets in `avoid` and draining targets are left out; ejected targets are chosen
+/// only if no other is left.
 pub fn choose_target(
     members: &ServiceMembers,
     zone: &str,
--- a/src/fleet/state.rs
+++ b/src/fleet/state.rs
@@ -1,42 +1,43 @@
-//! One target: what it said, and what this host saw.
+//! One target: what it reported and what this host observed.
 
 use std::time::{Duration, Instant};
 
 use crate::fleet::{TargetEntry, TargetLoad, target_key};
 use crate::ids::TargetKey;
 
-/// How long what a target said of its speed counts. It is asked again when a
-/// request that passes it falls silent.
+/// How long a reported pace is valid. The target is queried again when a request on it
+/// stalls.
 const PACE_LIFETIME: Duration = Duration::from_secs(4);
 
-/// A target, as heard of and as seen.
+/// A target, as reported and as observed.
 #[derive(Debug, Clone)]
 pub struct TargetState {
-    /// What it last said.
+    /// Its last heartbeat.
     pub entry: TargetEntry,
     /// Its key in messages.
     pub key: TargetKey,
-    /// Requests of this host on it.
+    /// Load of this host's requests.
     pub own: TargetLoad,
-    /// Requests of the other hosts of this zone on it.
+    /// Load of the requests of the other hosts of this zone.
     pub near: TargetLoad,
-    /// Requests of the hosts of other zones on it.
+    /// Load of the requests of the hosts of other zones.
     pub remote: TargetLoad,
-    /// Failures in a row.
+    /// Consecutive failures.
     pub failures: u32,
-    /// Takes nothing before this moment.
+    /// End of the ejection after failures.
     pub ejected_until: Option<Instant>,
-    /// Refusals in a row.
+    /// Consecutive refusals.
     pub refusals: u32,
-    /// Refused for want of room; takes nothing before this moment.
+    /// End of the pause after a refusal for lack of capacity.
     pub full_until: Option<Instant>,
-    /// Limits its rate; there is no permit for it before this moment.
+    /// Time before which there is no permit for the target, which limits its rate.
     pub withheld_until: Option<Instant>,
-    /// Does not answer, or other engines wait for it, until this moment.
+    /// Time until which the target counts as silent: it does not respond, or other
+    /// engines wait for it.
     pub silent_until: Option<Instant>,
-    /// What it last said of its speed, and when; over 1 when it is slow.
+    /// The last reported pace and when it was reported; above 1 when the target is slow.
     pub pace: Option<(f64, Instant)>,
-    /// When it was last asked for its speed.
+    /// When its pace was last requested.
     pub pace_requested: Option<Instant>,
 }
 
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Requests of all hosts on it, as far as they are known.
+    /// Returns the load of the requests of all hosts, as far as they are known.
     pub fn load(&self) -> TargetLoad {
         let mut load = self.own;
         load.add(self.near);
@@ -67,34 +68,34 @@
         load
     }
 
-    /// Whether the target may be given work.
+    /// Returns whether the target may get work.
     pub fn is_usable(&self, now: Instant) -> bool {
         !self.entry.draining && !self.is_ejected(now)
     }
 
-    /// Whether the target is taken to be dead or cut off.
+    /// Returns whether the target is assumed to be dead or cut off.
     pub fn is_silent(&self, now: Instant) -> bool {
         self.silent_until.is_some_and(|until| now < until)
     }
 
-    /// Factor on the times that are usual for its kind.
+    /// Returns the factor on the times that are usual for its kind.
     pub fn pace(&self, now: Instant) -> f64 {
         let recent = self.pace.filter(|(_, at)| now < *at + PACE_LIFETIME);
         recent.map_or(1.0, |(pace, _)| pace.max(1.0))
     }
 
-    /// Whether the target has just refused for want of room.
+    /// Returns whether the target has just refused a request for lack of capacity.
     pub fn is_full(&self, now: Instant) -> bool {
         self.full_until.is_some_and(|until| now < until)
     }
 
-    /// Time until there may be a permit to send to it.
+    /// Returns the time until there may be a permit to send to the target.
     pub fn permit_wait(&self, now: Instant) -> Duration {
         let until = self.withheld_until.unwrap_or(now);
         until.saturating_duration_since(now)
     }
 
-    /// Whether the target was put out because of failures.
+    /// Returns whether the target is ejected because of failures.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
--- a/src/fleet/table.rs
+++ b/src/fleet/table.rs
@@ -1,4 +1,4 @@
-//! The table of targets: what they said, and what this host saw.
+//! The table of targets: what they reported and what this host observed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,31 +10,30 @@
 use crate::fleet::{TargetUsage, UsageScope, UsageSource, ZoneUsage};
 use crate::ids::{HostId, ServiceId, TargetId, TargetKey};
 
-/// First time that a target stays out after a failure that may pass. The
-/// usual pass of an engine takes about 50 ms, so that ten of them go by.
+/// Duration of the first ejection after a failure that may be transient: about ten passes
+/// of an engine, each of which takes about 50 ms.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-/// Longest time that a target stays out: a fault that lasts longer is probed
-/// by one request in this time.
+/// Longest ejection: a fault that lasts longer is probed by one request in this time.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// Failures in a row that put a target out. A single failure can be one
-/// spoiled answer of a sound target.
+/// Consecutive failures that eject a target. A single failure may be one corrupted
+/// response of a healthy target.
 const EJECTING_FAILURES: u32 = 2;
-/// Pause between two questions for a target's speed: each is priced, and
-/// slowness lasts for seconds.
+/// Least time between two requests for a target's pace: each is billed, and slowness
+/// lasts for seconds.
 const PACE_REQUEST_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a target that refused for want of room is left alone: about the
-/// time after which hosts know each other's requests.
+/// Pause of a target that refused a request for lack of capacity: about the time after
+/// which hosts know each other's requests.
 const FULL_PAUSE: Duration = Duration::from_millis(300);
-/// Doublings of that pause while refusals follow each other: an engine that
-/// drains refuses everything too, and while the log is away nobody is told.
+/// Most doublings of that pause on consecutive refusals. A draining engine refuses
+/// everything too, and while the log is unavailable no host is notified that it drains.
 const MAX_FULL_DOUBLINGS: u32 = 4;
-/// How long a target that does not answer at all stays out.
+/// Duration of the ejection of a target that does not respond at all.
 const SILENT_EJECTION: Duration = Duration::from_secs(3);
 
 /// Targets of one service in the order of their ids.
 pub type ServiceMembers = BTreeMap<TargetId, TargetState>;
 
-/// Every target known.
+/// All known targets.
 #[derive(Debug, Default)]
 pub struct FleetTable {
     services: FastMap<ServiceId, ServiceMembers>,
@@ -44,7 +43,7 @@
 }
 
 impl FleetTable {
-    /// Takes a heartbeat in; says whether what is believed has changed.
+    /// Records a heartbeat and returns whether it changed the target's entry.
     pub fn observe_entry(&mut self, entry: TargetEntry) -> bool {
         let id = entry.id.clone();
         let service = entry.service.clone();
@@ -65,7 +64,7 @@
         }
     }
 
-    /// The target is gone for good.
+    /// Removes a target for good.
     pub fn remove(&mut self, id: &str) -> Option<TargetState> {
         let service = self.service_of.remove(id)?;
         let state = self.services.get_mut(&service)?.remove(id)?;
@@ -73,29 +72,29 @@
         Some(state)
     }
 
-    /// Targets of a service.
+    /// Returns the targets of a service.
     pub fn members(&self, service: &str) -> Option<&ServiceMembers> {
         self.services.get(service)
     }
 
-    /// Every target.
+    /// Returns all targets.
     pub fn targets(&self) -> impl Iterator<Item = &TargetState> {
         self.services.values().flat_map(BTreeMap::values)
     }
 
-    /// A target by its id.
+    /// Returns the target with an id.
     pub fn get(&self, id: &str) -> Option<&TargetState> {
         let service = self.service_of.get(id)?;
         self.services.get(service)?.get(id)
     }
 
-    /// A target by its id, to change.
+    /// Returns the target with an id, mutably.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut TargetState> {
         let service = self.service_of.get(id)?;
         self.services.get_mut(service)?.get_mut(id)
     }
 
-    /// Id of the target of a service at an address.
+    /// Returns the id of the target of a service at an address.
     pub fn id_at(&self, service: &str, address: SocketAddr) -> Option<TargetId> {
         let members = self.members(service)?;
         let mut states = members.values();
@@ -103,40 +102,40 @@
         Some(state.entry.id.clone())
     }
 
-    /// Whether a service has a target that may be given work.
+    /// Returns whether a service has a target that may get work.
     pub fn has_usable(&self, service: &str, now: Instant) -> bool {
         let members = self.members(service);
         members.is_some_and(|members| members.values().any(|state| state.is_usable(now)))
     }
 
-    /// A request was sent to a target.
+    /// Records that a request was sent to a target.
     pub fn observe_start(&mut self, id: &str, load: TargetLoad) {
         if let Some(state) = self.get_mut(id) {
             state.own.add(load);
         }
     }
 
-    /// A target has read a request that counted so much as unread.
+    /// Records that a target has processed a prompt that counted as `unread`.
     pub fn observe_read(&mut self, id: &str, unread: f64) {
         if let Some(state) = self.get_mut(id) {
             state.own.unread = (state.own.unread - unread).max(0.0);
         }
     }
 
-    /// The request is over on that target.
+    /// Records that a request ended on a target.
     pub fn observe_end(&mut self, id: &str, load: TargetLoad) {
         if let Some(state) = self.get_mut(id) {
             state.own.remove(load);
         }
     }
 
-    /// Takes in what requests other hosts have on targets.
+    /// Records the load that other hosts report of their requests on targets.
     pub fn observe_usage(&mut self, source: UsageSource, usage: Vec<TargetUsage>, now: Instant) {
         self.usage.observe(source, usage, now);
         self.add_up_usage();
     }
 
-    /// Takes in what requests the hosts of other zones have on targets.
+    /// Records the load of the requests of the hosts of other zones.
     pub fn observe_remote(&mut self, zones: Vec<ZoneUsage>, now: Instant) {
         if zones.is_empty() {
             return;
@@ -148,7 +147,8 @@
         self.add_up_usage();
     }
 
-    /// This host adds up its zone's requests itself from now on.
+    /// Forgets the sums of an aggregator; from now on this host adds up the requests of
+    /// its zone itself.
     pub fn forget_neighbours(&mut self) {
         self.usage.forget_neighbours();
         self.add_up_usage();
@@ -177,12 +177,12 @@
         }
     }
 
-    /// Requests of other zones' hosts, as last heard.
+    /// Returns the last reported usage by the hosts of other zones.
     pub fn remote_usage(&self) -> Vec<ZoneUsage> {
         self.usage.remote()
     }
 
-    /// Requests on targets to tell `recipient` of.
+    /// Returns the usage to report to `recipient`.
     pub fn usage(&self, scope: UsageScope, recipient: Option<&HostId>) -> Vec<TargetUsage> {
         let reported = match scope {
             UsageScope::Group => self.usage.reported(),
@@ -211,7 +211,7 @@
         used.filter(|used| used.load.requests > 0).collect()
     }
 
-    /// Whether to ask a target for its speed now; it then counts as asked.
+    /// Returns whether to request a target's pace now, and if so records the request.
     pub fn begin_pace_request(&mut self, id: &str, now: Instant) -> bool {
         let Some(state) = self.get_mut(id) else {
             return false;
@@ -225,14 +225,14 @@
         due
     }
 
-    /// A target told its speed.
+    /// Records the pace that a target reported.
     pub fn observe_pace(&mut self, id: &str, pace: f64, now: Instant) {
         if let Some(state) = self.get_mut(id) {
             state.pace = Some((pace, now));
         }
     }
 
-    /// A target answered as it should.
+    /// Records that a target responded as it should.
     pub fn observe_success(&mut self, id: &str) {
         if let Some(state) = self.get_mut(id) {
             state.failures = 0;
@@ -243,10 +243,11 @@
         }
     }
 
-    /// A target failed a request; says until when it is out, if it is.
+    /// Records that a target failed a request; returns the end of its ejection, if it is
+    /// ejected.
     ///
-    /// Without this, a target that fails quickly looks idle and draws ever
-    /// more requests to it, while its health check stays good.
+    /// Without ejection, a target that fails quickly looks idle and attracts more and
+    /// more requests, while its health check still succeeds.
     pub fn observe_failure(&mut self, id: &str, now: Instant) -> Option<Instant> {
         let state = self.get_mut(id)?;
         state.failures += 1;
@@ -259,11 +260,11 @@
         state.ejected_until
     }
 
-    /// A target refused for want of room.
+    /// Records that a target refused a request for lack of capacity.
     ///
-    /// Other hosts' requests are known a moment late. Without this, all that
-    /// come in that moment are sent to the same engines and refused, and use up
-    /// the retries.
+    /// The requests of other hosts are known with a delay. Without this pause, all
+    /// requests that arrive in the meantime are sent to the same engines, refused, and
+    /// use up the retries.
     pub fn observe_full(&mut self, id: &str, now: Instant) {
         if let Some(state) = self.get_mut(id) {
             let doublings = state.refusals.min(MAX_FULL_DOUBLINGS);
@@ -272,26 +273,27 @@
         }
     }
 
-    /// A target limits its rate, and there is no permit for it before `until`.
+    /// Records that a target limits its rate and that there is no permit for it before
+    /// `until`.
     pub fn observe_withheld(&mut self, id: &str, until: Instant) {
         if let Some(state) = self.get_mut(id) {
             state.withheld_until = state.withheld_until.max(Some(until));
         }
     }
 
-    /// A target no longer limits its rate.
+    /// Records that a target no longer limits its rate.
     pub fn observe_unlimited(&mut self, id: &str) {
         if let Some(state) = self.get_mut(id) {
             state.withheld_until = None;
         }
     }
 
-    /// Id of the target with a key.
+    /// Returns the id of the target with a key.
     pub fn id_of(&self, key: TargetKey) -> Option<&TargetId> {
         self.id_of.get(&key)
     }
 
-    /// A target does not answer at all.
+    /// Records that a target does not respond at all.
     pub fn observe_silence(&mut self, id: &str, now: Instant) {
         if let Some(state) = self.get_mut(id) {
             state.failures = state.failures.max(EJECTING_FAILURES);
@@ -300,7 +302,7 @@
         }
     }
 
-    /// An engine holds other layers than its heartbeat says.
+    /// Records that an engine holds other layers than its heartbeat says.
     pub fn observe_layers(&mut self, id: &str, layers: Option<LayerRange>) {
         if let Some(state) = self.get_mut(id) {
             state.entry.layers = layers;
--- a/src/fleet/usage.rs
+++ b/src/fleet/usage.rs
@@ -1,4 +1,4 @@
-//! Requests on targets as entry hosts tell each other of them.
+//! The load of requests on targets, as entry hosts report it to each other.
 
 use std::time::{Duration, Instant};
 
@@ -7,74 +7,73 @@
 use crate::ids::{HostId, TargetKey, ZoneId};
 use crate::rendezvous::rendezvous_score;
 
-/// Seed of the keys, so that they differ from the project's other hashes.
+/// Seed of the keys, so that they differ from other hashes of the program.
 const KEY_SEED: u64 = 0x7461_7267;
-/// Age at which the word of a host of this zone no longer counts. A host that
-/// reports elsewhere from now on is counted there, and would count twice; its
-/// next report is due after a quarter of a second.
+/// Age at which a report of a host of this zone expires; hosts report every quarter of a
+/// second. A host that starts to report to another host is counted there, and would count
+/// twice if the old report were kept.
 const ZONE_REPORT_LIFETIME: Duration = Duration::from_millis(1500);
-/// Age at which the word of another zone, or of this zone's speaker, no longer
-/// counts: requests take a few seconds, so that until then an old count is
-/// closer to the truth than none.
+/// Age at which a report of another zone, or of the aggregator of this zone, expires.
+/// Requests take a few seconds, so an old count is more accurate than none until then.
 const AGGREGATE_LIFETIME: Duration = Duration::from_secs(3);
 
-/// The key of a target in messages.
+/// Returns the key of a target in messages.
 ///
-/// An id takes some 48 bytes in a message, a key eight; a host hears of every
-/// target of its zone four times a second. Two of 1,100 targets share a key once
-/// in 3 * 10^13 fleets; their requests would then be counted on one of them.
+/// An id takes some 48 bytes in a message, a key eight, and a host receives the usage of
+/// every target of its zone four times a second. Two of 1,100 targets share a key in one
+/// of 3 * 10^13 fleets; their requests are then counted on one of them.
 pub fn target_key(id: &str) -> TargetKey {
     rendezvous_score(KEY_SEED, "target", id)
 }
 
-/// Requests that some hosts have on a target.
+/// Load that some hosts have on a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TargetUsage {
-    /// The target.
+    /// Key of the target.
     pub key: TargetKey,
-    /// The requests.
+    /// Load of the requests.
     pub load: TargetLoad,
 }
 
-/// Requests that the hosts of another zone have on targets.
+/// Load that the hosts of another zone have on targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneUsage {
     /// The zone.
     pub zone: ZoneId,
-    /// The requests.
+    /// The load by target.
     pub usage: Vec<TargetUsage>,
 }
 
-/// Whose requests a statement is about.
+/// Which hosts' requests a report covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum UsageScope {
-    /// Those of the host that speaks.
+    /// The sending host.
     #[default]
     Host,
-    /// Those of the host that speaks and of the hosts that report to it.
+    /// The sending host and the hosts that report to it.
     Group,
-    /// Those of all hosts of the zone but the one that is spoken to.
+    /// All hosts of the zone except the recipient.
     Neighbours,
-    /// Those of all hosts of the zone.
+    /// All hosts of the zone.
     Zone,
 }
 
-/// Where word of other hosts' requests comes from.
+/// Where a report of other hosts' requests comes from.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum UsageSource {
     /// A host of this zone, for itself.
     Host(HostId),
-    /// A host of this zone, for itself and those that report to it.
+    /// A host of this zone, for itself and the hosts that report to it.
     Group(HostId),
-    /// A speaker of this zone, for all hosts of the zone but this one.
+    /// An aggregator of this zone, for all hosts of the zone except this one.
     Neighbours,
     /// Another zone, for all its hosts.
     Zone(ZoneId),
 }
 
 impl UsageSource {
-    /// The source of a statement by a host of some zone, as a host of `own_zone`
-    /// takes it; `None` for one that says nothing to it.
+    /// Returns the source of a report by a host of some zone, as seen by a host of
+    /// `own_zone`; `None` if the report is not meant for it.
     pub fn of(scope: UsageScope, host: &HostId, zone: &ZoneId, own_zone: &ZoneId) -> Option<Self> {
         match (scope, zone == own_zone) {
             (UsageScope::Host, true) => Some(Self::Host(host.clone())),
@@ -85,19 +84,20 @@
         }
     }
 
-    /// Whether the requests are those of hosts of this zone.
+    /// Returns whether the requests belong to hosts of this zone.
     pub(super) fn is_near(&self) -> bool {
         !matches!(self, Self::Zone(_))
     }
 
-    /// Whether this word stands for what `other` said before: else a host that
-    /// has become a speaker, or is one no longer, would be counted twice.
+    /// Returns whether a report of this source replaces the last one of `other`. Without
+    /// this, a host that becomes an aggregator, or stops being one, would be counted
+    /// twice.
     fn replaces(&self, other: &Self) -> bool {
         match (self, other) {
             (Self::Host(host), Self::Group(earlier)) | (Self::Group(host), Self::Host(earlier)) => {
                 host == earlier
             }
-            // Whoever hears a speaker's sums does not add any up itself.
+            // A host that receives an aggregator's sums does not add up any itself.
             (Self::Neighbours, Self::Host(_) | Self::Group(_)) => true,
             _ => false,
         }
@@ -111,21 +111,22 @@
     }
 }
 
-/// What a source last said, and when.
+/// The last report of a source and when it arrived.
 #[derive(Debug)]
 struct SourceUsage {
     at: Instant,
     usage: Vec<TargetUsage>,
 }
 
-/// What all sources last said.
+/// The last report of each source.
 #[derive(Debug, Default)]
 pub(super) struct UsageTable {
     sources: FastMap<UsageSource, SourceUsage>,
 }
 
 impl UsageTable {
-    /// Takes in what a source says, in place of what it said before.
+    /// Records a report in place of the previous one of the source, and drops those that
+    /// it replaces or that expired.
     pub(super) fn observe(&mut self, source: UsageSource, usage: Vec<TargetUsage>, now: Instant) {
         self.sources.retain(|earlier, report| {
             now < report.at + earlier.lifetime() && !source.replaces(earlier)
@@ -133,18 +134,18 @@
         self.sources.insert(source, SourceUsage { at: now, usage });
     }
 
-    /// Drops what a speaker said of the zone.
+    /// Drops the sums of the aggregator of this zone.
     pub(super) fn forget_neighbours(&mut self) {
         self.sources.remove(&UsageSource::Neighbours);
     }
 
-    /// Everything that was said, by source.
+    /// Returns all reports by source.
     pub(super) fn all(&self) -> impl Iterator<Item = (&UsageSource, &[TargetUsage])> {
         let sources = self.sources.iter();
         sources.map(|(source, report)| (source, report.usage.as_slice()))
     }
 
-    /// Requests of the hosts that report to this one, added up by target.
+    /// Returns the load of the hosts that report to this one, summed by target.
     pub(super) fn reported(&self) -> FastMap<TargetKey, TargetLoad> {
         let reports = self
             .all()
@@ -156,7 +157,7 @@
         sums
     }
 
-    /// What a host of this zone last said, by target.
+    /// Returns the load that a host of this zone last reported, by target.
     pub(super) fn reported_by(&self, host: &HostId) -> FastMap<TargetKey, TargetLoad> {
         let own = [
             UsageSource::Host(host.clone()),
@@ -167,7 +168,7 @@
         usage.map(|used| (used.key, used.load)).collect()
     }
 
-    /// What other zones last said.
+    /// Returns what other zones last reported.
     pub(super) fn remote(&self) -> Vec<ZoneUsage> {
         let remote = self
             .sources
--- a/src/placement/zone_estimate.rs
+++ b/src/placement/zone_estimate.rs
@@ -16,7 +16,7 @@
 /// Least capacity of a layer that counts, as a share of the capacity that the zone would
 /// have with one copy of the weights. An engine that is widened further cannot keep its
 /// running requests: widened from a capacity of 107 requests to one of four, it causes
-/// 540 requests to be read again.
+/// 540 requests to be prefilled again.
 const MIN_CAPACITY_SHARE: f64 = 0.08;
 /// Lower bound of that capacity for a zone without spare memory, in usual requests. It is
 /// above zero so that a partly covered gap scores higher than an uncovered one.
