--- a/src/routing/compare.rs
+++ b/src/routing/compare.rs
@@ -157,13 +157,9 @@
                     .collect();
                 let prefix_hit =
                     |index: usize| self.prefix_hit(candidates[index].entry, request, now);
-                let mut compared_pipelines = draw_two(&weights, rng).to_vec();
-                compared_pipelines.extend(index_of_highest(count, prefix_hit));
-                compared_pipelines[index_of_lowest(
-                    compared_pipelines.len(),
-                    |nth| estimate(compared_pipelines[nth]),
-                    rng,
-                )?]
+                let mut compared = draw_two(&weights, rng).to_vec();
+                compared.extend(index_of_highest(count, prefix_hit));
+                compared[index_of_lowest(compared.len(), |nth| estimate(compared[nth]), rng)?]
             }
         };
         Some(candidates[index])
--- a/src/routing/estimate.rs
+++ b/src/routing/estimate.rs
@@ -80,7 +80,7 @@
 /// so every part counts once a token.
 pub(super) fn route_score(stages: &[StageEstimate], max_tokens: u64) -> RouteScore {
     let count = step_count(max_tokens);
-    let sum = |share: fn(&StageEstimate) -> f64| stages.iter().map(share).sum::<f64>();
+    let sum = |part: fn(&StageEstimate) -> f64| stages.iter().map(part).sum::<f64>();
     RouteScore {
         queue: seconds(sum(StageEstimate::wait) * count),
         prefill: seconds(sum(|stage| stage.prefill)),
