--- a/src/ingress.rs
+++ b/src/ingress.rs
@@ -1,6 +1,5 @@
-//! What callers may ask for: the configuration in force, and how a request is
-//! matched against it. Pure; the platform's spelling is left behind in
-//! [`crate::platform`].
+//! What callers may request: the active configuration, and how a request is matched
+//! against it. Pure; the formats of the platform are converted in [`crate::platform`].
 
 mod configuration;
 mod matching;
--- a/src/ingress/configuration.rs
+++ b/src/ingress/configuration.rs
@@ -9,40 +9,40 @@
 /// One accepted version of everything that operators declare.
 #[derive(Debug, Clone, Default)]
 pub struct IngressConfiguration {
-    /// Grows with each accepted change, in uneven steps.
+    /// Increases with each accepted change, not always by one.
     pub version: u64,
     /// Routes by host name; within a host the longest prefix comes first.
     pub routes: FastMap<Box<str>, Vec<Arc<RouteRule>>>,
     /// Services that routes lead to.
     pub services: FastMap<ServiceId, Arc<ServiceSpec>>,
-    /// Holders of the API keys; `None` when callers need no key.
+    /// Holders of the API keys; `None` if callers need no key.
     pub keys: Option<FastMap<Box<str>, KeyHolder>>,
-    /// Bounds on what a caller may send.
+    /// Limits on what a caller may send.
     pub limits: CallerLimits,
 }
 
-/// Who an API key belongs to.
+/// The organisation that an API key belongs to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyHolder {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// Its rank, 0 first; goes before the rank of a route.
+    /// Its priority, 0 first; overrides the priority of a route.
     pub priority: Option<u8>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what a caller may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Largest header section of a request, in bytes.
     pub header_bytes: usize,
     /// Largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// How long a connection may stay without a request.
+    /// How long a connection may stay idle.
     pub idle: Duration,
 }
 
 impl Default for CallerLimits {
-    /// The figures in force until a configuration is known.
+    /// Returns the limits that apply until a configuration is known.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -52,32 +52,32 @@
     }
 }
 
-/// What may be repeated.
+/// Whether a request may be repeated, and whether its response is a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RequestKind {
     /// Idempotent: may run more than once.
     Idempotent,
     /// Non-idempotent: may run at most once.
     NonIdempotent,
-    /// A stream of events, which may go on at another target.
+    /// A stream of events that may be resumed on another target.
     ResumableStream,
     /// A stream of events that may run at most once.
     Stream,
 }
 
 impl RequestKind {
-    /// Whether the request may be sent again after it may have run.
+    /// Returns whether the request may be sent again after it may have run.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
-    /// Whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::ResumableStream | Self::Stream)
     }
 }
 
-/// One way from a host name and a path prefix to services.
+/// Maps a host name and a path prefix to services.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteRule {
     /// Name of the route, for logs.
@@ -86,13 +86,13 @@
     pub path_prefix: Box<str>,
     /// What may be repeated.
     pub kind: RequestKind,
-    /// Longest time that a caller is kept waiting.
+    /// Longest time that a caller waits.
     pub timeout: Duration,
-    /// Time within which an answer is on time (streams: its first event).
+    /// Time within which a response is on time; for streams, its first event.
     pub latency_aim: Duration,
-    /// Longest pause between two events of a stream that is on time.
+    /// Longest gap between two events of a stream that is on time.
     pub gap_aim: Option<Duration>,
-    /// Rank, 0 first.
+    /// Priority, 0 first.
     pub priority: u8,
     /// Services and their weights.
     pub services: Vec<ServiceShare>,
@@ -102,7 +102,7 @@
     pub public: bool,
 }
 
-/// A service's part of a route.
+/// The share of a route that a service gets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceShare {
     /// The service.
@@ -118,34 +118,34 @@
     pub name: ServiceId,
     /// Path of its health check.
     pub health_path: Box<str>,
-    /// How its engines work, if they are model engines that hold layers.
+    /// The engine model, if the targets are model engines that hold layers.
     pub engine: Option<EngineModel>,
 }
 
 /// Costs and sizes of a model engine, as declared.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineModel {
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
     /// Size of a layer's weights, in megabytes.
     pub layer_mb: f64,
-    /// Size of one token's cache over all layers, in bytes.
+    /// Size of the cache of one token over all layers, in bytes.
     pub kv_token_bytes: f64,
     /// Time of one token step through all layers, in milliseconds at pace 1.
     pub step_ms: f64,
-    /// Time that each writing request adds to a step, in milliseconds.
+    /// Time that each decoding request adds to a step, in milliseconds.
     pub per_request_ms: f64,
     /// Time that 1,000 tokens of context add to a step, in milliseconds.
     pub per_context_k_ms: f64,
-    /// Prompt tokens read a second through all layers.
+    /// Prompt tokens processed per second through all layers.
     pub read_per_s: f64,
     /// Token steps in one pass, and tokens in one event.
     pub stride: u32,
     /// Time to load all layers, in seconds.
     pub load_s: f64,
-    /// Mean tokens of a prompt.
+    /// Mean number of tokens of a prompt.
     pub usual_prompt: u32,
-    /// Mean tokens of an answer.
+    /// Mean number of tokens of a response.
     pub usual_answer: u32,
     /// Kinds of accelerator, by name.
     pub kinds: FastMap<Box<str>, AcceleratorKind>,
@@ -158,18 +158,20 @@
     pub memory_mb: f64,
     /// Factor on the time of steps and context.
     pub pace: f64,
-    /// Factor on the time of reading and on each request's part of a step.
+    /// Factor on the time of prompt processing and on the time that each request adds to
+    /// a step.
     pub read_factor: f64,
 }
 
 impl EngineModel {
-    /// Most layers that an accelerator can hold.
+    /// Returns the most layers that an accelerator can hold.
     pub fn max_layers(&self, kind: AcceleratorKind) -> u32 {
         let layers = (kind.memory_mb / self.layer_mb).floor();
         (layers as u32).min(self.layers)
     }
 
-    /// Room for requests beside `held` layers, in tokens times layers.
+    /// Returns the cache capacity left for requests beside `held` layers, in tokens times
+    /// layers.
     pub fn cache_capacity(&self, kind: AcceleratorKind, held: u32) -> f64 {
         let free_mb = kind.memory_mb - f64::from(held) * self.layer_mb;
         let layer_token_bytes = self.kv_token_bytes / f64::from(self.layers);
--- a/src/ingress/matching.rs
+++ b/src/ingress/matching.rs
@@ -1,18 +1,18 @@
-//! From host name, path and API key to a route and an organisation.
+//! Matches host name, path and API key to a route and an organisation.
 
 use std::sync::Arc;
 
 use crate::ids::OrganisationId;
 use crate::ingress::{IngressConfiguration, RouteRule};
 
-/// What a request is allowed to reach.
+/// The route and the organisation of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MatchedRequest {
-    /// The route in force.
+    /// The route that applies.
     pub route: Arc<RouteRule>,
-    /// Who is asking, if the configuration knows organisations.
+    /// Organisation of the caller, if the configuration declares organisations.
     pub organisation: Option<OrganisationId>,
-    /// Rank of the request, 0 first.
+    /// Priority of the request, 0 first.
     pub priority: u8,
 }
 
@@ -25,12 +25,12 @@
     UnknownKey,
 }
 
-/// Matches a request against the configuration in force.
+/// Matches a request against the active configuration.
 ///
 /// # Errors
 ///
-/// If no route has the host name and a prefix of the path, or if the route
-/// needs a key and `key` is none that an organisation holds.
+/// Returns an error if no route has the host name and a prefix of the path, or if the
+/// route needs a key and no organisation holds `key`.
 pub fn match_request(
     configuration: &IngressConfiguration,
     host: &str,
--- a/src/rendezvous.rs
+++ b/src/rendezvous.rs
@@ -1,14 +1,14 @@
-//! Choice of a few hosts out of many, alike on every host without agreement.
+//! Choice of a few hosts out of many that is the same on every host without agreement.
 
 use std::cmp::Reverse;
 
 use sha2::{Digest, Sha256};
 
-/// Score of a candidate for a key: highest scores are chosen (rendezvous
-/// hashing). One candidate's coming or going moves only its own keys.
+/// Returns the score of a candidate for a key; the candidates with the highest scores are
+/// chosen (rendezvous hashing). A candidate that joins or leaves moves only its own keys.
 ///
-/// The hash must be the same in every version of the program, else hosts of
-/// two versions would disagree on who watches what.
+/// The hash must be the same in every version of the program, or hosts of two versions
+/// would disagree on which host watches what.
 pub fn rendezvous_score(seed: u64, key: &str, candidate: &str) -> u64 {
     let digest = Sha256::new()
         .chain_update(seed.to_le_bytes())
@@ -22,7 +22,7 @@
         .fold(0, |score, byte| (score << 8) | u64::from(*byte))
 }
 
-/// The `count` candidates with the highest scores, best first.
+/// Returns the `count` candidates with the highest scores, best first.
 pub fn top_ranked<'a, C>(seed: u64, key: &str, candidates: C, count: usize) -> Vec<&'a str>
 where
     C: IntoIterator<Item = &'a str>,
