--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,7 +1,7 @@
-//! Choosing one target for each stage of a pipeline.
+//! Choice of one target for each stage of a pipeline.
 //!
-//! [`RouteTable`] holds the declared pipelines and what this host knows about
-//! their targets. Commands record what happened; queries plan routes from it.
+//! [`RouteTable`] holds the declared pipelines and what this host knows about their
+//! targets. Commands record what happened; queries plan routes from it.
 
 mod affinity;
 mod commands;
--- a/src/routing/affinity.rs
+++ b/src/routing/affinity.rs
@@ -1,4 +1,4 @@
-//! Which prompt prefixes a target probably holds.
+//! Tracks which prompt prefixes a target probably holds in its cache.
 
 use std::time::{Duration, Instant};
 
@@ -7,23 +7,23 @@
 
 use super::load::decay_weight;
 
-/// Prefixes remembered per target and generation; two generations are kept.
+/// Prefixes kept per target and generation; two generations are kept.
 const GENERATION_SIZE: usize = 2_048;
 
-/// Certainty left in older knowledge after one gap in the events.
+/// Factor on the confidence in older entries after one gap in the events.
 const CONFIDENCE_AFTER_GAP: f64 = 0.5;
 
-/// A prefix that was stored, and when this host learnt of it.
+/// A stored prefix and when this host learned of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct StoredPrefix {
     learned_at: Instant,
     gaps_before: u32,
 }
 
-/// What cache events say about one target's prefix cache.
+/// The prefix cache of one target as its cache events describe it.
 ///
-/// Memory is bounded by two generations: when the newer one is full it
-/// becomes the older one, whose prefixes are dropped.
+/// Memory is bounded by two generations: when the newer one is full it replaces the older
+/// one, whose prefixes are dropped.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct PrefixView {
     newer: FastMap<u64, StoredPrefix>,
@@ -33,16 +33,16 @@
 }
 
 impl PrefixView {
-    /// Takes in events that arrived together.
+    /// Applies events that arrived together.
     ///
-    /// A missing event may have been an eviction, so everything learnt before
-    /// a gap is only half as certain. Without this, prompts follow prefixes
-    /// that are long gone; one sees prefills as slow as on a cold target.
+    /// A missing event may be an eviction, so a gap halves the confidence in everything
+    /// learned before. Without this, prompts would be routed to targets that evicted
+    /// their prefix long ago, and prefills would be as slow as on a cold target.
     pub(super) fn observe(&mut self, events: &CacheEvents, now: Instant) {
         for event in &events.events {
             if event.number < self.next {
-                // Numbers that go back mean that the engine was restarted and
-                // that its cache is empty.
+                // Event numbers that go back mean that the engine restarted with an empty
+                // cache.
                 self.newer.clear();
                 self.older.clear();
             } else if event.number > self.next {
@@ -76,7 +76,7 @@
         self.older.remove(&prefix);
     }
 
-    /// Probability that the prefix is held, from 0 to 1.
+    /// Returns the probability that the prefix is held, from 0 to 1.
     fn confidence(&self, prefix: u64, decay: Duration, now: Instant) -> f64 {
         let stored = self.newer.get(&prefix).or_else(|| self.older.get(&prefix));
         let Some(stored) = stored else {
@@ -87,7 +87,7 @@
         CONFIDENCE_AFTER_GAP.powf(f64::from(gaps)) * decay_weight(age, decay)
     }
 
-    /// Part of a prompt that is expected to be held, from 0 to 1.
+    /// Returns the fraction of a prompt that is expected to be cached, from 0 to 1.
     ///
     /// `prefixes` are evenly spaced over the prompt, shortest first.
     pub(super) fn expected_hit(&self, prefixes: &[u64], decay: Duration, now: Instant) -> f64 {
--- a/src/routing/commands.rs
+++ b/src/routing/commands.rs
@@ -1,4 +1,4 @@
-//! Recording what happened to targets and runs.
+//! Commands that record what happened to targets and runs.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 use super::{PlannedRoute, RouteTable};
 
 impl RouteTable {
-    /// Counts a run onto the targets of its route.
+    /// Adds a run to the counts of the targets of its route.
     pub fn run_started(&mut self, route: &PlannedRoute) {
         self.started = self.started.wrapping_add(1);
         for stage in &route.stages {
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Takes a run off the targets that it used last.
+    /// Removes a run from the counts of the targets that it used last.
     pub fn run_ended(&mut self, route: &PlannedRoute) {
         for stage in &route.stages {
             if let Some(entry) = self.targets.get_mut(&stage.target) {
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Moves a stage of `route` to another target and counts the run there;
-    /// `run_ended` is to be called with the changed route.
+    /// Moves a stage of `route` to another target and counts the run there. The caller
+    /// must pass the changed route to `run_ended`.
     pub fn stage_moved(&mut self, route: &mut PlannedRoute, stage: usize, to: &TargetId) {
         let Some(planned) = route.stages.get_mut(stage) else {
             return;
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Records a step or call that was answered with `tokens` positions after
-    /// `latency`, link included.
+    /// Records a step or call that was answered with `tokens` positions after `latency`,
+    /// which includes the link.
     pub fn step_answered(
         &mut self,
         target: &TargetId,
@@ -71,8 +71,8 @@
 
         let link = entry.link_time(settings, now);
         let service_seconds = (latency.as_secs_f64() - link).max(MIN_STEP_SECONDS);
-        // A step waits while more steps than slots are there; only the time
-        // in the slot says how fast the target is.
+        // A step waits while there are more steps than slots; only the time in the slot
+        // shows how fast the target is.
         let slot_seconds = service_seconds / (steps_at_target / entry.slots()).max(1.0);
         match tokens {
             0 | 1 => {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Records a step or call that brought no usable answer.
+    /// Records a step or call that failed to return a usable response.
     pub fn step_failed(&mut self, target: &TargetId, reason: RetryReason, now: Instant) {
         let Some(entry) = self.targets.get_mut(target) else {
             return;
@@ -107,13 +107,13 @@
             | RetryReason::AnswerMismatched => {
                 entry.health.failed(&self.settings.ejection, now);
             }
-            // The target is well and said so; load and phase are told by
-            // other means.
+            // The target is healthy and responded; its load and phase are reported
+            // separately.
             RetryReason::TargetRefused | RetryReason::TargetLeaving => (),
         }
     }
 
-    /// Takes off a step or call that was given up unanswered; it says nothing
+    /// Removes a step or call that was abandoned without a response; this says nothing
     /// about the target.
     pub fn step_abandoned(&mut self, target: &TargetId) {
         if let Some(entry) = self.targets.get_mut(target) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Takes in a load report; one that is older than the last is dropped.
+    /// Records a load report; a report older than the last one is dropped.
     pub fn observe_load(&mut self, target: &TargetId, report: &LoadReport, received: Instant) {
         let Some(entry) = self.targets.get_mut(target) else {
             return;
@@ -133,14 +133,14 @@
         self.load_sums.add(entry.load);
     }
 
-    /// Takes in cache events.
+    /// Records cache events.
     pub fn observe_cache_events(&mut self, target: &TargetId, events: &CacheEvents, now: Instant) {
         if let Some(entry) = self.targets.get_mut(target) {
             entry.prefixes.observe(events, now);
         }
     }
 
-    /// Takes in a measured round trip without service time.
+    /// Records a measured round trip without service time.
     pub fn observe_link(&mut self, target: &TargetId, round_trip: Duration, now: Instant) {
         let settings = &self.settings;
         let Some(entry) = self.targets.get_mut(target) else {
@@ -151,8 +151,8 @@
         MeasuredValue::add(&mut entry.link_seconds, prior, sample, now);
     }
 
-    /// Sets whether a target is known to be leaving; such a target gets no
-    /// new work, whatever is declared.
+    /// Sets whether a target is known to be leaving; such a target gets no new work,
+    /// whatever is declared.
     pub fn set_leaving(&mut self, target: &TargetId, leaving: bool) {
         match leaving {
             true => self.leaving.insert(target.clone()),
@@ -161,6 +161,5 @@
     }
 }
 
-/// Seconds that a step takes at least; guards against links that were
-/// overestimated.
+/// Lower bound of the seconds of a step, in case the link time is overestimated.
 const MIN_STEP_SECONDS: f64 = 1e-5;
--- a/src/routing/compare.rs
+++ b/src/routing/compare.rs
@@ -1,4 +1,4 @@
-//! Comparing pipelines and, within one, the targets of each stage.
+//! Comparison of pipelines and, within one pipeline, of the targets of each stage.
 
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -22,7 +22,7 @@
     pub(super) entry: &'t TargetEntry,
 }
 
-/// A planned route and what it is compared by.
+/// A planned route and the values by which it is compared.
 pub(super) struct ComparedRoute {
     pub(super) route: PlannedRoute,
     pub(super) cost: f64,
@@ -30,11 +30,11 @@
 }
 
 impl ComparedRoute {
-    /// Whether the deadline cannot be met.
+    /// Returns whether the deadline cannot be met.
     ///
-    /// Declared rates that are far too low would refuse every request, so
-    /// that nothing is ever measured; one would see idle targets and refusals
-    /// for good. Without a recent measurement the request is let through.
+    /// If declared rates are far too low, every request would be refused and the rates
+    /// never measured: targets would stay idle while requests are refused. Without a
+    /// recent measurement the request is therefore accepted.
     pub(super) fn is_too_late(&self, request: &RouteRequest, now: Instant) -> bool {
         let left = request.deadline.saturating_duration_since(now);
         self.is_measured && self.route.score.total() > left
@@ -42,8 +42,8 @@
 }
 
 impl RouteTable {
-    /// The pipelines to plan and compare: all if few, else two drawn in
-    /// proportion to their rate, and the one that holds most of the prompt.
+    /// Returns the pipelines to plan and compare: all if there are few, else two drawn in
+    /// proportion to their rate and the one that caches most of the prompt.
     pub(super) fn compared_pipelines<'t, R>(
         &self,
         pipelines: &'t [DeclaredPipeline],
@@ -165,13 +165,14 @@
         Some(candidates[index])
     }
 
-    /// Part of the request's prompt that the target is expected to hold.
+    /// Returns the fraction of the prompt that the target is expected to have cached.
     fn prefix_hit(&self, entry: &TargetEntry, request: &RouteRequest, now: Instant) -> f64 {
         let decay = self.settings.cache_decay;
         entry.prefixes.expected_hit(&request.prefixes, decay, now)
     }
 
-    /// Part of the prompt that the pipeline's stages hold, at their best.
+    /// Returns the sum over the stages of the largest fraction of the prompt that a
+    /// target of the stage has cached.
     fn pipeline_prefix_hit(
         &self,
         pipeline: &DeclaredPipeline,
@@ -189,7 +190,7 @@
         pipeline.stages.iter().map(stage_hit).sum()
     }
 
-    /// Whether each stage has a usable target.
+    /// Returns whether each stage has a usable target.
     fn is_complete(
         &self,
         pipeline: &DeclaredPipeline,
@@ -203,7 +204,7 @@
         })
     }
 
-    /// Index whose turn it is among `count`.
+    /// Returns the next index among `count` in round-robin order.
     fn round_robin_index(&self, count: usize) -> usize {
         (self.started % count as u64) as usize
     }
@@ -219,10 +220,10 @@
         StageEstimate::new(entry, request, stages, share, &self.settings, now)
     }
 
-    /// The members of a group that may get new work.
+    /// Returns the members of a group that may get new work.
     ///
-    /// Ejected members stay out, those ejected first before the others, up to
-    /// the cap on those that are left; leaving and excluded ones never come in.
+    /// Ejected members are left out, earliest ejection first, up to the cap on how much
+    /// of the group may be ejected. Leaving and excluded members are always left out.
     pub(super) fn usable<'t>(
         &'t self,
         group: &'t [TargetId],
@@ -245,7 +246,8 @@
             .filter(|candidate| candidate.entry.health.is_ejected(now))
             .map(|candidate| (Reverse(candidate.entry.health.ejected_at()), candidate.id))
             .collect();
-        // Latest first, so that what is cut off at the end stays out.
+        // Sorts the latest ejection first: the members that are split off at the end stay
+        // ejected.
         ejected.sort();
         let back_in = ejected.len().saturating_sub(allowed);
         let out: Vec<_> = ejected.split_off(back_in);
--- a/src/routing/declare.rs
+++ b/src/routing/declare.rs
@@ -1,4 +1,4 @@
-//! Taking in what operators declared.
+//! Applies declared resources to the route table.
 
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
 impl RouteTable {
     /// Replaces the pipelines and targets by those among `resources`.
     ///
-    /// What was counted and measured about a target stays, unless the target
-    /// moved to another address. Pipelines of models that are not declared
-    /// and stages over undeclared targets are left out of every plan.
+    /// Counts and measurements of a target are kept, except that only its counts are kept
+    /// if its address changes. Pipelines of models that are not declared and stages over
+    /// undeclared targets are left out of every plan.
     pub fn set_pipelines<'r, I>(&mut self, resources: I)
     where
         I: IntoIterator<Item = (&'r ResourceKey, &'r ResourceSpec)>,
@@ -94,7 +94,8 @@
         .push(declared);
 }
 
-/// Tokens a second that the declared targets of the weakest stage carry.
+/// Returns the tokens per second of the stage whose declared targets have the lowest
+/// total rate.
 fn bottleneck_rate(stages: &[StageSpec], targets: &FastMap<TargetId, TargetEntry>) -> f64 {
     let stage_rate = |stage: &StageSpec| -> f64 {
         stage
@@ -111,11 +112,12 @@
         .unwrap_or(0.0)
 }
 
-/// Whether layer ranges follow each other from zero without gap or overlap.
+/// Returns whether the layer ranges start at zero and follow each other without gap or
+/// overlap.
 ///
-/// A gap would leave a layer out of every answer and show only as wrong text.
-/// Declarations are checked before they are accepted; this holds even for one
-/// that slipped past, since a plan is made from nothing else.
+/// A gap would skip a layer in every response and show only as wrong text. Declarations
+/// are validated before they are accepted; this check also holds for one that passed by
+/// mistake, since plans are made only from pipelines that pass it.
 fn is_contiguous(stages: &[StageSpec]) -> bool {
     let mut expected = 0;
     for stage in stages {
--- a/src/routing/entry.rs
+++ b/src/routing/entry.rs
@@ -1,4 +1,4 @@
-//! What this host knows about one target.
+//! The state of one target as this host knows it.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 /// Weight of a new sample in a moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// A moving average and when it last got a sample.
+/// A moving average and the time of its last sample.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct MeasuredValue {
     value: f64,
@@ -20,7 +20,7 @@
 }
 
 impl MeasuredValue {
-    /// Adds a sample to `measured`, which begins with `prior`.
+    /// Adds a sample to `measured`, which starts at `prior`.
     pub(super) fn add(measured: &mut Option<Self>, prior: f64, sample: f64, now: Instant) {
         let before = measured.map_or(prior, |measured| measured.value);
         *measured = Some(Self {
@@ -29,11 +29,10 @@
         });
     }
 
-    /// The average, drawn back to `prior` as the last sample grows old.
+    /// Returns the average, which decays towards `prior` as the last sample ages.
     ///
-    /// A target that was slow once gets no work and thus no new sample, so
-    /// without this it would be avoided for ever; one would see an idle
-    /// target beside busy ones.
+    /// A target that was slow once gets no work and so no new samples. Without the decay
+    /// it would be avoided forever and stay idle beside busy targets.
     fn now_or(measured: Option<Self>, prior: f64, decay: Duration, now: Instant) -> f64 {
         let Some(measured) = measured else {
             return prior;
@@ -43,13 +42,13 @@
     }
 }
 
-/// The smallest sample of the last one to two windows with samples.
+/// The smallest sample of the last one or two windows with samples.
 ///
-/// An average of step times contains waiting, which the estimate adds by
-/// itself; every host would learn at the same time that a crowded target is
-/// slow and turn away from it together. The smallest sample is that of a step
-/// which found a slot free, unless none did for two whole windows. The windows
-/// are short, so that a target that has become slow is soon seen to be.
+/// An average of step times would include waiting, which the estimate adds itself: all
+/// hosts would find a crowded target slow at the same time and turn away from it
+/// together. The smallest sample is that of a step that found a free slot, unless none
+/// did for two whole windows. The windows are short, so that a target that becomes slow
+/// is detected soon.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(super) struct RecentMinimum {
     present: Option<f64>,
@@ -71,7 +70,7 @@
         self.present = Some(smallest);
     }
 
-    /// The smallest sample; `None` if the last window began `memory` ago.
+    /// Returns the smallest sample, or `None` if the last window began `memory` ago.
     fn value(&self, window: Duration, memory: Duration, now: Instant) -> Option<f64> {
         let age = self.window_age(now)?;
         match (self.present, self.last) {
@@ -87,18 +86,18 @@
     }
 }
 
-/// One target: declared, counted, measured and reported.
+/// A target with its declaration, counts, measurements and reports.
 #[derive(Debug, Clone)]
 pub(super) struct TargetEntry {
-    /// As declared.
+    /// The declaration.
     pub(super) spec: TargetSpec,
     /// Runs of this host that use it as a stage.
     pub(super) runs: u32,
-    /// Steps and calls of this host that are out.
+    /// Steps and calls of this host in flight.
     pub(super) steps: u32,
-    /// Seconds that a step holds its slot, as measured.
+    /// Measured seconds that a step occupies its slot.
     pub(super) step_seconds: RecentMinimum,
-    /// Seconds that a prompt token takes; the prior is declared.
+    /// Seconds per prompt token; the prior is the declared rate.
     pub(super) prefill_seconds: Option<MeasuredValue>,
     /// Seconds of a round trip; the prior depends on the zone.
     pub(super) link_seconds: Option<MeasuredValue>,
@@ -106,12 +105,12 @@
     pub(super) load: Option<ReportedLoad>,
     /// What its prefix cache probably holds.
     pub(super) prefixes: PrefixView,
-    /// Recent failures.
+    /// Health as derived from recent failures.
     pub(super) health: TargetHealth,
 }
 
 impl TargetEntry {
-    /// A target of which only the declaration is known.
+    /// Returns a target of which only the declaration is known.
     pub(super) fn new(spec: TargetSpec) -> Self {
         Self {
             spec,
@@ -126,34 +125,36 @@
         }
     }
 
-    /// Whether the declaration lets it take new work.
+    /// Returns whether its declared phase lets it take new work.
     pub(super) fn is_serving(&self) -> bool {
         self.spec.phase == TargetPhase::Serving
     }
 
-    /// Steps that run at once.
+    /// Returns the number of steps that run concurrently.
     pub(super) fn slots(&self) -> f64 {
         f64::from(self.spec.concurrency.max(1))
     }
 
-    /// Declared tokens a second, less while the target returns from ejection.
+    /// Returns the declared tokens per second, reduced while the target returns from
+    /// ejection.
     pub(super) fn trusted_rate(&self, settings: &RouteSettings, now: Instant) -> f64 {
         self.spec.tokens_per_second * self.health.weight(&settings.ejection, now)
     }
 
-    /// Seconds that a step holds its slot according to the declaration: with
-    /// all slots busy the declared rate comes out.
+    /// Returns the seconds that a step occupies its slot, derived from the declared rate
+    /// with all slots busy.
     pub(super) fn declared_step(&self) -> f64 {
         self.slots() / self.spec.tokens_per_second
     }
 
-    /// Seconds that a step holds its slot: as measured lately, else declared.
+    /// Returns the seconds that a step occupies its slot: recently measured, else
+    /// declared.
     pub(super) fn step_time(&self, settings: &RouteSettings, now: Instant) -> f64 {
         self.measured_step(settings, now)
             .unwrap_or_else(|| self.declared_step())
     }
 
-    /// Whether the time in the slot was measured lately.
+    /// Returns whether the slot time was measured recently.
     pub(super) fn is_measured(&self, settings: &RouteSettings, now: Instant) -> bool {
         self.measured_step(settings, now).is_some()
     }
@@ -163,19 +164,19 @@
             .value(settings.rate_window, settings.rate_memory, now)
     }
 
-    /// Seconds that a prompt token outside the prefix cache takes.
+    /// Returns the seconds per prompt token outside of the prefix cache.
     pub(super) fn prefill_time(&self, settings: &RouteSettings, now: Instant) -> f64 {
         let declared = self.spec.tokens_per_second.recip();
         MeasuredValue::now_or(self.prefill_seconds, declared, settings.rate_decay, now)
     }
 
-    /// Seconds of a round trip.
+    /// Returns the seconds of a round trip.
     pub(super) fn link_time(&self, settings: &RouteSettings, now: Instant) -> f64 {
         let assumed = self.assumed_link(settings);
         MeasuredValue::now_or(self.link_seconds, assumed, settings.rate_decay, now)
     }
 
-    /// Seconds of a round trip before any is measured.
+    /// Returns the seconds assumed for a round trip before any is measured.
     pub(super) fn assumed_link(&self, settings: &RouteSettings) -> f64 {
         match self.spec.zone == settings.zone {
             true => settings.near_link.as_secs_f64(),
@@ -183,14 +184,14 @@
         }
     }
 
-    /// Steps of this host at the target: those that are out, or the part of
-    /// its runs that is expected there if that is more.
+    /// Returns the steps of this host at the target: those in flight, or the share of its
+    /// runs that is expected there if that is more.
     pub(super) fn local_steps(&self, stages: f64) -> f64 {
         f64::from(self.steps).max(f64::from(self.runs) / stages)
     }
 
-    /// Steps at the target, this host's and the others'; `share` is the part
-    /// of all steps that are this host's.
+    /// Returns the steps of all hosts at the target; `share` is this host's share of all
+    /// steps.
     pub(super) fn total_steps(
         &self,
         stages: f64,
--- a/src/routing/estimate.rs
+++ b/src/routing/estimate.rs
@@ -1,42 +1,42 @@
-//! Estimating when a request would be done on given targets.
+//! Estimates when a request would complete on given targets.
 
 use std::time::{Duration, Instant};
 
 use super::entry::TargetEntry;
 use super::{RouteRequest, RouteScore, RouteSettings};
 
-/// What a step that joins a crowded target costs in all, against its own time.
+/// Ratio of the total delay that a step causes on a crowded target to its own time.
 const CROWDING_FACTOR: f64 = 2.0;
 
-/// Seconds that one target adds to a request.
+/// Estimated seconds that one target adds to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(super) struct StageEstimate {
-    /// Steps for each slot, this one included.
+    /// Steps per slot, including this one.
     pub(super) crowding: f64,
-    /// In the slot, for each step.
+    /// Seconds in the slot, for each step.
     pub(super) step: f64,
-    /// On the link, for each step.
+    /// Seconds on the link, for each step.
     pub(super) link: f64,
-    /// Prompt processing outside the prefix cache, once.
+    /// Seconds of prompt processing outside of the prefix cache, once.
     pub(super) prefill: f64,
-    /// Whether the time in the slot was measured lately.
+    /// Whether the slot time was measured recently.
     pub(super) is_measured: bool,
 }
 
-/// Steps that a request of `max_tokens` sends to each stage.
+/// Returns the number of steps that a request of `max_tokens` sends to each stage.
 pub(super) fn step_count(max_tokens: u64) -> f64 {
     max_tokens.max(1) as f64
 }
 
 impl StageEstimate {
-    /// Seconds that a step waits for its slot: with more steps than slots, its
-    /// time grows by the ratio.
+    /// Returns the seconds that a step waits for its slot: with more steps than slots,
+    /// its time grows by the ratio.
     fn wait(&self) -> f64 {
         self.step * (self.crowding - 1.0).max(0.0)
     }
 
-    /// The estimate for one target of a route with `stages` stages; `share` is
-    /// the part of all steps that are this host's.
+    /// Returns the estimate for one target of a route with `stages` stages; `share` is
+    /// this host's share of all steps.
     pub(super) fn new(
         entry: &TargetEntry,
         request: &RouteRequest,
@@ -61,23 +61,23 @@
         }
     }
 
-    /// Seconds that choosing the target costs this request and the others.
+    /// Returns the seconds that choosing the target costs this request and the others.
     ///
-    /// A step that joins more steps than there are slots also delays those:
-    /// with time growing in proportion to the number there, the sum over all
-    /// grows twice as fast as one's own. Choosing by one's own time alone
-    /// crowds a target four times as fast as another until it is four times
-    /// as slow, and one would see the median rise to that of the slow ones.
+    /// A step that joins more steps than there are slots also delays those: as the time
+    /// of a step grows in proportion to their number, the sum over all steps grows twice
+    /// as fast as the time of one. If only a request's own time counted, a target four
+    /// times as fast as another would be crowded until it is four times as slow, and the
+    /// median would rise to that of the slow targets.
     pub(super) fn cost(&self, max_tokens: u64) -> f64 {
         let step = self.step * (CROWDING_FACTOR * self.crowding).max(1.0);
         (step + self.link) * step_count(max_tokens) + self.prefill
     }
 }
 
-/// Sums the stages of a route up to its score.
+/// Sums the stages of a route to its score.
 ///
-/// A token crosses each stage and each link in turn before the next begins,
-/// so every part counts once a token.
+/// A token passes each stage and each link in turn before the next one begins, so every
+/// part counts once per token.
 pub(super) fn route_score(stages: &[StageEstimate], max_tokens: u64) -> RouteScore {
     let count = step_count(max_tokens);
     let sum = |part: fn(&StageEstimate) -> f64| stages.iter().map(part).sum::<f64>();
@@ -89,7 +89,7 @@
     }
 }
 
-/// Longest estimate, so that sums of estimates cannot overflow.
+/// Upper bound of an estimate, so that sums of estimates cannot overflow.
 const MAX_ESTIMATE_SECONDS: f64 = 1e6;
 
 fn seconds(value: f64) -> Duration {
--- a/src/routing/load.rs
+++ b/src/routing/load.rs
@@ -1,4 +1,5 @@
-//! How many steps are at a target, from fresh local counts and late reports.
+//! Estimates the number of steps at a target from current local counts and delayed
+//! reports.
 
 use std::time::{Duration, Instant};
 
@@ -7,26 +8,27 @@
 /// Weight of a new report in the averages.
 const REPORT_WEIGHT: f64 = 0.1;
 
-/// Steps that a fresh report counts for against the local count.
+/// Weight of a fresh report against the local count, in steps.
 const REPORT_PRIOR_WEIGHT: f64 = 2.0;
 
-/// Smallest mean, so that a target reported idle can still be thought busy.
+/// Lower bound of the mean, so that a target reported idle can still be estimated as
+/// busy.
 const MIN_MEAN_LOAD: f64 = 0.1;
 
-/// What the load reports of a target say.
+/// Averages of the load reports of a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct ReportedLoad {
     /// Average number of steps at the target, of all hosts.
     total: f64,
     /// Average number of this host's steps there.
     local: f64,
-    /// When the last figures were true.
+    /// When the last reported values were observed.
     observed: Instant,
 }
 
 impl ReportedLoad {
-    /// Takes in a report after the `known` ones; `local` is what this host
-    /// has at the target. A report older than the last changes nothing.
+    /// Returns the averages after a report; `local` is this host's count at the target. A
+    /// report older than the last changes nothing.
     pub(super) fn after(
         known: Option<Self>,
         report: &LoadReport,
@@ -51,15 +53,14 @@
         }
     }
 
-    /// Steps believed to be at the target, given the `local` count and the
-    /// part of all steps that are this host's.
+    /// Returns the estimated number of steps at the target, given the `local` count and
+    /// this host's share of all steps.
     ///
-    /// The local count is fresh but a sample, of which `share` is the sampling
-    /// rate; the reported mean is a prior that counts for fewer steps the
-    /// older it is. Every host hears the same reports, so choosing by them
-    /// sends all hosts to one target; one sees load swing between targets at
-    /// the reporting interval. The hosts' own counts differ, and scaled up
-    /// they spread the load.
+    /// The local count is current but a sample, of which `share` is the sampling rate;
+    /// the reported mean is a prior whose weight decreases with its age. All hosts
+    /// receive the same reports, so a choice by reports alone would send all hosts to one
+    /// target, and load would swing between targets at the reporting interval. The hosts'
+    /// own counts differ, and scaled up they spread the load.
     pub(super) fn steps(&self, local: f64, share: f64, decay: Duration, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.observed);
         let prior_weight = REPORT_PRIOR_WEIGHT * decay_weight(age, decay);
@@ -68,33 +69,33 @@
     }
 }
 
-/// Sums over all targets with reports, kept as they change.
+/// Sums of the averages of all targets with reports, updated incrementally.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(super) struct LoadSums {
     total: f64,
     local: f64,
 }
 
-/// Smallest part that this host's steps are taken for.
+/// Lower bound of this host's share of all steps.
 const MIN_LOCAL_SHARE: f64 = 1e-3;
 
 impl LoadSums {
-    /// Takes out one target's averages.
+    /// Removes the averages of one target.
     pub(super) fn remove(&mut self, load: Option<ReportedLoad>) {
         let Some(load) = load else { return };
         self.total = (self.total - load.total).max(0.0);
         self.local = (self.local - load.local).max(0.0);
     }
 
-    /// Puts in one target's averages.
+    /// Adds the averages of one target.
     pub(super) fn add(&mut self, load: Option<ReportedLoad>) {
         let Some(load) = load else { return };
         self.total += load.total;
         self.local += load.local;
     }
 
-    /// Part of all steps that are this host's, above 0 and up to 1; 1 as long
-    /// as nothing is reported.
+    /// Returns this host's share of all steps, above 0 and up to 1; 1 if nothing is
+    /// reported.
     pub(super) fn local_share(&self) -> f64 {
         match self.total > 0.0 {
             true => (self.local / self.total).clamp(MIN_LOCAL_SHARE, 1.0),
@@ -103,7 +104,7 @@
     }
 }
 
-/// Weight of something that was true `age` ago: 1 at first, 1/e at `decay`.
+/// Returns the weight of a value observed `age` ago: 1 at first, 1/e at `decay`.
 pub(super) fn decay_weight(age: Duration, decay: Duration) -> f64 {
     if decay.is_zero() {
         return if age.is_zero() { 1.0 } else { 0.0 };
--- a/src/routing/policy.rs
+++ b/src/routing/policy.rs
@@ -1,14 +1,14 @@
-//! The ways to choose among a stage's candidates.
+//! The policies to choose among a stage's candidates.
 
 use rand::{Rng, RngExt};
 
 /// How a stage's target is chosen among its candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RoutePolicy {
-    /// The lower estimate of two random candidates, or of all if few.
+    /// The lowest estimate among two random candidates, or among all if there are few.
     #[default]
     Estimate,
-    /// Any candidate, evenly.
+    /// A uniformly random candidate.
     Random,
     /// The candidate with the fewest runs of this host.
     LeastOutstanding,
@@ -17,7 +17,7 @@
 }
 
 impl RoutePolicy {
-    /// Every policy, for comparing them.
+    /// Every policy, for comparisons.
     pub const ALL: [Self; 4] = [
         Self::Estimate,
         Self::Random,
@@ -25,7 +25,7 @@
         Self::RoundRobin,
     ];
 
-    /// The name used in settings and tables.
+    /// Returns the name used in settings and tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Estimate => "estimate",
@@ -36,8 +36,8 @@
     }
 }
 
-/// Index of the candidate with the lowest cost; ties go to a random start so
-/// that hosts which know nothing do not all begin with the first target.
+/// Returns the index of the candidate with the lowest cost. Ties are broken from a random
+/// start, so that hosts without measurements do not all begin with the first target.
 pub(super) fn index_of_lowest<C, R>(count: usize, cost: C, rng: &mut R) -> Option<usize>
 where
     C: Fn(usize) -> f64,
@@ -54,7 +54,7 @@
         .map(|(index, _)| index)
 }
 
-/// Index of the highest gain above zero, if any is.
+/// Returns the index of the highest gain above zero, if there is one.
 pub(super) fn index_of_highest<G>(count: usize, gain: G) -> Option<usize>
 where
     G: Fn(usize) -> f64,
@@ -66,11 +66,11 @@
         .map(|(index, _)| index)
 }
 
-/// Two different random indices, each drawn in proportion to its weight.
+/// Draws two different random indices, each in proportion to its weight.
 ///
-/// Drawn evenly, two slow targets of a mixed group come up together far more
-/// often than their part of the work, and the slower of them is overloaded
-/// while fast ones idle; one would see a long tail at moderate load.
+/// Drawn uniformly, two slow targets of a mixed group are compared far more often than
+/// their share of the work, and the slower of them is overloaded while fast targets are
+/// idle, which shows as a long tail at moderate load.
 pub(super) fn draw_two<R>(weights: &[f64], rng: &mut R) -> [usize; 2]
 where
     R: Rng + ?Sized,
@@ -81,7 +81,8 @@
     [first, weighted_index(others, rng)]
 }
 
-/// A random index in proportion to the weights, of which one is above zero.
+/// Draws a random index in proportion to the weights, of which at least one is above
+/// zero.
 fn weighted_index<W, R>(weights: W, rng: &mut R) -> usize
 where
     W: Iterator<Item = f64> + Clone,
--- a/src/routing/queries.rs
+++ b/src/routing/queries.rs
@@ -1,4 +1,4 @@
-//! Planning routes.
+//! Queries that plan routes.
 
 use std::time::{Duration, Instant};
 
@@ -11,16 +11,16 @@
 use super::estimate::route_score;
 use super::{PlannedRoute, RouteRefusal, RouteRequest, RouteScore, RouteTable};
 
-/// Asks for another target of one stage of a run.
+/// A request for another target of one stage of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplaceRequest {
     /// Model of the run.
     pub model: ModelId,
     /// Version of the run.
     pub version: VersionId,
-    /// The stage as planned so far; the layer range is kept.
+    /// The stage as planned so far; its layer range stays.
     pub stage: PlannedStage,
-    /// Targets not to be used, beside the one planned so far.
+    /// Targets not to use, besides the one planned so far.
     pub excluded: Vec<TargetId>,
 }
 
@@ -28,9 +28,9 @@
     /// Chooses a pipeline and a target for each of its stages.
     ///
     /// # Errors
-    /// `Unknown` without such a model, `NoRoute` if every pipeline has a stage
-    /// without a usable target, `DeadlineUnreachable` if the estimate of the
-    /// chosen route passes the deadline and rests on measured targets.
+    /// Returns `Unknown` if there is no such model, `NoRoute` if every pipeline has a
+    /// stage without a usable target, and `DeadlineUnreachable` if the estimate of the
+    /// chosen route exceeds the deadline and all of its targets were measured recently.
     pub fn plan<R>(
         &self,
         request: &RouteRequest,
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Chooses another target that holds exactly the stage's layer range of
-    /// the same version; `None` if none is usable.
+    /// Chooses another target that holds exactly the stage's layer range of the same
+    /// version; returns `None` if none is usable.
     pub fn replace<R>(
         &self,
         request: &ReplaceRequest,
@@ -80,7 +80,7 @@
         Some(chosen.id.clone())
     }
 
-    /// Chooses one of a service's targets; `None` if none is usable.
+    /// Chooses one of a service's targets; returns `None` if none is usable.
     pub fn choose_service<R>(
         &self,
         targets: &[TargetId],
@@ -97,8 +97,8 @@
         Some(chosen.id.clone())
     }
 
-    /// The estimate for given targets, whether or not they are usable; `None`
-    /// if one is not declared.
+    /// Returns the estimate for given targets, whether or not they are usable; `None` if
+    /// one is not declared.
     pub fn estimate(
         &self,
         request: &RouteRequest,
@@ -113,22 +113,23 @@
         stages.map(|stages| route_score(&stages, request.max_tokens))
     }
 
-    /// Whether a target is leaving, by declaration, list, peers or itself.
+    /// Returns whether a target is leaving according to its declaration, the host list,
+    /// peers or itself.
     pub fn is_leaving(&self, target: &TargetId) -> bool {
         let entry = self.targets.get(target);
         self.leaving.contains(target) || entry.is_some_and(|entry| !entry.is_serving())
     }
 
-    /// Steps and calls of this host in flight on a target.
+    /// Returns the number of steps and calls of this host in flight on a target.
     pub fn steps_in_flight(&self, target: &TargetId) -> u32 {
         self.targets.get(target).map_or(0, |entry| entry.steps)
     }
 
-    /// How long the route's run takes as far as it is known: its estimate if
-    /// each stage was measured lately, else zero.
+    /// Returns the estimated time of the route's run if each stage was measured recently,
+    /// else zero.
     ///
-    /// To be given to admission, which refuses what cannot end in time: as in
-    /// [`RouteTable::plan`], declared rates alone must not refuse a request.
+    /// The result is meant for admission, which refuses requests that cannot complete in
+    /// time: as in [`RouteTable::plan`], declared rates alone must not cause a refusal.
     pub fn known_service_time(&self, route: &PlannedRoute, now: Instant) -> Duration {
         let is_measured = route.stages.iter().all(|stage| {
             let entry = self.targets.get(&stage.target);
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Steps and calls that the targets which take new work run at once; the
-    /// whole system's, of which each host admits its part.
+    /// Returns the number of steps and calls that all targets which take new work run
+    /// concurrently. It counts for the whole system, of which each host admits its share.
     pub fn slots(&self) -> u32 {
         self.targets
             .iter()
@@ -150,7 +151,7 @@
             .fold(0, u32::saturating_add)
     }
 
-    /// The targets of a group that may get new work now.
+    /// Returns the targets of a group that may get new work now.
     pub fn usable_targets(
         &self,
         group: &[TargetId],
@@ -170,8 +171,7 @@
         }
     }
 
-    /// Every target that holds the range for the version, in one pipeline or
-    /// another.
+    /// Returns every target that holds the layer range of the version in some pipeline.
     fn holders(&self, request: &ReplaceRequest) -> Vec<TargetId> {
         let stage = &request.stage;
         let mut holders: Vec<_> = self
@@ -191,7 +191,7 @@
     }
 }
 
-/// A request for one step, by which single targets are compared.
+/// Returns a request for one step, by which single targets are compared.
 fn probe_request(model: &ModelId, now: Instant) -> RouteRequest {
     RouteRequest {
         model: model.clone(),
--- a/src/routing/route.rs
+++ b/src/routing/route.rs
@@ -1,4 +1,4 @@
-//! What is asked of the router and what it answers.
+//! Requests to the router and its results.
 
 use std::time::{Duration, Instant};
 
@@ -9,32 +9,32 @@
 /// A request as the router sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteRequest {
-    /// Model asked for.
+    /// The requested model.
     pub model: ModelId,
-    /// Version to stay on, if the run has begun; else the offered one.
+    /// Version that a started run stays on; `None` for the offered one.
     pub version: Option<VersionId>,
     /// Hashes of the prompt's prefixes, shortest first.
     pub prefixes: Vec<u64>,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub max_tokens: u64,
-    /// When the answer is worthless.
+    /// Time after which a response is useless.
     pub deadline: Instant,
-    /// Targets not to be used.
+    /// Targets not to use.
     pub excluded: Vec<TargetId>,
 }
 
 /// A whole pipeline chosen for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedRoute {
-    /// Pipeline used.
+    /// The pipeline.
     pub pipeline: PipelineId,
-    /// Version served.
+    /// The version that it serves.
     pub version: VersionId,
-    /// One target a stage.
+    /// One target per stage.
     pub stages: Vec<PlannedStage>,
-    /// Why this one.
+    /// The estimate by which the route was chosen.
     pub score: RouteScore,
 }
 
@@ -43,26 +43,26 @@
 pub struct RouteScore {
     /// Waiting in the engines' queues.
     pub queue: Duration,
-    /// Prompt processing, less what the prefix caches hold.
+    /// Prompt processing that the prefix caches do not save.
     pub prefill: Duration,
-    /// Decoding at the rate of the slowest stage.
+    /// Time of decoding in the slots of all stages.
     pub decode: Duration,
     /// Links between the entry host and the stages.
     pub links: Duration,
 }
 
 impl RouteScore {
-    /// Estimated time to completion.
+    /// Returns the estimated time to completion.
     pub fn total(&self) -> Duration {
         self.queue + self.prefill + self.decode + self.links
     }
 }
 
-/// Why there is no route.
+/// The reason why there is no route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteRefusal {
-    /// The reason, as counted.
+    /// The reason as counted in metrics.
     pub reason: RefusalReason,
-    /// When the caller should come back.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
--- a/src/routing/settings.rs
+++ b/src/routing/settings.rs
@@ -1,4 +1,4 @@
-//! What an operator or a test can set about routing.
+//! Settings of routing.
 
 use std::time::Duration;
 
@@ -14,30 +14,31 @@
     pub zone: ZoneId,
     /// How targets are chosen.
     pub policy: RoutePolicy,
-    /// Time after which reported load counts for 1/e.
+    /// Time after which a reported load has the weight 1/e.
     pub load_decay: Duration,
-    /// Time over which the shortest step tells a target's rate.
+    /// Length of a window of which the shortest step determines a target's rate.
     pub rate_window: Duration,
-    /// Time after which a measured rate gives way to the declared one.
+    /// Time after which the declared rate replaces a measured one.
     pub rate_memory: Duration,
-    /// Time after which a measured prompt or link time counts for 1/e against the declared one.
+    /// Time after which a measured prompt or link time has the weight 1/e against the
+    /// declared one.
     pub rate_decay: Duration,
-    /// Time after which a cache event counts for 1/e.
+    /// Time after which a cache event has the weight 1/e.
     pub cache_decay: Duration,
-    /// Candidates up to which a stage scores all of them; above it, two random ones.
+    /// Number of candidates up to which all are scored; above it, two random ones are.
     pub score_all: usize,
-    /// Assumed round trip to a target of the same zone, until it is measured.
+    /// Round trip assumed to a target of the same zone until it is measured.
     pub near_link: Duration,
-    /// Assumed round trip to a target of another zone, until it is measured.
+    /// Round trip assumed to a target of another zone until it is measured.
     pub far_link: Duration,
     /// When targets are ejected.
     pub ejection: EjectionSettings,
-    /// When a caller should come back if there is no route.
+    /// Time after which a caller should retry if there is no route.
     pub retry_after: Duration,
 }
 
 impl RouteSettings {
-    /// The defaults for a host in `zone`.
+    /// Returns the defaults for a host in `zone`.
     pub fn new(zone: ZoneId) -> Self {
         Self {
             zone,
--- a/src/routing/table.rs
+++ b/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! The table that plans are made from.
+//! The table from which routes are planned.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 
 /// The declared pipelines and what this host knows about their targets.
 ///
-/// Everything that the table holds is bounded by what is declared.
+/// The size of the table is bounded by the declared resources.
 #[derive(Debug, Clone)]
 pub struct RouteTable {
     pub(super) settings: RouteSettings,
@@ -20,14 +20,14 @@
     pub(super) targets: FastMap<TargetId, TargetEntry>,
     pub(super) leaving: FastSet<TargetId>,
     pub(super) load_sums: LoadSums,
-    /// Runs started so far, by which round robin counts.
+    /// Runs started so far, the counter of the round-robin policy.
     pub(super) started: u64,
 }
 
 /// The pipelines of one model.
 #[derive(Debug, Clone)]
 pub(super) struct ModelRoutes {
-    /// Version that a new run gets.
+    /// Version of new runs.
     pub(super) offered: VersionId,
     /// Pipelines by the version that they serve.
     pub(super) versions: BTreeMap<VersionId, Vec<DeclaredPipeline>>,
@@ -38,12 +38,12 @@
 pub(super) struct DeclaredPipeline {
     pub(super) id: PipelineId,
     pub(super) stages: Vec<StageSpec>,
-    /// Declared tokens a second of the stage with the least.
+    /// Declared tokens per second of the slowest stage.
     pub(super) rate: f64,
 }
 
 impl RouteTable {
-    /// A table without pipelines.
+    /// Returns a table without pipelines.
     pub fn new(settings: RouteSettings) -> Self {
         Self {
             settings,
