--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -46,12 +46,12 @@
 }
 
 fn kind_name(index: usize) -> &'static str {
-    let mut place = index % 20;
+    let mut position = index % 20;
     for (name, count) in KINDS {
-        if place < count {
+        if position < count {
             return name;
         }
-        place -= count;
+        position -= count;
     }
     KINDS[2].0
 }
@@ -88,10 +88,10 @@
         group.bench_function(BenchmarkId::new("at rest", count), |bencher| {
             bencher.iter(|| plan_zone(&model, &whole, Duration::ZERO));
         });
-        let mut lacking = whole.clone();
-        lacking.remove(0);
+        let mut reduced = whole.clone();
+        reduced.remove(0);
         group.bench_function(BenchmarkId::new("after a loss", count), |bencher| {
-            bencher.iter(|| plan_zone(&model, &lacking, Duration::ZERO));
+            bencher.iter(|| plan_zone(&model, &reduced, Duration::ZERO));
         });
         let mut emptied = whole.clone();
         for engine in &mut emptied[..4] {
--- a/tests/ingress.rs
+++ b/tests/ingress.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_organisations_rank_goes_before_the_routes() {
+fn organisation_priority_overrides_route_priority() {
     let configuration = configuration();
     let matched = match_request(&configuration, "a.example", "/x/1", Some("k1"));
     assert_eq!(matched.expect("a route").priority, 0);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_heartbeat_tells_layers_wherever_they_stand() {
+fn heartbeat_layers_are_read_from_either_field() {
     let own = br#"{"service":"s","address":"10.0.0.1:80","zone":"z","state":"ready",
         "version":"v","slots":4,"cold_remaining_ms":0,"sequence":1,"kind":"fast","layers":{"from":3,"to":9}}"#;
     let entry = parse_target("i-1", own).expect("an entry");
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_report_names_the_engine_that_holds_a_request_up() {
+fn report_names_the_engine_that_a_request_waits_for() {
     let body = br#"{"busy":true,"sequence":2,"running":3,"queue_depth":1,"kv_used":5.0,
         "kv_total":9.0,"models":[],"stalled":[{"id":"r","address":"10.0.0.2:80"}]}"#;
     let report = parse_report(body).expect("a report");
--- a/tests/paths.rs
+++ b/tests/paths.rs
@@ -65,7 +65,7 @@
     choose_path(fleet.members("model")?, query, now, || 0.5)
 }
 
-fn tiles(path: &EnginePath, layers: u32) -> bool {
+fn covers_layers_in_order(path: &EnginePath, layers: u32) -> bool {
     let mut next = 0;
     let follows = path.hops.iter().all(|hop| {
         let fits = hop.layers.from == next && hop.layers.to > hop.layers.from;
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_own_zone_comes_first_and_another_one_serves_when_it_is_incomplete() {
+fn own_zone_is_preferred_unless_incomplete() {
     let model = model();
     let now = Instant::now();
     let mut fleet = fleet([
@@ -99,7 +99,7 @@
 /// the zones' loads differ a little, a zone is cut. Cause: two requests of five
 /// went to another zone for some milliseconds an event.
 #[test]
-fn a_little_more_load_in_the_own_zone_sends_nothing_away() {
+fn small_load_difference_keeps_requests_in_own_zone() {
     let model = model();
     let now = Instant::now();
     let mut fleet = fleet([
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn layers_are_joined_across_zones_only_when_no_zone_is_whole() {
+fn path_crosses_zones_if_no_zone_is_complete() {
     let model = model();
     let now = Instant::now();
     let fleet = fleet([
@@ -137,11 +137,11 @@
         engine(1, "far", "fast", 40, 80),
     ]);
     let path = choose(&fleet, &model, &[], now).expect("a path");
-    assert!(tiles(&path, 80));
+    assert!(covers_layers_in_order(&path, 80));
 }
 
 #[test]
-fn leaving_silent_and_avoided_engines_are_left_out() {
+fn draining_silent_and_avoided_engines_are_left_out() {
     let model = model();
     let now = Instant::now();
     let mut leaving = engine(1, "near", "fast", 40, 80);
@@ -159,7 +159,7 @@
 /// Sequence: several hosts send to the same engines at once. Cause: each
 /// counted its own requests only.
 #[test]
-fn requests_of_other_hosts_fill_an_engine_too() {
+fn requests_of_other_hosts_count_against_memory() {
     let model = model();
     let now = Instant::now();
     let mut fleet = fleet([
@@ -186,7 +186,7 @@
 /// is read again by its stand-in; new requests follow it there. Cause: what an
 /// engine still has to read was no part of its cost.
 #[test]
-fn an_engine_with_much_to_read_is_passed_by() {
+fn engine_with_prefill_backlog_is_avoided() {
     let model = model();
     let now = Instant::now();
     let mut fleet = fleet([
@@ -239,7 +239,7 @@
 /// the second engine falls silent. Cause: the whole path was given up, with
 /// what the first engine had read.
 #[test]
-fn a_repair_keeps_the_engines_that_are_well() {
+fn repair_keeps_the_other_hops() {
     let model = model();
     let now = Instant::now();
     let fleet = fleet([
@@ -264,7 +264,7 @@
     };
     let members = fleet.members("model").expect("members");
     let repaired = repair_path(members, query, &path, position, now, || 0.5).expect("a path");
-    assert!(tiles(&repaired, 80));
+    assert!(covers_layers_in_order(&repaired, 80));
     assert_eq!(repaired.hops.first(), path.hops.first());
     assert_eq!(repaired.hops.last(), path.hops.last());
     assert!(repaired.hops.iter().all(|hop| &*hop.target != "i-1"));
@@ -272,25 +272,29 @@
 
 /// Serves 400 requests that never end, one after the other, and tells how many
 /// found a place before an engine was full.
-fn placed<F>(fleet: &mut FleetTable, model: &EngineModel, now: Instant, mut choose_next: F) -> usize
+fn count_placed<F>(
+    fleet: &mut FleetTable,
+    model: &EngineModel,
+    now: Instant,
+    mut choose_next: F,
+) -> usize
 where
     F: FnMut(&FleetTable, usize) -> Option<EnginePath>,
 {
-    let room = |fleet: &FleetTable, id: &str| {
+    let free_capacity = |fleet: &FleetTable, id: &str| {
         let state = fleet.get(id).expect("an engine");
         let kind = model.kinds[state.entry.kind.as_deref().expect("a kind")];
         let width = state.entry.layers.expect("layers").width();
         model.cache_capacity(kind, width) - state.load().reserved
     };
     let mut count = 0;
-    for turn in 0..400 {
-        let Some(path) = choose_next(fleet, turn) else {
+    for attempt in 0..400 {
+        let Some(path) = choose_next(fleet, attempt) else {
             break;
         };
-        let full = path
-            .hops
-            .iter()
-            .any(|hop| room(fleet, &hop.target) < f64::from(hop.layers.width()) * SIZE.tokens());
+        let full = path.hops.iter().any(|hop| {
+            free_capacity(fleet, &hop.target) < f64::from(hop.layers.width()) * SIZE.tokens()
+        });
         if full {
             break;
         }
@@ -306,7 +310,7 @@
 /// Two chains of unequal room: turns without regard to load stop at the
 /// smaller one's end, the choice by cost fills both.
 #[test]
-fn the_choice_places_more_requests_than_turns_do() {
+fn choice_by_cost_places_more_requests_than_round_robin() {
     let model = model();
     let now = Instant::now();
     let entries = || {
@@ -338,13 +342,16 @@
             full: false,
         }
     };
-    let turns = placed(&mut fleet(entries()), &model, now, |_, turn| {
-        Some(chain(turn % 2))
+    let round_robin = count_placed(&mut fleet(entries()), &model, now, |_, attempt| {
+        Some(chain(attempt % 2))
     });
-    let chosen = placed(&mut fleet(entries()), &model, now, |fleet, _| {
+    let chosen = count_placed(&mut fleet(entries()), &model, now, |fleet, _| {
         choose(fleet, &model, &[], now).filter(|path| !path.full)
     });
-    assert!(chosen > turns, "by cost {chosen}, by turns {turns}");
+    assert!(
+        chosen > round_robin,
+        "by cost {chosen}, by turns {round_robin}"
+    );
 }
 
 proptest! {
@@ -369,7 +376,7 @@
         let path = choose_path(members, query, Instant::now(), || draw);
         prop_assert_eq!(path.is_some(), covered);
         if let Some(path) = path {
-            prop_assert!(tiles(&path, 80));
+            prop_assert!(covers_layers_in_order(&path, 80));
         }
     }
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_zone_without_layers_is_covered_at_once_and_then_left_alone() {
+fn first_plan_covers_all_layers_and_is_stable() {
     let model = model();
     let mut engines = engines(&[(FAST, 1), (USUAL, 6), (SLOW, 5)]);
     apply(&model, &mut engines);
@@ -24,7 +24,7 @@
 /// it was back. Sequence: an engine ends for good. Cause: its layers had no
 /// second holder.
 #[test]
-fn where_memory_allows_any_engine_may_be_lost() {
+fn loss_of_any_engine_leaves_layers_covered() {
     let model = model();
     let mut engines = engines(&[(FAST, 1), (USUAL, 6), (SLOW, 5)]);
     apply(&model, &mut engines);
@@ -42,7 +42,7 @@
 /// the only holder of some layers ends, no engine comes in its place. Cause:
 /// nobody widens the ranges beside the hole.
 #[test]
-fn a_hole_is_closed_by_its_neighbours() {
+fn neighbours_cover_layers_of_a_lost_engine() {
     let model = model();
     let mut engines = engines(&[(FAST, 2), (USUAL, 2), (SLOW, 5)]);
     apply(&model, &mut engines);
@@ -64,7 +64,7 @@
 /// and comes back under a new id, without layers. Cause: only the first plan
 /// gave out ranges.
 #[test]
-fn an_empty_engine_takes_what_is_missing() {
+fn empty_engine_takes_uncovered_layers() {
     let model = model();
     let mut engines = engines(&[(USUAL, 5)]);
     apply(&model, &mut engines);
@@ -76,17 +76,19 @@
 }
 
 /// Usual requests for which the layer with the least room has room.
-fn least_room(model: &EngineModel, engines: &[EngineView]) -> f64 {
+fn least_capacity(model: &EngineModel, engines: &[EngineView]) -> f64 {
     let usual = f64::from(model.usual_prompt + model.usual_answer);
-    let room = |layer: u32| {
+    let capacity = |layer: u32| {
         let held = engines.iter().filter_map(|engine| {
             let layers = engine.layers.filter(|layers| layers.contains(layer))?;
-            let room = model.cache_capacity(engine.kind, layers.width());
-            Some(room / f64::from(layers.width()) / usual)
+            let capacity = model.cache_capacity(engine.kind, layers.width());
+            Some(capacity / f64::from(layers.width()) / usual)
         });
         held.sum::<f64>()
     };
-    (0..model.layers).map(room).fold(f64::INFINITY, f64::min)
+    (0..model.layers)
+        .map(capacity)
+        .fold(f64::INFINITY, f64::min)
 }
 
 /// Symptom: layers without holder, although four empty engines could take them.
@@ -97,7 +99,7 @@
 /// Room at the layer with the least, in usual requests: 0 before, 36 and more
 /// after.
 #[test]
-fn an_empty_engine_keeps_room_for_requests_when_it_closes_a_hole() {
+fn empty_engines_cover_layers_and_keep_capacity() {
     let model = model();
     let kinds = [(FAST, 1), (USUAL, 5), (SLOW, 5)];
     let mut engines = engines(&kinds);
@@ -119,7 +121,7 @@
         engine.layers = layers;
     }
     apply(&model, &mut engines);
-    let least = least_room(&model, &engines);
+    let least = least_capacity(&model, &engines);
     assert!(least >= 36.0, "room for {least} requests");
 }
 
@@ -155,8 +157,12 @@
     engines.truncate(6);
     apply(&model, &mut engines);
     let widened = engines[0].layers.expect("a range");
-    let room = model.cache_capacity(FAST, widened.width()) / f64::from(widened.width());
-    assert!(room / 977.0 > 15.0, "room for {} requests", room / 977.0);
+    let capacity = model.cache_capacity(FAST, widened.width()) / f64::from(widened.width());
+    assert!(
+        capacity / 977.0 > 15.0,
+        "room for {} requests",
+        capacity / 977.0
+    );
 }
 
 /// Symptom: a zone serves nothing for the rest of a day, other zones are late.
@@ -175,7 +181,7 @@
     let early = plan_zone(&model, &engines, Duration::ZERO);
     assert!(early.is_empty(), "planned anew before engines can be back");
     apply(&model, &mut engines);
-    let least = least_room(&model, &engines);
+    let least = least_capacity(&model, &engines);
     assert!(least > 15.0, "room for {least} requests");
     for _ in 0..3 {
         apply(&model, &mut engines);
@@ -187,7 +193,7 @@
 /// tells of layers that the model does not have. Cause: the planner ended with an
 /// index out of bounds.
 #[test]
-fn layers_outside_of_the_model_end_no_planner() {
+fn layers_outside_of_the_model_do_not_stop_the_planner() {
     let model = model();
     let mut engines = small_zone();
     engines[8].layers = Some(LayerRange { from: 100, to: 120 });
@@ -206,7 +212,7 @@
     engines[7].layers = Some(LayerRange { from: 65, to: 72 });
     engines[8].layers = Some(LayerRange { from: 72, to: 80 });
     apply(&model, &mut engines);
-    let least = least_room(&model, &engines);
+    let least = least_capacity(&model, &engines);
     assert!(least > 40.0, "room for {least} requests");
 }
 
@@ -247,7 +253,7 @@
 }
 
 #[test]
-fn the_plan_carries_more_than_naive_ones() {
+fn plan_scores_at_least_as_high_as_naive_plans() {
     let model = model();
     for kinds in [
         [(FAST, 1), (USUAL, 6), (SLOW, 5)],
@@ -272,7 +278,7 @@
 
     /// An engine that is ordered to hold more than its memory crashes.
     #[test]
-    fn no_engine_is_given_more_than_it_holds(
+    fn ranges_fit_into_engine_memory(
         fast in 0_usize..3, usual in 0_usize..5, slow in 0_usize..6, lost in 0_usize..12,
     ) {
         let model = model();
@@ -292,17 +298,17 @@
 
     /// Two hosts that see the same engines plan the same.
     #[test]
-    fn the_order_of_the_engines_does_not_matter(fast in 0_usize..3, usual in 0_usize..5, slow in 0_usize..4) {
+    fn plan_is_independent_of_engine_order(fast in 0_usize..3, usual in 0_usize..5, slow in 0_usize..4) {
         let model = model();
         let engines = engines(&[(FAST, fast), (USUAL, usual), (SLOW, slow)]);
-        let mut turned = engines.clone();
-        turned.reverse();
+        let mut reversed = engines.clone();
+        reversed.reverse();
         let sorted = |engines: &[EngineView]| {
             let mut planned = plan_zone(&model, engines, Duration::ZERO);
-            planned.sort_by(|one, other| one.id.cmp(&other.id));
+            planned.sort_by(|left, right| left.id.cmp(&right.id));
             planned
         };
-        prop_assert_eq!(sorted(&engines), sorted(&turned));
+        prop_assert_eq!(sorted(&engines), sorted(&reversed));
     }
 }
 
@@ -317,19 +323,22 @@
     ((3, 12, 31), 180.13),
 ];
 /// What a plan of a large zone may carry less than that.
-const LARGE_LOSS: f64 = 0.04;
+const MAX_LARGE_ZONE_LOSS: f64 = 0.04;
 
 /// Symptom: a zone of 33 engines carries a twentieth less after a start.
 /// Sequence: plans are compared roughly, to save time, and the best of these is
 /// made. Cause: what is roughly best is not best.
 #[test]
-fn plans_of_large_zones_carry_almost_what_the_exhaustive_ones_do() {
+fn large_zone_plans_score_close_to_exhaustive_ones() {
     let model = model();
     for ((fast, usual, slow), exhaustive) in LARGE_ZONES {
         let mut zone = engines(&[(FAST, fast), (USUAL, usual), (SLOW, slow)]);
         apply(&model, &mut zone);
-        let carried = score(&model, &zone);
-        let least = exhaustive * (1.0 - LARGE_LOSS);
-        assert!(carried >= least, "{fast}, {usual}, {slow}: {carried}");
+        let achieved_score = score(&model, &zone);
+        let least = exhaustive * (1.0 - MAX_LARGE_ZONE_LOSS);
+        assert!(
+            achieved_score >= least,
+            "{fast}, {usual}, {slow}: {achieved_score}"
+        );
     }
 }
--- a/tests/placement_partition.rs
+++ b/tests/placement_partition.rs
@@ -9,9 +9,9 @@
 use placement_support::{FAST, SLOW, USUAL, apply, engines, holders, model, score};
 
 /// What a plan in parts may carry less than one of the whole zone.
-const PARTS_LOSS: f64 = 0.04;
+const MAX_PARTITION_LOSS: f64 = 0.04;
 
-fn is_whole(model: &EngineModel, zone: &[EngineView]) -> bool {
+fn covers_all_layers(model: &EngineModel, zone: &[EngineView]) -> bool {
     (0..model.layers).all(|layer| holders(zone, layer) > 0)
 }
 
@@ -24,17 +24,21 @@
 /// Guards against decisions whose time grows with a zone: engines of like parts hold
 /// the same, so that there are no more cases to look at than in one part.
 #[test]
-fn like_parts_hold_the_same() {
-    let part = planned(&[(FAST, 6), (USUAL, 21), (SLOW, 36)]);
+fn equal_partitions_hold_the_same_ranges() {
+    let partition = planned(&[(FAST, 6), (USUAL, 21), (SLOW, 36)]);
     let zone = planned(&[(FAST, 24), (USUAL, 84), (SLOW, 144)]);
-    assert!(cases(&zone) <= cases(&part), "{} cases", cases(&zone));
+    assert!(
+        distinct_ranges(&zone) <= distinct_ranges(&partition),
+        "{} cases",
+        distinct_ranges(&zone)
+    );
     let model = model();
-    let (alone, together) = (score(&model, &part), score(&model, &zone));
+    let (alone, together) = (score(&model, &partition), score(&model, &zone));
     assert!(together >= 4.0 * alone, "{together} of four times {alone}");
 }
 
 /// Kinds with each of their ranges.
-fn cases(zone: &[EngineView]) -> usize {
+fn distinct_ranges(zone: &[EngineView]) -> usize {
     let ranges = zone.iter().filter_map(|engine| {
         let range = engine.layers?;
         Some((engine.kind.memory_mb as u64, range))
@@ -45,13 +49,16 @@
 /// Guards against parts that are worse than the whole where kinds do not go round.
 /// The figures are those of plans of the whole zone.
 #[test]
-fn uneven_parts_carry_almost_what_a_plan_of_the_whole_does() {
+fn uneven_partitions_score_close_to_whole_plans() {
     let model = model();
     for ((fast, usual, slow), whole) in WHOLE_PLANS {
         let zone = planned(&[(FAST, fast), (USUAL, usual), (SLOW, slow)]);
-        let carried = score(&model, &zone);
-        let least = whole * (1.0 - PARTS_LOSS);
-        assert!(carried >= least, "{fast}, {usual}, {slow}: {carried}");
+        let achieved_score = score(&model, &zone);
+        let least = whole * (1.0 - MAX_PARTITION_LOSS);
+        assert!(
+            achieved_score >= least,
+            "{fast}, {usual}, {slow}: {achieved_score}"
+        );
     }
 }
 
@@ -66,14 +73,14 @@
 /// Guards against orders at rest: each engine of a part lies in the plan of the
 /// whole zone too, and a plan that was made is left alone.
 #[test]
-fn a_zone_in_parts_is_left_alone_at_rest_and_after_a_loss() {
+fn partitioned_plan_is_stable_at_rest_and_after_a_loss() {
     let model = model();
     let mut zone = planned(&[(FAST, 8), (USUAL, 30), (SLOW, 58)]);
     assert_eq!(apply(&model, &mut zone), 0, "orders at rest");
     for lost in [0, 20, 60] {
         let mut left = zone.clone();
         left.remove(lost);
-        assert!(is_whole(&model, &left), "without {lost}");
+        assert!(covers_all_layers(&model, &left), "without {lost}");
         assert_eq!(apply(&model, &mut left), 0, "orders without {lost}");
     }
 }
@@ -81,35 +88,35 @@
 /// Guards against a zone that stays without layers: a part that shrank, to nothing
 /// but its slow engines, is made up for by the others.
 #[test]
-fn a_part_that_shrank_leaves_no_hole() {
+fn shrunk_partition_leaves_no_layer_uncovered() {
     let model = model();
     let mut zone = planned(&[(FAST, 4), (USUAL, 30), (SLOW, 66)]);
-    let mut place = 0;
+    let mut position = 0;
     zone.retain(|engine| {
-        place += 1;
-        engine.kind == SLOW || place % 3 != 0
+        position += 1;
+        engine.kind == SLOW || position % 3 != 0
     });
     apply(&model, &mut zone);
-    assert!(is_whole(&model, &zone));
+    assert!(covers_all_layers(&model, &zone));
 }
 
 /// Guards against parts that cannot hold the weights: so many engines hold them
 /// twice only together.
 #[test]
-fn engines_of_little_memory_are_planned_as_one_zone() {
+fn small_engines_are_planned_as_one_zone() {
     let model = model();
     let small = AcceleratorKind {
         memory_mb: 7_200.0,
         ..SLOW
     };
     let zone = planned(&[(small, 70)]);
-    assert!(is_whole(&model, &zone));
+    assert!(covers_all_layers(&model, &zone));
 }
 
 /// Guards against a zone that is planned from its beginning once more: its planner
 /// ended with a part of the orders given.
 #[test]
-fn a_plan_that_was_half_ordered_is_gone_on_from() {
+fn partly_ordered_plan_is_continued() {
     let model = model();
     let mut zone = planned(&[(FAST, 4), (USUAL, 16), (SLOW, 36)]);
     for engine in zone.iter_mut().step_by(3) {
@@ -117,7 +124,7 @@
     }
     let ordered = zone.clone();
     apply(&model, &mut zone);
-    assert!(is_whole(&model, &zone));
+    assert!(covers_all_layers(&model, &zone));
     for (before, after) in ordered.iter().zip(&zone) {
         assert!(before.layers.is_none() || before.layers == after.layers);
         assert!(after.layers.is_some());
--- a/tests/policy_compare.rs
+++ b/tests/policy_compare.rs
@@ -28,7 +28,7 @@
 const STEP_MS: [u64; 10] = [5, 5, 5, 10, 10, 10, 20, 20, 20, 20];
 const REPORT_MS: u64 = 200;
 
-struct FakeTarget {
+struct SimulatedTarget {
     id: TargetId,
     zone: usize,
     step: Duration,
@@ -37,7 +37,7 @@
     reported: u32,
 }
 
-struct FakeRun {
+struct SimulatedRun {
     host: usize,
     route: PlannedRoute,
     began: Instant,
@@ -55,13 +55,13 @@
     Reports,
 }
 
-struct Fake {
+struct Simulation {
     shape: Shape,
     tables: Vec<RouteTable>,
-    targets: Vec<FakeTarget>,
-    runs: Vec<FakeRun>,
+    targets: Vec<SimulatedTarget>,
+    runs: Vec<SimulatedRun>,
     events: BinaryHeap<Reverse<(Instant, usize, Event)>>,
-    numbered: usize,
+    event_count: usize,
     rng: StdRng,
 }
 
@@ -121,7 +121,7 @@
         .collect()
 }
 
-impl Fake {
+impl Simulation {
     fn new<C>(shape: Shape, configure: &C, seed: u64, start: Instant) -> Self
     where
         C: Fn(&mut RouteSettings),
@@ -136,7 +136,7 @@
         });
         let targets = (0..STAGES * STEP_MS.len()).map(|index| {
             let nth = index % STEP_MS.len();
-            FakeTarget {
+            SimulatedTarget {
                 id: format!("t{}.{nth}", index / STEP_MS.len()).into(),
                 zone: nth % 3,
                 step: Duration::from_millis(STEP_MS[nth]),
@@ -151,14 +151,14 @@
             targets: targets.collect(),
             runs: Vec::new(),
             events: BinaryHeap::new(),
-            numbered: 0,
+            event_count: 0,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
     fn push(&mut self, at: Instant, event: Event) {
-        self.numbered += 1;
-        self.events.push(Reverse((at, self.numbered, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
     fn target_of(&self, run: usize) -> usize {
@@ -198,7 +198,7 @@
             .plan(&request, now, &mut self.rng)
             .expect("a route");
         self.tables[host].run_started(&route);
-        self.runs.push(FakeRun {
+        self.runs.push(SimulatedRun {
             host,
             route,
             began: now,
@@ -214,7 +214,7 @@
         let target = self.target_of(run);
         self.targets[target].present -= 1;
         let id = self.targets[target].id.clone();
-        let FakeRun { host, sent, .. } = self.runs[run];
+        let SimulatedRun { host, sent, .. } = self.runs[run];
         self.tables[host].step_answered(&id, now - sent, 1, now);
         self.runs[run].stage = (self.runs[run].stage + 1) % STAGES;
         self.runs[run].token += u64::from(self.runs[run].stage == 0);
@@ -304,7 +304,8 @@
     let mut columns = vec![Vec::new(); 3];
     for seed in 0..setting("POLICY_SEEDS", 3) {
         let start = Instant::now();
-        let mut latencies = Fake::new(shape, &configure, seed, start).run(load, length, start);
+        let mut latencies =
+            Simulation::new(shape, &configure, seed, start).run(load, length, start);
         latencies.sort();
         for (column, part) in columns.iter_mut().zip([0.5, 0.95, 0.99]) {
             let rank = (latencies.len() as f64 * part) as usize;
--- a/tests/routing_model.rs
+++ b/tests/routing_model.rs
@@ -133,13 +133,13 @@
     specs.into_iter().map(parse).collect()
 }
 
-fn fade(age: Duration, decay: Duration) -> f64 {
+fn decay_weight(age: Duration, decay: Duration) -> f64 {
     (-age.as_secs_f64() / decay.as_secs_f64()).exp()
 }
 
 /// One thing that was told to the table.
 #[derive(Debug, Clone)]
-struct Logged {
+struct RecordedEvent {
     at: Instant,
     target: usize,
     event: Event,
@@ -148,28 +148,28 @@
 }
 
 /// The naive version: questions about the events so far.
-struct NaiveView<'e>(&'e [Logged]);
+struct ReferenceModel<'e>(&'e [RecordedEvent]);
 
-impl NaiveView<'_> {
-    fn of(&self, target: usize) -> impl Iterator<Item = (usize, &Logged)> {
+impl ReferenceModel<'_> {
+    fn of(&self, target: usize) -> impl Iterator<Item = (usize, &RecordedEvent)> {
         self.0
             .iter()
             .enumerate()
-            .filter(move |(_, logged)| logged.target == target)
+            .filter(move |(_, recorded)| recorded.target == target)
     }
 
-    fn before(&self, index: usize) -> NaiveView<'_> {
-        NaiveView(&self.0[..index])
+    fn before(&self, index: usize) -> ReferenceModel<'_> {
+        ReferenceModel(&self.0[..index])
     }
 
     /// Clamped at zero at each event, as an answer may come for a lost step.
-    fn counted(&self, target: usize, change: fn(&Logged) -> i64) -> f64 {
+    fn counted(&self, target: usize, change: fn(&RecordedEvent) -> i64) -> f64 {
         self.of(target)
-            .fold(0, |count, (_, logged)| (count + change(logged)).max(0)) as f64
+            .fold(0, |count, (_, recorded)| (count + change(recorded)).max(0)) as f64
     }
 
     fn steps(&self, target: usize) -> f64 {
-        self.counted(target, |logged| match logged.event {
+        self.counted(target, |recorded| match recorded.event {
             Event::Sent => 1,
             Event::Answered { .. } | Event::Failed(_) => -1,
             _ => 0,
@@ -177,9 +177,9 @@
     }
 
     fn runs(&self, target: usize) -> f64 {
-        self.counted(target, |logged| match logged.event {
-            Event::Plan { .. } if logged.on_target => 1,
-            Event::EndRun if logged.on_target => -1,
+        self.counted(target, |recorded| match recorded.event {
+            Event::Plan { .. } if recorded.on_target => 1,
+            Event::EndRun if recorded.on_target => -1,
             _ => 0,
         })
     }
@@ -191,14 +191,14 @@
         let mean = samples
             .iter()
             .fold(prior, |mean, (_, sample)| mean + 0.1 * (sample - mean));
-        prior + fade(now - *last, settings(0).rate_decay) * (mean - prior)
+        prior + decay_weight(now - *last, settings(0).rate_decay) * (mean - prior)
     }
 
     fn link(&self, target: usize, now: Instant) -> f64 {
         let samples: Vec<_> = self
             .of(target)
-            .filter_map(|(_, logged)| match logged.event {
-                Event::Link { micros } => Some((logged.at, micros as f64 / 1e6)),
+            .filter_map(|(_, recorded)| match recorded.event {
+                Event::Link { micros } => Some((recorded.at, micros as f64 / 1e6)),
                 _ => None,
             })
             .collect();
@@ -208,13 +208,13 @@
     /// Average total, average local steps and time of the last report.
     fn reported(&self, target: usize) -> Option<(f64, f64, Instant)> {
         let mut averages: Option<(f64, f64, Instant)> = None;
-        for (index, logged) in self.of(target) {
-            let Event::Load { running, age_ms } = logged.event else {
+        for (index, recorded) in self.of(target) {
+            let Event::Load { running, age_ms } = recorded.event else {
                 continue;
             };
             let local = self.before(index).steps(target);
             let total = f64::from(running).max(local);
-            let observed = logged.at - Duration::from_millis(age_ms);
+            let observed = recorded.at - Duration::from_millis(age_ms);
             averages = match averages {
                 None => Some((total, local, observed)),
                 Some(known) if known.2 >= observed => Some(known),
@@ -224,7 +224,7 @@
         averages
     }
 
-    fn ahead(&self, target: usize, stages: f64, now: Instant) -> f64 {
+    fn total_steps(&self, target: usize, stages: f64, now: Instant) -> f64 {
         let local = self.steps(target).max(self.runs(target) / stages);
         let Some((mean, _, observed)) = self.reported(target) else {
             return local;
@@ -233,19 +233,19 @@
             .filter_map(|target| self.reported(target))
             .collect();
         let total: f64 = all.iter().map(|averages| averages.0).sum();
-        let mine: f64 = all.iter().map(|averages| averages.1).sum();
-        let part = if total > 0.0 {
-            (mine / total).clamp(1e-3, 1.0)
+        let local_total: f64 = all.iter().map(|averages| averages.1).sum();
+        let share = if total > 0.0 {
+            (local_total / total).clamp(1e-3, 1.0)
         } else {
             1.0
         };
-        let strength = 2.0 * fade(now - observed, settings(0).load_decay);
-        ((local + strength) / (part + strength / mean.max(0.1))).max(local)
+        let prior_weight = 2.0 * decay_weight(now - observed, settings(0).load_decay);
+        ((local + prior_weight) / (share + prior_weight / mean.max(0.1))).max(local)
     }
 
     /// Time at the target and in the slot of the answer at `index`.
     fn answer_times(&self, index: usize) -> (f64, f64) {
-        let Logged {
+        let RecordedEvent {
             at,
             target,
             ref event,
@@ -255,16 +255,16 @@
             panic!("not an answer")
         };
         let before = self.before(index);
-        let there = (*latency_ms as f64 / 1e3 - before.link(target, at)).max(1e-5);
-        let crowding = (before.ahead(target, 1.0, at).max(1.0) / SLOTS).max(1.0);
-        (there, there / crowding)
+        let time = (*latency_ms as f64 / 1e3 - before.link(target, at)).max(1e-5);
+        let crowding = (before.total_steps(target, 1.0, at).max(1.0) / SLOTS).max(1.0);
+        (time, time / crowding)
     }
 
     fn answers(&self, target: usize, several: bool) -> Vec<(Instant, usize, u64)> {
         self.of(target)
-            .filter_map(|(index, logged)| match logged.event {
+            .filter_map(|(index, recorded)| match recorded.event {
                 Event::Answered { tokens, .. } if (tokens > 1) == several => {
-                    Some((logged.at, index, tokens))
+                    Some((recorded.at, index, tokens))
                 }
                 _ => None,
             })
@@ -275,10 +275,10 @@
         let length = settings(0).rate_window;
         let mut windows: Vec<(Instant, f64)> = Vec::new();
         for (at, index, _) in self.answers(target, false) {
-            let there = self.answer_times(index).0;
+            let time = self.answer_times(index).0;
             match windows.last_mut() {
-                Some((start, smallest)) if at - *start < length => *smallest = smallest.min(there),
-                _ => windows.push((at, there)),
+                Some((start, smallest)) if at - *start < length => *smallest = smallest.min(time),
+                _ => windows.push((at, time)),
             }
         }
         let declared = SLOTS / RATE;
@@ -308,9 +308,9 @@
         let ejection = settings(0).ejection;
         let (mut failures, mut slow, mut times) = (0, 0, 0);
         let mut out: Option<(Instant, Instant)> = None;
-        for (index, logged) in self.of(target) {
-            let at = logged.at;
-            let is_bad = match logged.event {
+        for (index, recorded) in self.of(target) {
+            let at = recorded.at;
+            let is_bad = match recorded.event {
                 Event::Answered { tokens, .. } => {
                     let limit = ejection.slow_factor * SLOTS / RATE;
                     let is_slow = tokens < 2 && self.answer_times(index).1 > limit;
@@ -351,12 +351,12 @@
 
     fn hit(&self, target: usize, prefixes: &[u64], now: Instant) -> f64 {
         let (mut held, mut next, mut gaps) = (Vec::<(u64, Instant, i32)>::new(), 0, 0);
-        for (_, logged) in self.of(target) {
+        for (_, recorded) in self.of(target) {
             let Event::Cache {
                 number,
                 prefix,
                 stored,
-            } = logged.event
+            } = recorded.event
             else {
                 continue;
             };
@@ -367,14 +367,14 @@
             next = number + 1;
             held.retain(|(known, ..)| *known != prefix);
             if stored {
-                held.push((prefix, logged.at, gaps));
+                held.push((prefix, recorded.at, gaps));
             }
         }
         let mut best = 0.0_f64;
         for (nth, prefix) in prefixes.iter().enumerate() {
-            for (_, learnt, before) in held.iter().filter(|(known, ..)| known == prefix) {
-                let certainty =
-                    0.5_f64.powi(gaps - before) * fade(now - *learnt, settings(0).cache_decay);
+            for (_, learned_at, before) in held.iter().filter(|(known, ..)| known == prefix) {
+                let certainty = 0.5_f64.powi(gaps - before)
+                    * decay_weight(now - *learned_at, settings(0).cache_decay);
                 best = best.max(certainty * (nth + 1) as f64 / prefixes.len() as f64);
             }
         }
@@ -387,7 +387,7 @@
         for &target in targets {
             let weight = self.weight(target, now);
             let step = self.step_time(target, now) / weight;
-            let crowding = (self.ahead(target, targets.len() as f64, now) + 1.0) / SLOTS;
+            let crowding = (self.total_steps(target, targets.len() as f64, now) + 1.0) / SLOTS;
             let count = request.max_tokens as f64;
             seconds += (step * crowding.max(1.0) + self.link(target, now)) * count;
             let computed =
@@ -402,7 +402,7 @@
     fn usable(&self, group: &[usize], excluded: &[usize], now: Instant) -> Vec<usize> {
         let leaves = |target: usize| {
             self.of(target)
-                .filter_map(|(_, logged)| match logged.event {
+                .filter_map(|(_, recorded)| match recorded.event {
                     Event::Leaving(leaving) => Some(leaving),
                     _ => None,
                 })
@@ -416,7 +416,7 @@
             .filter_map(|&target| self.ejection(target).map(|(from, to)| (from, target, to)))
             .filter(|(_, _, to)| now < *to)
             .collect();
-        out.sort_by(|one, other| one.0.cmp(&other.0).then(other.1.cmp(&one.1)));
+        out.sort_by(|left, right| left.0.cmp(&right.0).then(right.1.cmp(&left.1)));
         out.truncate(usable.len() / 2);
         usable.retain(|target| !out.iter().any(|(_, ejected, _)| ejected == target));
         usable
@@ -438,7 +438,7 @@
 /// Checks a plan or the lack of one against the usable targets.
 fn check_plan(
     route: Option<&PlannedRoute>,
-    view: &NaiveView<'_>,
+    view: &ReferenceModel<'_>,
     request: &RouteRequest,
     excluded: usize,
     now: Instant,
@@ -461,13 +461,13 @@
         prop_assert!(usable.contains(&target), "{} not in {:?}", target, usable);
         targets.push(target);
     }
-    let naive = view.estimate(request, &targets, now);
+    let expected = view.estimate(request, &targets, now);
     let total = route.score.total().as_secs_f64();
     prop_assert!(
-        (total - naive).abs() <= 1e-6 * (1.0 + naive),
+        (total - expected).abs() <= 1e-6 * (1.0 + expected),
         "{} is not {}",
         total,
-        naive
+        expected
     );
     Ok(())
 }
@@ -483,7 +483,7 @@
             table
         })
         .collect();
-    let mut log: Vec<Logged> = Vec::new();
+    let mut log: Vec<RecordedEvent> = Vec::new();
     let mut running: Vec<PlannedRoute> = Vec::new();
     for (gap, target, event) in events {
         now += Duration::from_millis(gap);
@@ -492,7 +492,13 @@
             Event::Plan { excluded, policy } => {
                 let request = request(excluded, now);
                 let route = tables[policy].plan(&request, now, &mut rng).ok();
-                check_plan(route.as_ref(), &NaiveView(&log), &request, excluded, now)?;
+                check_plan(
+                    route.as_ref(),
+                    &ReferenceModel(&log),
+                    &request,
+                    excluded,
+                    now,
+                )?;
                 let Some(route) = route else { continue };
                 let replacement = tables[policy].replace(
                     &ReplaceRequest {
@@ -505,7 +511,7 @@
                     &mut rng,
                 );
                 let planned = (5..8).find(|target| name(*target) == route.stages[1].target);
-                let usable = NaiveView(&log).usable(
+                let usable = ReferenceModel(&log).usable(
                     &[5, 6, 7],
                     &[excluded, planned.expect("a target")],
                     now,
@@ -574,7 +580,7 @@
                     _ => running[running.len() - 1].clone(),
                 };
                 log.extend((0..TARGETS).map(|target| {
-                    Logged {
+                    RecordedEvent {
                         at: now,
                         target,
                         event: event.clone(),
@@ -585,7 +591,7 @@
                     }
                 }));
             }
-            _ => log.push(Logged {
+            _ => log.push(RecordedEvent {
                 at: now,
                 target,
                 event,
@@ -605,7 +611,7 @@
     })]
 
     #[test]
-    fn plans_equal_the_naive_ones(events in events()) {
+    fn plans_match_the_reference_model(events in events()) {
         replay(events)?;
     }
 }
