--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Time of the decisions whose cost grows with a zone: its plans, and the choice
-//! of a path among its engines.
+//! Benchmarks of the decisions whose cost grows with the size of a zone: its plans, and
+//! the choice of a path among its engines.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 
 /// Sizes of zones, in engines.
 const ZONES: [usize; 4] = [38, 96, 333, 1000];
-/// Of 20 engines, how many are of the fast and of the usual kind.
+/// Engines of each kind among 20.
 const KINDS: [(&str, usize); 3] = [("fast", 2), ("usual", 7), ("slow", 11)];
 
 fn kind(name: &str) -> AcceleratorKind {
--- a/tests/ingress.rs
+++ b/tests/ingress.rs
@@ -1,5 +1,4 @@
-//! Matching requests against the configuration, and reading the platform's
-//! records into typed values.
+//! Matching of requests against the configuration, and parsing of the platform's records.
 
 use std::time::Duration;
 
--- a/tests/paths.rs
+++ b/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Paths over engines: every layer once and in order, the least loaded first.
+//! Paths over engines: every layer once and in order, the least loaded engines first.
 
 mod placement_support;
 
@@ -95,9 +95,9 @@
     assert_eq!(&*path.hops[0].target, "i-2");
 }
 
-/// Symptom: when a zone is cut off, streams of all other zones break. Sequence:
-/// the zones' loads differ a little, a zone is cut. Cause: two requests of five
-/// went to another zone for some milliseconds an event.
+/// Guards against streams in other zones without need, all of which break when a zone is
+/// cut off. A cost of only some milliseconds per event for another zone would send two
+/// requests of five there.
 #[test]
 fn small_load_difference_keeps_requests_in_own_zone() {
     let model = model();
@@ -120,7 +120,7 @@
     }
     let path = choose(&fleet, &model, &[], now).expect("a path");
     assert_eq!(&*path.hops[0].target, "i-0");
-    // Without room in the own zone the other one serves.
+    // Without capacity in the own zone the other one serves.
     for (id, layers) in [("i-0", 30), ("i-1", 30), ("i-2", 20)] {
         fleet.observe_start(id, load(400, layers));
     }
@@ -155,9 +155,9 @@
     assert!(choose(&fleet, &model, &[], now + Duration::from_secs(4)).is_some());
 }
 
-/// Symptom: engines refuse for want of memory although others have room.
-/// Sequence: several hosts send to the same engines at once. Cause: each
-/// counted its own requests only.
+/// Guards against refusals for lack of memory while other engines have capacity. Several
+/// hosts send to the same engines at once, so each must count the requests of the others
+/// too.
 #[test]
 fn requests_of_other_hosts_count_against_memory() {
     let model = model();
@@ -181,10 +181,9 @@
     assert!(!choose(&fleet, &model, &[], now).expect("a path").full);
 }
 
-/// Symptom: in the second after the loss of an engine a quarter of the new
-/// streams get their first event too late. Sequence: all that passed the engine
-/// is read again by its stand-in; new requests follow it there. Cause: what an
-/// engine still has to read was no part of its cost.
+/// Guards against late first events after the loss of an engine. Its requests are
+/// prefilled again by another engine, so the cost of an engine must include the prefill
+/// that it has yet to do.
 #[test]
 fn engine_with_prefill_backlog_is_avoided() {
     let model = model();
@@ -212,9 +211,8 @@
     assert_eq!(&*path.hops[1].target, "i-1");
 }
 
-/// Symptom: requests time out at engines that are well. Sequence: one engine
-/// in the middle of the paths turns slow. Cause: nobody asked it, and its cost
-/// stayed that of its kind.
+/// Guards against timeouts after one engine in the middle of the paths becomes slow. The
+/// host must request its pace and use it in the cost.
 #[test]
 fn a_slow_engine_is_passed_by() {
     let model = model();
@@ -235,9 +233,9 @@
     assert_eq!(&*path.hops[0].target, "i-0");
 }
 
-/// Symptom: all requests of a path start over when one engine dies. Sequence:
-/// the second engine falls silent. Cause: the whole path was given up, with
-/// what the first engine had read.
+/// Guards against requests that start over when one engine of their path dies. A repair
+/// must replace only the failed hop, so that the other engines keep the prompt that they
+/// have processed.
 #[test]
 fn repair_keeps_the_other_hops() {
     let model = model();
@@ -270,8 +268,8 @@
     assert!(repaired.hops.iter().all(|hop| &*hop.target != "i-1"));
 }
 
-/// Serves 400 requests that never end, one after the other, and tells how many
-/// found a place before an engine was full.
+/// Starts up to 400 requests that never end, and returns how many were placed before an
+/// engine was full.
 fn count_placed<F>(
     fleet: &mut FleetTable,
     model: &EngineModel,
@@ -307,8 +305,8 @@
     count
 }
 
-/// Two chains of unequal room: turns without regard to load stop at the
-/// smaller one's end, the choice by cost fills both.
+/// Uses two chains of unequal capacity: round robin stops when the smaller one is full,
+/// the choice by cost fills both.
 #[test]
 fn choice_by_cost_places_more_requests_than_round_robin() {
     let model = model();
@@ -381,9 +379,9 @@
     }
 }
 
-/// Guards against a choice that leaves out the cheapest engines, to save time, where
-/// several hold the same: it costs what the best choice of one engine for each range
-/// does.
+/// Guards against a choice that drops the cheapest of several engines with the same
+/// range, as it keeps only some of them to save time: the cost must equal that of the
+/// best combination of engines.
 #[test]
 fn equal_ranges_do_not_hide_the_cheapest_engines() {
     let model = model();
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,5 +1,5 @@
-//! The planner: no engine is given more than it holds, every layer has a
-//! holder, and the plan carries more than naive ones.
+//! The placement planner: ranges fit into the memory of their engines, every layer has a
+//! holder, and plans score higher than naive ones.
 
 mod placement_support;
 
@@ -20,9 +20,8 @@
     assert_eq!(apply(&model, &mut engines), 0);
 }
 
-/// Symptom: after one engine died, all requests of the zone were refused until
-/// it was back. Sequence: an engine ends for good. Cause: its layers had no
-/// second holder.
+/// Guards against layers with a single holder: after the loss of that engine, the zone
+/// would refuse all requests until it is back.
 #[test]
 fn loss_of_any_engine_leaves_layers_covered() {
     let model = model();
@@ -38,9 +37,8 @@
     }
 }
 
-/// Symptom: a layer stays without holder, the zone serves nothing. Sequence:
-/// the only holder of some layers ends, no engine comes in its place. Cause:
-/// nobody widens the ranges beside the hole.
+/// Guards against layers that stay uncovered. The only holder of some layers ends and is
+/// not replaced, so engines with adjacent ranges must be widened.
 #[test]
 fn neighbours_cover_layers_of_a_lost_engine() {
     let model = model();
@@ -60,9 +58,8 @@
     assert!((0..model.layers).all(|layer| holders(&engines, layer) > 0));
 }
 
-/// Symptom: an engine that restarted stays empty. Sequence: an engine crashes
-/// and comes back under a new id, without layers. Cause: only the first plan
-/// gave out ranges.
+/// Guards against engines that stay empty after a restart. An engine that crashed returns
+/// under a new id and without layers.
 #[test]
 fn empty_engine_takes_uncovered_layers() {
     let model = model();
@@ -75,7 +72,7 @@
     assert!(taken.from <= lost.from && lost.to <= taken.to);
 }
 
-/// Usual requests for which the layer with the least room has room.
+/// Returns the capacity of the layer with the least, in usual requests.
 fn least_capacity(model: &EngineModel, engines: &[EngineView]) -> f64 {
     let usual = f64::from(model.usual_prompt + model.usual_answer);
     let capacity = |layer: u32| {
@@ -91,13 +88,11 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-/// Symptom: layers without holder, although four empty engines could take them.
-/// Sequence: engines of a zone are replaced while another one is on the move.
-/// Cause: a layer without holder counted as taking no time, so that a zone
-/// looked faster the more it lacked (seen on the first variant of the search).
+/// Guards against uncovered layers where empty engines could take them, as when engines
+/// are replaced while another one changes its layers. A layer without a holder must not
+/// count as one that takes no time, or a zone would look faster the more layers it lacks.
 ///
-/// Room at the layer with the least, in usual requests: 0 before, 36 and more
-/// after.
+/// The least capacity of a layer is at least 36 usual requests; with the fault it is 0.
 #[test]
 fn empty_engines_cover_layers_and_keep_capacity() {
     let model = model();
@@ -122,10 +117,10 @@
     }
     apply(&model, &mut engines);
     let least = least_capacity(&model, &engines);
-    assert!(least >= 36.0, "room for {least} requests");
+    assert!(least >= 36.0, "capacity for {least} requests");
 }
 
-/// The zone of two fast engines of the traced day, as it was planned first.
+/// Returns a zone of two fast engines with its initial plan.
 fn small_zone() -> Vec<EngineView> {
     let mut engines = engines(&[(FAST, 2), (USUAL, 2), (SLOW, 5)]);
     let held = [
@@ -145,10 +140,9 @@
     engines
 }
 
-/// Symptom: 540 requests are read again and hundreds are late, for ten seconds.
-/// Sequence: one of two fast engines crashes and comes back empty three seconds
-/// later. Cause: the other one was widened over the hole, from room for 107
-/// requests to four, and kept so; the one that came back was placed beside it.
+/// Guards against an engine that is widened until it has no capacity left. When one of
+/// two fast engines crashes, widening the other over its layers would reduce its capacity
+/// from 107 requests to four and cause 540 requests to be prefilled again.
 #[test]
 fn no_engine_is_widened_until_it_has_no_room() {
     let model = model();
@@ -160,14 +154,13 @@
     let capacity = model.cache_capacity(FAST, widened.width()) / f64::from(widened.width());
     assert!(
         capacity / 977.0 > 15.0,
-        "room for {} requests",
+        "capacity for {} requests",
         capacity / 977.0
     );
 }
 
-/// Symptom: a zone serves nothing for the rest of a day, other zones are late.
-/// Sequence: a fast and a usual engine are lost for good. Cause: no single
-/// change made the zone better, so that none was made.
+/// Guards against a zone that stays without layers after the loss of a fast and a usual
+/// engine. No single change improves such a zone, so it must be replanned from scratch.
 #[test]
 fn a_zone_that_lost_two_large_engines_is_planned_anew() {
     let model = model();
@@ -179,19 +172,18 @@
         engine.layers = Some(LayerRange { from, to });
     }
     let early = plan_zone(&model, &engines, Duration::ZERO);
-    assert!(early.is_empty(), "planned anew before engines can be back");
+    assert!(early.is_empty(), "replanned before engines can be back");
     apply(&model, &mut engines);
     let least = least_capacity(&model, &engines);
-    assert!(least > 15.0, "room for {least} requests");
+    assert!(least > 15.0, "capacity for {least} requests");
     for _ in 0..3 {
         apply(&model, &mut engines);
     }
     assert_eq!(apply(&model, &mut engines), 0, "orders at rest");
 }
 
-/// Symptom: no engine is ordered any more (found by reading). Sequence: an entry
-/// tells of layers that the model does not have. Cause: the planner ended with an
-/// index out of bounds.
+/// Guards against an index out of bounds in the planner, which would stop all orders. A
+/// target's entry may report layers that the model does not have.
 #[test]
 fn layers_outside_of_the_model_do_not_stop_the_planner() {
     let model = model();
@@ -201,7 +193,8 @@
     assert!((0..model.layers).all(|layer| holders(&engines, layer) > 0));
 }
 
-/// The same: an engine that was widened is narrowed when an empty one comes.
+/// Guards against the same fault when the crashed engine returns empty: the engine that
+/// was widened must be narrowed again.
 #[test]
 fn a_widened_engine_and_an_empty_one_are_placed_together() {
     let model = model();
@@ -213,10 +206,10 @@
     engines[8].layers = Some(LayerRange { from: 72, to: 80 });
     apply(&model, &mut engines);
     let least = least_capacity(&model, &engines);
-    assert!(least > 40.0, "room for {least} requests");
+    assert!(least > 40.0, "capacity for {least} requests");
 }
 
-/// Each engine an equal part, round and round: the simplest plan that covers.
+/// Assigns ranges of equal width round robin: the simplest plan that covers all layers.
 fn equal_ranges(model: &EngineModel, engines: &mut [EngineView]) {
     let width = engines
         .iter()
@@ -231,7 +224,7 @@
     }
 }
 
-/// Whole copies of the weights by kind, each engine in proportion to memory.
+/// Assigns whole copies of the weights to consecutive engines, in proportion to memory.
 fn copies_by_kind(model: &EngineModel, engines: &mut [EngineView], count: usize) {
     for chain in engines.chunks_mut(count) {
         let memory = chain
@@ -276,7 +269,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// An engine that is ordered to hold more than its memory crashes.
+    /// Guards against orders that exceed the memory of an engine, which then crashes.
     #[test]
     fn ranges_fit_into_engine_memory(
         fast in 0_usize..3, usual in 0_usize..5, slow in 0_usize..6, lost in 0_usize..12,
@@ -296,7 +289,7 @@
         }
     }
 
-    /// Two hosts that see the same engines plan the same.
+    /// Guards against hosts that see the same engines but compute different plans.
     #[test]
     fn plan_is_independent_of_engine_order(fast in 0_usize..3, usual in 0_usize..5, slow in 0_usize..4) {
         let model = model();
@@ -312,8 +305,8 @@
     }
 }
 
-/// Accelerators of zones of many engines (fast, usual and slow kind), and what a
-/// planner carries that works out every count of fast engines and of chains.
+/// Engines of large zones (fast, usual and slow), and the score of a planner that tries
+/// every count of fast engines and of chains.
 const LARGE_ZONES: [((usize, usize, usize), f64); 6] = [
     ((4, 6, 14), 134.77),
     ((2, 9, 22), 126.91),
@@ -322,12 +315,12 @@
     ((6, 8, 21), 206.23),
     ((3, 12, 31), 180.13),
 ];
-/// What a plan of a large zone may carry less than that.
+/// Fraction by which the score of a large zone may be lower.
 const MAX_LARGE_ZONE_LOSS: f64 = 0.04;
 
-/// Symptom: a zone of 33 engines carries a twentieth less after a start.
-/// Sequence: plans are compared roughly, to save time, and the best of these is
-/// made. Cause: what is roughly best is not best.
+/// Guards against plans that lose a twentieth of the score in a zone of 33 engines. Plans
+/// are compared approximately to save time, and the best approximate plan need not be the
+/// best one.
 #[test]
 fn large_zone_plans_score_close_to_exhaustive_ones() {
     let model = model();
--- a/tests/placement_partition.rs
+++ b/tests/placement_partition.rs
@@ -1,4 +1,4 @@
-//! Zones of many engines, which are planned in parts.
+//! Placement in large zones, which are planned in partitions.
 
 mod placement_support;
 
@@ -8,7 +8,8 @@
 use jackdawwick::placement::EngineView;
 use placement_support::{FAST, SLOW, USUAL, apply, engines, holders, model, score};
 
-/// What a plan in parts may carry less than one of the whole zone.
+/// Fraction by which the score of a partitioned plan may be lower than that of a plan of
+/// the whole zone.
 const MAX_PARTITION_LOSS: f64 = 0.04;
 
 fn covers_all_layers(model: &EngineModel, zone: &[EngineView]) -> bool {
@@ -21,15 +22,15 @@
     zone
 }
 
-/// Guards against decisions whose time grows with a zone: engines of like parts hold
-/// the same, so that there are no more cases to look at than in one part.
+/// Guards against decisions whose time grows with the zone: engines of equal partitions
+/// hold the same ranges, so that the zone has no more distinct ranges than one partition.
 #[test]
 fn equal_partitions_hold_the_same_ranges() {
     let partition = planned(&[(FAST, 6), (USUAL, 21), (SLOW, 36)]);
     let zone = planned(&[(FAST, 24), (USUAL, 84), (SLOW, 144)]);
     assert!(
         distinct_ranges(&zone) <= distinct_ranges(&partition),
-        "{} cases",
+        "{} distinct ranges",
         distinct_ranges(&zone)
     );
     let model = model();
@@ -37,7 +38,7 @@
     assert!(together >= 4.0 * alone, "{together} of four times {alone}");
 }
 
-/// Kinds with each of their ranges.
+/// Returns the number of distinct pairs of kind and range.
 fn distinct_ranges(zone: &[EngineView]) -> usize {
     let ranges = zone.iter().filter_map(|engine| {
         let range = engine.layers?;
@@ -46,8 +47,9 @@
     ranges.collect::<BTreeSet<_>>().len()
 }
 
-/// Guards against parts that are worse than the whole where kinds do not go round.
-/// The figures are those of plans of the whole zone.
+/// Guards against partitioned plans that score worse than plans of the whole zone if the
+/// kinds cannot be divided evenly. The expected scores are those of plans of the whole
+/// zone.
 #[test]
 fn uneven_partitions_score_close_to_whole_plans() {
     let model = model();
@@ -62,7 +64,7 @@
     }
 }
 
-/// Fast, usual and slow engines of a zone, and what a plan of the whole carries.
+/// Fast, usual and slow engines of a zone, and the score of a plan of the whole zone.
 const WHOLE_PLANS: [((usize, usize, usize), f64); 4] = [
     ((1, 30, 19), 287.07),
     ((6, 21, 33), 328.70),
@@ -70,8 +72,8 @@
     ((9, 33, 57), 524.02),
 ];
 
-/// Guards against orders at rest: each engine of a part lies in the plan of the
-/// whole zone too, and a plan that was made is left alone.
+/// Guards against orders for a zone at rest: the plan of a partition must be stable in
+/// the plan of the whole zone, also after the loss of an engine.
 #[test]
 fn partitioned_plan_is_stable_at_rest_and_after_a_loss() {
     let model = model();
@@ -85,8 +87,8 @@
     }
 }
 
-/// Guards against a zone that stays without layers: a part that shrank, to nothing
-/// but its slow engines, is made up for by the others.
+/// Guards against layers that stay uncovered when a partition shrinks to its slow
+/// engines: the other partitions must make up for it.
 #[test]
 fn shrunk_partition_leaves_no_layer_uncovered() {
     let model = model();
@@ -100,8 +102,8 @@
     assert!(covers_all_layers(&model, &zone));
 }
 
-/// Guards against parts that cannot hold the weights: so many engines hold them
-/// twice only together.
+/// Guards against partitions that cannot hold the weights: these engines hold two copies
+/// only together.
 #[test]
 fn small_engines_are_planned_as_one_zone() {
     let model = model();
@@ -113,8 +115,8 @@
     assert!(covers_all_layers(&model, &zone));
 }
 
-/// Guards against a zone that is planned from its beginning once more: its planner
-/// ended with a part of the orders given.
+/// Guards against a zone that is planned from scratch again after its planner stopped
+/// with only a part of the orders given.
 #[test]
 fn partly_ordered_plan_is_continued() {
     let model = model();
--- a/tests/placement_support/mod.rs
+++ b/tests/placement_support/mod.rs
@@ -1,4 +1,5 @@
-//! A model and its accelerators, zones of engines to plan, and what a plan gives them.
+//! A model, its accelerators and zones of engines, and functions that apply and inspect
+//! plans.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -51,7 +52,7 @@
     engines.collect()
 }
 
-/// Carries the plan out.
+/// Applies a plan of the zone and returns the number of orders.
 pub(crate) fn apply(model: &EngineModel, engines: &mut [EngineView]) -> usize {
     let planned = plan_zone(model, engines, REPLAN_DELAY);
     for range in &planned {
--- a/tests/policy_compare.rs
+++ b/tests/policy_compare.rs
@@ -1,11 +1,11 @@
-//! Compares the routing policies on a small queueing fake with its own clock.
+//! Compares the routing policies in a small queueing simulation with its own clock.
 //!
-//! Eight entry hosts plan runs over three stages of ten targets each, of three
-//! speeds, and hear of the load late. The figures are those of the fake, not
-//! of a machine; equal seeds give equal figures. `POLICY_SEEDS` sets the
-//! number of seeds, `POLICY_SECONDS` the length of a run.
+//! Eight entry hosts plan runs over three stages of ten targets each, of three speeds,
+//! and receive load reports late. The results are those of the simulation, not of a
+//! machine; equal seeds give equal results. `POLICY_SEEDS` sets the number of seeds,
+//! `POLICY_SECONDS` the length of a run.
 
-// The table is what the comparison is run for.
+// The printed table is the result of the comparison.
 #![allow(clippy::print_stdout)]
 
 use std::cmp::Reverse;
@@ -24,7 +24,7 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const TOKENS: u64 = 16;
 const SLOTS: usize = 8;
-/// Milliseconds that a step holds its slot, for each target of a stage.
+/// Milliseconds that a step occupies its slot, for each target of a stage.
 const STEP_MS: [u64; 10] = [5, 5, 5, 10, 10, 10, 20, 20, 20, 20];
 const REPORT_MS: u64 = 200;
 
@@ -71,7 +71,7 @@
     OnePipeline,
     /// The same; a fast target of each stage becomes five times as slow.
     SlowTargets,
-    /// Ten pipelines of one target a stage.
+    /// Ten pipelines with one target per stage.
     TenPipelines,
 }
 
@@ -226,7 +226,7 @@
         latencies.push(now - self.runs[run].began);
     }
 
-    /// Hands out what was true one interval ago.
+    /// Delivers the loads observed one interval ago.
     fn report(&mut self, now: Instant) {
         for target in &mut self.targets {
             let report = LoadReport {
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Runs at `load` times the bound and returns each run's time.
+    /// Runs at `load` times the maximum throughput and returns the latency of each run.
     fn run(&mut self, load: f64, length: Duration, start: Instant) -> Vec<Duration> {
         let stage_rate: f64 = STEP_MS
             .iter()
@@ -281,7 +281,7 @@
                 }
             }
         }
-        // Runs that did not end count with the time that they have taken.
+        // Runs that did not end count with the time that they have taken so far.
         let open = self.runs.iter().filter(|run| !run.ended);
         latencies.extend(open.map(|run| start + length - run.began));
         latencies
@@ -295,7 +295,8 @@
         .unwrap_or(default)
 }
 
-/// Median and spread of a percentile over the seeds, in milliseconds.
+/// Prints the median and the range of the percentiles over the seeds, in milliseconds,
+/// and returns the median of the 95th percentile.
 fn row<C>(name: &str, shape: Shape, load: f64, configure: C) -> f64
 where
     C: Fn(&mut RouteSettings),
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Failures of routing and retrying that callers would notice.
+//! Regression tests of routing and retries for failures that callers would notice.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// Targets of the one stage of the one pipeline.
+/// Targets of the single stage of the pipeline.
 const TARGETS: usize = 10;
 
 fn name(target: usize) -> TargetId {
@@ -71,7 +71,7 @@
     }
 }
 
-/// How many of 1000 plans use the target.
+/// Returns how many of 1000 plans use the target.
 fn plans_using(table: &RouteTable, request: &RouteRequest, target: usize, now: Instant) -> usize {
     let mut rng = StdRng::seed_from_u64(3);
     (0..1_000)
@@ -89,10 +89,9 @@
     }
 }
 
-/// Symptom: a target that was down gets all new work when it is back, fails
-/// again and is ejected at regular intervals.
-/// Sequence: three failures in a row, the ejection ends, all others are busy.
-/// Cause: the returned target is the least loaded, so each plan chooses it.
+/// Guards against a target that gets all new work when its ejection ends, fails again,
+/// and is ejected at regular intervals. The target is the least loaded when it returns,
+/// so every plan would choose it.
 #[test]
 fn returned_target_starts_slowly() {
     let now = Instant::now();
@@ -111,10 +110,9 @@
     assert!(plans_using(&table, &request(warm), 0, warm) > 150);
 }
 
-/// Symptom: every request is refused although the targets are well.
-/// Sequence: this host's network fails for a moment, so each target has three
-/// failures in a row.
-/// Cause: ejection without a cap on how much of a group may be out.
+/// Guards against refusing every request although the targets are healthy. A short
+/// network fault of this host causes three consecutive failures of each target, so
+/// ejection needs a cap on how much of a group is out.
 #[test]
 fn ejection_leaves_half_of_a_group() {
     let now = Instant::now();
@@ -122,15 +120,14 @@
     (0..TARGETS).for_each(|target| fail(&mut table, target, now));
     let group: Vec<_> = (0..TARGETS).map(name).collect();
     assert_eq!(table.usable_targets(&group, &[], now).len(), 5);
-    // A retry excludes what it has tried; the cap holds for those left.
+    // A retry excludes targets that were tried already; the cap applies to the others.
     assert_eq!(table.usable_targets(&group, &group[..7], now).len(), 2);
     assert_eq!(table.usable_targets(&group, &group[..9], now).len(), 1);
 }
 
-/// Symptom: a target that failed long ago stays out for a minute after one
-/// short fault.
-/// Sequence: two ejections, a long time of good answers, one more ejection.
-/// Cause: the length of an ejection grows with each one and never shrinks.
+/// Guards against a target that is ejected for a minute because of one short fault, long
+/// after earlier ones. The length of an ejection grows with each one and must shrink
+/// again after good responses.
 #[test]
 fn good_answers_shorten_the_next_ejection() {
     let mut now = Instant::now();
@@ -151,10 +148,9 @@
     assert!(!is_out(&table, now + Duration::from_secs(2)));
 }
 
-/// Symptom: a model is refused for good although its targets are idle.
-/// Sequence: the declared rate is far too low, so the estimate passes each
-/// deadline, and nothing is ever sent that would correct it.
-/// Cause: refusing by an estimate that rests on no measurement.
+/// Guards against a model that is refused forever although its targets are idle. If the
+/// declared rate is far too low, every estimate exceeds the deadline, and nothing is sent
+/// that would correct it.
 #[test]
 fn unmeasured_estimate_refuses_nothing() {
     let now = Instant::now();
@@ -172,17 +168,15 @@
     let refusal = table.plan(&brief, now, &mut rng).expect_err("too slow");
     assert_eq!(refusal.reason, RefusalReason::DeadlineUnreachable);
     assert!(table.known_service_time(&route, now) > Duration::ZERO);
-    // Nothing was sent for two windows: the measurement is no longer believed.
+    // Nothing was sent for longer than the rate memory: the measurement has expired.
     let later = now + Duration::from_secs(4);
     brief.deadline = later + Duration::from_millis(500);
     assert!(table.plan(&brief, later, &mut rng).is_ok());
 }
 
-/// Symptom: prompts with a common prefix are computed anew on every target.
-/// Sequence: one target of ten says that it holds the prefix, later events
-/// are lost.
-/// Cause: the holder is seldom among the two random candidates, or a prefix
-/// is believed for ever.
+/// Guards against computing a common prefix again on every target. The one holder of ten
+/// targets is seldom among the two random candidates. Also guards against trusting a
+/// cached prefix forever after later events were lost.
 #[test]
 fn prompts_follow_their_prefix_until_it_is_uncertain() {
     let now = Instant::now();
@@ -200,7 +194,7 @@
     };
     table.observe_cache_events(&name(7), &events, now);
     assert_eq!(plans_using(&table, &prompt, 7, now), 1_000);
-    // Its queue is then worth more than its cache.
+    // The wait for its queue then outweighs its cached prefix.
     for _ in 0..40 {
         table.step_sent(&name(7), now);
     }
@@ -217,10 +211,9 @@
     assert_eq!(after.prefill, Duration::from_millis(500));
 }
 
-/// Symptom: after any declared change, all work goes to busy targets.
-/// Sequence: a run is under way, a declaration changes, the run ends.
-/// Cause: counts are lost with the old declaration, or survive an address
-/// behind which another process stands.
+/// Guards against sending all work to busy targets after a declaration changes during a
+/// run. Counts must survive the change, but measurements must not survive a change of
+/// address, behind which is another process.
 #[test]
 fn counts_survive_a_declared_change() {
     let now = Instant::now();
@@ -251,9 +244,8 @@
     assert_eq!(table.estimate(&request(now), &[name(0)], now), idle);
 }
 
-/// Symptom: retries keep healthy targets overloaded after a fault is over.
-/// Sequence: every request fails and is retried as often as it may be.
-/// Cause: retries are bounded for each request, but not in all.
+/// Guards against retries that keep healthy targets overloaded after a fault. Bounding
+/// the retries of each request does not bound their total.
 #[test]
 fn retries_stay_a_fraction_of_the_requests() {
     let mut budget = RetryBudget::new(BudgetSettings {
@@ -265,14 +257,13 @@
         budget.request_started();
         retries += (0..3).filter(|_| budget.spend()).count();
     }
-    // The burst, and an eighth for each request but the first, which finds
-    // the budget full.
+    // The burst, and an eighth for each request but the first, which finds the budget
+    // full.
     assert_eq!(retries, 5 + 999 / 8);
 }
 
-/// Symptom: callers that failed together come back together.
-/// Sequence: many failures at one time, each waits and tries again.
-/// Cause: delays without jitter, or jitter that passes the bound.
+/// Guards against callers that fail together and retry together. Delays need jitter that
+/// stays below the bound.
 #[test]
 fn backoff_is_spread_below_its_bound() {
     let mut rng = StdRng::seed_from_u64(9);
--- a/tests/routing_model.rs
+++ b/tests/routing_model.rs
@@ -1,5 +1,5 @@
-//! Routing against a naive version that recomputes everything about a target
-//! from the list of all events at each question.
+//! Compares routing with a reference model that derives everything about a target from
+//! the list of all events at each query.
 
 use std::time::{Duration, Instant};
 
@@ -87,7 +87,7 @@
     format!("t{target}").into()
 }
 
-/// Stage 0 is held by the targets 0 to 4, stage 1 by 5 to 7; 4 is draining.
+/// Declares the targets 0 to 4 for stage 0 and 5 to 7 for stage 1; 4 is draining.
 fn resources() -> Vec<(ResourceKey, ResourceSpec)> {
     let mut specs = vec![
         (
@@ -137,7 +137,7 @@
     (-age.as_secs_f64() / decay.as_secs_f64()).exp()
 }
 
-/// One thing that was told to the table.
+/// An event that was passed to the table.
 #[derive(Debug, Clone)]
 struct RecordedEvent {
     at: Instant,
@@ -147,7 +147,7 @@
     on_target: bool,
 }
 
-/// The naive version: questions about the events so far.
+/// The reference model: queries over the events so far.
 struct ReferenceModel<'e>(&'e [RecordedEvent]);
 
 impl ReferenceModel<'_> {
@@ -162,7 +162,8 @@
         ReferenceModel(&self.0[..index])
     }
 
-    /// Clamped at zero at each event, as an answer may come for a lost step.
+    /// Clamps the count at zero after each event, since a response may arrive for a lost
+    /// step.
     fn counted(&self, target: usize, change: fn(&RecordedEvent) -> i64) -> f64 {
         self.of(target)
             .fold(0, |count, (_, recorded)| (count + change(recorded)).max(0)) as f64
@@ -205,7 +206,8 @@
         self.average(&samples, settings(0).near_link.as_secs_f64(), now)
     }
 
-    /// Average total, average local steps and time of the last report.
+    /// Returns the average total, the average local steps and the time of the last
+    /// report.
     fn reported(&self, target: usize) -> Option<(f64, f64, Instant)> {
         let mut averages: Option<(f64, f64, Instant)> = None;
         for (index, recorded) in self.of(target) {
@@ -243,7 +245,7 @@
         ((local + prior_weight) / (share + prior_weight / mean.max(0.1))).max(local)
     }
 
-    /// Time at the target and in the slot of the answer at `index`.
+    /// Returns the time at the target and in the slot for the response at `index`.
     fn answer_times(&self, index: usize) -> (f64, f64) {
         let RecordedEvent {
             at,
@@ -303,7 +305,7 @@
         self.average(&samples, RATE.recip(), now)
     }
 
-    /// When the last ejection began and ends.
+    /// Returns the start and the end of the last ejection.
     fn ejection(&self, target: usize) -> Option<(Instant, Instant)> {
         let ejection = settings(0).ejection;
         let (mut failures, mut slow, mut times) = (0, 0, 0);
@@ -381,7 +383,7 @@
         best
     }
 
-    /// Seconds to completion over the targets, scanning everything.
+    /// Returns the seconds to completion over the targets, from a scan of all events.
     fn estimate(&self, request: &RouteRequest, targets: &[usize], now: Instant) -> f64 {
         let mut seconds = 0.0;
         for &target in targets {
@@ -397,8 +399,9 @@
         seconds
     }
 
-    /// Members of a group that may get work: of those not leaving, draining
-    /// or excluded, the ejected stay out in order, half at most.
+    /// Returns the members of a group that may get work: of those not leaving, draining
+    /// or excluded, the ejected ones are left out in the order of their ejection, at most
+    /// half.
     fn usable(&self, group: &[usize], excluded: &[usize], now: Instant) -> Vec<usize> {
         let leaves = |target: usize| {
             self.of(target)
@@ -435,7 +438,7 @@
     }
 }
 
-/// Checks a plan or the lack of one against the usable targets.
+/// Checks a plan, or the lack of one, against the usable targets.
 fn check_plan(
     route: Option<&PlannedRoute>,
     view: &ReferenceModel<'_>,
