--- a/src/fleet/table.rs
+++ b/src/fleet/table.rs
@@ -169,7 +169,7 @@
                 let Some(state) = members.and_then(|members| members.get_mut(id)) else {
                     continue;
                 };
-                match source.is_near() {
+                match source.is_own_zone() {
                     true => state.near.add(used.load),
                     false => state.remote.add(used.load),
                 }
--- a/src/fleet/usage.rs
+++ b/src/fleet/usage.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns whether the requests belong to hosts of this zone.
-    pub(super) fn is_near(&self) -> bool {
+    pub(super) fn is_own_zone(&self) -> bool {
         !matches!(self, Self::Zone(_))
     }
 
--- a/src/placement/adjust.rs
+++ b/src/placement/adjust.rs
@@ -76,7 +76,7 @@
         let mut option = engines.to_vec();
         option[index].layers = None;
         fill_empty(model, &mut option);
-        let score = rearranged_worth(model, engines, &option, index);
+        let score = rearranged_score(model, engines, &option, index);
         (score / now, option)
     });
     let best = options.max_by(|left, right| left.0.total_cmp(&right.0))?;
@@ -85,7 +85,7 @@
 
 /// Returns the mean score of an option in which one engine changes its layers, including
 /// the time in which the engine serves nothing.
-fn rearranged_worth(
+fn rearranged_score(
     model: &EngineModel,
     engines: &[EngineView],
     option: &[EngineView],
--- a/src/placement/best_range.rs
+++ b/src/placement/best_range.rs
@@ -71,16 +71,16 @@
     let without = others.prefix_sums();
     let mut best: Option<RangeChange> = None;
     for width in 1..=model.max_layers(engine.kind) {
-        let figure = others.with_width(engine.kind, width, &without);
+        let candidate = others.with_width(engine.kind, width, &without);
         for from in 0..=model.layers - width {
             let layers = LayerRange {
                 from,
                 to: from + width,
             };
-            let after = figure.score(layers);
+            let after = candidate.score(layers);
             let gain = match (cost, engine.layers) {
                 (LoadCost::Counted, Some(held)) => {
-                    let during = figure.score(intersection(held, layers));
+                    let during = candidate.score(intersection(held, layers));
                     mean_over_horizon(model, held, layers, during, after) / now
                 }
                 _ => after / now,
@@ -106,8 +106,8 @@
     during: f64,
     after: f64,
 ) -> f64 {
-    let out = (load_time(model, held, wanted) / HORIZON_S).min(1.0);
-    after * (1.0 - out) + during * out
+    let transition_share = (load_time(model, held, wanted) / HORIZON_S).min(1.0);
+    after * (1.0 - transition_share) + during * transition_share
 }
 
 /// Returns the layers of `range` that lie within `bounds`.
--- a/src/placement/initial.rs
+++ b/src/placement/initial.rs
@@ -163,19 +163,19 @@
         .iter()
         .map(|engine| layers * engine.kind.memory_mb / total);
     let ideal = ideal.collect::<Vec<_>>();
-    let most = chain
+    let max_widths = chain
         .iter()
         .map(|engine| model.max_layers(engine.kind))
         .collect::<Vec<_>>();
     let mut widths = ideal
         .iter()
-        .zip(&most)
-        .map(|(ideal, most)| (*ideal as u32).min(*most));
+        .zip(&max_widths)
+        .map(|(ideal, max)| (*ideal as u32).min(*max));
     let mut widths = widths.by_ref().collect::<Vec<_>>();
     let mut missing = model.layers.saturating_sub(widths.iter().sum());
     while missing > 0 {
         let rest = |index: &usize| ideal[*index] - f64::from(widths[*index]);
-        let open = (0..chain.len()).filter(|index| widths[*index] < most[*index]);
+        let open = (0..chain.len()).filter(|index| widths[*index] < max_widths[*index]);
         let Some(neediest) = open.max_by(|left, right| rest(left).total_cmp(&rest(right))) else {
             break;
         };
--- a/src/placement/zone_estimate.rs
+++ b/src/placement/zone_estimate.rs
@@ -161,14 +161,14 @@
                 *layer = layer.with(holder);
             }
         }
-        let mut figure = Self {
+        let mut built = Self {
             model,
             layers,
             requests: 0.0,
             min_capacity: min_capacity(model, engines),
         };
-        figure.requests = figure.concurrent_requests();
-        figure
+        built.requests = built.concurrent_requests();
+        built
     }
 
     /// Returns the number of usual requests that fit in memory at once.
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -234,10 +234,10 @@
         let mut from = 0.0;
         for engine in chain {
             let to = from + f64::from(model.layers) * engine.kind.memory_mb / memory;
-            let most = model.max_layers(engine.kind);
+            let max_width = model.max_layers(engine.kind);
             let range = LayerRange {
                 from: from.round() as u32,
-                to: (to.round() as u32).min(from.round() as u32 + most),
+                to: (to.round() as u32).min(from.round() as u32 + max_width),
             };
             engine.layers = Some(range);
             from = to;
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -132,20 +132,20 @@
 fn good_answers_shorten_the_next_ejection() {
     let mut now = Instant::now();
     let mut table = table();
-    let is_out = |table: &RouteTable, now| {
+    let is_ejected = |table: &RouteTable, now| {
         let group = [name(0), name(1)];
         table.usable_targets(&group, &[], now).len() == 1
     };
     fail(&mut table, 0, now);
     now += Duration::from_secs(2);
     fail(&mut table, 0, now);
-    assert!(is_out(&table, now + Duration::from_secs(3)));
+    assert!(is_ejected(&table, now + Duration::from_secs(3)));
     now += Duration::from_secs(10);
     table.step_sent(&name(0), now);
     table.step_answered(&name(0), Duration::from_millis(80), 1, now);
     fail(&mut table, 0, now);
-    assert!(is_out(&table, now + Duration::from_secs(1)));
-    assert!(!is_out(&table, now + Duration::from_secs(2)));
+    assert!(is_ejected(&table, now + Duration::from_secs(1)));
+    assert!(!is_ejected(&table, now + Duration::from_secs(2)));
 }
 
 /// Guards against a model that is refused forever although its targets are idle. If the
--- a/tests/routing_model.rs
+++ b/tests/routing_model.rs
@@ -329,8 +329,8 @@
                 }
                 _ => false,
             };
-            let is_out = out.is_some_and(|out| at < out.1);
-            if is_bad && !is_out {
+            let is_ejected = out.is_some_and(|out| at < out.1);
+            if is_bad && !is_ejected {
                 (failures, slow, times) = (0, 0, times + 1);
                 let length = (ejection.base_duration * times).min(ejection.longest_duration);
                 out = Some((at, at + length));
