--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Time of the decisions whose cost grows with a zone: its plans, and the choice
-//! of a path among its engines.
+//! Benchmarks of the decisions whose cost grows with the size of a zone: its plans, and
+//! the choice of a path among its engines.
 
 use std::time::{Duration, Instant};
 
@@ -7,11 +7,11 @@
 use jackdawwick::collections::FastMap;
 use jackdawwick::fleet::{FleetTable, PathQuery, RequestSize, TargetEntry, choose_path};
 use jackdawwick::ingress::{AcceleratorKind, EngineModel};
-use jackdawwick::placing::{EngineView, plan_zone};
+use jackdawwick::placement::{EngineView, plan_zone};
 
 /// Sizes of zones, in engines.
 const ZONES: [usize; 4] = [38, 96, 333, 1000];
-/// Of 20 engines, how many are of the fast and of the usual kind.
+/// Engines of each kind among 20.
 const KINDS: [(&str, usize); 3] = [("fast", 2), ("usual", 7), ("slow", 11)];
 
 fn kind(name: &str) -> AcceleratorKind {
@@ -46,12 +46,12 @@
 }
 
 fn kind_name(index: usize) -> &'static str {
-    let mut place = index % 20;
+    let mut position = index % 20;
     for (name, count) in KINDS {
-        if place < count {
+        if position < count {
             return name;
         }
-        place -= count;
+        position -= count;
     }
     KINDS[2].0
 }
@@ -88,10 +88,10 @@
         group.bench_function(BenchmarkId::new("at rest", count), |bencher| {
             bencher.iter(|| plan_zone(&model, &whole, Duration::ZERO));
         });
-        let mut lacking = whole.clone();
-        lacking.remove(0);
+        let mut reduced = whole.clone();
+        reduced.remove(0);
         group.bench_function(BenchmarkId::new("after a loss", count), |bencher| {
-            bencher.iter(|| plan_zone(&model, &lacking, Duration::ZERO));
+            bencher.iter(|| plan_zone(&model, &reduced, Duration::ZERO));
         });
         let mut emptied = whole.clone();
         for engine in &mut emptied[..4] {
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -5,17 +5,17 @@
 use crate::fleet::{ServiceMembers, TargetState};
 use crate::ids::TargetId;
 
-/// What a target in another availability zone has to be better by, in
-/// requests in flight: a crossing takes about a millisecond, a request 30.
+/// Cost of a target in another availability zone, in requests in flight: crossing zones
+/// takes about a millisecond, a request 30.
 const ZONE_PENALTY: f64 = 1.0;
 
-/// Requests that a place takes one after the other in a second: what a second of waiting
-/// for a permit counts, in requests in flight.
+/// Requests that one slot serves in a second: the cost of a second of waiting for a
+/// permit, in requests in flight.
 const REQUESTS_PER_S: f64 = 30.0;
 
-/// Picks the target with the fewest requests, the availability
-/// zone's own first; `avoid` was tried already and comes last. Targets that are
-/// out are taken only when no other is left.
+/// Chooses the target with the fewest requests, preferring the host's own availability
+/// zone. Targets in `avoid` and draining targets are left out; ejected targets are chosen
+/// only if no other is left.
 pub fn choose_target(
     members: &ServiceMembers,
     zone: &str,
@@ -23,16 +23,16 @@
     now: Instant,
     draw: f64,
 ) -> Option<TargetId> {
-    let leaving = |state: &&TargetState| !state.entry.draining;
-    let fresh = |state: &&TargetState| !avoid.contains(&state.entry.id);
-    let candidates = members.values().filter(leaving).filter(fresh);
+    let accepts_work = |state: &&TargetState| !state.entry.draining;
+    let untried = |state: &&TargetState| !avoid.contains(&state.entry.id);
+    let candidates = members.values().filter(accepts_work).filter(untried);
     let cost = |state: &TargetState| {
         let far = if &*state.entry.zone == zone {
             0.0
         } else {
             ZONE_PENALTY
         };
-        let out = if state.is_out(now) { 1e6 } else { 0.0 };
+        let out = if state.is_ejected(now) { 1e6 } else { 0.0 };
         let wait = state.permit_wait(now).as_secs_f64() * REQUESTS_PER_S;
         f64::from(state.load().requests) + far + out + wait
     };
--- a/src/routing/affinity.rs
+++ b/src/routing/affinity.rs
@@ -1,29 +1,29 @@
-//! Which prompt prefixes a target probably holds.
+//! Tracks which prompt prefixes a target probably holds in its cache.
 
 use std::time::{Duration, Instant};
 
 use crate::collections::FastMap;
 use crate::target::wire::CacheEvents;
 
-use super::load::fade;
+use super::load::decay_weight;
 
-/// Prefixes remembered per target and generation; two generations are kept.
+/// Prefixes kept per target and generation; two generations are kept.
 const GENERATION_SIZE: usize = 2_048;
 
-/// Certainty left in older knowledge after one gap in the events.
-const CERTAINTY_AFTER_GAP: f64 = 0.5;
+/// Factor on the confidence in older entries after one gap in the events.
+const CONFIDENCE_AFTER_GAP: f64 = 0.5;
 
-/// A prefix that was stored, and when this host learnt of it.
+/// A stored prefix and when this host learned of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct StoredPrefix {
-    learnt: Instant,
+    learned_at: Instant,
     gaps_before: u32,
 }
 
-/// What cache events say about one target's prefix cache.
+/// The prefix cache of one target as its cache events describe it.
 ///
-/// Memory is bounded by two generations: when the newer one is full it
-/// becomes the older one, whose prefixes are dropped.
+/// Memory is bounded by two generations: when the newer one is full it replaces the older
+/// one, whose prefixes are dropped.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct PrefixView {
     newer: FastMap<u64, StoredPrefix>,
@@ -33,16 +33,16 @@
 }
 
 impl PrefixView {
-    /// Takes in events that arrived together.
+    /// Applies events that arrived together.
     ///
-    /// A missing event may have been an eviction, so everything learnt before
-    /// a gap is only half as certain. Without this, prompts follow prefixes
-    /// that are long gone; one sees prefills as slow as on a cold target.
+    /// A missing event may be an eviction, so a gap halves the confidence in everything
+    /// learned before. Without this, prompts would be routed to targets that evicted
+    /// their prefix long ago, and prefills would be as slow as on a cold target.
     pub(super) fn observe(&mut self, events: &CacheEvents, now: Instant) {
         for event in &events.events {
             if event.number < self.next {
-                // Numbers that go back mean that the engine was restarted and
-                // that its cache is empty.
+                // Event numbers that go back mean that the engine restarted with an empty
+                // cache.
                 self.newer.clear();
                 self.older.clear();
             } else if event.number > self.next {
@@ -50,8 +50,8 @@
             }
             self.next = event.number + 1;
             match event.stored {
-                true => self.remember(event.prefix, now),
-                false => self.forget(event.prefix),
+                true => self.insert_prefix(event.prefix, now),
+                false => self.evict(event.prefix),
             }
         }
         if events.next > self.next {
@@ -60,34 +60,34 @@
         }
     }
 
-    fn remember(&mut self, prefix: u64, now: Instant) {
+    fn insert_prefix(&mut self, prefix: u64, now: Instant) {
         if self.newer.len() >= GENERATION_SIZE {
             self.older = std::mem::take(&mut self.newer);
         }
         let stored = StoredPrefix {
-            learnt: now,
+            learned_at: now,
             gaps_before: self.gaps,
         };
         self.newer.insert(prefix, stored);
     }
 
-    fn forget(&mut self, prefix: u64) {
+    fn evict(&mut self, prefix: u64) {
         self.newer.remove(&prefix);
         self.older.remove(&prefix);
     }
 
-    /// Probability that the prefix is held, from 0 to 1.
-    fn certainty(&self, prefix: u64, decay: Duration, now: Instant) -> f64 {
+    /// Returns the probability that the prefix is held, from 0 to 1.
+    fn confidence(&self, prefix: u64, decay: Duration, now: Instant) -> f64 {
         let stored = self.newer.get(&prefix).or_else(|| self.older.get(&prefix));
         let Some(stored) = stored else {
             return 0.0;
         };
         let gaps = self.gaps.saturating_sub(stored.gaps_before);
-        let age = now.saturating_duration_since(stored.learnt);
-        CERTAINTY_AFTER_GAP.powf(f64::from(gaps)) * fade(age, decay)
+        let age = now.saturating_duration_since(stored.learned_at);
+        CONFIDENCE_AFTER_GAP.powf(f64::from(gaps)) * decay_weight(age, decay)
     }
 
-    /// Part of a prompt that is expected to be held, from 0 to 1.
+    /// Returns the fraction of a prompt that is expected to be cached, from 0 to 1.
     ///
     /// `prefixes` are evenly spaced over the prompt, shortest first.
     pub(super) fn expected_hit(&self, prefixes: &[u64], decay: Duration, now: Instant) -> f64 {
@@ -101,7 +101,7 @@
             if covered <= best {
                 break;
             }
-            let hit = self.certainty(*prefix, decay, now) * covered;
+            let hit = self.confidence(*prefix, decay, now) * covered;
             best = f64::max(best, hit);
         }
         best
--- a/src/routing/compare.rs
+++ b/src/routing/compare.rs
@@ -1,4 +1,4 @@
-//! Comparing pipelines and, within one, the targets of each stage.
+//! Comparison of pipelines and, within one pipeline, of the targets of each stage.
 
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -11,7 +11,7 @@
 
 use super::entry::TargetEntry;
 use super::estimate::{StageEstimate, route_score};
-use super::policy::{highest, lowest, two_of};
+use super::policy::{draw_two, index_of_highest, index_of_lowest};
 use super::table::DeclaredPipeline;
 use super::{PlannedRoute, RoutePolicy, RouteRequest, RouteTable};
 
@@ -22,7 +22,7 @@
     pub(super) entry: &'t TargetEntry,
 }
 
-/// A planned route and what it is compared by.
+/// A planned route and the values by which it is compared.
 pub(super) struct ComparedRoute {
     pub(super) route: PlannedRoute,
     pub(super) cost: f64,
@@ -30,11 +30,11 @@
 }
 
 impl ComparedRoute {
-    /// Whether the deadline cannot be met.
+    /// Returns whether the deadline cannot be met.
     ///
-    /// Declared rates that are far too low would refuse every request, so
-    /// that nothing is ever measured; one would see idle targets and refusals
-    /// for good. Without a recent measurement the request is let through.
+    /// If declared rates are far too low, every request would be refused and the rates
+    /// never measured: targets would stay idle while requests are refused. Without a
+    /// recent measurement the request is therefore accepted.
     pub(super) fn is_too_late(&self, request: &RouteRequest, now: Instant) -> bool {
         let left = request.deadline.saturating_duration_since(now);
         self.is_measured && self.route.score.total() > left
@@ -42,9 +42,9 @@
 }
 
 impl RouteTable {
-    /// The pipelines to plan and compare: all if few, else two drawn in
-    /// proportion to their rate, and the one that holds most of the prompt.
-    pub(super) fn compared<'t, R>(
+    /// Returns the pipelines to plan and compare: all if there are few, else two drawn in
+    /// proportion to their rate and the one that caches most of the prompt.
+    pub(super) fn compared_pipelines<'t, R>(
         &self,
         pipelines: &'t [DeclaredPipeline],
         request: &RouteRequest,
@@ -61,14 +61,14 @@
         match self.settings.policy {
             _ if all.len() <= 1 => all,
             RoutePolicy::Random => vec![all[rng.random_range(0..all.len())]],
-            RoutePolicy::RoundRobin => vec![all[self.turn(all.len())]],
+            RoutePolicy::RoundRobin => vec![all[self.round_robin_index(all.len())]],
             RoutePolicy::LeastOutstanding => all,
             RoutePolicy::Estimate if all.len() <= self.settings.score_all => all,
             RoutePolicy::Estimate => {
                 let weights: Vec<_> = all.iter().map(|pipeline| pipeline.rate).collect();
-                let hit = |index: usize| self.pipeline_hit(all[index], request, now);
-                let mut chosen = two_of(&weights, rng).to_vec();
-                chosen.extend(highest(all.len(), hit));
+                let prefix_hit = |index: usize| self.pipeline_prefix_hit(all[index], request, now);
+                let mut chosen = draw_two(&weights, rng).to_vec();
+                chosen.extend(index_of_highest(all.len(), prefix_hit));
                 chosen.into_iter().map(|index| all[index]).collect()
             }
         }
@@ -145,33 +145,35 @@
         };
         let index = match self.settings.policy {
             RoutePolicy::Random => rng.random_range(0..count),
-            RoutePolicy::RoundRobin => self.turn(count),
-            RoutePolicy::LeastOutstanding => lowest(count, outstanding, rng)?,
+            RoutePolicy::RoundRobin => self.round_robin_index(count),
+            RoutePolicy::LeastOutstanding => index_of_lowest(count, outstanding, rng)?,
             RoutePolicy::Estimate if count <= self.settings.score_all => {
-                lowest(count, estimate, rng)?
+                index_of_lowest(count, estimate, rng)?
             }
             RoutePolicy::Estimate => {
                 let weights: Vec<_> = candidates
                     .iter()
                     .map(|candidate| candidate.entry.trusted_rate(&self.settings, now))
                     .collect();
-                let hit = |index: usize| self.hit(candidates[index].entry, request, now);
-                let mut compared = two_of(&weights, rng).to_vec();
-                compared.extend(highest(count, hit));
-                compared[lowest(compared.len(), |nth| estimate(compared[nth]), rng)?]
+                let prefix_hit =
+                    |index: usize| self.prefix_hit(candidates[index].entry, request, now);
+                let mut compared = draw_two(&weights, rng).to_vec();
+                compared.extend(index_of_highest(count, prefix_hit));
+                compared[index_of_lowest(compared.len(), |nth| estimate(compared[nth]), rng)?]
             }
         };
         Some(candidates[index])
     }
 
-    /// Part of the request's prompt that the target is expected to hold.
-    fn hit(&self, entry: &TargetEntry, request: &RouteRequest, now: Instant) -> f64 {
+    /// Returns the fraction of the prompt that the target is expected to have cached.
+    fn prefix_hit(&self, entry: &TargetEntry, request: &RouteRequest, now: Instant) -> f64 {
         let decay = self.settings.cache_decay;
         entry.prefixes.expected_hit(&request.prefixes, decay, now)
     }
 
-    /// Part of the prompt that the pipeline's stages hold, at their best.
-    fn pipeline_hit(
+    /// Returns the sum over the stages of the largest fraction of the prompt that a
+    /// target of the stage has cached.
+    fn pipeline_prefix_hit(
         &self,
         pipeline: &DeclaredPipeline,
         request: &RouteRequest,
@@ -182,13 +184,13 @@
                 .targets
                 .iter()
                 .filter_map(|target| self.targets.get(target))
-                .map(|entry| self.hit(entry, request, now))
+                .map(|entry| self.prefix_hit(entry, request, now))
                 .fold(0.0, f64::max)
         };
         pipeline.stages.iter().map(stage_hit).sum()
     }
 
-    /// Whether each stage has a usable target.
+    /// Returns whether each stage has a usable target.
     fn is_complete(
         &self,
         pipeline: &DeclaredPipeline,
@@ -202,8 +204,8 @@
         })
     }
 
-    /// Index whose turn it is among `count`.
-    fn turn(&self, count: usize) -> usize {
+    /// Returns the next index among `count` in round-robin order.
+    fn round_robin_index(&self, count: usize) -> usize {
         (self.started % count as u64) as usize
     }
 
@@ -214,14 +216,14 @@
         stages: usize,
         now: Instant,
     ) -> StageEstimate {
-        let part = self.load_sums.local_part();
-        StageEstimate::new(entry, request, stages, part, &self.settings, now)
+        let share = self.load_sums.local_share();
+        StageEstimate::new(entry, request, stages, share, &self.settings, now)
     }
 
-    /// The members of a group that may get new work.
+    /// Returns the members of a group that may get new work.
     ///
-    /// Ejected members stay out, those ejected first before the others, up to
-    /// the cap on those that are left; leaving and excluded ones never come in.
+    /// Ejected members are left out, earliest ejection first, up to the cap on how much
+    /// of the group may be ejected. Leaving and excluded members are always left out.
     pub(super) fn usable<'t>(
         &'t self,
         group: &'t [TargetId],
@@ -244,7 +246,8 @@
             .filter(|candidate| candidate.entry.health.is_ejected(now))
             .map(|candidate| (Reverse(candidate.entry.health.ejected_at()), candidate.id))
             .collect();
-        // Latest first, so that what is cut off at the end stays out.
+        // Sorts the latest ejection first: the members that are split off at the end stay
+        // ejected.
         ejected.sort();
         let back_in = ejected.len().saturating_sub(allowed);
         let out: Vec<_> = ejected.split_off(back_in);
--- a/src/routing/declare.rs
+++ b/src/routing/declare.rs
@@ -1,4 +1,4 @@
-//! Taking in what operators declared.
+//! Applies declared resources to the route table.
 
 use std::collections::BTreeMap;
 
@@ -14,9 +14,9 @@
 impl RouteTable {
     /// Replaces the pipelines and targets by those among `resources`.
     ///
-    /// What was counted and measured about a target stays, unless the target
-    /// moved to another address. Pipelines of models that are not declared
-    /// and stages over undeclared targets are left out of every plan.
+    /// Counts and measurements of a target are kept, except that only its counts are kept
+    /// if its address changes. Pipelines of models that are not declared and stages over
+    /// undeclared targets are left out of every plan.
     pub fn set_pipelines<'r, I>(&mut self, resources: I)
     where
         I: IntoIterator<Item = (&'r ResourceKey, &'r ResourceSpec)>,
@@ -35,13 +35,13 @@
                 }
                 ResourceSpec::Pipeline(pipeline) => pipelines.push((key, pipeline)),
                 ResourceSpec::Target(target) => {
-                    let entry = self.kept_entry(key, target);
+                    let entry = self.entry_for(key, target);
                     targets.insert(key.name.clone(), entry);
                 }
                 ResourceSpec::Service(_) | ResourceSpec::Organisation(_) => (),
             }
         }
-        pipelines.sort_by(|one, other| one.0.cmp(other.0));
+        pipelines.sort_by(|left, right| left.0.cmp(right.0));
         for (key, pipeline) in pipelines {
             add_pipeline(&mut models, &targets, key, pipeline);
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    fn kept_entry(&self, key: &ResourceKey, spec: &TargetSpec) -> TargetEntry {
+    fn entry_for(&self, key: &ResourceKey, spec: &TargetSpec) -> TargetEntry {
         let fresh = TargetEntry::new(spec.clone());
         match self.targets.get(&key.name) {
             Some(known) if known.spec.address == spec.address => TargetEntry {
@@ -76,7 +76,7 @@
     key: &ResourceKey,
     pipeline: &PipelineSpec,
 ) {
-    if !tiles(&pipeline.stages) {
+    if !is_contiguous(&pipeline.stages) {
         return;
     }
     let Some(routes) = models.get_mut(&pipeline.model) else {
@@ -94,7 +94,8 @@
         .push(declared);
 }
 
-/// Tokens a second that the declared targets of the weakest stage carry.
+/// Returns the tokens per second of the stage whose declared targets have the lowest
+/// total rate.
 fn bottleneck_rate(stages: &[StageSpec], targets: &FastMap<TargetId, TargetEntry>) -> f64 {
     let stage_rate = |stage: &StageSpec| -> f64 {
         stage
@@ -111,12 +112,13 @@
         .unwrap_or(0.0)
 }
 
-/// Whether layer ranges follow each other from zero without gap or overlap.
+/// Returns whether the layer ranges start at zero and follow each other without gap or
+/// overlap.
 ///
-/// A gap would leave a layer out of every answer and show only as wrong text.
-/// Declarations are checked before they are accepted; this holds even for one
-/// that slipped past, since a plan is made from nothing else.
-fn tiles(stages: &[StageSpec]) -> bool {
+/// A gap would skip a layer in every response and show only as wrong text. Declarations
+/// are validated before they are accepted; this check also holds for one that passed by
+/// mistake, since plans are made only from pipelines that pass it.
+fn is_contiguous(stages: &[StageSpec]) -> bool {
     let mut expected = 0;
     for stage in stages {
         if stage.first_layer != expected || stage.last_layer < stage.first_layer {
--- a/tests/paths.rs
+++ b/tests/paths.rs
@@ -1,17 +1,17 @@
-//! Paths over engines: every layer once and in order, the least loaded first.
+//! Paths over engines: every layer once and in order, the least loaded engines first.
 
-mod placing_support;
+mod placement_support;
 
 use std::time::{Duration, Instant};
 
 use jackdawwick::collections::FastMap;
 use jackdawwick::fleet::{
-    EnginePath, FleetTable, LayerRange, PathQuery, RequestSize, TargetEntry, TargetLoad, TargetUse,
-    UseSource, choose_path, repair_path, target_key,
+    EnginePath, FleetTable, LayerRange, PathQuery, RequestSize, TargetEntry, TargetLoad,
+    TargetUsage, UsageSource, choose_path, repair_path, target_key,
 };
 use jackdawwick::ids::TargetId;
 use jackdawwick::ingress::EngineModel;
-use placing_support::{FAST, SLOW};
+use placement_support::{FAST, SLOW};
 use proptest::prelude::*;
 
 const SIZE: RequestSize = RequestSize {
@@ -23,7 +23,7 @@
     let kinds = [("fast".into(), FAST), ("slow".into(), SLOW)];
     EngineModel {
         kinds: kinds.into_iter().collect::<FastMap<_, _>>(),
-        ..placing_support::model()
+        ..placement_support::model()
     }
 }
 
@@ -65,7 +65,7 @@
     choose_path(fleet.members("model")?, query, now, || 0.5)
 }
 
-fn tiles(path: &EnginePath, layers: u32) -> bool {
+fn covers_layers_in_order(path: &EnginePath, layers: u32) -> bool {
     let mut next = 0;
     let follows = path.hops.iter().all(|hop| {
         let fits = hop.layers.from == next && hop.layers.to > hop.layers.from;
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_own_zone_comes_first_and_another_one_serves_when_it_is_incomplete() {
+fn own_zone_is_preferred_unless_incomplete() {
     let model = model();
     let now = Instant::now();
     let mut fleet = fleet([
@@ -95,11 +95,11 @@
     assert_eq!(&*path.hops[0].target, "i-2");
 }
 
-/// Symptom: when a zone is cut off, streams of all other zones break. Sequence:
-/// the zones' loads differ a little, a zone is cut. Cause: two requests of five
-/// went to another zone for some milliseconds an event.
+/// Guards against streams in other zones without need, all of which break when a zone is
+/// cut off. A cost of only some milliseconds per event for another zone would send two
+/// requests of five there.
 #[test]
-fn a_little_more_load_in_the_own_zone_sends_nothing_away() {
+fn small_load_difference_keeps_requests_in_own_zone() {
     let model = model();
     let now = Instant::now();
     let mut fleet = fleet([
@@ -120,7 +120,7 @@
     }
     let path = choose(&fleet, &model, &[], now).expect("a path");
     assert_eq!(&*path.hops[0].target, "i-0");
-    // Without room in the own zone the other one serves.
+    // Without capacity in the own zone the other one serves.
     for (id, layers) in [("i-0", 30), ("i-1", 30), ("i-2", 20)] {
         fleet.observe_start(id, load(400, layers));
     }
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn layers_are_joined_across_zones_only_when_no_zone_is_whole() {
+fn path_crosses_zones_if_no_zone_is_complete() {
     let model = model();
     let now = Instant::now();
     let fleet = fleet([
@@ -137,11 +137,11 @@
         engine(1, "far", "fast", 40, 80),
     ]);
     let path = choose(&fleet, &model, &[], now).expect("a path");
-    assert!(tiles(&path, 80));
+    assert!(covers_layers_in_order(&path, 80));
 }
 
 #[test]
-fn leaving_silent_and_avoided_engines_are_left_out() {
+fn draining_silent_and_avoided_engines_are_left_out() {
     let model = model();
     let now = Instant::now();
     let mut leaving = engine(1, "near", "fast", 40, 80);
@@ -155,11 +155,11 @@
     assert!(choose(&fleet, &model, &[], now + Duration::from_secs(4)).is_some());
 }
 
-/// Symptom: engines refuse for want of memory although others have room.
-/// Sequence: several hosts send to the same engines at once. Cause: each
-/// counted its own requests only.
+/// Guards against refusals for lack of memory while other engines have capacity. Several
+/// hosts send to the same engines at once, so each must count the requests of the others
+/// too.
 #[test]
-fn requests_of_other_hosts_fill_an_engine_too() {
+fn requests_of_other_hosts_count_against_memory() {
     let model = model();
     let now = Instant::now();
     let mut fleet = fleet([
@@ -167,7 +167,7 @@
         engine(1, "near", "fast", 40, 80),
     ]);
     assert!(!choose(&fleet, &model, &[], now).expect("a path").full);
-    let uses = vec![TargetUse {
+    let uses = vec![TargetUsage {
         key: target_key("i-1"),
         load: TargetLoad {
             requests: 4,
@@ -175,18 +175,17 @@
             unread: 0.0,
         },
     }];
-    fleet.observe_uses(UseSource::Host("other".into()), uses, now);
+    fleet.observe_usage(UsageSource::Host("other".into()), uses, now);
     assert!(choose(&fleet, &model, &[], now).expect("a path").full);
-    fleet.observe_uses(UseSource::Host("other".into()), Vec::new(), now);
+    fleet.observe_usage(UsageSource::Host("other".into()), Vec::new(), now);
     assert!(!choose(&fleet, &model, &[], now).expect("a path").full);
 }
 
-/// Symptom: in the second after the loss of an engine a quarter of the new
-/// streams get their first event too late. Sequence: all that passed the engine
-/// is read again by its stand-in; new requests follow it there. Cause: what an
-/// engine still has to read was no part of its cost.
+/// Guards against late first events after the loss of an engine. Its requests are
+/// prefilled again by another engine, so the cost of an engine must include the prefill
+/// that it has yet to do.
 #[test]
-fn an_engine_with_much_to_read_is_passed_by() {
+fn engine_with_prefill_backlog_is_avoided() {
     let model = model();
     let now = Instant::now();
     let mut fleet = fleet([
@@ -212,9 +211,8 @@
     assert_eq!(&*path.hops[1].target, "i-1");
 }
 
-/// Symptom: requests time out at engines that are well. Sequence: one engine
-/// in the middle of the paths turns slow. Cause: nobody asked it, and its cost
-/// stayed that of its kind.
+/// Guards against timeouts after one engine in the middle of the paths becomes slow. The
+/// host must request its pace and use it in the cost.
 #[test]
 fn a_slow_engine_is_passed_by() {
     let model = model();
@@ -225,8 +223,8 @@
         engine(2, "far", "fast", 0, 40),
         engine(3, "far", "fast", 40, 80),
     ]);
-    assert!(fleet.ask_pace("i-1", now));
-    assert!(!fleet.ask_pace("i-1", now));
+    assert!(fleet.begin_pace_request("i-1", now));
+    assert!(!fleet.begin_pace_request("i-1", now));
     fleet.observe_pace("i-1", 12.0, now);
     let path = choose(&fleet, &model, &[], now).expect("a path");
     assert!(path.hops.iter().all(|hop| &*hop.target != "i-1"));
@@ -235,11 +233,11 @@
     assert_eq!(&*path.hops[0].target, "i-0");
 }
 
-/// Symptom: all requests of a path start over when one engine dies. Sequence:
-/// the second engine falls silent. Cause: the whole path was given up, with
-/// what the first engine had read.
+/// Guards against requests that start over when one engine of their path dies. A repair
+/// must replace only the failed hop, so that the other engines keep the prompt that they
+/// have processed.
 #[test]
-fn a_repair_keeps_the_engines_that_are_well() {
+fn repair_keeps_the_other_hops() {
     let model = model();
     let now = Instant::now();
     let fleet = fleet([
@@ -264,33 +262,37 @@
     };
     let members = fleet.members("model").expect("members");
     let repaired = repair_path(members, query, &path, position, now, || 0.5).expect("a path");
-    assert!(tiles(&repaired, 80));
+    assert!(covers_layers_in_order(&repaired, 80));
     assert_eq!(repaired.hops.first(), path.hops.first());
     assert_eq!(repaired.hops.last(), path.hops.last());
     assert!(repaired.hops.iter().all(|hop| &*hop.target != "i-1"));
 }
 
-/// Serves 400 requests that never end, one after the other, and tells how many
-/// found a place before an engine was full.
-fn placed<F>(fleet: &mut FleetTable, model: &EngineModel, now: Instant, mut choose_next: F) -> usize
+/// Starts up to 400 requests that never end, and returns how many were placed before an
+/// engine was full.
+fn count_placed<F>(
+    fleet: &mut FleetTable,
+    model: &EngineModel,
+    now: Instant,
+    mut choose_next: F,
+) -> usize
 where
     F: FnMut(&FleetTable, usize) -> Option<EnginePath>,
 {
-    let room = |fleet: &FleetTable, id: &str| {
+    let free_capacity = |fleet: &FleetTable, id: &str| {
         let state = fleet.get(id).expect("an engine");
         let kind = model.kinds[state.entry.kind.as_deref().expect("a kind")];
         let width = state.entry.layers.expect("layers").width();
-        model.cache_room(kind, width) - state.load().reserved
+        model.cache_capacity(kind, width) - state.load().reserved
     };
     let mut count = 0;
-    for turn in 0..400 {
-        let Some(path) = choose_next(fleet, turn) else {
+    for attempt in 0..400 {
+        let Some(path) = choose_next(fleet, attempt) else {
             break;
         };
-        let full = path
-            .hops
-            .iter()
-            .any(|hop| room(fleet, &hop.target) < f64::from(hop.layers.width()) * SIZE.tokens());
+        let full = path.hops.iter().any(|hop| {
+            free_capacity(fleet, &hop.target) < f64::from(hop.layers.width()) * SIZE.tokens()
+        });
         if full {
             break;
         }
@@ -303,10 +305,10 @@
     count
 }
 
-/// Two chains of unequal room: turns without regard to load stop at the
-/// smaller one's end, the choice by cost fills both.
+/// Uses two chains of unequal capacity: round robin stops when the smaller one is full,
+/// the choice by cost fills both.
 #[test]
-fn the_choice_places_more_requests_than_turns_do() {
+fn choice_by_cost_places_more_requests_than_round_robin() {
     let model = model();
     let now = Instant::now();
     let entries = || {
@@ -338,13 +340,16 @@
             full: false,
         }
     };
-    let turns = placed(&mut fleet(entries()), &model, now, |_, turn| {
-        Some(chain(turn % 2))
+    let round_robin = count_placed(&mut fleet(entries()), &model, now, |_, attempt| {
+        Some(chain(attempt % 2))
     });
-    let chosen = placed(&mut fleet(entries()), &model, now, |fleet, _| {
+    let chosen = count_placed(&mut fleet(entries()), &model, now, |fleet, _| {
         choose(fleet, &model, &[], now).filter(|path| !path.full)
     });
-    assert!(chosen > turns, "by cost {chosen}, by turns {turns}");
+    assert!(
+        chosen > round_robin,
+        "by cost {chosen}, by turns {round_robin}"
+    );
 }
 
 proptest! {
@@ -369,14 +374,14 @@
         let path = choose_path(members, query, Instant::now(), || draw);
         prop_assert_eq!(path.is_some(), covered);
         if let Some(path) = path {
-            prop_assert!(tiles(&path, 80));
+            prop_assert!(covers_layers_in_order(&path, 80));
         }
     }
 }
 
-/// Guards against a choice that leaves out the cheapest engines, to save time, where
-/// several hold the same: it costs what the best choice of one engine for each range
-/// does.
+/// Guards against a choice that drops the cheapest of several engines with the same
+/// range, as it keeps only some of them to save time: the cost must equal that of the
+/// best combination of engines.
 #[test]
 fn equal_ranges_do_not_hide_the_cheapest_engines() {
     let model = model();
--- a/tests/policy_compare.rs
+++ b/tests/policy_compare.rs
@@ -1,11 +1,11 @@
-//! Compares the routing policies on a small queueing fake with its own clock.
+//! Compares the routing policies in a small queueing simulation with its own clock.
 //!
-//! Eight entry hosts plan runs over three stages of ten targets each, of three
-//! speeds, and hear of the load late. The figures are those of the fake, not
-//! of a machine; equal seeds give equal figures. `POLICY_SEEDS` sets the
-//! number of seeds, `POLICY_SECONDS` the length of a run.
+//! Eight entry hosts plan runs over three stages of ten targets each, of three speeds,
+//! and receive load reports late. The results are those of the simulation, not of a
+//! machine; equal seeds give equal results. `POLICY_SEEDS` sets the number of seeds,
+//! `POLICY_SECONDS` the length of a run.
 
-// The table is what the comparison is run for.
+// The printed table is the result of the comparison.
 #![allow(clippy::print_stdout)]
 
 use std::cmp::Reverse;
@@ -24,11 +24,11 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const TOKENS: u64 = 16;
 const SLOTS: usize = 8;
-/// Milliseconds that a step holds its slot, for each target of a stage.
+/// Milliseconds that a step occupies its slot, for each target of a stage.
 const STEP_MS: [u64; 10] = [5, 5, 5, 10, 10, 10, 20, 20, 20, 20];
 const REPORT_MS: u64 = 200;
 
-struct FakeTarget {
+struct SimulatedTarget {
     id: TargetId,
     zone: usize,
     step: Duration,
@@ -37,7 +37,7 @@
     reported: u32,
 }
 
-struct FakeRun {
+struct SimulatedRun {
     host: usize,
     route: PlannedRoute,
     began: Instant,
@@ -55,13 +55,13 @@
     Reports,
 }
 
-struct Fake {
+struct Simulation {
     shape: Shape,
     tables: Vec<RouteTable>,
-    targets: Vec<FakeTarget>,
-    runs: Vec<FakeRun>,
+    targets: Vec<SimulatedTarget>,
+    runs: Vec<SimulatedRun>,
     events: BinaryHeap<Reverse<(Instant, usize, Event)>>,
-    numbered: usize,
+    event_count: usize,
     rng: StdRng,
 }
 
@@ -71,7 +71,7 @@
     OnePipeline,
     /// The same; a fast target of each stage becomes five times as slow.
     SlowTargets,
-    /// Ten pipelines of one target a stage.
+    /// Ten pipelines with one target per stage.
     TenPipelines,
 }
 
@@ -121,7 +121,7 @@
         .collect()
 }
 
-impl Fake {
+impl Simulation {
     fn new<C>(shape: Shape, configure: &C, seed: u64, start: Instant) -> Self
     where
         C: Fn(&mut RouteSettings),
@@ -136,7 +136,7 @@
         });
         let targets = (0..STAGES * STEP_MS.len()).map(|index| {
             let nth = index % STEP_MS.len();
-            FakeTarget {
+            SimulatedTarget {
                 id: format!("t{}.{nth}", index / STEP_MS.len()).into(),
                 zone: nth % 3,
                 step: Duration::from_millis(STEP_MS[nth]),
@@ -151,14 +151,14 @@
             targets: targets.collect(),
             runs: Vec::new(),
             events: BinaryHeap::new(),
-            numbered: 0,
+            event_count: 0,
             rng: StdRng::seed_from_u64(seed),
         }
     }
 
     fn push(&mut self, at: Instant, event: Event) {
-        self.numbered += 1;
-        self.events.push(Reverse((at, self.numbered, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
     fn target_of(&self, run: usize) -> usize {
@@ -198,7 +198,7 @@
             .plan(&request, now, &mut self.rng)
             .expect("a route");
         self.tables[host].run_started(&route);
-        self.runs.push(FakeRun {
+        self.runs.push(SimulatedRun {
             host,
             route,
             began: now,
@@ -214,7 +214,7 @@
         let target = self.target_of(run);
         self.targets[target].present -= 1;
         let id = self.targets[target].id.clone();
-        let FakeRun { host, sent, .. } = self.runs[run];
+        let SimulatedRun { host, sent, .. } = self.runs[run];
         self.tables[host].step_answered(&id, now - sent, 1, now);
         self.runs[run].stage = (self.runs[run].stage + 1) % STAGES;
         self.runs[run].token += u64::from(self.runs[run].stage == 0);
@@ -226,7 +226,7 @@
         latencies.push(now - self.runs[run].began);
     }
 
-    /// Hands out what was true one interval ago.
+    /// Delivers the loads observed one interval ago.
     fn report(&mut self, now: Instant) {
         for target in &mut self.targets {
             let report = LoadReport {
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Runs at `load` times the bound and returns each run's time.
+    /// Runs at `load` times the maximum throughput and returns the latency of each run.
     fn run(&mut self, load: f64, length: Duration, start: Instant) -> Vec<Duration> {
         let stage_rate: f64 = STEP_MS
             .iter()
@@ -281,7 +281,7 @@
                 }
             }
         }
-        // Runs that did not end count with the time that they have taken.
+        // Runs that did not end count with the time that they have taken so far.
         let open = self.runs.iter().filter(|run| !run.ended);
         latencies.extend(open.map(|run| start + length - run.began));
         latencies
@@ -295,7 +295,8 @@
         .unwrap_or(default)
 }
 
-/// Median and spread of a percentile over the seeds, in milliseconds.
+/// Prints the median and the range of the percentiles over the seeds, in milliseconds,
+/// and returns the median of the 95th percentile.
 fn row<C>(name: &str, shape: Shape, load: f64, configure: C) -> f64
 where
     C: Fn(&mut RouteSettings),
@@ -304,7 +305,8 @@
     let mut columns = vec![Vec::new(); 3];
     for seed in 0..setting("POLICY_SEEDS", 3) {
         let start = Instant::now();
-        let mut latencies = Fake::new(shape, &configure, seed, start).run(load, length, start);
+        let mut latencies =
+            Simulation::new(shape, &configure, seed, start).run(load, length, start);
         latencies.sort();
         for (column, part) in columns.iter_mut().zip([0.5, 0.95, 0.99]) {
             let rank = (latencies.len() as f64 * part) as usize;
