--- a/src/entry/log_copy.rs
+++ b/src/entry/log_copy.rs
@@ -216,7 +216,7 @@
     fn forget_start(&self, start: &TargetId) {
         self.tables.fleet.lock().remove(start);
         self.tables.forget_target(start);
-        self.tables.tell_lost(start);
+        self.tables.notify_lost(start);
     }
 
     /// Whether any target is known.
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -17,7 +17,7 @@
     self, EntryHandlers, FollowAnswer, FollowQuestion, HostView, PeerError, PeerHandle,
     PeerSettings,
 };
-use crate::permits::PermitQuestion;
+use crate::permits::PermitRequest;
 
 /// Pause between two looks at who is to be called.
 const TICK: Duration = Duration::from_millis(125);
@@ -173,19 +173,19 @@
 
     /// Adds what the host at an address has not heard yet of limits.
     fn add_limits(&self, view: HostView, listener: SocketAddr, now: Instant) -> HostView {
-        let limits = self.tables.limits.lock().listing_for(listener, now);
+        let limits = self.tables.limits.lock().delta_for(listener, now);
         HostView { limits, ..view }
     }
 
     fn hear_limits(&self, view: &HostView, now: Instant) {
-        let changes = self.tables.limits.lock().take_listing(
+        let changes = self.tables.limits.lock().apply_delta(
             view.address,
             view.incarnation,
             &view.limits,
             now,
         );
         for (target, change) in changes {
-            self.tables.hear_limit_change(target, change, &view.host);
+            self.tables.apply_reported_limit(target, change, &view.host);
         }
     }
 
@@ -239,7 +239,7 @@
     /// know.
     pub(super) fn permit_address(
         &self,
-        question: &PermitQuestion,
+        question: &PermitRequest,
         now: Instant,
     ) -> Option<SocketAddr> {
         let gossip = self.gossip.lock();
--- a/src/entry/permitting.rs
+++ b/src/entry/permitting.rs
@@ -8,14 +8,14 @@
 
 use crate::entry::peering::PeerDesk;
 use crate::forward::PermitSource;
-use crate::permits::{PermitAnswer, PermitQuestion};
+use crate::permits::{PermitReply, PermitRequest};
 
 /// How long another host may take to answer: the links take a few milliseconds, and a
 /// host whose share of the processor is used up comes back within 100.
 const ANSWER_LIMIT: Duration = Duration::from_millis(150);
 /// Pause after a question that was not answered: about the time in which hosts find
 /// out who lives.
-const UNANSWERED: PermitAnswer = PermitAnswer::Withheld {
+const UNANSWERED: PermitReply = PermitReply::Withheld {
     retry_after: Duration::from_millis(500),
 };
 
@@ -31,8 +31,8 @@
     /// passes their questions on.
     pub(super) fn ask_permit(
         self: Arc<Self>,
-        question: PermitQuestion,
-    ) -> BoxFuture<'static, PermitAnswer> {
+        question: PermitRequest,
+    ) -> BoxFuture<'static, PermitReply> {
         Box::pin(async move {
             let now = Instant::now();
             match self.permit_address(&question, now) {
@@ -46,12 +46,12 @@
         })
     }
 
-    async fn pass_on(&self, address: SocketAddr, question: PermitQuestion) -> PermitAnswer {
+    async fn pass_on(&self, address: SocketAddr, question: PermitRequest) -> PermitReply {
         let Some(handle) = self.handle() else {
             return UNANSWERED;
         };
         let relayed = question.host != *self.host();
-        let question = PermitQuestion {
+        let question = PermitRequest {
             relayed,
             ..question
         };
--- a/src/entry/placing.rs
+++ b/src/entry/placing.rs
@@ -10,7 +10,7 @@
 use crate::collections::FastMap;
 use crate::entry::peering::PeerDesk;
 use crate::fleet::{FleetTable, LayerRange};
-use crate::forward::{ServingTables, ask, fetch_report};
+use crate::forward::{ServingTables, call_target, fetch_report};
 use crate::ids::TargetId;
 use crate::ids::ZoneId;
 use crate::ingress::{EngineModel, IngressConfiguration, ServiceSpec};
@@ -328,7 +328,7 @@
         .header(names::TARGET_INSTANCE, platform_id(id))
         .body(Full::new(Bytes::from(body)))
         .ok()?;
-    let answer = ask(address, request, ORDER_LIMIT).await;
+    let answer = call_target(address, request, ORDER_LIMIT).await;
     log::info!(
         target_id:% = id,
         from = layers.from,
--- a/src/entry/poison_log.rs
+++ b/src/entry/poison_log.rs
@@ -61,7 +61,7 @@
                 take_records(&tables, &read);
                 next = Some(read.next);
                 // What this host has to write, it knows only now.
-                tables.poison_news.notify_waiters();
+                tables.poison_updates.notify_waiters();
             }
             Err(error) => {
                 // Where the history is gone the newest records are read.
@@ -107,7 +107,7 @@
     mut duty: watch::Receiver<LogDuty>,
 ) {
     loop {
-        let news = tables.poison_news.notified();
+        let news = tables.poison_updates.notified();
         if tables.poison.lock().log_changes(Instant::now()).is_empty() {
             news.await;
         }
@@ -156,6 +156,6 @@
         );
     }
     if !refused.is_empty() {
-        tables.poison_news.notify_waiters();
+        tables.poison_updates.notify_waiters();
     }
 }
--- a/src/forward.rs
+++ b/src/forward.rs
@@ -4,33 +4,33 @@
 //! stream. Decisions are taken by [`crate::ingress`], [`crate::fleet`] and
 //! [`crate::retry`].
 
-mod answer;
 mod attempt;
+mod attempt_policy;
 mod choice;
 mod closed;
-mod conduct;
 mod events;
-mod evidence;
 mod exchange;
 mod head;
 mod lateness;
 mod limits;
 mod liveness;
-mod moving;
+mod permit_wait;
 mod permits;
-mod permitting;
+mod poison_evidence;
 mod probe;
 mod relay;
+mod repath;
+mod response;
 mod serve;
 pub mod socket;
 mod stream_times;
 mod tables;
 mod watch;
 
-pub use answer::{AnswerBody, Refusal};
 pub use events::EventSplitter;
-pub use exchange::answer_request;
+pub use exchange::handle_request;
 pub use permits::PermitSource;
-pub use probe::{ask, fetch_report};
+pub use probe::{call_target, fetch_report};
+pub use response::{Refusal, ResponseBody};
 pub use serve::{ServingHandle, serve};
 pub use tables::{InFlightGuard, ServingTables};
--- a/src/forward/conduct.rs
+++ b/src/forward/attempt_policy.rs
@@ -6,11 +6,11 @@
 use http::Response;
 use hyper::body::Incoming;
 
-use super::answer::{AnswerBody, Refusal};
 use super::attempt::{AttemptFailure, FailureCause};
 use super::choice::{self, ChosenTarget};
 use super::exchange::{Exchange, NO_ROUTE_RETRY, TriedTargets};
-use super::lateness::AnswerLateness;
+use super::lateness::ResponseLateness;
+use super::response::{Refusal, ResponseBody};
 use super::stream_times::StreamTimes;
 use super::tables::InFlightGuard;
 use crate::ids::TargetId;
@@ -116,7 +116,7 @@
             after_ms = took.as_millis() as u64,
             first_event_ms = first.as_millis() as u64,
             longest_pause_ms = longest.as_millis() as u64,
-            late:% = AnswerLateness::of(&self.matched.route, took, times).name();
+            late:% = ResponseLateness::of(&self.matched.route, took, times).name();
             "answered"
         );
         self.tables.metrics.answered(status, took);
@@ -143,7 +143,7 @@
     /// Whether a failure that a target itself answered may be tried elsewhere.
     pub(super) fn may_fail_over(
         &self,
-        response: &Response<AnswerBody>,
+        response: &Response<ResponseBody>,
         tried: &TriedTargets,
     ) -> bool {
         let route = &self.matched.route;
--- a/src/forward/exchange.rs
+++ b/src/forward/exchange.rs
@@ -10,11 +10,11 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 
-use super::answer::{AnswerBody, Refusal, whole_body};
 use super::attempt::{AttemptFailure, FailureCause, OutgoingRequest};
 use super::choice::{self, ChosenTarget};
 use super::head::{CallerHead, forwarded, request_size};
 use super::relay;
+use super::response::{Refusal, ResponseBody, whole_body};
 use super::tables::ServingTables;
 use super::watch::PathWatch;
 use crate::fleet::RequestSize;
@@ -54,10 +54,10 @@
 }
 
 /// Answers a caller's request.
-pub async fn answer_request(
+pub async fn handle_request(
     tables: Arc<ServingTables>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
     let head = CallerHead::read(&parts, arrived);
@@ -84,7 +84,7 @@
     id: &str,
     refusal: Refusal,
     arrived: Instant,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let configuration = tables.configuration.load();
     log::info!(
         request:% = id,
@@ -219,7 +219,7 @@
 async fn carry(
     exchange: Arc<Exchange>,
     counted: CountedRequest,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let mut tried = TriedTargets::default();
     let mut failed_answer = None;
     loop {
@@ -305,7 +305,7 @@
 async fn read_whole(
     response: Response<Incoming>,
     deadline: Instant,
-) -> Result<Response<AnswerBody>, AttemptFailure> {
+) -> Result<Response<ResponseBody>, AttemptFailure> {
     let (head, body) = response.into_parts();
     let failed = |cause| AttemptFailure {
         verdict: RunVerdict::MayHaveRun,
--- a/src/forward/lateness.rs
+++ b/src/forward/lateness.rs
@@ -8,7 +8,7 @@
 
 /// What came late in an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum AnswerLateness {
+pub(super) enum ResponseLateness {
     /// Nothing.
     OnTime,
     /// The answer of a request that is no stream.
@@ -19,7 +19,7 @@
     Pause,
 }
 
-impl AnswerLateness {
+impl ResponseLateness {
     /// Judges an answer that took so long, or a stream by its times.
     pub(super) fn of(route: &RouteRule, took: Duration, times: Option<StreamTimes>) -> Self {
         let is_late = |time: Duration| time > route.latency_aim;
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -39,7 +39,7 @@
         let observation = LimitObservation {
             rate,
             sent,
-            heard: now,
+            received: now,
         };
         let change = self.limits.lock().observe(target_key(target), observation);
         if let Some(change) = change {
@@ -48,7 +48,7 @@
     }
 
     /// Another host told of a change of a target's limit.
-    pub fn hear_limit_change(
+    pub fn apply_reported_limit(
         self: &Arc<Self>,
         target: TargetKey,
         change: LimitChange,
--- a/src/forward/liveness.rs
+++ b/src/forward/liveness.rs
@@ -105,7 +105,7 @@
     }
 
     /// Tells all that depend on a target that it is lost.
-    pub(super) fn tell_lost(&self, target: &str) {
+    pub(super) fn notify_lost(&self, target: &str) {
         let waiting = self.waiting.lock().get(target).cloned();
         for one in waiting.iter().flatten() {
             // A request that is being moved at this moment hears of it after.
@@ -130,7 +130,7 @@
     let mut crowded = false;
     while tables.liveness.is_needed(&target) {
         let Some(mut stream) = connect(address).await else {
-            tell_lost(&tables, &target);
+            notify_lost(&tables, &target);
             break;
         };
         if crowded {
@@ -164,7 +164,7 @@
     while matches!(stream.read(&mut part).await, Ok(1..)) {}
 }
 
-fn tell_lost(tables: &ServingTables, target: &TargetId) {
+fn notify_lost(tables: &ServingTables, target: &TargetId) {
     let known = {
         let mut fleet = tables.fleet.lock();
         fleet.observe_silence(target, Instant::now());
@@ -174,5 +174,5 @@
         tables.metrics.ejected("ended");
         log::info!(target_id:% = target; "target takes no connections");
     }
-    tables.liveness.tell_lost(target);
+    tables.liveness.notify_lost(target);
 }
--- a/src/forward/permitting.rs
+++ b/src/forward/permit_wait.rs
@@ -4,13 +4,13 @@
 
 use futures::future::join_all;
 
-use super::answer::Refusal;
 use super::choice::ChosenTarget;
 use super::exchange::Exchange;
 use super::permits::{HeldPermit, PassedTargets, WithheldTarget};
+use super::response::Refusal;
 use super::tables::InFlightGuard;
 use crate::ids::TargetId;
-use crate::permits::permit_patience;
+use crate::permits::max_permit_wait;
 use crate::reason::RefusalReason;
 
 /// How often another target is chosen for want of a permit.
@@ -82,7 +82,7 @@
         let aim = matched.route.latency_aim;
         let longest = match started {
             true => STREAM_WAIT,
-            false => permit_patience(matched.priority, aim, rand::random()),
+            false => max_permit_wait(matched.priority, aim, rand::random()),
         };
         longest.min(self.deadline.saturating_duration_since(now) / 2)
     }
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -8,11 +8,10 @@
 use super::tables::ServingTables;
 use crate::fleet::target_key;
 use crate::ids::{TargetId, TargetKey};
-use crate::permits::{PermitAnswer, PermitQuestion};
+use crate::permits::{PermitReply, PermitRequest};
 
 /// Asks the host that hands out the permits for a target.
-pub type PermitSource =
-    Arc<dyn Fn(PermitQuestion) -> BoxFuture<'static, PermitAnswer> + Send + Sync>;
+pub type PermitSource = Arc<dyn Fn(PermitRequest) -> BoxFuture<'static, PermitReply> + Send + Sync>;
 
 /// Pause before permits for a target are asked for again that could not be had for
 /// another reason than its limit.
@@ -118,11 +117,11 @@
             return Err(withheld(ODD_PAUSE));
         };
         match self.ask_permit(question).await {
-            PermitAnswer::Withheld { retry_after } => {
+            PermitReply::Withheld { retry_after } => {
                 self.metrics.permit("withheld");
                 Err(withheld(retry_after))
             }
-            PermitAnswer::Unlimited => Ok(HeldPermit {
+            PermitReply::Unlimited => Ok(HeldPermit {
                 target,
                 from: Instant::now(),
             }),
@@ -140,7 +139,7 @@
         let question = self.permit_question(id, Duration::ZERO);
         let sends = question.filter(|question| !question.unpermitted.is_empty());
         if let Some(question) = sends {
-            self.ask_permit(PermitQuestion {
+            self.ask_permit(PermitRequest {
                 wanted: 0,
                 ..question
             })
@@ -148,24 +147,24 @@
         }
     }
 
-    fn permit_question(&self, id: &TargetId, patience: Duration) -> Option<PermitQuestion> {
+    fn permit_question(&self, id: &TargetId, max_wait: Duration) -> Option<PermitRequest> {
         let now = Instant::now();
         let target = target_key(id);
         let zone = self.fleet.lock().get(id)?.entry.zone.clone();
-        let limit = self.limits.lock().word(target, now)?;
+        let limit = self.limits.lock().record(target, now)?;
         let pool = self.permits.lock();
-        Some(PermitQuestion {
+        Some(PermitRequest {
             host: self.host.clone(),
             zone,
             limit,
             wanted: pool.wanted(target, now),
-            patience,
+            max_wait,
             unpermitted: pool.unpermitted(target, now),
             relayed: false,
         })
     }
 
-    async fn ask_permit(self: &Arc<Self>, question: PermitQuestion) -> PermitAnswer {
+    async fn ask_permit(self: &Arc<Self>, question: PermitRequest) -> PermitReply {
         match self.permit_source.get() {
             Some(source) => source(question).await,
             None => self.issue_permits(&question, 1.0, Instant::now()),
@@ -175,19 +174,19 @@
     /// Hands out permits for a target, of which this host may hand out a part.
     pub fn issue_permits(
         self: &Arc<Self>,
-        question: &PermitQuestion,
+        question: &PermitRequest,
         part: f64,
         now: Instant,
-    ) -> PermitAnswer {
+    ) -> PermitReply {
         let target = question.limit.target;
         let told = question.limit.observation(now);
         let change = self.limits.lock().observe(target, told);
         if let Some(change) = change {
-            self.hear_limit_change(target, change, &question.host);
+            self.apply_reported_limit(target, change, &question.host);
         }
         let limit = self.limits.lock().limit(target);
         match limit {
-            None => PermitAnswer::Unlimited,
+            None => PermitReply::Unlimited,
             Some(limit) => self.issuer.lock().answer(question, limit, part, now),
         }
     }
--- a/src/forward/evidence.rs
+++ b/src/forward/poison_evidence.rs
@@ -31,7 +31,7 @@
             "target ended under a request"
         );
         if verdict == PoisonVerdict::Poison {
-            self.tables.poison_news.notify_waiters();
+            self.tables.poison_updates.notify_waiters();
         }
     }
 
--- a/src/forward/probe.rs
+++ b/src/forward/probe.rs
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// If no whole answer comes within `limit`; the text says why.
-pub async fn ask(
+pub async fn call_target(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     limit: Duration,
@@ -107,7 +107,7 @@
     let request = request
         .body(Full::default())
         .map_err(|error| error.to_string())?;
-    let (status, body) = ask(address, request, REPORT_LIMIT).await?;
+    let (status, body) = call_target(address, request, REPORT_LIMIT).await?;
     match status {
         StatusCode::OK => target_record::parse_report(&body),
         status => Err(format!("status {status}")),
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -10,10 +10,10 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::{Frame, Incoming};
 
-use super::answer::AnswerBody;
 use super::events::EventSplitter;
 use super::exchange::{CountedRequest, Exchange, TriedTargets};
 use super::head::forwarded;
+use super::response::ResponseBody;
 use super::stream_times::StreamTimes;
 use super::watch::{PathWatch, SilenceVerdict};
 
@@ -36,7 +36,7 @@
     counted: CountedRequest,
     tried: TriedTargets,
     response: Response<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let (head, body) = response.into_parts();
     let arrived = watch.exchange.arrived;
     let relay = StreamRelay {
--- a/src/forward/moving.rs
+++ b/src/forward/repath.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 
 use super::liveness::LivenessGuard;
-use super::probe::ask;
+use super::probe::call_target;
 use super::tables::InFlightGuard;
 use super::watch::PathWatch;
 use crate::fleet::{EnginePath, PathQuery, repair_path};
@@ -127,7 +127,7 @@
         let Ok(request) = request else {
             return MoveAnswer::Unanswered;
         };
-        let answer = ask(address, request, MOVE_LIMIT).await;
+        let answer = call_target(address, request, MOVE_LIMIT).await;
         let done = matches!(answer, Ok((StatusCode::OK | StatusCode::ACCEPTED, _)));
         let done = if done { "moved" } else { "move_refused" };
         self.exchange.tables.metrics.repaired(done);
--- a/src/forward/answer.rs
+++ b/src/forward/response.rs
@@ -15,7 +15,7 @@
 
 /// Body of an answer; an error in it cuts the connection, so that an answer
 /// that broke off never looks whole.
-pub type AnswerBody = UnsyncBoxBody<Bytes, std::io::Error>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
 /// Why a request gets no answer of a target, and what its caller may conclude.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -73,7 +73,7 @@
     }
 
     /// The answer that tells the caller.
-    pub fn into_response(self, id: &str) -> Response<AnswerBody> {
+    pub fn into_response(self, id: &str) -> Response<ResponseBody> {
         let body = serde_json::json!({
             "verdict": self.verdict,
             "reason": self.reason,
@@ -100,7 +100,7 @@
 }
 
 /// A body that is there as a whole.
-pub(super) fn whole_body(bytes: Bytes) -> AnswerBody {
+pub(super) fn whole_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
--- a/src/forward/serve.rs
+++ b/src/forward/serve.rs
@@ -12,7 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-use super::exchange::answer_request;
+use super::exchange::handle_request;
 use super::socket;
 use super::tables::ServingTables;
 
@@ -77,7 +77,7 @@
     let service = service_fn(|request| {
         let tables = tables.clone();
         async move {
-            let mut response = answer_request(tables.clone(), request).await;
+            let mut response = handle_request(tables.clone(), request).await;
             if tables.is_draining() {
                 // The caller opens its next connection to a host that stays.
                 let close = HeaderValue::from_static("close");
--- a/src/forward/tables.rs
+++ b/src/forward/tables.rs
@@ -65,7 +65,7 @@
     /// Requests that targets ended under.
     pub poison: Mutex<PoisonTable>,
     /// Told when a request is found to be poison.
-    pub poison_news: Notify,
+    pub poison_updates: Notify,
 }
 
 impl ServingTables {
@@ -93,7 +93,7 @@
             issuer: Mutex::default(),
             permit_source: OnceLock::new(),
             poison: Mutex::default(),
-            poison_news: Notify::new(),
+            poison_updates: Notify::new(),
         }
     }
 
@@ -152,8 +152,8 @@
     }
 
     /// Tells all requests that pass a target that it has ended.
-    pub fn tell_lost(&self, target: &str) {
-        self.liveness.tell_lost(target);
+    pub fn notify_lost(&self, target: &str) {
+        self.liveness.notify_lost(target);
     }
 
     /// Forgets what was kept about a target that is gone.
--- a/src/membership/gossip/duties.rs
+++ b/src/membership/gossip/duties.rs
@@ -7,7 +7,7 @@
 use crate::collections::FastMap;
 use crate::ids::{HostId, HostStrength, TargetKey, ZoneId};
 use crate::membership::duty::{DutyCandidate, rank_hosts, speaker_count};
-use crate::permits::{issued_part, issuing_host};
+use crate::permits::{issued_share, issuing_host};
 
 /// Time after its start in which a host hears of the others, and after which one that
 /// hears of nobody is taken to be alone.
@@ -93,8 +93,8 @@
         let members = self.members.values();
         let known = members.filter(|member| *member.zone == *zone).count() + is_own;
         match self.live_hosts(zone, now).len() {
-            0 => issued_part(self.live_count(now), self.known_count()),
-            live => issued_part(live, known),
+            0 => issued_share(self.live_count(now), self.known_count()),
+            live => issued_share(live, known),
         }
     }
 
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -8,7 +8,7 @@
 use crate::ids::HostId;
 use crate::membership::gossip_member::{DEAD_AFTER, GossipMember};
 use crate::peer::{HostListing, HostView, KnownHost, SeenListing, ZoneCount};
-use crate::permits::LimitListing;
+use crate::permits::LimitDelta;
 use crate::poison::PoisonListing;
 
 impl GossipTable {
@@ -86,7 +86,7 @@
             counts,
             log: None,
             poison: PoisonListing::default(),
-            limits: LimitListing::default(),
+            limits: LimitDelta::default(),
         }
     }
 
--- a/src/peer/convert/permits.rs
+++ b/src/peer/convert/permits.rs
@@ -4,64 +4,64 @@
 
 use super::{length, short_milliseconds, text};
 use crate::peer_capnp as wire;
-use crate::permits::{LimitListing, LimitWord, PermitAnswer, PermitQuestion, RateLimit};
+use crate::permits::{LimitDelta, LimitRecord, PermitReply, PermitRequest, RateLimit};
 use crate::spread::ListingBounds;
 
 /// Stands for a limit that is over, in the place of its rate.
 const NO_LIMIT: f64 = -1.0;
 
 /// Encodes words on limits.
-pub(super) fn write_limits(mut builder: wire::limit_listing::Builder<'_>, listing: &LimitListing) {
+pub(super) fn write_limits(mut builder: wire::limit_listing::Builder<'_>, listing: &LimitDelta) {
     builder.set_from(listing.bounds.from);
     builder.set_to(listing.bounds.to);
     builder.set_seen_to(listing.bounds.seen_to);
-    if listing.words.is_empty() {
+    if listing.records.is_empty() {
         return;
     }
-    let mut words = builder.init_words(length(listing.words.len()));
-    for (index, word) in (0..).zip(&listing.words) {
+    let mut words = builder.init_words(length(listing.records.len()));
+    for (index, word) in (0..).zip(&listing.records) {
         write_word(words.reborrow().get(index), word);
     }
 }
 
 /// Decodes words on limits.
-pub(super) fn read_limits(reader: wire::limit_listing::Reader<'_>) -> capnp::Result<LimitListing> {
-    Ok(LimitListing {
+pub(super) fn read_limits(reader: wire::limit_listing::Reader<'_>) -> capnp::Result<LimitDelta> {
+    Ok(LimitDelta {
         bounds: ListingBounds {
             from: reader.get_from(),
             to: reader.get_to(),
             seen_to: reader.get_seen_to(),
         },
-        words: reader.get_words()?.iter().map(read_word).collect(),
+        records: reader.get_words()?.iter().map(read_word).collect(),
     })
 }
 
-fn write_word(mut builder: wire::limit_word::Builder<'_>, word: &LimitWord) {
+fn write_word(mut builder: wire::limit_word::Builder<'_>, word: &LimitRecord) {
     builder.set_target(word.target);
     builder.set_per_second(word.rate.map_or(NO_LIMIT, RateLimit::per_second));
     builder.set_sent_age_ms(short_milliseconds(word.sent_age));
-    builder.set_heard_age_ms(short_milliseconds(word.heard_age));
+    builder.set_heard_age_ms(short_milliseconds(word.received_age));
 }
 
-fn read_word(reader: wire::limit_word::Reader<'_>) -> LimitWord {
-    LimitWord {
+fn read_word(reader: wire::limit_word::Reader<'_>) -> LimitRecord {
+    LimitRecord {
         target: reader.get_target(),
         rate: RateLimit::new(reader.get_per_second()),
         sent_age: Duration::from_millis(reader.get_sent_age_ms().into()),
-        heard_age: Duration::from_millis(reader.get_heard_age_ms().into()),
+        received_age: Duration::from_millis(reader.get_heard_age_ms().into()),
     }
 }
 
 /// Encodes a question for permits.
 pub(in crate::peer) fn write_permit_question(
     mut builder: wire::permit_question::Builder<'_>,
-    question: &PermitQuestion,
+    question: &PermitRequest,
 ) {
     builder.set_host(&*question.host);
     builder.set_zone(&*question.zone);
     write_word(builder.reborrow().init_limit(), &question.limit);
     builder.set_wanted(question.wanted);
-    builder.set_patience_ms(short_milliseconds(question.patience));
+    builder.set_patience_ms(short_milliseconds(question.max_wait));
     builder.set_relayed(question.relayed);
     let mut unpermitted = builder.init_unpermitted(length(question.unpermitted.len()));
     for (index, sends) in (0..).zip(&question.unpermitted) {
@@ -75,13 +75,13 @@
 /// If a text is not UTF-8.
 pub(in crate::peer) fn read_permit_question(
     reader: wire::permit_question::Reader<'_>,
-) -> capnp::Result<PermitQuestion> {
-    Ok(PermitQuestion {
+) -> capnp::Result<PermitRequest> {
+    Ok(PermitRequest {
         host: text(reader.get_host())?,
         zone: text(reader.get_zone())?,
         limit: read_word(reader.get_limit()?),
         wanted: reader.get_wanted(),
-        patience: Duration::from_millis(reader.get_patience_ms().into()),
+        max_wait: Duration::from_millis(reader.get_patience_ms().into()),
         unpermitted: reader.get_unpermitted()?.iter().collect(),
         relayed: reader.get_relayed(),
     })
@@ -90,10 +90,10 @@
 /// Encodes the answer to a question for permits.
 pub(in crate::peer) fn write_permit_answer(
     mut builder: wire::permit_answer::Builder<'_>,
-    answer: PermitAnswer,
+    answer: PermitReply,
 ) {
     match answer {
-        PermitAnswer::Granted {
+        PermitReply::Granted {
             permits,
             delay,
             spacing,
@@ -103,10 +103,10 @@
             granted.set_delay_us(short_microseconds(delay));
             granted.set_spacing_us(short_microseconds(spacing));
         }
-        PermitAnswer::Withheld { retry_after } => {
+        PermitReply::Withheld { retry_after } => {
             builder.set_withheld_ms(short_milliseconds(retry_after));
         }
-        PermitAnswer::Unlimited => builder.set_unlimited(()),
+        PermitReply::Unlimited => builder.set_unlimited(()),
     }
 }
 
@@ -116,19 +116,19 @@
 /// If the answer is of a kind that this version does not know.
 pub(in crate::peer) fn read_permit_answer(
     reader: wire::permit_answer::Reader<'_>,
-) -> capnp::Result<PermitAnswer> {
+) -> capnp::Result<PermitReply> {
     use wire::permit_answer::Which;
     let microseconds = |count: u32| Duration::from_micros(count.into());
     Ok(match reader.which()? {
-        Which::Granted(granted) => PermitAnswer::Granted {
+        Which::Granted(granted) => PermitReply::Granted {
             permits: granted.get_permits(),
             delay: microseconds(granted.get_delay_us()),
             spacing: microseconds(granted.get_spacing_us()),
         },
-        Which::WithheldMs(withheld) => PermitAnswer::Withheld {
+        Which::WithheldMs(withheld) => PermitReply::Withheld {
             retry_after: Duration::from_millis(withheld.into()),
         },
-        Which::Unlimited(()) => PermitAnswer::Unlimited,
+        Which::Unlimited(()) => PermitReply::Unlimited,
     })
 }
 
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -12,7 +12,7 @@
     SeenListing, TargetChange, ZoneCount,
 };
 use crate::peer_capnp as wire;
-use crate::permits::LimitListing;
+use crate::permits::LimitDelta;
 use crate::poison::{PoisonEvent, PoisonListing, PoisonNote};
 use crate::spread::ListingBounds;
 
@@ -49,7 +49,7 @@
     builder.set_log_since_ms(view.log.map_or(0, |log| short_milliseconds(log.since)));
     builder.set_log_read_ms(view.log.map_or(0, |log| short_milliseconds(log.read)));
     write_poison(builder.reborrow().init_poison(), &view.poison);
-    if view.limits != LimitListing::default() {
+    if view.limits != LimitDelta::default() {
         write_limits(builder.reborrow().init_limits(), &view.limits);
     }
     let mut counts = builder.init_counts(length(view.counts.len()));
--- a/src/peer/handle.rs
+++ b/src/peer/handle.rs
@@ -15,7 +15,7 @@
 use super::traffic::PeerTraffic;
 use super::view::{FollowAnswer, FollowQuestion, HostView};
 use super::worker::{self, AnswerSender, PeerCommand};
-use crate::permits::{PermitAnswer, PermitQuestion};
+use crate::permits::{PermitReply, PermitRequest};
 
 /// Calls that may wait for the thread of the RPC library.
 const COMMAND_CAPACITY: usize = 1024;
@@ -189,9 +189,9 @@
     pub async fn permit(
         &self,
         address: SocketAddr,
-        question: PermitQuestion,
+        question: PermitRequest,
         wait: Duration,
-    ) -> Result<PermitAnswer, PeerError> {
+    ) -> Result<PermitReply, PeerError> {
         let question = Box::new(question);
         self.ask(|answer| PeerCommand::Permit {
             address,
--- a/src/peer/handlers.rs
+++ b/src/peer/handlers.rs
@@ -9,7 +9,7 @@
     ClaimOutcome, ClaimQuestion, PeerHeartbeat, PeerReply, RecordsQuestion, RelayedRange,
 };
 use super::view::{FollowAnswer, FollowQuestion, HostView};
-use crate::permits::{PermitAnswer, PermitQuestion};
+use crate::permits::{PermitReply, PermitRequest};
 
 /// Functions that answer incoming calls.
 ///
@@ -43,7 +43,7 @@
     /// Passes on what is read from the platform's log; waits a little for news.
     pub follow: Arc<dyn Fn(FollowQuestion) -> BoxFuture<'static, FollowAnswer> + Send + Sync>,
     /// Hands out permits for a target, or passes the question on.
-    pub permit: Arc<dyn Fn(PermitQuestion) -> BoxFuture<'static, PermitAnswer> + Send + Sync>,
+    pub permit: Arc<dyn Fn(PermitRequest) -> BoxFuture<'static, PermitReply> + Send + Sync>,
 }
 
 /// Which calls a listener answers.
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::{TargetUse, UseScope, ZoneUses};
 use crate::ids::{HostId, HostStrength, IncarnationId, LogOffset, TargetId, ZoneId};
-use crate::permits::LimitListing;
+use crate::permits::LimitDelta;
 use crate::poison::PoisonListing;
 
 /// A host's statement about itself, requests on targets, and the hosts that it
@@ -44,7 +44,7 @@
     /// What is known of requests that targets ended under.
     pub poison: PoisonListing,
     /// What is known of the limits that targets name.
-    pub limits: LimitListing,
+    pub limits: LimitDelta,
 }
 
 /// Known hosts whose entries changed after one version of the speaker's table
--- a/src/peer/worker.rs
+++ b/src/peer/worker.rs
@@ -22,7 +22,7 @@
 use super::traffic::PeerTraffic;
 use super::view::{FollowAnswer, FollowQuestion, HostView};
 use crate::peer_capnp::peer;
-use crate::permits::{PermitAnswer, PermitQuestion};
+use crate::permits::{PermitReply, PermitRequest};
 
 /// Where the answer to a command goes.
 pub(super) type AnswerSender<T> = oneshot::Sender<Result<T, PeerError>>;
@@ -64,9 +64,9 @@
     /// Ask an entry host for permits.
     Permit {
         address: SocketAddr,
-        question: Box<PermitQuestion>,
+        question: Box<PermitRequest>,
         wait: Duration,
-        answer: AnswerSender<PermitAnswer>,
+        answer: AnswerSender<PermitReply>,
     },
     /// End the thread.
     Shutdown { done: oneshot::Sender<()> },
@@ -249,8 +249,8 @@
 
 fn send_permit(
     client: &peer::Client,
-    question: &PermitQuestion,
-) -> impl Future<Output = capnp::Result<PermitAnswer>> + use<> {
+    question: &PermitRequest,
+) -> impl Future<Output = capnp::Result<PermitReply>> + use<> {
     let mut request = client.permit_request();
     convert::write_permit_question(request.get().init_question(), question);
     let response = request.send().promise;
--- a/src/permits.rs
+++ b/src/permits.rs
@@ -5,29 +5,29 @@
 //!
 //! - A [`RateLimit`] is a rate that a target may name.
 //! - A [`LimitTable`] holds what targets last said, in the order in which they
-//!   can have said it; hosts tell each other of changes ([`LimitListing`]).
+//!   can have said it; hosts tell each other of changes ([`LimitDelta`]).
 //!
 //! - One host of a target's zone ([`issuing_host`]) hands out permits at its limit
-//!   ([`PermitIssuer`]); the others ask it ([`PermitQuestion`]) and keep what they get
+//!   ([`PermitIssuer`]); the others ask it ([`PermitRequest`]) and keep what they get
 //!   for a moment ([`PermitPool`]).
 //!
 //! Pure: the present time is an argument.
 
-mod duty;
+mod assignment;
 mod issuer;
+mod max_wait;
 mod observation;
-mod patience;
 mod pool;
-mod question;
 mod rate;
-mod sends;
+mod request;
+mod send_counts;
 mod table;
 
-pub use duty::{issued_part, issuing_host};
+pub use assignment::{issued_share, issuing_host};
 pub use issuer::PermitIssuer;
+pub use max_wait::max_permit_wait;
 pub use observation::LimitObservation;
-pub use patience::permit_patience;
 pub use pool::PermitPool;
-pub use question::{PermitAnswer, PermitQuestion};
 pub use rate::RateLimit;
-pub use table::{LimitChange, LimitListing, LimitTable, LimitWord};
+pub use request::{PermitReply, PermitRequest};
+pub use table::{LimitChange, LimitDelta, LimitRecord, LimitTable};
--- a/src/permits/duty.rs
+++ b/src/permits/assignment.rs
@@ -22,7 +22,7 @@
 /// The part of a limit that the side of a partition with `live` of `known` hosts hands
 /// out: the sides cannot tell a partition from the other side's end, and together stay
 /// within the limit and a quarter of it.
-pub fn issued_part(live: usize, known: usize) -> f64 {
+pub fn issued_share(live: usize, known: usize) -> f64 {
     let share = live as f64 / known.max(live).max(1) as f64;
     (share / WHOLE_SHARE).min(1.0)
 }
--- a/src/permits/issuer.rs
+++ b/src/permits/issuer.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use super::question::{PermitAnswer, PermitQuestion};
 use super::rate::RateLimit;
-use super::sends::{SEND_WINDOW, SendCounts};
+use super::request::{PermitReply, PermitRequest};
+use super::send_counts::{SEND_WINDOW, SendCounts};
 use crate::collections::FastMap;
 use crate::ids::{HostId, TargetKey};
 
@@ -59,11 +59,11 @@
     /// that this host may hand out, from 0 to 1.
     pub fn answer(
         &mut self,
-        question: &PermitQuestion,
+        question: &PermitRequest,
         limit: RateLimit,
         part: f64,
         now: Instant,
-    ) -> PermitAnswer {
+    ) -> PermitReply {
         let per_second = (limit.per_second() * part).max(TRIAL_RATE);
         let spacing = Duration::from_secs_f64(per_second.recip());
         self.forget_unused(now);
@@ -76,21 +76,21 @@
         let room = account.window_room(per_second, now);
         match room {
             // The host has only told what it sent.
-            _ if question.wanted == 0 => PermitAnswer::Withheld { retry_after: delay },
+            _ if question.wanted == 0 => PermitReply::Withheld { retry_after: delay },
             0 => account.send_away(question, account.issued.until_next_lapse(now), now),
-            _ if delay > question.patience => {
-                let pause = delay - question.patience;
+            _ if delay > question.max_wait => {
+                let pause = delay - question.max_wait;
                 let others = account.wanting.len() as f64;
                 let turn = Duration::from_secs_f64(others / per_second / QUESTIONS_PER_PERMIT);
                 account.send_away(question, pause.max(turn), now)
             }
             _ => {
-                let ahead = (question.patience - delay).as_secs_f64() * per_second;
+                let ahead = (question.max_wait - delay).as_secs_f64() * per_second;
                 let most = (ahead as u32).saturating_add(1).min(room);
                 let permits = question.wanted.clamp(1, most);
                 account.issue(permits, start, spacing, now);
                 account.wanting.remove(&question.host);
-                PermitAnswer::Granted {
+                PermitReply::Granted {
                     permits,
                     delay,
                     spacing,
@@ -119,7 +119,7 @@
     }
 
     /// Takes in what a host sent without permits, in place of what it said before.
-    fn report(&mut self, question: &PermitQuestion, now: Instant) {
+    fn report(&mut self, question: &PermitRequest, now: Instant) {
         self.reported.retain(|_, sends| sends.total(now) > 0);
         self.wanting.retain(|_, at| now < *at + WANTED_FOR);
         if question.unpermitted.is_empty() {
@@ -154,12 +154,12 @@
     /// the limit, and not on how many they are.
     fn send_away(
         &mut self,
-        question: &PermitQuestion,
+        question: &PermitRequest,
         pause: Duration,
         now: Instant,
-    ) -> PermitAnswer {
+    ) -> PermitReply {
         self.wanting.insert(question.host.clone(), now);
-        PermitAnswer::Withheld {
+        PermitReply::Withheld {
             retry_after: pause.max(LEAST_PAUSE),
         }
     }
--- a/src/permits/patience.rs
+++ b/src/permits/max_wait.rs
@@ -13,7 +13,7 @@
 /// How long a request that has not begun waits for a permit. Permits are promised that
 /// far ahead, so that those that may wait longer come first. `priority` is 0 for the most
 /// urgent requests; `draw` is from 0 to 1.
-pub fn permit_patience(priority: u8, latency_aim: Duration, draw: f64) -> Duration {
+pub fn max_permit_wait(priority: u8, latency_aim: Duration, draw: f64) -> Duration {
     let longest = latency_aim.mul_f64(AIM_SHARE);
     match priority {
         0 => longest,
--- a/src/permits/observation.rs
+++ b/src/permits/observation.rs
@@ -13,7 +13,7 @@
     /// When the request was sent.
     pub sent: Instant,
     /// When the head of the answer had come.
-    pub heard: Instant,
+    pub received: Instant,
 }
 
 impl LimitObservation {
@@ -23,15 +23,15 @@
     /// that was overtaken must not lift a limit.
     pub fn replaces(&self, known: &Self) -> bool {
         match self.is_lower_than(known) {
-            true => self.heard > known.sent,
-            false => self.sent >= known.heard,
+            true => self.received > known.sent,
+            false => self.sent >= known.received,
         }
     }
 
     /// Takes in that the target said the same once more.
     pub fn confirm(&mut self, other: &Self) {
         self.sent = self.sent.max(other.sent);
-        self.heard = self.heard.max(other.heard);
+        self.received = self.received.max(other.received);
     }
 
     fn is_lower_than(&self, known: &Self) -> bool {
--- a/src/permits/pool.rs
+++ b/src/permits/pool.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::question::PermitAnswer;
-use super::sends::SendCounts;
+use super::request::PermitReply;
+use super::send_counts::SendCounts;
 use crate::collections::FastMap;
 use crate::ids::TargetKey;
 
@@ -48,8 +48,8 @@
     }
 
     /// Takes permits in that were granted.
-    pub fn put(&mut self, target: TargetKey, answer: PermitAnswer, now: Instant) {
-        let PermitAnswer::Granted {
+    pub fn put(&mut self, target: TargetKey, answer: PermitReply, now: Instant) {
+        let PermitReply::Granted {
             permits,
             delay,
             spacing,
@@ -62,12 +62,12 @@
         held.make_contiguous().sort_unstable();
     }
 
-    /// Takes a permit that may be used within `patience`; gives from when.
-    pub fn take(&mut self, target: TargetKey, patience: Duration, now: Instant) -> Option<Instant> {
+    /// Takes a permit that may be used within `max_wait`; gives from when.
+    pub fn take(&mut self, target: TargetKey, max_wait: Duration, now: Instant) -> Option<Instant> {
         let permits = self.targets.get_mut(&target)?;
         permits.held.retain(|from| now < *from + HELD_FOR);
         let from = permits.held.front().copied();
-        let from = from.filter(|from| *from <= now + patience)?;
+        let from = from.filter(|from| *from <= now + max_wait)?;
         permits.held.pop_front();
         permits.permitted.count(1, now);
         Some(from)
--- a/src/permits/question.rs
+++ b/src/permits/request.rs
@@ -2,31 +2,31 @@
 
 use std::time::Duration;
 
-use super::table::LimitWord;
+use super::table::LimitRecord;
 use crate::ids::{HostId, ZoneId};
 
 /// A question for permits to send to a target.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PermitQuestion {
+pub struct PermitRequest {
     /// The host that asks.
     pub host: HostId,
     /// Availability zone of the target, whose hosts hand out the permits.
     pub zone: ZoneId,
     /// The target, and what the host knows of its limit.
-    pub limit: LimitWord,
+    pub limit: LimitRecord,
     /// Permits that it can use; 0 if it only tells what it sent.
     pub wanted: u32,
     /// How long its requests can wait for the first one.
-    pub patience: Duration,
+    pub max_wait: Duration,
     /// What it sent without permits, by half seconds of age, the newest first.
     pub unpermitted: Vec<u16>,
     /// Whether another host passes it on: it is passed on once at the most.
     pub relayed: bool,
 }
 
-/// The answer to a [`PermitQuestion`].
+/// The answer to a [`PermitRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PermitAnswer {
+pub enum PermitReply {
     /// So many requests may be sent.
     Granted {
         /// How many.
--- a/src/permits/table.rs
+++ b/src/permits/table.rs
@@ -10,10 +10,10 @@
 use crate::spread::{ListingBounds, SpreadProgress};
 
 /// Most targets that are remembered; a record takes some 60 bytes.
-const MOST_RECORDS: usize = 4096;
+const MAX_ENTRIES: usize = 4096;
 /// Words in one listing at the most: 28 bytes each, four times a second in both
 /// directions, 14 KB a second while there is ever more news.
-const MOST_WORDS: usize = 64;
+const MAX_DELTA_RECORDS: usize = 64;
 
 /// What an answer changed of what is known.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -26,7 +26,7 @@
 
 /// What a host has heard of a target's limit, as it tells others.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitWord {
+pub struct LimitRecord {
     /// The target.
     pub target: TargetKey,
     /// The limit; `None` if it is over.
@@ -34,32 +34,32 @@
     /// Time since the request was sent whose answer said so.
     pub sent_age: Duration,
     /// Time since the answer came.
-    pub heard_age: Duration,
+    pub received_age: Duration,
 }
 
-impl LimitWord {
+impl LimitRecord {
     /// What it says, as of a moment.
     pub fn observation(&self, now: Instant) -> LimitObservation {
         let before = |age: Duration| now.checked_sub(age).unwrap_or(now);
         LimitObservation {
             rate: self.rate,
             sent: before(self.sent_age),
-            heard: before(self.heard_age),
+            received: before(self.received_age),
         }
     }
 }
 
 /// The words that a host has for another one.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct LimitListing {
+pub struct LimitDelta {
     /// The versions that it covers.
     pub bounds: ListingBounds,
     /// What changed in between.
-    pub words: Vec<LimitWord>,
+    pub records: Vec<LimitRecord>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct LimitRecord {
+struct LimitEntry {
     observation: LimitObservation,
     /// Version of the table at its last change.
     changed: u64,
@@ -68,7 +68,7 @@
 /// What targets last said of their limits, to any host.
 #[derive(Debug, Default)]
 pub struct LimitTable {
-    records: FastMap<TargetKey, LimitRecord>,
+    entries: FastMap<TargetKey, LimitEntry>,
     /// Grows with each change of a limit.
     version: u64,
     progress: SpreadProgress,
@@ -81,22 +81,22 @@
         target: TargetKey,
         observation: LimitObservation,
     ) -> Option<LimitChange> {
-        match self.records.get_mut(&target) {
+        match self.entries.get_mut(&target) {
             None if observation.rate.is_none() => return None,
             None => self.make_room(),
-            Some(record) if record.observation.rate == observation.rate => {
-                record.observation.confirm(&observation);
+            Some(entry) if entry.observation.rate == observation.rate => {
+                entry.observation.confirm(&observation);
                 return None;
             }
-            Some(record) if !observation.replaces(&record.observation) => return None,
+            Some(entry) if !observation.replaces(&entry.observation) => return None,
             Some(_) => {}
         }
         self.version += 1;
-        let record = LimitRecord {
+        let entry = LimitEntry {
             observation,
             changed: self.version,
         };
-        self.records.insert(target, record);
+        self.entries.insert(target, entry);
         Some(
             observation
                 .rate
@@ -106,76 +106,76 @@
 
     /// The limit of a target, if it names one.
     pub fn limit(&self, target: TargetKey) -> Option<RateLimit> {
-        self.records.get(&target)?.observation.rate
+        self.entries.get(&target)?.observation.rate
     }
 
     /// Whether no target has named a limit.
     pub fn is_empty(&self) -> bool {
-        self.records.is_empty()
+        self.entries.is_empty()
     }
 
     /// What is known of a target's limit, as told to another host.
-    pub fn word(&self, target: TargetKey, now: Instant) -> Option<LimitWord> {
-        let observation = self.records.get(&target)?.observation;
-        Some(LimitWord {
+    pub fn record(&self, target: TargetKey, now: Instant) -> Option<LimitRecord> {
+        let observation = self.entries.get(&target)?.observation;
+        Some(LimitRecord {
             target,
             rate: observation.rate,
             sent_age: now.saturating_duration_since(observation.sent),
-            heard_age: now.saturating_duration_since(observation.heard),
+            received_age: now.saturating_duration_since(observation.received),
         })
     }
 
     /// What to tell the host at an address: everything that changed since what it said
     /// that it has taken in, oldest changes first.
-    pub fn listing_for(&self, address: SocketAddr, now: Instant) -> LimitListing {
+    pub fn delta_for(&self, address: SocketAddr, now: Instant) -> LimitDelta {
         let mut bounds = self.progress.bounds_for(address, self.version);
-        let news = self.records.iter();
-        let news = news.filter(|(_, record)| record.changed > bounds.from);
+        let news = self.entries.iter();
+        let news = news.filter(|(_, entry)| entry.changed > bounds.from);
         let mut news = news.collect::<Vec<_>>();
-        news.sort_unstable_by_key(|(_, record)| record.changed);
-        if let Some((_, first_left_out)) = news.get(MOST_WORDS) {
+        news.sort_unstable_by_key(|(_, entry)| entry.changed);
+        if let Some((_, first_left_out)) = news.get(MAX_DELTA_RECORDS) {
             bounds.to = first_left_out.changed - 1;
         }
-        let words = news.into_iter().take(MOST_WORDS);
-        let words = words.filter_map(|(target, _)| self.word(*target, now));
-        LimitListing {
+        let records = news.into_iter().take(MAX_DELTA_RECORDS);
+        let records = records.filter_map(|(target, _)| self.record(*target, now));
+        LimitDelta {
             bounds,
-            words: words.collect(),
+            records: records.collect(),
         }
     }
 
     /// Takes in what a start of the host at an address lists; gives what that changes.
-    pub fn take_listing(
+    pub fn apply_delta(
         &mut self,
         address: SocketAddr,
         incarnation: IncarnationId,
-        listing: &LimitListing,
+        listing: &LimitDelta,
         now: Instant,
     ) -> Vec<(TargetKey, LimitChange)> {
         self.progress
             .observe(address, incarnation, listing.bounds, now);
-        let words = listing.words.iter();
-        let changes = words.filter_map(|word| {
-            let change = self.observe(word.target, word.observation(now))?;
-            Some((word.target, change))
+        let records = listing.records.iter();
+        let changes = records.filter_map(|record| {
+            let change = self.observe(record.target, record.observation(now))?;
+            Some((record.target, change))
         });
         changes.collect()
     }
 
     /// Forgets a target that is gone.
     pub fn forget(&mut self, target: TargetKey) {
-        self.records.remove(&target);
+        self.entries.remove(&target);
     }
 
     /// Drops the limit that was heard of longest ago, those that are over first.
     fn make_room(&mut self) {
-        if self.records.len() < MOST_RECORDS {
+        if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let age = |record: &LimitRecord| (record.observation.rate.is_some(), record.changed);
-        let oldest = self.records.iter().min_by_key(|(_, record)| age(record));
+        let age = |entry: &LimitEntry| (entry.observation.rate.is_some(), entry.changed);
+        let oldest = self.entries.iter().min_by_key(|(_, entry)| age(entry));
         if let Some(target) = oldest.map(|(target, _)| *target) {
-            self.records.remove(&target);
+            self.entries.remove(&target);
         }
     }
 }
--- a/standins/tests/limit_division/ways.rs
+++ b/standins/tests/limit_division/ways.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use jackdawwick::permits::{
-    LimitWord, PermitAnswer, PermitIssuer, PermitPool, PermitQuestion, RateLimit, issued_part,
+    LimitRecord, PermitIssuer, PermitPool, PermitReply, PermitRequest, RateLimit, issued_share,
     issuing_host,
 };
 use rand::RngExt;
@@ -191,7 +191,7 @@
         let wanted = self.pools[host].wanted(key, now);
         let answer = self.question(world, host, target, wanted);
         self.pools[host].put(key, answer, now + ROUND_TRIP);
-        if let PermitAnswer::Withheld { retry_after } = answer {
+        if let PermitReply::Withheld { retry_after } = answer {
             self.withheld.insert((host, target), now + retry_after);
         }
         match self.pools[host].take(key, PATIENCE * 2, now) {
@@ -206,9 +206,9 @@
         host: usize,
         target: usize,
         wanted: u32,
-    ) -> PermitAnswer {
+    ) -> PermitReply {
         let (now, key) = (world.now, target as u64);
-        let withheld = PermitAnswer::Withheld {
+        let withheld = PermitReply::Withheld {
             retry_after: UNANSWERED_PAUSE,
         };
         let Some(issuer) = believed_issuer(world, host, key) else {
@@ -220,23 +220,23 @@
         if !world.reaches(host, issuer) || !is_issuer {
             return withheld;
         }
-        let question = PermitQuestion {
+        let question = PermitRequest {
             host: world.names[host].clone(),
             zone: "z".into(),
-            limit: LimitWord {
+            limit: LimitRecord {
                 target: key,
                 rate: RateLimit::new(world.believed_limit(host)),
                 sent_age: Duration::ZERO,
-                heard_age: Duration::ZERO,
+                received_age: Duration::ZERO,
             },
             wanted,
-            patience: PATIENCE,
+            max_wait: PATIENCE,
             unpermitted: self.pools[host].unpermitted(key, now),
             relayed: false,
         };
         let hosts = 0..world.names.len();
         let live = hosts.filter(|other| world.believes_alive(issuer, *other));
-        let part = issued_part(live.count(), world.names.len());
+        let part = issued_share(live.count(), world.names.len());
         // Whoever has heard of the lower limit tells the other with the question.
         let limit = world.believed_limit(host).min(world.believed_limit(issuer));
         let limit = RateLimit::new(limit).expect("a valid rate");
--- a/tests/entry_decisions.rs
+++ b/tests/entry_decisions.rs
@@ -10,7 +10,7 @@
 use jackdawwick::logging::BoundedWriter;
 use jackdawwick::membership::GossipTable;
 use jackdawwick::peer::{HostListing, HostView, KnownHost, SeenListing};
-use jackdawwick::permits::LimitListing;
+use jackdawwick::permits::LimitDelta;
 use jackdawwick::poison::PoisonListing;
 use jackdawwick::retry::{WindowBudget, WindowSettings};
 use proptest::prelude::*;
@@ -182,7 +182,7 @@
         counts: Vec::new(),
         log: None,
         poison: PoisonListing::default(),
-        limits: LimitListing::default(),
+        limits: LimitDelta::default(),
     }
 }
 
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -10,7 +10,7 @@
     self, EntryHandlers, FollowAnswer, FollowQuestion, HostListing, HostView, KnownHost, LogAges,
     PeerHandle, PeerSettings, SeenListing, ZoneCount,
 };
-use jackdawwick::permits::{LimitListing, LimitWord, PermitAnswer, PermitQuestion, RateLimit};
+use jackdawwick::permits::{LimitDelta, LimitRecord, PermitReply, PermitRequest, RateLimit};
 use jackdawwick::poison::{PoisonEvent, PoisonListing, PoisonNote};
 use jackdawwick::spread::ListingBounds;
 
@@ -48,7 +48,7 @@
             },
             notes: Vec::new(),
         },
-        limits: LimitListing::default(),
+        limits: LimitDelta::default(),
     }
 }
 
@@ -96,26 +96,26 @@
     }
 }
 
-fn word(number: u64) -> LimitWord {
-    LimitWord {
+fn word(number: u64) -> LimitRecord {
+    LimitRecord {
         target: 1 << 60 | number,
         rate: RateLimit::new(6.3).filter(|_| number > 0),
         sent_age: Duration::from_millis(70),
-        heard_age: Duration::from_millis(20),
+        received_age: Duration::from_millis(20),
     }
 }
 
 /// The answer tells what was asked.
-fn answer_permit(question: &PermitQuestion) -> PermitAnswer {
+fn answer_permit(question: &PermitRequest) -> PermitReply {
     match question.wanted {
-        0 => PermitAnswer::Unlimited,
-        1 => PermitAnswer::Withheld {
-            retry_after: question.patience,
+        0 => PermitReply::Unlimited,
+        1 => PermitReply::Withheld {
+            retry_after: question.max_wait,
         },
         wanted if !question.relayed => panic!("{wanted} permits, not relayed"),
-        wanted => PermitAnswer::Granted {
+        wanted => PermitReply::Granted {
             permits: wanted + u32::from(question.unpermitted[0]),
-            delay: question.limit.heard_age,
+            delay: question.limit.received_age,
             spacing: Duration::from_micros(158_730),
         },
     }
@@ -150,9 +150,9 @@
             notes: (0..3).map(noted).collect(),
             ..view("").poison
         },
-        limits: LimitListing {
+        limits: LimitDelta {
             bounds: view("").poison.bounds,
-            words: (0..3).map(word).collect(),
+            records: (0..3).map(word).collect(),
         },
         ..view("front-saburtalo-1")
     };
@@ -167,13 +167,13 @@
     callee.shutdown().await;
 }
 
-fn permit_question(wanted: u32) -> PermitQuestion {
-    PermitQuestion {
+fn permit_question(wanted: u32) -> PermitRequest {
+    PermitRequest {
         host: "front-saburtalo-1".into(),
         zone: "saburtalo".into(),
         limit: word(1),
         wanted,
-        patience: Duration::from_millis(125),
+        max_wait: Duration::from_millis(125),
         unpermitted: vec![4, 0, 2],
         relayed: true,
     }
@@ -247,9 +247,9 @@
         ..view("front-saburtalo-1")
     };
     let with_limits = HostView {
-        limits: LimitListing {
+        limits: LimitDelta {
             bounds: view("").poison.bounds,
-            words: (0..ITEMS as u64).map(word).collect(),
+            records: (0..ITEMS as u64).map(word).collect(),
         },
         ..view("front-saburtalo-1")
     };
--- a/tests/forwarding/limits.rs
+++ b/tests/forwarding/limits.rs
@@ -6,7 +6,7 @@
 
 use futures::FutureExt;
 use jackdawwick::fleet::target_key;
-use jackdawwick::permits::PermitAnswer;
+use jackdawwick::permits::PermitReply;
 
 use super::host::TestHost;
 use super::stub_target::{SeenRequest, Step, StubTarget, answer};
@@ -108,7 +108,7 @@
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
     let retry_after = Duration::from_secs(2);
-    let withheld = PermitAnswer::Withheld { retry_after };
+    let withheld = PermitReply::Withheld { retry_after };
     host.tables
         .set_permit_source(Arc::new(move |_| async move { withheld }.boxed()));
     assert_eq!(host.call("GET", "/unsafe/", "").await.status(), 200);
--- a/tests/permit_duty.rs
+++ b/tests/permit_duty.rs
@@ -7,7 +7,7 @@
 
 use fleet_in_memory::{SimFleet, zone_name};
 use jackdawwick::ids::HostId;
-use jackdawwick::permits::issued_part;
+use jackdawwick::permits::issued_share;
 
 const ZONES: usize = 3;
 const HOSTS_EACH: usize = 8;
@@ -74,11 +74,11 @@
 fn the_sides_of_a_partition_hand_out_parts_of_a_limit() {
     for known in 1..40 {
         for live in 0..=known {
-            let both = issued_part(live, known) + issued_part(known - live, known);
+            let both = issued_share(live, known) + issued_share(known - live, known);
             assert!(both <= 1.25 + 1e-9, "{live} of {known}: {both}");
         }
     }
-    assert_eq!(issued_part(7, 8), 1.0);
+    assert_eq!(issued_share(7, 8), 1.0);
 }
 
 /// Guards against a host that hands out permits before it has heard of the others.
--- a/tests/permits/main.rs
+++ b/tests/permits/main.rs
@@ -14,11 +14,11 @@
 }
 
 /// An answer that came between two moments, in milliseconds.
-fn answer(start: Instant, per_second: Option<f64>, sent: u64, heard: u64) -> LimitObservation {
+fn answer(start: Instant, per_second: Option<f64>, sent: u64, received: u64) -> LimitObservation {
     LimitObservation {
         rate: per_second.map(rate),
         sent: start + Duration::from_millis(sent),
-        heard: start + Duration::from_millis(heard),
+        received: start + Duration::from_millis(received),
     }
 }
 
