--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a connection to a target, the request, the head of its answer.
+//! One attempt: a connection to a target, the request, the head of its response.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 
 /// How long a connection may take: about a thousand times the delay of a link
 /// in the availability zone. A target that is dead or cut off never answers.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// What a target is sent, whichever it is.
 #[derive(Debug, Clone)]
@@ -34,7 +34,7 @@
     pub(super) body: Bytes,
 }
 
-/// Why an attempt gave no answer that may be passed on.
+/// Why an attempt gave no response that may be passed on.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct AttemptFailure {
     pub(super) verdict: RunVerdict,
@@ -88,9 +88,9 @@
 }
 
 /// Connects and writes the request; the future that is given waits for the
-/// head of the answer.
+/// head of the response.
 ///
-/// Each attempt has a connection of its own: on a kept one, a late answer of
+/// Each attempt has a connection of its own: on a kept one, a late response of
 /// an earlier request or a close by the target can cross the request, and a
 /// non-idempotent one could not be sent again.
 pub(super) async fn send(
@@ -102,32 +102,32 @@
 ) -> Result<impl Future<Output = Result<Response<Incoming>, AttemptFailure>> + use<>, AttemptFailure>
 {
     let now = Instant::now();
-    let left = deadline.saturating_duration_since(now);
-    let connected = socket::connect(chosen.address, CONNECT_LIMIT.min(left)).await;
+    let remaining = deadline.saturating_duration_since(now);
+    let connected = socket::connect(chosen.address, CONNECT_TIMEOUT.min(remaining)).await;
     let not_run = |_| AttemptFailure::new(RunVerdict::NotRun, FailureCause::Connect);
     let stream = connected.map_err(not_run)?;
-    let shaken = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+    let opened = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) =
-        shaken.map_err(|_| AttemptFailure::new(RunVerdict::NotRun, FailureCause::Connect))?;
+        opened.map_err(|_| AttemptFailure::new(RunVerdict::NotRun, FailureCause::Connect))?;
     tokio::spawn(async move {
         if let Err(error) = connection.await {
             log::debug!("connection to a target ended: {error}");
         }
     });
     let sent = Instant::now();
-    let request = build(outgoing, chosen, last_event, deadline, sent);
+    let request = build_request(outgoing, chosen, last_event, deadline, sent);
     let (id, target) = (outgoing.id.clone(), chosen.id.clone());
     Ok(async move {
-        let answer = sender.send_request(request).await;
+        let response = sender.send_request(request).await;
         let broken = |_| AttemptFailure::new(RunVerdict::MayHaveRun, FailureCause::Broken);
-        let answer = answer.map_err(broken)?;
-        let (status, headers) = (answer.status(), answer.headers());
+        let response = response.map_err(broken)?;
+        let (status, headers) = (response.status(), response.headers());
         tables.observe_limit(&target, status, headers, sent, Instant::now());
-        check(&id, answer)
+        check_response(&id, response)
     })
 }
 
-fn build(
+fn build_request(
     outgoing: &OutgoingRequest,
     chosen: &ChosenTarget,
     last_event: Option<&str>,
@@ -139,15 +139,15 @@
     *request.uri_mut() = outgoing.uri.clone();
     let headers = request.headers_mut();
     *headers = outgoing.headers.clone();
-    let left = deadline.saturating_duration_since(now).as_millis().max(1);
-    headers.insert(names::DEADLINE_MS, number_value(left));
+    let remaining = deadline.saturating_duration_since(now).as_millis().max(1);
+    headers.insert(names::DEADLINE_MS, number_value(remaining));
     let path = chosen.path.as_ref().map(order::path_value);
-    let named = [
+    let optional = [
         (names::TARGET_INSTANCE, Some(platform_id(&chosen.id))),
         (names::ENGINE_PATH, path.as_deref()),
         (names::LAST_EVENT_ID, last_event),
     ];
-    for (name, value) in named {
+    for (name, value) in optional {
         if let Some(Ok(value)) = value.map(HeaderValue::from_str) {
             headers.insert(name, value);
         }
@@ -156,7 +156,10 @@
 }
 
 /// Takes an answer only if it is this request's and is the target's own.
-fn check(id: &str, response: Response<Incoming>) -> Result<Response<Incoming>, AttemptFailure> {
+fn check_response(
+    id: &str,
+    response: Response<Incoming>,
+) -> Result<Response<Incoming>, AttemptFailure> {
     let headers = response.headers();
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let at = text(names::AT_SERVER).and_then(|value| value.trim().parse().ok());
--- a/src/forward/attempt_policy.rs
+++ b/src/forward/attempt_policy.rs
@@ -25,7 +25,7 @@
 const FIRST_ATTEMPT_SHARE: f64 = 0.5;
 /// How long a stream's first attempt may take to its head, in times of the
 /// route's aim. Callers of streams wait four times the aim at least.
-const STREAM_HEAD_AIMS: f64 = 2.4;
+const STREAM_HEAD_FACTOR: f64 = 2.4;
 
 impl Exchange {
     /// Chooses where the next attempt goes. `started` tells whether the caller has
@@ -71,13 +71,13 @@
         tried: usize,
     ) -> (ChosenTarget, InFlightGuard) {
         self.tables.count_start(Instant::now());
-        self.note_route(&chosen, tried);
+        self.log_route(&chosen, tried);
         let guard = InFlightGuard::open(self.tables.clone(), chosen.loads());
         (chosen, guard)
     }
 
     /// One line on where a request goes, and what decided that.
-    pub(super) fn note_route(&self, chosen: &ChosenTarget, tried: usize) {
+    pub(super) fn log_route(&self, chosen: &ChosenTarget, tried: usize) {
         let path = chosen.path.as_ref();
         log::info!(
             request:% = self.outgoing.id,
@@ -95,7 +95,7 @@
     }
 
     /// One line on a whole answer.
-    pub(super) fn note_answer(
+    pub(super) fn record_response(
         &self,
         chosen: &ChosenTarget,
         status: u16,
@@ -104,7 +104,7 @@
         // A failure, or a stream without an event, may stand for a run that never began.
         let has_begun = times.is_none_or(|times| times.has_begun());
         if has_begun && (200..300).contains(&status) {
-            self.note_survival(Instant::now());
+            self.record_survival(Instant::now());
         }
         let took = self.arrived.elapsed();
         let (first, longest) =
@@ -123,14 +123,14 @@
     }
 
     /// Until when an attempt may take to the head of its answer.
-    pub(super) fn head_limit(&self, sent: u32, now: Instant) -> Instant {
+    pub(super) fn head_deadline(&self, sent: u32, now: Instant) -> Instant {
         let route = &self.matched.route;
         let last = sent + 1 >= route.max_attempts;
         let left = self.deadline.saturating_duration_since(now);
         match route.kind {
             RequestKind::Idempotent if !last => now + left.mul_f64(FIRST_ATTEMPT_SHARE),
             RequestKind::ResumableStream if !last => {
-                now + left.min(route.latency_aim.mul_f64(STREAM_HEAD_AIMS))
+                now + left.min(route.latency_aim.mul_f64(STREAM_HEAD_FACTOR))
             }
             _ => self.deadline,
         }
@@ -172,7 +172,7 @@
     }
 
     /// Puts down a failed attempt, and whom the next one avoids.
-    pub(super) fn note_failure(
+    pub(super) fn record_failure(
         &self,
         chosen: &ChosenTarget,
         failure: &AttemptFailure,
@@ -181,7 +181,7 @@
         self.observe_failure(chosen, Some(failure));
         tried.count(chosen, failure.cause != FailureCause::Connect);
         tried.may_have_run |= failure.verdict != RunVerdict::NotRun;
-        if let Some(at) = failure.at.and_then(|at| chosen.at(at)) {
+        if let Some(at) = failure.at.and_then(|at| chosen.target_at(at)) {
             tried.avoid_instead(at);
         }
     }
@@ -199,11 +199,11 @@
         let now = Instant::now();
         let at = failure
             .and_then(|failure| failure.at)
-            .and_then(|at| chosen.at(at));
+            .and_then(|at| chosen.target_at(at));
         let id = at.unwrap_or_else(|| chosen.id.clone());
         let cause = failure.map(|failure| failure.cause);
         let mut fleet = self.tables.fleet.lock();
-        let out = match cause {
+        let ejected_until = match cause {
             // A full engine is no faulty one.
             Some(FailureCause::Refused) => {
                 fleet.observe_full(&id, now);
@@ -218,14 +218,14 @@
         drop(fleet);
         let name = cause.map_or("answered_failure", FailureCause::name);
         self.tables.metrics.attempt_failed(name);
-        if out.is_some() {
+        if ejected_until.is_some() {
             self.tables.metrics.ejected(name);
         }
         log::info!(
             request:% = self.outgoing.id,
             target_id:% = id,
             cause:% = name,
-            out_ms = out.map_or(0, |out| out.saturating_duration_since(now).as_millis() as u64);
+            out_ms = ejected_until.map_or(0, |until| until.saturating_duration_since(now).as_millis() as u64);
             "attempt failed"
         );
     }
--- a/src/forward/choice.rs
+++ b/src/forward/choice.rs
@@ -44,7 +44,7 @@
 
     /// The same once the request was moved here from `before`: targets that
     /// were on that path have read it.
-    pub(super) fn loads_after(&self, before: &EnginePath) -> Vec<(TargetId, TargetLoad)> {
+    pub(super) fn loads_after_move(&self, before: &EnginePath) -> Vec<(TargetId, TargetLoad)> {
         let stays = |id: &TargetId| before.hops.iter().any(|hop| hop.target == *id);
         let mut loads = self.loads();
         for (id, load) in &mut loads {
@@ -56,7 +56,7 @@
     }
 
     /// The target on the path that listens at `address`.
-    pub(super) fn at(&self, address: SocketAddr) -> Option<TargetId> {
+    pub(super) fn target_at(&self, address: SocketAddr) -> Option<TargetId> {
         let hops = self.path.iter().flat_map(|path| &path.hops);
         let mut hops = hops.filter(|hop| hop.address == address);
         hops.next().map(|hop| hop.target.clone())
--- a/src/forward/closed.rs
+++ b/src/forward/closed.rs
@@ -10,7 +10,7 @@
 
 /// How long a connection may take: a hundred times the delay of a link. One that
 /// takes longer tells nothing.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// When a target was last asked for a connection, and whether it refused; one question
 /// at a time.
@@ -49,7 +49,7 @@
 }
 
 async fn refuses_connections(address: SocketAddr) -> bool {
-    match socket::connect(address, CONNECT_LIMIT).await {
+    match socket::connect(address, CONNECT_TIMEOUT).await {
         Ok(_) => false,
         Err(error) => error.kind() == io::ErrorKind::ConnectionRefused,
     }
--- a/src/forward/exchange.rs
+++ b/src/forward/exchange.rs
@@ -61,13 +61,13 @@
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
     let head = CallerHead::read(&parts, arrived);
-    let counted = CountedRequest::open(tables.clone());
+    let counted = InFlightRequest::open(tables.clone());
     let opened = open(tables.clone(), parts, body, &head, arrived).await;
-    let carried = match opened {
+    let result = match opened {
         Err(refusal) => Err(refusal),
-        Ok(exchange) => carry(Arc::new(exchange), counted).await,
+        Ok(exchange) => forward(Arc::new(exchange), counted).await,
     };
-    let mut response = match carried {
+    let mut response = match result {
         Ok(response) => response,
         Err(refusal) => refuse(&tables, &head.id, refusal, arrived),
     };
@@ -102,18 +102,18 @@
 
 /// Counts a request for as long as it is being answered.
 #[derive(Debug)]
-pub(super) struct CountedRequest {
+pub(super) struct InFlightRequest {
     tables: Arc<ServingTables>,
 }
 
-impl CountedRequest {
+impl InFlightRequest {
     fn open(tables: Arc<ServingTables>) -> Self {
         tables.in_flight.fetch_add(1, Ordering::Relaxed);
         Self { tables }
     }
 }
 
-impl Drop for CountedRequest {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.tables.in_flight.fetch_sub(1, Ordering::Relaxed);
         self.tables.answered.fetch_add(1, Ordering::Relaxed);
@@ -216,20 +216,20 @@
 }
 
 /// Sends the request to one target after another until one answers.
-async fn carry(
+async fn forward(
     exchange: Arc<Exchange>,
-    counted: CountedRequest,
+    counted: InFlightRequest,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let mut tried = TriedTargets::default();
-    let mut failed_answer = None;
+    let mut failed_response = None;
     loop {
         let started = Instant::now();
         let (chosen, guard) = match exchange.choose_permitted(&tried.avoid, false).await {
             Ok(chosen) => chosen,
             // Nobody else is left: the answer of the target that failed stands.
-            Err(refusal) => return failed_answer.ok_or(refusal.after(&tried)),
+            Err(refusal) => return failed_response.ok_or(refusal.after(&tried)),
         };
-        let limit = exchange.head_limit(tried.sent, started);
+        let limit = exchange.head_deadline(tried.sent, started);
         let mut watch = PathWatch::open(exchange.clone(), chosen, guard, started);
         let failure = match watch.send(None, limit).await {
             Ok(response) if exchange.is_stream(&response) => {
@@ -241,23 +241,23 @@
                     exchange.observe_failure(&watch.chosen, None);
                     tried.count(&watch.chosen, true);
                     tried.may_have_run = true;
-                    failed_answer = Some(response);
+                    failed_response = Some(response);
                     continue;
                 }
                 Ok(response) => {
                     exchange.observe_success(&watch.chosen);
-                    exchange.note_answer(&watch.chosen, response.status().as_u16(), None);
+                    exchange.record_response(&watch.chosen, response.status().as_u16(), None);
                     return Ok(response);
                 }
                 Err(failure) => {
-                    watch.note_failure(&failure).await;
+                    watch.record_failure(&failure).await;
                     failure
                 }
             },
             Err(failure) => failure,
         };
         watch.release();
-        exchange.note_failure(&watch.chosen, &failure, &mut tried);
+        exchange.record_failure(&watch.chosen, &failure, &mut tried);
         if !exchange.may_retry(&failure, &tried, Instant::now()) {
             return Err(final_refusal(&failure, &tried));
         }
--- a/src/forward/lateness.rs
+++ b/src/forward/lateness.rs
@@ -12,7 +12,7 @@
     /// Nothing.
     OnTime,
     /// The answer of a request that is no stream.
-    Answer,
+    Response,
     /// A stream's first event.
     FirstEvent,
     /// An event after another one.
@@ -25,7 +25,7 @@
         let is_late = |time: Duration| time > route.latency_aim;
         let is_pause = |pause: Duration| route.gap_aim.is_some_and(|aim| pause > aim);
         match times {
-            None if is_late(took) => Self::Answer,
+            None if is_late(took) => Self::Response,
             Some(times) if is_late(times.first()) => Self::FirstEvent,
             Some(times) if is_pause(times.longest()) => Self::Pause,
             _ => Self::OnTime,
@@ -36,7 +36,7 @@
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::OnTime => "no",
-            Self::Answer => "answer",
+            Self::Response => "answer",
             Self::FirstEvent => "first_event",
             Self::Pause => "pause",
         }
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -31,10 +31,10 @@
             NamedRate::Absent if self.limits.lock().is_empty() => return,
             NamedRate::Absent => None,
             NamedRate::PerSecond(named) => match RateLimit::new(named) {
-                None => return self.note_unusable_limit(target, headers),
+                None => return self.record_unusable_limit(target, headers),
                 rate => rate,
             },
-            NamedRate::Unreadable => return self.note_unusable_limit(target, headers),
+            NamedRate::Unreadable => return self.record_unusable_limit(target, headers),
         };
         let observation = LimitObservation {
             rate,
@@ -43,7 +43,7 @@
         };
         let change = self.limits.lock().observe(target_key(target), observation);
         if let Some(change) = change {
-            self.take_limit_change(target, change, "answer");
+            self.apply_limit_change(target, change, "answer");
         }
     }
 
@@ -56,23 +56,23 @@
     ) {
         let id = self.fleet.lock().id_of(target).cloned();
         if let Some(id) = id {
-            self.take_limit_change(&id, change, host);
+            self.apply_limit_change(&id, change, host);
         }
     }
 
-    fn take_limit_change(self: &Arc<Self>, target: &TargetId, change: LimitChange, source: &str) {
-        self.note_limit_change(target, change, source);
+    fn apply_limit_change(self: &Arc<Self>, target: &TargetId, change: LimitChange, source: &str) {
+        self.record_limit_change(target, change, source);
         match change {
             LimitChange::Ended => self.fleet.lock().observe_unlimited(target),
             LimitChange::Named(_) => {
                 let (tables, target) = (self.clone(), target.clone());
-                tokio::spawn(async move { tables.tell_sends(&target).await });
+                tokio::spawn(async move { tables.report_sends(&target).await });
             }
         }
     }
 
     /// One line where a target begins or ceases to limit its requests.
-    fn note_limit_change(&self, target: &str, change: LimitChange, source: &str) {
+    fn record_limit_change(&self, target: &str, change: LimitChange, source: &str) {
         let (name, per_second) = match change {
             LimitChange::Named(rate) => ("named", Some(rate.per_second())),
             LimitChange::Ended => ("ended", None),
@@ -87,7 +87,7 @@
         );
     }
 
-    fn note_unusable_limit(&self, target: &TargetId, headers: &HeaderMap) {
+    fn record_unusable_limit(&self, target: &TargetId, headers: &HeaderMap) {
         self.metrics.limit_said("unusable");
         log::warn!(
             target_id:% = target,
--- a/src/forward/liveness.rs
+++ b/src/forward/liveness.rs
@@ -24,16 +24,16 @@
 use crate::ids::TargetId;
 
 /// How long a connection may take: a thousand times the delay of a link.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Tries without an answer after which an engine counts as lost. One lost
 /// packet alone delays a connection by a second.
-const SILENT_TRIES: u32 = 2;
+const MAX_CONNECT_ATTEMPTS: u32 = 2;
 /// Shortest life of a connection that the engine closed for being idle. Where
 /// they live shorter the engine has too many, and watching it costs more than
 /// it tells.
-const LEAST_LIFE: Duration = Duration::from_secs(1);
+const MIN_CONNECTION_LIFETIME: Duration = Duration::from_secs(1);
 /// Pause after a connection that lived shorter.
-const CROWDED_PAUSE: Duration = Duration::from_secs(5);
+const SHORT_LIVED_PAUSE: Duration = Duration::from_secs(5);
 
 /// The engines that are watched, and whom to tell.
 #[derive(Debug, Default)]
@@ -93,13 +93,16 @@
 
     fn remove(&self, target: &TargetId, waiting: &Arc<Notify>) {
         let mut table = self.waiting.lock();
-        let Some(others) = table.get_mut(target) else {
+        let Some(waiters) = table.get_mut(target) else {
             return;
         };
-        if let Some(index) = others.iter().position(|one| Arc::ptr_eq(one, waiting)) {
-            others.swap_remove(index);
+        if let Some(index) = waiters
+            .iter()
+            .position(|waiter| Arc::ptr_eq(waiter, waiting))
+        {
+            waiters.swap_remove(index);
         }
-        if others.is_empty() {
+        if waiters.is_empty() {
             table.remove(target);
         }
     }
@@ -107,9 +110,9 @@
     /// Tells all that depend on a target that it is lost.
     pub(super) fn notify_lost(&self, target: &str) {
         let waiting = self.waiting.lock().get(target).cloned();
-        for one in waiting.iter().flatten() {
+        for waiter in waiting.iter().flatten() {
             // A request that is being moved at this moment hears of it after.
-            one.notify_one();
+            waiter.notify_one();
         }
     }
 
@@ -127,21 +130,21 @@
 }
 
 async fn watch(tables: Arc<ServingTables>, target: TargetId, address: SocketAddr) {
-    let mut crowded = false;
+    let mut short_lived = false;
     while tables.liveness.is_needed(&target) {
         let Some(mut stream) = connect(address).await else {
             notify_lost(&tables, &target);
             break;
         };
-        if crowded {
+        if short_lived {
             drop(stream);
-            tokio::time::sleep(CROWDED_PAUSE).await;
-            crowded = false;
+            tokio::time::sleep(SHORT_LIVED_PAUSE).await;
+            short_lived = false;
             continue;
         }
         let opened = Instant::now();
         read_to_end(&mut stream).await;
-        crowded = opened.elapsed() < LEAST_LIFE;
+        short_lived = opened.elapsed() < MIN_CONNECTION_LIFETIME;
     }
     tables.liveness.connected.lock().remove(&target);
 }
@@ -149,8 +152,8 @@
 /// A connection to an engine; `None` if its process has ended, or nothing can
 /// reach it.
 async fn connect(address: SocketAddr) -> Option<TcpStream> {
-    for _ in 0..SILENT_TRIES {
-        match socket::connect(address, CONNECT_LIMIT).await {
+    for _ in 0..MAX_CONNECT_ATTEMPTS {
+        match socket::connect(address, CONNECT_TIMEOUT).await {
             Ok(stream) => return Some(stream),
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return None,
             Err(error) => log::debug!("{address} is not reached: {error}"),
@@ -160,8 +163,8 @@
 }
 
 async fn read_to_end(stream: &mut TcpStream) {
-    let mut part = [0; 256];
-    while matches!(stream.read(&mut part).await, Ok(1..)) {}
+    let mut buffer = [0; 256];
+    while matches!(stream.read(&mut buffer).await, Ok(1..)) {}
 }
 
 fn notify_lost(tables: &ServingTables, target: &TargetId) {
--- a/src/forward/permit_wait.rs
+++ b/src/forward/permit_wait.rs
@@ -6,7 +6,7 @@
 
 use super::choice::ChosenTarget;
 use super::exchange::Exchange;
-use super::permits::{HeldPermit, PassedTargets, WithheldTarget};
+use super::permits::{AttemptTargets, HeldPermit, WithheldTarget};
 use super::response::Refusal;
 use super::tables::InFlightGuard;
 use crate::ids::TargetId;
@@ -14,12 +14,12 @@
 use crate::reason::RefusalReason;
 
 /// How often another target is chosen for want of a permit.
-const MOST_CHOICES: u32 = 6;
+const MAX_CHOICES: u32 = 6;
 /// How long a request that has another way waits for a permit.
 const SHORT_WAIT: Duration = Duration::from_millis(30);
 /// Largest part by which a refused caller comes back later than there may be a permit:
 /// callers that were refused together come back one after the other.
-const RETURN_SPREAD: f64 = 0.5;
+const RETRY_JITTER: f64 = 0.5;
 /// How long a stream that has begun waits for one.
 const STREAM_WAIT: Duration = Duration::from_secs(1);
 
@@ -31,39 +31,42 @@
         avoid: &[TargetId],
         started: bool,
     ) -> Result<(ChosenTarget, InFlightGuard), Refusal> {
-        let mut passed = avoid.to_vec();
+        let mut excluded = avoid.to_vec();
         let mut retry_after: Option<Duration> = None;
-        for _ in 0..MOST_CHOICES {
-            let chosen = match self.choose(&passed, started) {
+        for _ in 0..MAX_CHOICES {
+            let chosen = match self.choose(&excluded, started) {
                 Ok(chosen) => chosen,
                 Err(refusal) if retry_after.is_none() => return Err(refusal),
                 Err(_) => break,
             };
             let now = Instant::now();
             let longest = self.longest_wait(started, now);
-            let targets = self.tables.passed_targets(chosen.ids(), now);
+            let targets = self.tables.attempt_targets(chosen.ids(), now);
             let withheld = match targets.wait {
                 wait if wait > longest => Err(wait),
                 // What is cheapest although it has to be waited for has no substitute.
-                Duration::ZERO => self.permit(&targets, SHORT_WAIT.min(longest)).await,
-                _ => self.permit(&targets, longest).await,
+                Duration::ZERO => {
+                    self.acquire_permits(&targets, SHORT_WAIT.min(longest))
+                        .await
+                }
+                _ => self.acquire_permits(&targets, longest).await,
             };
             let Err(withheld) = withheld else {
                 return Ok(self.commit(chosen, avoid.len()));
             };
             retry_after = Some(retry_after.map_or(withheld, |after| after.min(withheld)));
             if !targets.wait.is_zero() {
-                passed.extend(self.withheld_among(chosen.ids()));
+                excluded.extend(self.withheld_targets(chosen.ids()));
             }
         }
         self.tables.metrics.permit("refused");
-        let spread = 1.0 + RETURN_SPREAD * rand::random::<f64>();
-        let retry_after = retry_after.unwrap_or_default().mul_f64(spread);
+        let jitter = 1.0 + RETRY_JITTER * rand::random::<f64>();
+        let retry_after = retry_after.unwrap_or_default().mul_f64(jitter);
         Err(Refusal::not_run(RefusalReason::NoPermit, retry_after))
     }
 
     /// The targets for which there is no permit now.
-    pub(super) fn withheld_among<'a, I>(&self, targets: I) -> Vec<TargetId>
+    pub(super) fn withheld_targets<'a, I>(&self, targets: I) -> Vec<TargetId>
     where
         I: Iterator<Item = &'a TargetId>,
     {
@@ -89,32 +92,35 @@
 
     /// Waits until a request may be sent to targets, at most for `wait`; else gives the
     /// time after which it may be tried again.
-    pub(super) async fn permit(
+    pub(super) async fn acquire_permits(
         &self,
-        targets: &PassedTargets,
+        targets: &AttemptTargets,
         wait: Duration,
     ) -> Result<(), Duration> {
         let limited = targets.limited.iter();
-        let asked = limited.map(|id| self.tables.permit(id, wait));
-        let (permits, withheld) = split(join_all(asked).await);
+        let acquired = limited.map(|id| self.tables.acquire_permit(id, wait));
+        let (permits, withheld) = split(join_all(acquired).await);
         if !withheld.is_empty() {
             self.tables.give_back(permits);
-            return Err(self.tables.note_withheld(withheld, Instant::now()));
+            return Err(self.tables.record_withheld(withheld, Instant::now()));
         }
         let from = permits.iter().map(|permit| permit.from).max();
         if let Some(from) = from.filter(|from| *from > Instant::now()) {
             tokio::time::sleep_until(from.into()).await;
         }
-        self.tables.count_unpermitted(&targets.free, Instant::now());
+        self.tables
+            .count_unpermitted(&targets.unlimited, Instant::now());
         Ok(())
     }
 }
 
-fn split(asked: Vec<Result<HeldPermit, WithheldTarget>>) -> (Vec<HeldPermit>, Vec<WithheldTarget>) {
+fn split(
+    acquired: Vec<Result<HeldPermit, WithheldTarget>>,
+) -> (Vec<HeldPermit>, Vec<WithheldTarget>) {
     let mut permits = Vec::new();
     let mut withheld = Vec::new();
-    for answer in asked {
-        match answer {
+    for result in acquired {
+        match result {
             Ok(permit) => permits.push(permit),
             Err(target) => withheld.push(target),
         }
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -15,7 +15,7 @@
 
 /// Pause before permits for a target are asked for again that could not be had for
 /// another reason than its limit.
-const ODD_PAUSE: Duration = Duration::from_millis(30);
+const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
 /// A target for which there is no permit in time.
 #[derive(Debug)]
@@ -33,11 +33,11 @@
 
 /// The targets that a request is about to be sent to.
 #[derive(Debug, Default)]
-pub(super) struct PassedTargets {
+pub(super) struct AttemptTargets {
     /// Those that limit their rate.
     pub(super) limited: Vec<TargetId>,
     /// Keys of the others.
-    pub(super) free: Vec<TargetKey>,
+    pub(super) unlimited: Vec<TargetKey>,
     /// Time until there may be permits for all of them, as far as this host knows.
     pub(super) wait: Duration,
 }
@@ -51,16 +51,16 @@
     }
 
     /// Looks at the targets that a request is about to be sent to.
-    pub(super) fn passed_targets<'a, I>(&self, targets: I, now: Instant) -> PassedTargets
+    pub(super) fn attempt_targets<'a, I>(&self, targets: I, now: Instant) -> AttemptTargets
     where
         I: Iterator<Item = &'a TargetId>,
     {
-        let mut passed = PassedTargets::default();
+        let mut classified = AttemptTargets::default();
         let known = {
             let fleet = self.fleet.lock();
             let known = targets.filter_map(|id| {
                 let state = fleet.get(id)?;
-                passed.wait = passed.wait.max(state.permit_wait(now));
+                classified.wait = classified.wait.max(state.permit_wait(now));
                 Some((id, state.key))
             });
             known.collect::<Vec<_>>()
@@ -68,11 +68,11 @@
         let limits = self.limits.lock();
         for (id, key) in known {
             match limits.limit(key) {
-                Some(_) => passed.limited.push(id.clone()),
-                None => passed.free.push(key),
+                Some(_) => classified.limited.push(id.clone()),
+                None => classified.unlimited.push(key),
             }
         }
-        passed
+        classified
     }
 
     /// Requests are sent to targets that name no limit.
@@ -84,7 +84,7 @@
     }
 
     /// There are no permits for these targets for a while; gives the longest time.
-    pub(super) fn note_withheld(&self, withheld: Vec<WithheldTarget>, now: Instant) -> Duration {
+    pub(super) fn record_withheld(&self, withheld: Vec<WithheldTarget>, now: Instant) -> Duration {
         let mut fleet = self.fleet.lock();
         let mut longest = Duration::ZERO;
         for target in withheld {
@@ -95,7 +95,7 @@
     }
 
     /// A permit for a target that may be used within `wait`.
-    pub(super) async fn permit(
+    pub(super) async fn acquire_permit(
         self: &Arc<Self>,
         id: &TargetId,
         wait: Duration,
@@ -112,11 +112,11 @@
             id: id.clone(),
             retry_after,
         };
-        let Some(question) = self.permit_question(id, wait) else {
+        let Some(request) = self.permit_request(id, wait) else {
             // It has left meanwhile.
-            return Err(withheld(ODD_PAUSE));
+            return Err(withheld(RETRY_PAUSE));
         };
-        match self.ask_permit(question).await {
+        match self.request_permits(request).await {
             PermitReply::Withheld { retry_after } => {
                 self.metrics.permit("withheld");
                 Err(withheld(retry_after))
@@ -128,26 +128,26 @@
             granted => {
                 self.metrics.permit("granted");
                 self.permits.lock().put(target, granted, Instant::now());
-                take().ok_or_else(|| withheld(ODD_PAUSE))
+                take().ok_or_else(|| withheld(RETRY_PAUSE))
             }
         }
     }
 
     /// Tells the host that hands out the permits for a target what was sent there before
     /// its limit was known.
-    pub(super) async fn tell_sends(self: &Arc<Self>, id: &TargetId) {
-        let question = self.permit_question(id, Duration::ZERO);
-        let sends = question.filter(|question| !question.unpermitted.is_empty());
-        if let Some(question) = sends {
-            self.ask_permit(PermitRequest {
+    pub(super) async fn report_sends(self: &Arc<Self>, id: &TargetId) {
+        let request = self.permit_request(id, Duration::ZERO);
+        let sends = request.filter(|request| !request.unpermitted.is_empty());
+        if let Some(request) = sends {
+            self.request_permits(PermitRequest {
                 wanted: 0,
-                ..question
+                ..request
             })
             .await;
         }
     }
 
-    fn permit_question(&self, id: &TargetId, max_wait: Duration) -> Option<PermitRequest> {
+    fn permit_request(&self, id: &TargetId, max_wait: Duration) -> Option<PermitRequest> {
         let now = Instant::now();
         let target = target_key(id);
         let zone = self.fleet.lock().get(id)?.entry.zone.clone();
@@ -164,30 +164,33 @@
         })
     }
 
-    async fn ask_permit(self: &Arc<Self>, question: PermitRequest) -> PermitReply {
+    async fn request_permits(self: &Arc<Self>, request: PermitRequest) -> PermitReply {
         match self.permit_source.get() {
-            Some(source) => source(question).await,
-            None => self.issue_permits(&question, 1.0, Instant::now()),
+            Some(source) => source(request).await,
+            None => self.issue_permits(&request, 1.0, Instant::now()),
         }
     }
 
     /// Hands out permits for a target, of which this host may hand out a part.
     pub fn issue_permits(
         self: &Arc<Self>,
-        question: &PermitRequest,
-        part: f64,
+        request: &PermitRequest,
+        share: f64,
         now: Instant,
     ) -> PermitReply {
-        let target = question.limit.target;
-        let told = question.limit.observation(now);
-        let change = self.limits.lock().observe(target, told);
+        let target = request.limit.target;
+        let reported = request.limit.observation(now);
+        let change = self.limits.lock().observe(target, reported);
         if let Some(change) = change {
-            self.apply_reported_limit(target, change, &question.host);
+            self.apply_reported_limit(target, change, &request.host);
         }
         let limit = self.limits.lock().limit(target);
         match limit {
             None => PermitReply::Unlimited,
-            Some(limit) => self.issuer.lock().answer(question, limit, part, now),
+            Some(limit) => self
+                .issuer
+                .lock()
+                .handle_request(request, limit, share, now),
         }
     }
 
--- a/src/forward/poison_evidence.rs
+++ b/src/forward/poison_evidence.rs
@@ -14,7 +14,7 @@
     }
 
     /// The process of the target that was sent the request has ended.
-    pub(super) fn note_end(&self, target: &TargetId, start: &RunStart, now: Instant) {
+    pub(super) fn record_end(&self, target: &TargetId, start: &RunStart, now: Instant) {
         if !start.is_suspect(now) {
             return;
         }
@@ -36,7 +36,7 @@
     }
 
     /// The targets ran the request and live on.
-    pub(super) fn note_survival(&self, now: Instant) {
+    pub(super) fn record_survival(&self, now: Instant) {
         let cleared = self.tables.poison.lock().observe_survival(self.key, now);
         if cleared {
             log::info!(
--- a/src/forward/probe.rs
+++ b/src/forward/probe.rs
@@ -15,13 +15,13 @@
 use crate::platform::{names, target_record};
 
 /// Largest answer to a question, in bytes.
-const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+const MAX_BODY_BYTES: usize = 1024 * 1024;
 /// Age up to which a report is used again: reports lag by 200 ms anyway, and
 /// all streams of an engine fall silent at the same moment.
-const REPORT_AGE: Duration = Duration::from_millis(150);
+const MAX_REPORT_AGE: Duration = Duration::from_millis(150);
 /// How long an engine may take to report: link delays are below a
 /// millisecond, and a report waits for no slot.
-const REPORT_LIMIT: Duration = Duration::from_millis(250);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Asks a target something on a connection of its own.
 ///
@@ -33,17 +33,17 @@
     request: Request<Full<Bytes>>,
     limit: Duration,
 ) -> Result<(StatusCode, Bytes), String> {
-    let asking = async {
+    let call = async {
         let stream = socket::connect(address, limit)
             .await
             .map_err(|error| error.to_string())?;
-        let shaken = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-        let (mut sender, connection) = shaken.map_err(|error| error.to_string())?;
+        let connected = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+        let (mut sender, connection) = connected.map_err(|error| error.to_string())?;
         let exchange = async {
             let response = sender.send_request(request).await;
             let response = response.map_err(|error| error.to_string())?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+            let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
                 .collect()
                 .await;
             let body = body.map_err(|error| error.to_string())?;
@@ -58,7 +58,7 @@
             },
         }
     };
-    match tokio::time::timeout(limit, asking).await {
+    match tokio::time::timeout(limit, call).await {
         Ok(answer) => answer,
         Err(_) => Err("timeout".to_owned()),
     }
@@ -77,16 +77,16 @@
     now: Instant,
 ) -> Result<Arc<EngineReport>, ()> {
     let cell = tables.report_cell(target);
-    let mut kept = cell.lock().await;
-    match &*kept {
-        Some((at, report)) if now.saturating_duration_since(*at) < REPORT_AGE => report.clone(),
+    let mut cached = cell.lock().await;
+    match &*cached {
+        Some((at, report)) if now.saturating_duration_since(*at) < MAX_REPORT_AGE => report.clone(),
         _ => {
-            let report = ask_report(address).await;
+            let report = request_report(address).await;
             let report = report.and_then(|report| same_start(target, report));
             let report = report.map(Arc::new).map_err(|error| {
                 log::info!(target_id:% = target, address:% = address, error:% = error; "no report");
             });
-            *kept = Some((Instant::now(), report.clone()));
+            *cached = Some((Instant::now(), report.clone()));
             report
         }
     }
@@ -102,12 +102,12 @@
     }
 }
 
-async fn ask_report(address: SocketAddr) -> Result<EngineReport, String> {
+async fn request_report(address: SocketAddr) -> Result<EngineReport, String> {
     let request = Request::get(names::REPORT_PATH).header(http::header::HOST, address.to_string());
     let request = request
         .body(Full::default())
         .map_err(|error| error.to_string())?;
-    let (status, body) = call_target(address, request, REPORT_LIMIT).await?;
+    let (status, body) = call_target(address, request, REPORT_TIMEOUT).await?;
     match status {
         StatusCode::OK => target_record::parse_report(&body),
         status => Err(format!("status {status}")),
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -11,7 +11,7 @@
 use hyper::body::{Frame, Incoming};
 
 use super::events::EventSplitter;
-use super::exchange::{CountedRequest, Exchange, TriedTargets};
+use super::exchange::{Exchange, InFlightRequest, TriedTargets};
 use super::head::forwarded;
 use super::response::ResponseBody;
 use super::stream_times::StreamTimes;
@@ -21,7 +21,7 @@
 struct StreamRelay {
     exchange: Arc<Exchange>,
     watch: PathWatch,
-    _counted: CountedRequest,
+    _in_flight: InFlightRequest,
     tried: TriedTargets,
     body: Incoming,
     /// Status that the caller was given.
@@ -33,7 +33,7 @@
 /// The answer to the caller whose events follow.
 pub(super) fn open(
     watch: PathWatch,
-    counted: CountedRequest,
+    in_flight: InFlightRequest,
     tried: TriedTargets,
     response: Response<Incoming>,
 ) -> Response<ResponseBody> {
@@ -42,7 +42,7 @@
     let relay = StreamRelay {
         exchange: watch.exchange.clone(),
         watch,
-        _counted: counted,
+        _in_flight: in_flight,
         tried,
         body,
         status: head.status.as_u16(),
@@ -82,36 +82,36 @@
                 StreamStep::End => {
                     let chosen = &self.watch.chosen;
                     self.exchange
-                        .note_answer(chosen, self.status, Some(self.times));
+                        .record_response(chosen, self.status, Some(self.times));
                     return Ok(None);
                 }
                 StreamStep::EngineLost => {
-                    self.watch.judge_loss().await;
+                    self.watch.handle_lost_engine().await;
                     continue;
                 }
-                StreamStep::Deadline => return Err(self.give_up("deadline")),
+                StreamStep::Deadline => return Err(self.cut("deadline")),
                 StreamStep::Broken(reason) => {
-                    self.watch.note_break().await;
+                    self.watch.record_break().await;
                     let failed = self.watch.chosen.id.clone();
                     self.exchange.observe_failure(&self.watch.chosen, None);
                     self.tried.avoid.push(failed);
                     reason
                 }
-                StreamStep::Silent => match self.watch.judge_silence().await {
+                StreamStep::Silent => match self.watch.handle_silence().await {
                     SilenceVerdict::Waiting => continue,
-                    SilenceVerdict::Lost(_) if self.has_only_this() => continue,
+                    SilenceVerdict::Lost(_) if self.has_no_alternative() => continue,
                     SilenceVerdict::Lost(failed) => {
                         self.tried.avoid.push(failed);
                         "silent"
                     }
                 },
             };
-            self.reopen(reason).await?;
+            self.resume(reason).await?;
         }
     }
 
     async fn step(&mut self) -> StreamStep {
-        let limit = self.watch.ask_at().min(self.exchange.deadline);
+        let limit = self.watch.check_at().min(self.exchange.deadline);
         let step = tokio::select! {
             step = tokio::time::timeout_at(limit.into(), self.body.frame()) => step,
             () = self.watch.engine_lost() => return StreamStep::EngineLost,
@@ -119,14 +119,14 @@
         match step {
             Err(_) if Instant::now() >= self.exchange.deadline => StreamStep::Deadline,
             Err(_) => StreamStep::Silent,
-            Ok(Some(Ok(frame))) => self.take(frame),
+            Ok(Some(Ok(frame))) => self.handle_frame(frame),
             Ok(Some(Err(_))) => StreamStep::Broken("connection broke"),
             Ok(None) if self.events.is_partial() => StreamStep::Broken("ended within an event"),
             Ok(None) => StreamStep::End,
         }
     }
 
-    fn take(&mut self, frame: Frame<Bytes>) -> StreamStep {
+    fn handle_frame(&mut self, frame: Frame<Bytes>) -> StreamStep {
         let now = Instant::now();
         let metrics = &self.exchange.tables.metrics;
         match self.times.observe(now) {
@@ -148,15 +148,15 @@
     /// What is known of an engine that fell silent may be wrong: one that leaves takes no
     /// connections any more and serves on what passes it. To cut the stream gains nobody
     /// anything; engines give up what waits for a dead one after two seconds themselves.
-    fn has_only_this(&self) -> bool {
+    fn has_no_alternative(&self) -> bool {
         let route = &self.exchange.matched.route;
         let attempts_left = self.tried.sent + 1 < route.max_attempts;
-        let may_reopen = route.kind.is_repeatable() && attempts_left;
-        !may_reopen && !self.exchange.is_poison(Instant::now())
+        let may_resume = route.kind.is_repeatable() && attempts_left;
+        !may_resume && !self.exchange.is_poison(Instant::now())
     }
 
     /// Goes on at another path after the last event that was passed on.
-    async fn reopen(&mut self, reason: &str) -> std::io::Result<()> {
+    async fn resume(&mut self, reason: &str) -> std::io::Result<()> {
         self.watch.release();
         self.events.drop_partial();
         let exchange = self.exchange.clone();
@@ -169,11 +169,11 @@
                 && now < exchange.deadline
                 && exchange.tables.spend_retry(&exchange.service.name, now);
             if !allowed {
-                return Err(self.give_up(reason));
+                return Err(self.cut(reason));
             }
             let (chosen, guard) = match exchange.choose_permitted(&self.tried.avoid, true).await {
                 Ok(chosen) => chosen,
-                Err(refusal) => return Err(self.give_up(refusal.reason.name())),
+                Err(refusal) => return Err(self.cut(refusal.reason.name())),
             };
             let last = self.events.last_id().map(str::to_owned);
             exchange.tables.metrics.repaired("resumed");
@@ -190,19 +190,19 @@
                 Ok(response) if response.status().is_success() => {
                     self.body = response.into_body();
                     self.watch = watch;
-                    self.watch.observe_sound(Instant::now());
+                    self.watch.observe_progress(Instant::now());
                     return Ok(());
                 }
                 Ok(_) => {
                     exchange.observe_failure(&watch.chosen, None);
                     self.tried.count(&watch.chosen, true);
                 }
-                Err(failure) => exchange.note_failure(&watch.chosen, &failure, &mut self.tried),
+                Err(failure) => exchange.record_failure(&watch.chosen, &failure, &mut self.tried),
             }
         }
     }
 
-    fn give_up(&self, reason: &str) -> std::io::Error {
+    fn cut(&self, reason: &str) -> std::io::Error {
         self.exchange.tables.metrics.repaired("cut");
         log::info!(
             request:% = self.exchange.outgoing.id,
--- a/src/forward/repath.rs
+++ b/src/forward/repath.rs
@@ -16,13 +16,13 @@
 use crate::platform::{names, order};
 
 /// How long the first engine may take to accept a new path.
-const MOVE_LIMIT: Duration = Duration::from_millis(400);
+const MOVE_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a request that is moved waits for a permit: callers notice the pause.
-const PERMIT_WAIT: Duration = Duration::from_millis(100);
+const MAX_PERMIT_WAIT: Duration = Duration::from_millis(100);
 /// Orders to move one request at the most: each that is done reads its tokens
 /// again somewhere, and each is priced. An engine that refuses for want of room
 /// has a neighbour that takes it, or none does.
-const MOST_MOVES: u32 = 5;
+const MAX_MOVES: u32 = 5;
 
 impl PathWatch {
     /// Puts other engines in the place of `failed` and of all others that are
@@ -36,54 +36,58 @@
         let Some(path) = self.chosen.path.clone() else {
             return false;
         };
-        let mut failing = self.gone_engines(&path.hops, Instant::now());
+        let mut failing = self.unavailable_engines(&path.hops, Instant::now());
         failing.push(failed.clone());
         if self.exchange.is_poison(Instant::now()) {
             // Each engine that takes its part over would crash in its turn.
             return false;
         }
-        while self.moves < MOST_MOVES {
+        while self.moves < MAX_MOVES {
             let Some(repaired) = self.repair(&path, &failing) else {
                 return false;
             };
-            let withheld = self.withheld_from(&repaired, &path).await;
+            let withheld = self.engines_without_permit(&repaired, &path).await;
             if !withheld.is_empty() {
                 failing.extend(withheld);
                 continue;
             }
             self.moves += 1;
-            match self.order_move(&repaired).await {
-                MoveAnswer::Done => {
-                    self.take_path(repaired, &path);
+            match self.send_move_order(&repaired).await {
+                MoveResult::Done => {
+                    self.switch_path(repaired, &path);
                     return true;
                 }
-                MoveAnswer::Refused(Some(engine)) => failing.push(engine),
-                MoveAnswer::Refused(None) | MoveAnswer::Unanswered => return false,
+                MoveResult::Refused(Some(engine)) => failing.push(engine),
+                MoveResult::Refused(None) | MoveResult::NoReply => return false,
             }
         }
         false
     }
 
     /// The engines that the request would newly pass and may not be sent to in time.
-    async fn withheld_from(&self, repaired: &EnginePath, before: &EnginePath) -> Vec<TargetId> {
+    async fn engines_without_permit(
+        &self,
+        repaired: &EnginePath,
+        before: &EnginePath,
+    ) -> Vec<TargetId> {
         let is_new = |id: &&TargetId| !before.hops.iter().any(|hop| hop.target == **id);
         let new = || repaired.hops.iter().map(|hop| &hop.target).filter(is_new);
         let exchange = &self.exchange;
-        let targets = exchange.tables.passed_targets(new(), Instant::now());
-        match exchange.permit(&targets, PERMIT_WAIT).await {
+        let targets = exchange.tables.attempt_targets(new(), Instant::now());
+        match exchange.acquire_permits(&targets, MAX_PERMIT_WAIT).await {
             Ok(()) => Vec::new(),
-            Err(_) => exchange.withheld_among(new()),
+            Err(_) => exchange.withheld_targets(new()),
         }
     }
 
     /// The request goes on over `repaired`.
-    fn take_path(&mut self, repaired: EnginePath, before: &EnginePath) {
+    fn switch_path(&mut self, repaired: EnginePath, before: &EnginePath) {
         let tables = self.exchange.tables.clone();
         self.liveness = LivenessGuard::open(tables.clone(), Some(&repaired));
         self.chosen.path = Some(repaired);
-        let loads = self.chosen.loads_after(before);
+        let loads = self.chosen.loads_after_move(before);
         self.guard = Some(InFlightGuard::open(tables, loads));
-        self.observe_sound(Instant::now());
+        self.observe_progress(Instant::now());
     }
 
     /// The path with other engines in the place of all that are `failing`.
@@ -116,7 +120,7 @@
         }
     }
 
-    async fn order_move(&self, path: &EnginePath) -> MoveAnswer {
+    async fn send_move_order(&self, path: &EnginePath) -> MoveResult {
         let id = &self.exchange.outgoing.id;
         let address = self.chosen.address;
         let request = Request::post(names::ORDER_PATH)
@@ -125,28 +129,28 @@
             .header(names::TARGET_INSTANCE, platform_id(&self.chosen.id))
             .body(Full::new(Bytes::from(order::repath_body(id, path))));
         let Ok(request) = request else {
-            return MoveAnswer::Unanswered;
+            return MoveResult::NoReply;
         };
-        let answer = call_target(address, request, MOVE_LIMIT).await;
-        let done = matches!(answer, Ok((StatusCode::OK | StatusCode::ACCEPTED, _)));
+        let response = call_target(address, request, MOVE_TIMEOUT).await;
+        let done = matches!(response, Ok((StatusCode::OK | StatusCode::ACCEPTED, _)));
         let done = if done { "moved" } else { "move_refused" };
         self.exchange.tables.metrics.repaired(done);
         log::info!(
             request:% = id,
-            silent_ms = self.heard.elapsed().as_millis() as u64,
+            silent_ms = self.last_progress.elapsed().as_millis() as u64,
             path:% = order::path_value(path),
-            answer:? = answer.as_ref().map(|(status, _)| status.as_u16());
+            response:? = response.as_ref().map(|(status, _)| status.as_u16());
             "moved"
         );
-        match answer {
-            Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => MoveAnswer::Done,
-            Ok((_, body)) => MoveAnswer::Refused(self.note_refusing(&body)),
-            Err(_) => MoveAnswer::Unanswered,
+        match response {
+            Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => MoveResult::Done,
+            Ok((_, body)) => MoveResult::Refused(self.record_refusing_engine(&body)),
+            Err(_) => MoveResult::NoReply,
         }
     }
 
     /// The engine that could not take the request over.
-    fn note_refusing(&self, body: &[u8]) -> Option<TargetId> {
+    fn record_refusing_engine(&self, body: &[u8]) -> Option<TargetId> {
         let address = order::refusing_engine(body)?;
         let mut fleet = self.exchange.tables.fleet.lock();
         let id = fleet.id_at(&self.exchange.service.name, address)?;
@@ -156,9 +160,9 @@
 }
 
 /// What the first engine says to a new path.
-enum MoveAnswer {
+enum MoveResult {
     Done,
     /// An engine of the path cannot take its part: this one, if it is named.
     Refused(Option<TargetId>),
-    Unanswered,
+    NoReply,
 }
--- a/src/forward/socket.rs
+++ b/src/forward/socket.rs
@@ -11,10 +11,10 @@
 /// or behind a partition, never answers by itself; the connection would hang
 /// until its request's deadline. Link delays are a few milliseconds, and one
 /// lost packet is sent again within a second.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause before the first keep-alive probe on a quiet connection, and between
 /// probes.
-const PROBE_PAUSE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Connections that wait to be taken; a burst must not overflow the queue,
 /// else callers wait a second for the next try.
@@ -42,10 +42,10 @@
     // acknowledgement of the one before, up to 40 ms.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_PAUSE)
-        .with_interval(PROBE_PAUSE);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&keepalive.with_retries(3))
 }
 
--- a/src/forward/tables.rs
+++ b/src/forward/tables.rs
@@ -177,27 +177,27 @@
 #[derive(Debug)]
 pub struct InFlightGuard {
     tables: Arc<ServingTables>,
-    parts: Vec<(TargetId, TargetLoad)>,
+    loads: Vec<(TargetId, TargetLoad)>,
 }
 
 impl InFlightGuard {
     /// Counts a request on targets, with what it asks of each.
-    pub fn open(tables: Arc<ServingTables>, parts: Vec<(TargetId, TargetLoad)>) -> Self {
+    pub fn open(tables: Arc<ServingTables>, loads: Vec<(TargetId, TargetLoad)>) -> Self {
         let mut fleet = tables.fleet.lock();
-        for (target, load) in &parts {
+        for (target, load) in &loads {
             fleet.observe_start(target, *load);
         }
         drop(fleet);
-        Self { tables, parts }
+        Self { tables, loads }
     }
 
     /// The targets have read the request: its first event has come.
     pub fn observe_read(&mut self) {
-        if self.parts.iter().all(|(_, load)| load.unread == 0.0) {
+        if self.loads.iter().all(|(_, load)| load.unread == 0.0) {
             return;
         }
         let mut fleet = self.tables.fleet.lock();
-        for (target, load) in &mut self.parts {
+        for (target, load) in &mut self.loads {
             fleet.observe_read(target, std::mem::take(&mut load.unread));
         }
     }
@@ -206,7 +206,7 @@
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut fleet = self.tables.fleet.lock();
-        for (target, load) in &self.parts {
+        for (target, load) in &self.loads {
             fleet.observe_end(target, *load);
         }
     }
--- a/src/forward/watch.rs
+++ b/src/forward/watch.rs
@@ -21,12 +21,12 @@
 
 /// Shortest silence after which a request asks what is wrong. Reports lag by
 /// 200 ms; passes of a loaded engine take up to about 100 ms.
-const LEAST_SILENCE: Duration = Duration::from_millis(350);
+const MIN_SILENCE: Duration = Duration::from_millis(350);
 /// Silence after which a request asks, in times of the route's longest pause.
-const SILENCE_GAPS: f64 = 1.75;
+const SILENCE_FACTOR: f64 = 1.75;
 /// Pause between two questions about the same silence: below the lag of a
 /// report, so that the first report that tells is seen.
-const ASK_PAUSE: Duration = Duration::from_millis(150);
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// A request on its target or path.
 pub(super) struct PathWatch {
@@ -35,9 +35,9 @@
     pub(super) guard: Option<InFlightGuard>,
     pub(super) liveness: LivenessGuard,
     /// When something was last heard of the request.
-    pub(super) heard: Instant,
+    pub(super) last_progress: Instant,
     /// When the next question may be asked.
-    ask_at: Instant,
+    check_at: Instant,
     pub(super) moves: u32,
     start: RunStart,
 }
@@ -65,8 +65,8 @@
             liveness,
             chosen,
             guard: Some(guard),
-            heard: now,
-            ask_at: now + silence,
+            last_progress: now,
+            check_at: now + silence,
             moves: 0,
             start: RunStart::default(),
         }
@@ -77,17 +77,17 @@
         if let Some(guard) = &mut self.guard {
             guard.observe_read();
         }
-        self.observe_sound(now);
+        self.observe_progress(now);
         self.start.observe_event(now);
         if self.start.has_survived(now) {
-            self.exchange.note_survival(now);
+            self.exchange.record_survival(now);
         }
     }
 
     /// Something came from the target.
-    pub(super) fn observe_sound(&mut self, now: Instant) {
-        self.heard = now;
-        self.ask_at = now + silence_limit(&self.exchange);
+    pub(super) fn observe_progress(&mut self, now: Instant) {
+        self.last_progress = now;
+        self.check_at = now + silence_limit(&self.exchange);
     }
 
     /// Waits until an engine of the path is lost; does not end before.
@@ -96,23 +96,23 @@
     }
 
     /// When to ask what is wrong, if nothing comes until then.
-    pub(super) fn ask_at(&self) -> Instant {
-        self.ask_at
+    pub(super) fn check_at(&self) -> Instant {
+        self.check_at
     }
 
     /// Notes a failed attempt if the process of its target has ended.
-    pub(super) async fn note_failure(&self, failure: &AttemptFailure) {
+    pub(super) async fn record_failure(&self, failure: &AttemptFailure) {
         if failure.cause == FailureCause::Broken {
-            self.note_break().await;
+            self.record_break().await;
         }
     }
 
     /// The connection to the target broke; it is noted if its process has ended.
-    pub(super) async fn note_break(&self) {
+    pub(super) async fn record_break(&self) {
         let broke = Instant::now();
         let (target, address) = (&self.chosen.id, self.chosen.address);
         if is_closed(&self.exchange.tables, target, address, broke).await {
-            self.exchange.note_end(target, &self.start, broke);
+            self.exchange.record_end(target, &self.start, broke);
         }
     }
 
@@ -140,7 +140,7 @@
         .await;
         let head = self.await_head(sent?, limit).await;
         if let Err(failure) = &head {
-            self.note_failure(failure).await;
+            self.record_failure(failure).await;
         }
         head
     }
@@ -158,18 +158,18 @@
         let timed_out = AttemptFailure::new(RunVerdict::MayHaveRun, FailureCause::Timeout);
         tokio::pin!(head);
         loop {
-            let pause = self.ask_at.min(limit);
+            let pause = self.check_at.min(limit);
             let step = tokio::select! {
                 step = tokio::time::timeout_at(pause.into(), &mut head) => step,
                 () = self.engine_lost() => {
-                    self.judge_loss().await;
+                    self.handle_lost_engine().await;
                     continue;
                 }
             };
             match step {
                 Ok(answer) => return answer,
                 Err(_) if Instant::now() >= limit => return Err(timed_out),
-                Err(_) => match self.judge_silence().await {
+                Err(_) => match self.handle_silence().await {
                     SilenceVerdict::Waiting => {}
                     SilenceVerdict::Lost(failed) => {
                         let fleet = self.exchange.tables.fleet.lock();
@@ -183,8 +183,8 @@
 
     /// Moves the request away from engines that have just ended. What cannot
     /// be moved now is judged again once it has fallen silent.
-    pub(super) async fn judge_loss(&mut self) {
-        if let Some(lost) = self.gone_later_engine(Instant::now()) {
+    pub(super) async fn handle_lost_engine(&mut self) {
+        if let Some(lost) = self.unavailable_later_engine(Instant::now()) {
             self.move_away(&lost).await;
         }
     }
@@ -196,20 +196,20 @@
     /// more, or has no entry, and serves on what passes it. So the request is moved away
     /// from it if it can be, and is lost only if the first engine says that it stands
     /// still: streams were cut around planned work whose engines served them to the end.
-    pub(super) async fn judge_silence(&mut self) -> SilenceVerdict {
+    pub(super) async fn handle_silence(&mut self) -> SilenceVerdict {
         let now = Instant::now();
-        self.ask_at = now + ASK_PAUSE;
-        let gone = self.gone_later_engine(now);
-        let is_moved = match &gone {
-            Some(gone) => self.move_away(gone).await,
+        self.check_at = now + CHECK_INTERVAL;
+        let unavailable = self.unavailable_later_engine(now);
+        let is_moved = match &unavailable {
+            Some(unavailable) => self.move_away(unavailable).await,
             None => false,
         };
         if is_moved {
             return SilenceVerdict::Waiting;
         }
-        match self.find_fault(now).await {
+        match self.find_faulty_engine(now).await {
             None => SilenceVerdict::Waiting,
-            Some(failed) if gone.is_some() => SilenceVerdict::Lost(failed),
+            Some(failed) if unavailable.is_some() => SilenceVerdict::Lost(failed),
             Some(failed) => match self.move_away(&failed).await {
                 true => SilenceVerdict::Waiting,
                 false => SilenceVerdict::Lost(failed),
@@ -218,13 +218,13 @@
     }
 
     /// An engine after the first that is known to be gone or silent.
-    fn gone_later_engine(&self, now: Instant) -> Option<TargetId> {
+    fn unavailable_later_engine(&self, now: Instant) -> Option<TargetId> {
         let hops = self.chosen.path.as_ref()?.hops.get(1..)?;
-        self.gone_engines(hops, now).into_iter().next()
+        self.unavailable_engines(hops, now).into_iter().next()
     }
 
     /// The engine that holds the request up, as the first one reports.
-    async fn find_fault(&self, now: Instant) -> Option<TargetId> {
+    async fn find_faulty_engine(&self, now: Instant) -> Option<TargetId> {
         let path = self.chosen.path.as_ref()?;
         let id = &self.chosen.id;
         let tables = &self.exchange.tables;
@@ -236,7 +236,7 @@
                 let own = &self.exchange.outgoing.id;
                 let mut stalled = report.stalled.iter();
                 let stalled = stalled.find(|(request, _)| request == own);
-                stalled.and_then(|(_, address)| self.chosen.at(*address))
+                stalled.and_then(|(_, address)| self.chosen.target_at(*address))
             }
         };
         match failed {
@@ -246,7 +246,7 @@
                 Some(failed)
             }
             None => {
-                self.note_paces(path, now).await;
+                self.update_paces(path, now).await;
                 None
             }
         }
@@ -258,7 +258,7 @@
     /// the first engine, which did its part, looks at fault. The cost of paths
     /// keeps new requests away from it; those that run stay, since each move
     /// is an order that is priced, and reads everything again.
-    async fn note_paces(&self, path: &EnginePath, now: Instant) {
+    async fn update_paces(&self, path: &EnginePath, now: Instant) {
         let tables = &self.exchange.tables;
         let due = {
             let mut fleet = tables.fleet.lock();
@@ -281,15 +281,15 @@
     }
 
     /// The engines among these that are known to be gone or silent.
-    pub(super) fn gone_engines(&self, hops: &[PathHop], now: Instant) -> Vec<TargetId> {
+    pub(super) fn unavailable_engines(&self, hops: &[PathHop], now: Instant) -> Vec<TargetId> {
         let fleet = self.exchange.tables.fleet.lock();
-        let gone = |id: &TargetId| fleet.get(id).is_none_or(|state| state.is_silent(now));
+        let unavailable = |id: &TargetId| fleet.get(id).is_none_or(|state| state.is_silent(now));
         let hops = hops.iter().map(|hop| &hop.target);
-        hops.filter(|id| gone(id)).cloned().collect()
+        hops.filter(|id| unavailable(id)).cloned().collect()
     }
 }
 
 fn silence_limit(exchange: &Exchange) -> Duration {
     let gap = exchange.matched.route.gap_aim.unwrap_or_default();
-    gap.mul_f64(SILENCE_GAPS).max(LEAST_SILENCE)
+    gap.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE)
 }
--- a/src/permits/issuer.rs
+++ b/src/permits/issuer.rs
@@ -10,25 +10,25 @@
 
 /// Permits that may be saved up, as time at the limit; one besides that which is due at
 /// the least: hosts that were sent away come back a little later than it is.
-const SAVED_TIME: Duration = Duration::from_millis(250);
+const MAX_SAVED_TIME: Duration = Duration::from_millis(250);
 /// Rate at which even a target that takes less, or nothing, is sent requests:
 /// only its answers tell that its limit is over.
-const TRIAL_RATE: f64 = 0.25;
+const PROBE_RATE: f64 = 0.25;
 /// What a target may get in a window, in times of its limit and in requests
 /// besides, together with what was sent before its limit was known.
 const WINDOW_FACTOR: f64 = 1.25;
 const WINDOW_SLACK: f64 = 3.0;
 /// How long a host that was sent away counts as one that wants a permit.
-const WANTED_FOR: Duration = Duration::from_secs(2);
+const WAITING_TTL: Duration = Duration::from_secs(2);
 /// Shortest time after which a host may ask again.
-const LEAST_PAUSE: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// Questions a permit while more hosts want some than there are.
-const QUESTIONS_PER_PERMIT: f64 = 2.0;
-/// Time from the first question about a target to its first permit: other hosts tell
+const REQUESTS_PER_PERMIT: f64 = 2.0;
+/// Time from the first request about a target to its first permit: other hosts tell
 /// meanwhile what they have sent there.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
+const INITIAL_DELAY: Duration = Duration::from_secs(1);
 /// How long a target that nobody asks about is remembered.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(10);
+const ACCOUNT_TTL: Duration = Duration::from_secs(10);
 
 /// What was handed out for one target.
 #[derive(Debug)]
@@ -40,8 +40,8 @@
     /// What hosts sent without permits.
     reported: FastMap<HostId, SendCounts>,
     /// Hosts that were sent away, and when.
-    wanting: FastMap<HostId, Instant>,
-    asked: Instant,
+    waiting: FastMap<HostId, Instant>,
+    last_request: Instant,
 }
 
 /// Hands out permits for targets, each at its limit.
@@ -55,41 +55,41 @@
 }
 
 impl PermitIssuer {
-    /// Answers a question about a target with a limit. `part` is the part of the limit
+    /// Answers a request about a target with a limit. `share` is the part of the limit
     /// that this host may hand out, from 0 to 1.
-    pub fn answer(
+    pub fn handle_request(
         &mut self,
-        question: &PermitRequest,
+        request: &PermitRequest,
         limit: RateLimit,
-        part: f64,
+        share: f64,
         now: Instant,
     ) -> PermitReply {
-        let per_second = (limit.per_second() * part).max(TRIAL_RATE);
+        let per_second = (limit.per_second() * share).max(PROBE_RATE);
         let spacing = Duration::from_secs_f64(per_second.recip());
-        self.forget_unused(now);
-        let account = self.accounts.entry(question.limit.target);
+        self.remove_unused(now);
+        let account = self.accounts.entry(request.limit.target);
         let account = account.or_insert_with(|| PermitAccount::open(now));
-        account.asked = now;
-        account.report(question, now);
+        account.last_request = now;
+        account.record_report(request, now);
         let start = account.next_start(spacing, now);
         let delay = start - now;
         let room = account.window_room(per_second, now);
         match room {
             // The host has only told what it sent.
-            _ if question.wanted == 0 => PermitReply::Withheld { retry_after: delay },
-            0 => account.send_away(question, account.issued.until_next_lapse(now), now),
-            _ if delay > question.max_wait => {
-                let pause = delay - question.max_wait;
-                let others = account.wanting.len() as f64;
-                let turn = Duration::from_secs_f64(others / per_second / QUESTIONS_PER_PERMIT);
-                account.send_away(question, pause.max(turn), now)
+            _ if request.wanted == 0 => PermitReply::Withheld { retry_after: delay },
+            0 => account.withhold(request, account.issued.until_next_expiry(now), now),
+            _ if delay > request.max_wait => {
+                let pause = delay - request.max_wait;
+                let others = account.waiting.len() as f64;
+                let backlog = Duration::from_secs_f64(others / per_second / REQUESTS_PER_PERMIT);
+                account.withhold(request, pause.max(backlog), now)
             }
             _ => {
-                let ahead = (question.max_wait - delay).as_secs_f64() * per_second;
-                let most = (ahead as u32).saturating_add(1).min(room);
-                let permits = question.wanted.clamp(1, most);
+                let ahead = (request.max_wait - delay).as_secs_f64() * per_second;
+                let max_permits = (ahead as u32).saturating_add(1).min(room);
+                let permits = request.wanted.clamp(1, max_permits);
                 account.issue(permits, start, spacing, now);
-                account.wanting.remove(&question.host);
+                account.waiting.remove(&request.host);
                 PermitReply::Granted {
                     permits,
                     delay,
@@ -99,9 +99,9 @@
         }
     }
 
-    fn forget_unused(&mut self, now: Instant) {
+    fn remove_unused(&mut self, now: Instant) {
         self.accounts
-            .retain(|_, account| now < account.asked + FORGOTTEN_AFTER);
+            .retain(|_, account| now < account.last_request + ACCOUNT_TTL);
     }
 }
 
@@ -109,31 +109,31 @@
     /// An account with nothing saved up.
     fn open(now: Instant) -> Self {
         Self {
-            due: now + FIRST_PAUSE,
+            due: now + INITIAL_DELAY,
             opened: now,
             issued: SendCounts::new(now),
             reported: FastMap::default(),
-            wanting: FastMap::default(),
-            asked: now,
+            waiting: FastMap::default(),
+            last_request: now,
         }
     }
 
     /// Takes in what a host sent without permits, in place of what it said before.
-    fn report(&mut self, question: &PermitRequest, now: Instant) {
+    fn record_report(&mut self, request: &PermitRequest, now: Instant) {
         self.reported.retain(|_, sends| sends.total(now) > 0);
-        self.wanting.retain(|_, at| now < *at + WANTED_FOR);
-        if question.unpermitted.is_empty() {
+        self.waiting.retain(|_, at| now < *at + WAITING_TTL);
+        if request.unpermitted.is_empty() {
             return;
         }
-        let sends = SendCounts::from_ages(&question.unpermitted, now);
-        self.reported.insert(question.host.clone(), sends);
+        let sends = SendCounts::from_ages(&request.unpermitted, now);
+        self.reported.insert(request.host.clone(), sends);
     }
 
     /// When the next permit may be used.
     fn next_start(&self, spacing: Duration, now: Instant) -> Instant {
-        let saved = SAVED_TIME.max(spacing);
+        let saved = MAX_SAVED_TIME.max(spacing);
         let start = self.due.checked_sub(saved).unwrap_or(now);
-        start.max(self.opened + FIRST_PAUSE).max(now)
+        start.max(self.opened + INITIAL_DELAY).max(now)
     }
 
     /// Permits that the window still has room for.
@@ -152,15 +152,10 @@
 
     /// Hosts that want permits come back in turn: how often they ask in all depends on
     /// the limit, and not on how many they are.
-    fn send_away(
-        &mut self,
-        question: &PermitRequest,
-        pause: Duration,
-        now: Instant,
-    ) -> PermitReply {
-        self.wanting.insert(question.host.clone(), now);
+    fn withhold(&mut self, request: &PermitRequest, pause: Duration, now: Instant) -> PermitReply {
+        self.waiting.insert(request.host.clone(), now);
         PermitReply::Withheld {
-            retry_after: pause.max(LEAST_PAUSE),
+            retry_after: pause.max(MIN_RETRY_AFTER),
         }
     }
 }
--- a/src/permits/pool.rs
+++ b/src/permits/pool.rs
@@ -10,9 +10,9 @@
 
 /// How long a permit may be used. One that nobody needs in that time is lost to the
 /// target, and one that is used later would come on top of those of its time.
-const HELD_FOR: Duration = Duration::from_millis(250);
+const PERMIT_TTL: Duration = Duration::from_millis(250);
 /// How often a second a host that sends much asks for permits.
-const FETCHES_PER_S: u32 = 6;
+const REQUESTS_PER_SECOND: u32 = 6;
 
 /// Permits for one target, and what was sent there.
 #[derive(Debug)]
@@ -44,16 +44,16 @@
     /// Permits to ask for: one, and what the host is about to send besides.
     pub fn wanted(&self, target: TargetKey, now: Instant) -> u32 {
         let recent = self.targets.get(&target);
-        1 + recent.map_or(0, |permits| permits.permitted.recent(now)) / FETCHES_PER_S
+        1 + recent.map_or(0, |permits| permits.permitted.recent(now)) / REQUESTS_PER_SECOND
     }
 
     /// Takes permits in that were granted.
-    pub fn put(&mut self, target: TargetKey, answer: PermitReply, now: Instant) {
+    pub fn put(&mut self, target: TargetKey, reply: PermitReply, now: Instant) {
         let PermitReply::Granted {
             permits,
             delay,
             spacing,
-        } = answer
+        } = reply
         else {
             return;
         };
@@ -65,7 +65,7 @@
     /// Takes a permit that may be used within `max_wait`; gives from when.
     pub fn take(&mut self, target: TargetKey, max_wait: Duration, now: Instant) -> Option<Instant> {
         let permits = self.targets.get_mut(&target)?;
-        permits.held.retain(|from| now < *from + HELD_FOR);
+        permits.held.retain(|from| now < *from + PERMIT_TTL);
         let from = permits.held.front().copied();
         let from = from.filter(|from| *from <= now + max_wait)?;
         permits.held.pop_front();
--- a/src/permits/send_counts.rs
+++ b/src/permits/send_counts.rs
@@ -31,8 +31,8 @@
     pub(super) fn from_ages(ages: &[u16], now: Instant) -> Self {
         let mut counts = Self::new(now);
         let slots = counts.slots.iter_mut();
-        for (slot, told) in slots.zip(ages) {
-            *slot = *told;
+        for (slot, reported) in slots.zip(ages) {
+            *slot = *reported;
         }
         counts
     }
@@ -40,14 +40,14 @@
     /// Counts by age, the newest first, without the empty ones at the end.
     pub(super) fn ages(&self, now: Instant) -> Vec<u16> {
         let mut counts = *self;
-        counts.move_on(now);
+        counts.advance(now);
         let used = counts.slots.iter().rposition(|slot| *slot > 0);
         counts.slots[..used.map_or(0, |last| last + 1)].to_vec()
     }
 
     /// Requests are sent now.
     pub(super) fn count(&mut self, requests: u32, now: Instant) {
-        self.move_on(now);
+        self.advance(now);
         let requests = u16::try_from(requests).unwrap_or(u16::MAX);
         self.slots[0] = self.slots[0].saturating_add(requests);
     }
@@ -55,24 +55,24 @@
     /// Requests of the last window.
     pub(super) fn total(&self, now: Instant) -> u32 {
         let mut counts = *self;
-        counts.move_on(now);
+        counts.advance(now);
         counts.slots.iter().copied().map(u32::from).sum()
     }
 
     /// Requests of the last half second to second.
     pub(super) fn recent(&self, now: Instant) -> u32 {
         let mut counts = *self;
-        counts.move_on(now);
+        counts.advance(now);
         counts.slots[..2].iter().copied().map(u32::from).sum()
     }
 
     /// Time until the oldest requests that count no longer do.
-    pub(super) fn until_next_lapse(&self, now: Instant) -> Duration {
+    pub(super) fn until_next_expiry(&self, now: Instant) -> Duration {
         let passed = now.saturating_duration_since(self.newest);
         SLOT - (passed - SLOT * whole_slots(passed))
     }
 
-    fn move_on(&mut self, now: Instant) {
+    fn advance(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.newest);
         let slots = whole_slots(passed);
         if slots == 0 {
--- a/src/permits/table.rs
+++ b/src/permits/table.rs
@@ -129,14 +129,14 @@
     /// that it has taken in, oldest changes first.
     pub fn delta_for(&self, address: SocketAddr, now: Instant) -> LimitDelta {
         let mut bounds = self.progress.bounds_for(address, self.version);
-        let news = self.entries.iter();
-        let news = news.filter(|(_, entry)| entry.changed > bounds.from);
-        let mut news = news.collect::<Vec<_>>();
-        news.sort_unstable_by_key(|(_, entry)| entry.changed);
-        if let Some((_, first_left_out)) = news.get(MAX_DELTA_RECORDS) {
+        let updates = self.entries.iter();
+        let updates = updates.filter(|(_, entry)| entry.changed > bounds.from);
+        let mut updates = updates.collect::<Vec<_>>();
+        updates.sort_unstable_by_key(|(_, entry)| entry.changed);
+        if let Some((_, first_left_out)) = updates.get(MAX_DELTA_RECORDS) {
             bounds.to = first_left_out.changed - 1;
         }
-        let records = news.into_iter().take(MAX_DELTA_RECORDS);
+        let records = updates.into_iter().take(MAX_DELTA_RECORDS);
         let records = records.filter_map(|(target, _)| self.record(*target, now));
         LimitDelta {
             bounds,
--- a/standins/tests/limit_division/ways.rs
+++ b/standins/tests/limit_division/ways.rs
@@ -240,7 +240,7 @@
         // Whoever has heard of the lower limit tells the other with the question.
         let limit = world.believed_limit(host).min(world.believed_limit(issuer));
         let limit = RateLimit::new(limit).expect("a valid rate");
-        self.issuers[issuer].answer(&question, limit, part, now)
+        self.issuers[issuer].handle_request(&question, limit, part, now)
     }
 
     /// Calls of all hosts, and of the busiest.
