--- a/src/forward.rs
+++ b/src/forward.rs
@@ -1,8 +1,8 @@
-//! The data path: requests of callers go on to targets, answers come back.
+//! The data path: forwards callers' requests to targets and returns the responses.
 //!
-//! [`serve`] takes connections, `exchange` carries one request, `relay` one
-//! stream. Decisions are taken by [`crate::ingress`], [`crate::fleet`] and
-//! [`crate::retry`].
+//! [`serve`] accepts connections, `exchange` handles one request and `relay` one stream.
+//! [`crate::ingress`], [`crate::fleet`] and [`crate::retry`] decide about routes, targets
+//! and retries.
 
 mod attempt;
 mod attempt_policy;
--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a connection to a target, the request, the head of its response.
+//! One attempt: connects to a target, sends the request and reads the head of the
+//! response.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,17 +20,17 @@
 use crate::platform::{names, order};
 use crate::verdict::RunVerdict;
 
-/// How long a connection may take: about a thousand times the delay of a link
-/// in the availability zone. A target that is dead or cut off never answers.
+/// Longest time to connect: about a thousand times the delay of a link within an
+/// availability zone. A target that is down or partitioned never replies.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a target is sent, whichever it is.
+/// The request that is sent to a target, the same for every target.
 #[derive(Debug, Clone)]
 pub(super) struct OutgoingRequest {
     pub(super) id: String,
     pub(super) method: Method,
     pub(super) uri: Uri,
-    /// Headers that stay the same for every attempt.
+    /// Headers that are the same for every attempt.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
@@ -39,11 +40,11 @@
 pub(super) struct AttemptFailure {
     pub(super) verdict: RunVerdict,
     pub(super) cause: FailureCause,
-    /// The engine at fault, if the target named another one.
+    /// Address of the engine at fault, if the target named another engine.
     pub(super) at: Option<SocketAddr>,
 }
 
-/// What went wrong.
+/// Kind of failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum FailureCause {
     #[error("no connection")]
@@ -63,7 +64,7 @@
 }
 
 impl FailureCause {
-    /// The name used in metrics and logs.
+    /// Returns the name used in metrics and logs.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Connect => "connect",
@@ -87,12 +88,12 @@
     }
 }
 
-/// Connects and writes the request; the future that is given waits for the
-/// head of the response.
+/// Connects and returns a future that sends the request and waits for the head of the
+/// response.
 ///
-/// Each attempt has a connection of its own: on a kept one, a late response of
-/// an earlier request or a close by the target can cross the request, and a
-/// non-idempotent one could not be sent again.
+/// Each attempt uses a new connection. On a reused one, a late response to an earlier
+/// request or a close by the target could cross the request, and a non-idempotent request
+/// could not be sent again.
 pub(super) async fn send(
     tables: Arc<ServingTables>,
     outgoing: &OutgoingRequest,
@@ -111,7 +112,7 @@
         opened.map_err(|_| AttemptFailure::new(RunVerdict::NotRun, FailureCause::Connect))?;
     tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("connection to a target ended: {error}");
+            log::debug!("connection to target failed: {error}");
         }
     });
     let sent = Instant::now();
@@ -155,7 +156,8 @@
     request
 }
 
-/// Takes an answer only if it is this request's and is the target's own.
+/// Accepts a response only if it belongs to this request and was made by the target
+/// itself.
 fn check_response(
     id: &str,
     response: Response<Incoming>,
--- a/src/forward/attempt_policy.rs
+++ b/src/forward/attempt_policy.rs
@@ -1,5 +1,5 @@
-//! Where the attempts of one request go, whether there is another, and what is
-//! noted of each.
+//! Selects targets for the attempts of one request, decides about retries, and records
+//! the result of each attempt.
 
 use std::time::Instant;
 
@@ -20,16 +20,17 @@
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// Time that a repeatable request leaves to its last attempt, as a part of
-/// what is left.
+/// Part of the remaining time that an attempt of an idempotent request may take if it is
+/// not the last one.
 const FIRST_ATTEMPT_SHARE: f64 = 0.5;
-/// How long a stream's first attempt may take to its head, in times of the
-/// route's aim. Callers of streams wait four times the aim at least.
+/// Longest time to the head of a stream's response for an attempt that is not the last
+/// one, in multiples of the route's latency aim. Callers of streams wait at least four
+/// times the aim.
 const STREAM_HEAD_FACTOR: f64 = 2.4;
 
 impl Exchange {
-    /// Chooses where the next attempt goes. `started` tells whether the caller has
-    /// a part of the answer.
+    /// Selects the target or path of the next attempt. `started` tells whether the caller
+    /// already has a part of the response.
     pub(super) fn choose(
         &self,
         avoid: &[TargetId],
@@ -55,8 +56,8 @@
         let no_route = || Refusal::not_run(RefusalReason::NoRoute, NO_ROUTE_RETRY);
         let chosen = chosen.ok_or_else(no_route)?;
         let full = chosen.path.as_ref().is_some_and(|path| path.full);
-        // A stream that has begun goes on even if it has to wait for room:
-        // to cut it would waste what was done, and its caller starts over.
+        // A stream that has begun continues even if it has to wait for room: to cut it
+        // would waste the work done, and its caller would start over.
         if full && !started {
             let after = self.tables.count_refusal(now);
             return Err(Refusal::not_run(RefusalReason::NoRoom, after));
@@ -64,7 +65,8 @@
         Ok(chosen)
     }
 
-    /// Counts the next attempt where it goes, `tried` others before.
+    /// Counts the next attempt on its targets. `tried` is the number of targets that were
+    /// tried before.
     pub(super) fn commit(
         &self,
         chosen: ChosenTarget,
@@ -76,7 +78,7 @@
         (chosen, guard)
     }
 
-    /// One line on where a request goes, and what decided that.
+    /// Logs the target of an attempt and the facts that decided on it.
     pub(super) fn log_route(&self, chosen: &ChosenTarget, tried: usize) {
         let path = chosen.path.as_ref();
         log::info!(
@@ -94,14 +96,14 @@
         );
     }
 
-    /// One line on a whole answer.
+    /// Logs and counts a complete response.
     pub(super) fn record_response(
         &self,
         chosen: &ChosenTarget,
         status: u16,
         times: Option<StreamTimes>,
     ) {
-        // A failure, or a stream without an event, may stand for a run that never began.
+        // After a failure, or a stream without an event, the run may never have begun.
         let has_begun = times.is_none_or(|times| times.has_begun());
         if has_begun && (200..300).contains(&status) {
             self.record_survival(Instant::now());
@@ -122,7 +124,7 @@
         self.tables.metrics.answered(status, took);
     }
 
-    /// Until when an attempt may take to the head of its answer.
+    /// Returns the deadline for the head of the response of an attempt.
     pub(super) fn head_deadline(&self, sent: u32, now: Instant) -> Instant {
         let route = &self.matched.route;
         let last = sent + 1 >= route.max_attempts;
@@ -140,7 +142,8 @@
         self.matched.route.kind.is_stream() && response.status().is_success()
     }
 
-    /// Whether a failure that a target itself answered may be tried elsewhere.
+    /// Returns whether a failure that a target itself returned may be retried elsewhere,
+    /// and spends a retry if so.
     pub(super) fn may_fail_over(
         &self,
         response: &Response<ResponseBody>,
@@ -154,7 +157,8 @@
             && self.tables.spend_retry(&self.service.name, Instant::now())
     }
 
-    /// Whether the request may be sent once more.
+    /// Returns whether the request may be sent once more, and spends a retry unless no
+    /// connection was made.
     pub(super) fn may_retry(
         &self,
         failure: &AttemptFailure,
@@ -171,7 +175,7 @@
             && (free || self.tables.spend_retry(&self.service.name, Instant::now()))
     }
 
-    /// Puts down a failed attempt, and whom the next one avoids.
+    /// Records a failed attempt, and the target that the next one avoids.
     pub(super) fn record_failure(
         &self,
         chosen: &ChosenTarget,
@@ -193,8 +197,8 @@
         }
     }
 
-    /// Puts down who failed; `None` stands for a failure that the target
-    /// itself answered.
+    /// Records which target failed. `None` stands for a failure that the target itself
+    /// returned.
     pub(super) fn observe_failure(&self, chosen: &ChosenTarget, failure: Option<&AttemptFailure>) {
         let now = Instant::now();
         let at = failure
@@ -204,7 +208,7 @@
         let cause = failure.map(|failure| failure.cause);
         let mut fleet = self.tables.fleet.lock();
         let ejected_until = match cause {
-            // A full engine is no faulty one.
+            // A full engine is not faulty.
             Some(FailureCause::Refused) => {
                 fleet.observe_full(&id, now);
                 None
--- a/src/forward/choice.rs
+++ b/src/forward/choice.rs
@@ -1,4 +1,4 @@
-//! Where an attempt goes.
+//! Selects the target or path of an attempt.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -9,28 +9,28 @@
 use crate::ids::TargetId;
 use crate::ingress::{RouteRule, ServiceShare, ServiceSpec};
 
-/// A target, or a path of engines, for one attempt.
+/// The target, or the path of engines, of one attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct ChosenTarget {
-    /// The target that is sent the request.
+    /// The target that receives the request; the first engine of a path.
     pub(super) id: TargetId,
     /// Its address.
     pub(super) address: SocketAddr,
-    /// The path, for model engines.
+    /// The path, if the service runs on model engines.
     pub(super) path: Option<EnginePath>,
-    /// Size that is counted while the request is under way.
+    /// Size that is counted while the request is in flight.
     pub(super) size: RequestSize,
 }
 
 impl ChosenTarget {
-    /// The targets that the request passes.
+    /// Returns the targets that the request passes.
     pub(super) fn ids(&self) -> impl Iterator<Item = &TargetId> {
         let hops = self.path.iter().flat_map(|path| &path.hops);
         let single = self.path.is_none().then_some(&self.id);
         single.into_iter().chain(hops.map(|hop| &hop.target))
     }
 
-    /// The targets and what the request asks of each.
+    /// Returns the targets and the load that the request puts on each.
     pub(super) fn loads(&self) -> Vec<(TargetId, TargetLoad)> {
         match &self.path {
             None => vec![(self.id.clone(), self.size.load(1))],
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The same once the request was moved here from `before`: targets that
-    /// were on that path have read it.
+    /// Returns the loads after a move from the path `before`. Targets of that path have
+    /// read the request already.
     pub(super) fn loads_after_move(&self, before: &EnginePath) -> Vec<(TargetId, TargetLoad)> {
         let stays = |id: &TargetId| before.hops.iter().any(|hop| hop.target == *id);
         let mut loads = self.loads();
@@ -55,7 +55,7 @@
         loads
     }
 
-    /// The target on the path that listens at `address`.
+    /// Returns the target of the path that listens at `address`.
     pub(super) fn target_at(&self, address: SocketAddr) -> Option<TargetId> {
         let hops = self.path.iter().flat_map(|path| &path.hops);
         let mut hops = hops.filter(|hop| hop.address == address);
@@ -63,7 +63,8 @@
     }
 }
 
-/// Draws a service of a route by the weights of its shares.
+/// Selects a service of a route at random by the weights of its shares. `draw` is from 0
+/// to 1.
 pub(super) fn draw_service(route: &RouteRule, draw: f64) -> Option<&ServiceShare> {
     let total = route
         .services
@@ -81,7 +82,8 @@
     route.services.last()
 }
 
-/// Chooses a target of a service, or a path over its engines.
+/// Selects a target of a service, or a path over its engines, avoiding the targets in
+/// `avoid`.
 pub(super) fn choose<D>(
     fleet: &FleetTable,
     service: &ServiceSpec,
--- a/src/forward/closed.rs
+++ b/src/forward/closed.rs
@@ -1,4 +1,4 @@
-//! Tells whether a target takes connections.
+//! Checks whether a target still listens on its address.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,24 +8,24 @@
 use crate::forward::{ServingTables, socket};
 use crate::ids::TargetId;
 
-/// How long a connection may take: a hundred times the delay of a link. One that
-/// takes longer tells nothing.
+/// Longest time to connect: a hundred times the delay of a link. A timeout gives no
+/// information.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// When a target was last asked for a connection, and whether it refused; one question
-/// at a time.
+/// When a target was last probed, and whether it refused the connection. The lock admits
+/// one probe at a time.
 ///
-/// All requests of a target break or fall silent at the same moment: it is asked once,
-/// and all hear the answer.
+/// All requests of a target break or stall at the same moment: one probe serves them all.
 pub(super) type ClosedCell = Arc<tokio::sync::Mutex<Option<(Instant, bool)>>>;
 
-/// Whether nothing listens any more at the address of a target, as of `since` or later.
+/// Returns whether nothing listens at the address of a target, as of `since` or later.
 ///
-/// A connection that breaks says little by itself: targets reset connections that are too
-/// many, break off answers and lose their links. The system refuses a connection only
-/// where no process listens. So a target whose connection broke has ended if it is closed;
-/// one whose connection stands leaves, and serves on what it has. What was found before
-/// `since` does not count: a cut that refuses connections heals.
+/// A broken connection alone does not show that a process has ended: targets reset
+/// surplus connections, abort responses and lose their links. The operating system
+/// refuses a connection only where no process listens. If the port is closed, a target
+/// whose connection broke has ended, while one whose connection is still open is shutting
+/// down and completes its running requests. Results from before `since` do not count,
+/// since a network fault that refuses connections can heal.
 pub(super) async fn is_closed(
     tables: &ServingTables,
     target: &TargetId,
--- a/src/forward/events.rs
+++ b/src/forward/events.rs
@@ -1,15 +1,14 @@
-//! Splits a stream into whole events.
+//! Splits a stream into complete events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event that is kept while it arrives, in bytes; events have some
-/// hundred.
+/// Largest event that is buffered, in bytes; events usually have a few hundred.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// Holds back the event that is still arriving.
+/// Buffers the event that is still arriving.
 ///
-/// A target may break off in the middle of an event. If its half had been
-/// passed on, the events of another target could not follow it.
+/// A target may fail in the middle of an event. Had the first half been passed on, events
+/// of another target could not follow it.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: BytesMut,
@@ -17,11 +16,11 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes in; gives the events that are whole now, if any.
+    /// Adds bytes and returns the events that are now complete, if any.
     ///
     /// # Errors
     ///
-    /// If an event grows beyond all bounds: the target sends something else.
+    /// If an event exceeds the limit, so that the stream cannot be one of events.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Option<Bytes>, OversizedEvent> {
         self.partial.extend_from_slice(bytes);
         let Some(end) = last_boundary(&self.partial) else {
@@ -37,28 +36,28 @@
         Ok(Some(whole))
     }
 
-    /// Id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whether an event has begun and is not whole.
+    /// Returns whether an event has begun and is not complete.
     pub fn is_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Drops the event that was arriving, when its target has broken off.
+    /// Drops the incomplete event after its target has failed.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 }
 
-/// An event larger than any engine sends.
+/// Error of an event that exceeds the limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("an event exceeds {MAX_EVENT_BYTES} bytes")]
 pub struct OversizedEvent;
 
-/// One past the last empty line.
+/// Returns the index after the last empty line.
 fn last_boundary(bytes: &[u8]) -> Option<usize> {
     let newline = bytes.windows(2).rposition(|pair| pair == b"\n\n");
     let carriage = bytes.windows(4).rposition(|four| four == b"\r\n\r\n");
--- a/src/forward/exchange.rs
+++ b/src/forward/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handles one request of a caller, from its head to the response.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -25,35 +25,35 @@
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// When a caller may come back that found no target: about the time in which
-/// a lost engine is noticed and its requests are moved.
+/// `Retry-After` of a request for which no target is available: about the time in which a
+/// lost engine is noticed and its requests are moved.
 pub(super) const NO_ROUTE_RETRY: Duration = Duration::from_millis(500);
-/// When a caller may come back that found no configuration: a start takes
-/// about a second.
+/// `Retry-After` of a request that arrives before the configuration: a start takes about
+/// a second.
 const NOT_READY_RETRY: Duration = Duration::from_secs(1);
-/// When a caller may come back that a stopping host refused: at once, since
-/// its next connection leads to another host.
+/// `Retry-After` of a request that a stopping host refuses: short, since the caller's
+/// next connection leads to another host.
 const DRAINING_RETRY: Duration = Duration::from_millis(50);
 
-/// Everything about one request that its attempts share.
+/// State that the attempts of one request share.
 #[derive(Debug)]
 pub(super) struct Exchange {
     pub(super) tables: Arc<ServingTables>,
     pub(super) outgoing: OutgoingRequest,
     pub(super) matched: MatchedRequest,
     pub(super) service: Arc<ServiceSpec>,
-    /// What all attempts of the request share, whichever host they reach.
+    /// Key that all attempts of the request share on all hosts.
     pub(super) key: RequestKey,
     pub(super) size: RequestSize,
-    /// Version of the configuration that matched it.
+    /// Version of the configuration that matched the request.
     pub(super) configuration: u64,
-    /// When its head had come.
+    /// When the head of the request was received.
     pub(super) arrived: Instant,
     /// The earlier of the caller's deadline and the route's timeout.
     pub(super) deadline: Instant,
 }
 
-/// Answers a caller's request.
+/// Handles a caller's request and returns its response.
 pub async fn handle_request(
     tables: Arc<ServingTables>,
     request: Request<Incoming>,
@@ -100,7 +100,7 @@
     refusal.into_response(id)
 }
 
-/// Counts a request for as long as it is being answered.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub(super) struct InFlightRequest {
     tables: Arc<ServingTables>,
@@ -215,7 +215,7 @@
     Ok(body.map_err(malformed)?.to_bytes())
 }
 
-/// Sends the request to one target after another until one answers.
+/// Sends the request to one target after another until one responds.
 async fn forward(
     exchange: Arc<Exchange>,
     counted: InFlightRequest,
@@ -226,7 +226,8 @@
         let started = Instant::now();
         let (chosen, guard) = match exchange.choose_permitted(&tried.avoid, false).await {
             Ok(chosen) => chosen,
-            // Nobody else is left: the answer of the target that failed stands.
+            // No other target is left: the response of the target that failed is
+            // returned.
             Err(refusal) => return failed_response.ok_or(refusal.after(&tried)),
         };
         let limit = exchange.head_deadline(tried.sent, started);
@@ -265,10 +266,10 @@
 }
 
 impl Refusal {
-    /// The refusal of a request for which targets were tried before.
+    /// Adapts a refusal to the attempts that were made before.
     ///
-    /// A caller that is told `NotRun` may send a charge again; after an attempt
-    /// that may have run, the lack of another target does not make that true.
+    /// A caller that receives `NotRun` may send a charge again. After an attempt that may
+    /// have run, the lack of another target does not make `NotRun` true.
     fn after(self, tried: &TriedTargets) -> Self {
         match tried.may_have_run {
             true => Self::may_have_run(StatusCode::BAD_GATEWAY, self.reason),
@@ -280,11 +281,11 @@
 /// Targets that were tried for one request.
 #[derive(Debug, Default)]
 pub(super) struct TriedTargets {
-    /// Targets not to use again.
+    /// Targets that later attempts avoid.
     pub(super) avoid: Vec<TargetId>,
     /// Attempts that reached a target.
     pub(super) sent: u32,
-    /// Whether one of them may have run.
+    /// Whether one of these attempts may have run.
     pub(super) may_have_run: bool,
 }
 
@@ -294,14 +295,15 @@
         self.sent += u32::from(sent);
     }
 
-    /// Another engine of the path was at fault; the first may be used again.
+    /// Avoids `at`, the engine of the path that was at fault, instead of the first
+    /// engine, which may be used again.
     pub(super) fn avoid_instead(&mut self, at: TargetId) {
         self.avoid.pop();
         self.avoid.push(at);
     }
 }
 
-/// Reads an answer as a whole, so that one that breaks off is never passed on.
+/// Reads a complete response, so that a truncated one is never passed on.
 async fn read_whole(
     response: Response<Incoming>,
     deadline: Instant,
--- a/src/forward/head.rs
+++ b/src/forward/head.rs
@@ -1,4 +1,4 @@
-//! What the head of a caller's request says, and the head that a target gets.
+//! Reads the head of a caller's request and builds the headers that are forwarded.
 
 use std::time::{Duration, Instant};
 
@@ -9,16 +9,16 @@
 use crate::ingress::EngineModel;
 use crate::platform::names;
 
-/// The parts of a caller's head that decide.
+/// Parts of a caller's head that routing and limits depend on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct CallerHead {
-    /// Id of the attempt, as sent.
+    /// Id of the attempt, as sent by the caller.
     pub(super) id: String,
     /// Host name.
     pub(super) host: String,
     /// API key.
     pub(super) key: Option<String>,
-    /// When the caller stops waiting, if it says so.
+    /// Time at which the caller stops waiting, if it sent one.
     pub(super) deadline: Option<Instant>,
 }
 
@@ -45,13 +45,14 @@
     }
 }
 
-/// At most a day, so that no sum of times overflows.
+/// Converts milliseconds to a duration of at most a day, so that sums of times do not
+/// overflow.
 fn milliseconds(wait: f64) -> Duration {
     const DAY_MS: f64 = 86_400_000.0;
     Duration::from_secs_f64(wait.clamp(0.0, DAY_MS) / 1000.0)
 }
 
-/// Headers that concern one connection only, or that only this system sets.
+/// Headers that concern one connection only, or that only this system may set.
 const NOT_FORWARDED: [&str; 16] = [
     "connection",
     "keep-alive",
@@ -71,7 +72,7 @@
     names::DEADLINE_MS,
 ];
 
-/// Headers of a request or an answer that go on to the other side.
+/// Returns the headers of a request or a response that are passed on to the other side.
 pub(super) fn forwarded(headers: &HeaderMap) -> HeaderMap {
     let named = headers.get_all(header::CONNECTION).iter();
     let named = named.filter_map(|value| value.to_str().ok());
@@ -95,8 +96,8 @@
     kept
 }
 
-/// Expected size of a request, from the counts and the hint that it carries;
-/// the model's usual sizes stand in for what is missing.
+/// Returns the expected size of a request, from the counts and the hint in its headers.
+/// The model's usual sizes replace missing ones.
 pub(super) fn request_size(headers: &HeaderMap, model: &EngineModel) -> RequestSize {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let counts = text(names::TOKEN_COUNTS).and_then(|value| value.split_once(','));
@@ -112,7 +113,7 @@
     }
 }
 
-/// A header value of a number.
+/// Converts a number to a header value.
 pub(super) fn number_value(number: u128) -> HeaderValue {
     let number = u64::try_from(number).unwrap_or(u64::MAX);
     HeaderValue::from(number)
--- a/src/forward/lateness.rs
+++ b/src/forward/lateness.rs
@@ -1,26 +1,26 @@
-//! Whether an answer came in the time that its route promises, as this host
-//! saw it.
+//! Whether a response came within the times that its route promises, as measured on this
+//! host.
 
 use std::time::Duration;
 
 use super::stream_times::StreamTimes;
 use crate::ingress::RouteRule;
 
-/// What came late in an answer.
+/// The part of a response that came late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ResponseLateness {
-    /// Nothing.
+    /// Nothing came late.
     OnTime,
-    /// The answer of a request that is no stream.
+    /// The response of a request that is no stream.
     Response,
-    /// A stream's first event.
+    /// First event of a stream.
     FirstEvent,
-    /// An event after another one.
+    /// A later event of a stream, after a pause that was too long.
     Pause,
 }
 
 impl ResponseLateness {
-    /// Judges an answer that took so long, or a stream by its times.
+    /// Classifies a response by the time it took, or a stream by its event times.
     pub(super) fn of(route: &RouteRule, took: Duration, times: Option<StreamTimes>) -> Self {
         let is_late = |time: Duration| time > route.latency_aim;
         let is_pause = |pause: Duration| route.gap_aim.is_some_and(|aim| pause > aim);
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The name used in log lines.
+    /// Returns the name used in log lines.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::OnTime => "no",
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -1,4 +1,4 @@
-//! What the answers of targets say of their limits.
+//! Reads the rate limits that targets send with their responses.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,8 +13,8 @@
 use crate::platform::names;
 
 impl ServingTables {
-    /// Takes in what the head of an answer says of its target's limit; `sent` is
-    /// when the request was.
+    /// Records the limit that the head of a response names. `sent` is when the request
+    /// was sent.
     pub(super) fn observe_limit(
         self: &Arc<Self>,
         target: &TargetId,
@@ -26,7 +26,7 @@
         let rate = match named_rate(headers) {
             // Another target at the same address may have sent it.
             _ if status == StatusCode::MISDIRECTED_REQUEST => return,
-            // Only what the target itself made says that there is no limit.
+            // Only a response of the target itself shows that there is no limit.
             NamedRate::Absent if !headers.contains_key(names::SERVER_SEAL) => return,
             NamedRate::Absent if self.limits.lock().is_empty() => return,
             NamedRate::Absent => None,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Another host told of a change of a target's limit.
+    /// Applies a change of a target's limit that another host reported.
     pub fn apply_reported_limit(
         self: &Arc<Self>,
         target: TargetKey,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// One line where a target begins or ceases to limit its requests.
+    /// Logs and counts that a target begins, changes or ends its limit.
     fn record_limit_change(&self, target: &str, change: LimitChange, source: &str) {
         let (name, per_second) = match change {
             LimitChange::Named(rate) => ("named", Some(rate.per_second())),
--- a/src/forward/liveness.rs
+++ b/src/forward/liveness.rs
@@ -1,11 +1,11 @@
-//! Notices within milliseconds that the process of an engine has ended.
+//! Detects within milliseconds that the process of an engine has ended.
 //!
-//! A request depends on every engine of its path but is connected to the first
-//! one only. When a later one crashes nothing comes any more, and that shows
-//! after 350 ms of silence at the earliest, which is over the longest pause of
-//! 200 to 250 ms that callers are promised. A crash closes the connections of
-//! the process, though: one idle connection to each engine in use tells at
-//! once, and the requests are moved while their callers notice nothing.
+//! A request depends on every engine of its path but is connected to the first one only.
+//! When a later engine crashes, events stop, which shows after 350 ms of silence at the
+//! earliest. That exceeds the longest pause of 200 to 250 ms that callers are promised. A
+//! crash closes the connections of the process, though: one idle connection to each
+//! engine in use shows it at once, and the requests are moved before their callers
+//! notice.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,26 +23,25 @@
 use crate::fleet::EnginePath;
 use crate::ids::TargetId;
 
-/// How long a connection may take: a thousand times the delay of a link.
+/// Longest time to connect: a thousand times the delay of a link.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Tries without an answer after which an engine counts as lost. One lost
-/// packet alone delays a connection by a second.
+/// Connection attempts that time out before an engine counts as lost. A single lost
+/// packet delays a connection by a second.
 const MAX_CONNECT_ATTEMPTS: u32 = 2;
-/// Shortest life of a connection that the engine closed for being idle. Where
-/// they live shorter the engine has too many, and watching it costs more than
-/// it tells.
+/// Shortest lifetime of a connection that an engine may close for being idle. An engine
+/// that closes them sooner has too many, and watching it costs more than it is worth.
 const MIN_CONNECTION_LIFETIME: Duration = Duration::from_secs(1);
 /// Pause after a connection that lived shorter.
 const SHORT_LIVED_PAUSE: Duration = Duration::from_secs(5);
 
-/// The engines that are watched, and whom to tell.
+/// The engines that are watched, and the requests to notify.
 #[derive(Debug, Default)]
 pub(super) struct LivenessTable {
     connected: Mutex<FastSet<TargetId>>,
     waiting: Mutex<FastMap<TargetId, Vec<Arc<Notify>>>>,
 }
 
-/// Waits for word that one of the engines that a request depends on is lost.
+/// Notifies a request when one of the engines that it depends on is lost.
 #[derive(Debug)]
 pub(super) struct LivenessGuard {
     tables: Arc<ServingTables>,
@@ -51,7 +50,7 @@
 }
 
 impl LivenessGuard {
-    /// Watches the engines of a path after the first: that one's end shows on
+    /// Watches the engines of a path after the first. The end of the first one shows on
     /// the request's own connection.
     pub(super) fn open(tables: Arc<ServingTables>, path: Option<&EnginePath>) -> Self {
         let lost = Arc::new(Notify::new());
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Waits until an engine is lost; does not end before.
+    /// Waits until an engine is lost, and forever if none is.
     pub(super) async fn lost(&self) {
         self.lost.notified().await;
     }
@@ -107,11 +106,11 @@
         }
     }
 
-    /// Tells all that depend on a target that it is lost.
+    /// Notifies all requests that depend on a target that it is lost.
     pub(super) fn notify_lost(&self, target: &str) {
         let waiting = self.waiting.lock().get(target).cloned();
         for waiter in waiting.iter().flatten() {
-            // A request that is being moved at this moment hears of it after.
+            // A request that is being moved at this moment receives it afterwards.
             waiter.notify_one();
         }
     }
@@ -121,7 +120,7 @@
     }
 }
 
-/// Sees to it that a connection to an engine is open while requests pass it.
+/// Keeps a connection to an engine open while requests pass it.
 fn watch_engine(tables: &Arc<ServingTables>, target: &TargetId, address: SocketAddr) {
     let new = tables.liveness.connected.lock().insert(target.clone());
     if new {
@@ -149,14 +148,13 @@
     tables.liveness.connected.lock().remove(&target);
 }
 
-/// A connection to an engine; `None` if its process has ended, or nothing can
-/// reach it.
+/// Connects to an engine. Returns `None` if its process has ended or cannot be reached.
 async fn connect(address: SocketAddr) -> Option<TcpStream> {
     for _ in 0..MAX_CONNECT_ATTEMPTS {
         match socket::connect(address, CONNECT_TIMEOUT).await {
             Ok(stream) => return Some(stream),
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return None,
-            Err(error) => log::debug!("{address} is not reached: {error}"),
+            Err(error) => log::debug!("cannot connect to engine {address}: {error}"),
         }
     }
     None
--- a/src/forward/permit_wait.rs
+++ b/src/forward/permit_wait.rs
@@ -1,4 +1,4 @@
-//! Permits of one request for the targets that limit their rate.
+//! Acquires the permits of one request for targets that limit their rate.
 
 use std::time::{Duration, Instant};
 
@@ -13,19 +13,19 @@
 use crate::permits::max_permit_wait;
 use crate::reason::RefusalReason;
 
-/// How often another target is chosen for want of a permit.
+/// Targets that are selected at most for lack of a permit.
 const MAX_CHOICES: u32 = 6;
-/// How long a request that has another way waits for a permit.
+/// Longest wait for a permit of a request that has another choice.
 const SHORT_WAIT: Duration = Duration::from_millis(30);
-/// Largest part by which a refused caller comes back later than there may be a permit:
-/// callers that were refused together come back one after the other.
+/// Largest relative delay that is added to `Retry-After`, so that callers that were
+/// refused together come back one after the other.
 const RETRY_JITTER: f64 = 0.5;
-/// How long a stream that has begun waits for one.
+/// Longest wait for a permit of a stream that has begun.
 const STREAM_WAIT: Duration = Duration::from_secs(1);
 
 impl Exchange {
-    /// Chooses where the next attempt goes, and waits until it may be sent there.
-    /// `started` tells whether the caller has a part of the answer.
+    /// Selects the target or path of the next attempt, and waits until the request may be
+    /// sent there. `started` tells whether the caller already has a part of the response.
     pub(super) async fn choose_permitted(
         &self,
         avoid: &[TargetId],
@@ -44,7 +44,7 @@
             let targets = self.tables.attempt_targets(chosen.ids(), now);
             let withheld = match targets.wait {
                 wait if wait > longest => Err(wait),
-                // What is cheapest although it has to be waited for has no substitute.
+                // A path that is cheapest despite its wait has no substitute.
                 Duration::ZERO => {
                     self.acquire_permits(&targets, SHORT_WAIT.min(longest))
                         .await
@@ -65,7 +65,7 @@
         Err(Refusal::not_run(RefusalReason::NoPermit, retry_after))
     }
 
-    /// The targets for which there is no permit now.
+    /// Returns the targets that give no permit now.
     pub(super) fn withheld_targets<'a, I>(&self, targets: I) -> Vec<TargetId>
     where
         I: Iterator<Item = &'a TargetId>,
@@ -79,7 +79,7 @@
         targets.filter(is_withheld).cloned().collect()
     }
 
-    /// How long the request can wait for a permit and still be in time.
+    /// Returns how long the request can wait for a permit without missing its deadline.
     fn longest_wait(&self, started: bool, now: Instant) -> Duration {
         let matched = &self.matched;
         let aim = matched.route.latency_aim;
@@ -90,8 +90,8 @@
         longest.min(self.deadline.saturating_duration_since(now) / 2)
     }
 
-    /// Waits until a request may be sent to targets, at most for `wait`; else gives the
-    /// time after which it may be tried again.
+    /// Waits at most for `wait` until the request may be sent to the targets. Otherwise
+    /// returns the time after which to try again.
     pub(super) async fn acquire_permits(
         &self,
         targets: &AttemptTargets,
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -1,4 +1,4 @@
-//! The permits of this host, and the questions for them.
+//! Permits that this host holds and issues, and its requests for them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,14 +10,14 @@
 use crate::ids::{TargetId, TargetKey};
 use crate::permits::{PermitReply, PermitRequest};
 
-/// Asks the host that hands out the permits for a target.
+/// Requests permits from the host that issues them for a target.
 pub type PermitSource = Arc<dyn Fn(PermitRequest) -> BoxFuture<'static, PermitReply> + Send + Sync>;
 
-/// Pause before permits for a target are asked for again that could not be had for
-/// another reason than its limit.
+/// Pause before the next request for permits after one that failed for another reason
+/// than the limit.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// A target for which there is no permit in time.
+/// A target that gives no permit in time.
 #[derive(Debug)]
 pub(super) struct WithheldTarget {
     id: TargetId,
@@ -34,23 +34,25 @@
 /// The targets that a request is about to be sent to.
 #[derive(Debug, Default)]
 pub(super) struct AttemptTargets {
-    /// Those that limit their rate.
+    /// Targets that limit their rate.
     pub(super) limited: Vec<TargetId>,
-    /// Keys of the others.
+    /// Keys of the targets without a limit.
     pub(super) unlimited: Vec<TargetKey>,
-    /// Time until there may be permits for all of them, as far as this host knows.
+    /// Time until all of them may have permits, as far as this host knows.
     pub(super) wait: Duration,
 }
 
 impl ServingTables {
-    /// Sets whom this host asks for permits. Without it, it hands them out itself.
+    /// Sets the source that this host requests permits from. Without one, the host issues
+    /// them itself.
     pub fn set_permit_source(&self, source: PermitSource) {
         if self.permit_source.set(source).is_err() {
-            log::error!("the source of permits was set before");
+            log::error!("permit source is already set");
         }
     }
 
-    /// Looks at the targets that a request is about to be sent to.
+    /// Classifies the targets that a request is about to be sent to by whether they limit
+    /// their rate.
     pub(super) fn attempt_targets<'a, I>(&self, targets: I, now: Instant) -> AttemptTargets
     where
         I: Iterator<Item = &'a TargetId>,
@@ -75,7 +77,7 @@
         classified
     }
 
-    /// Requests are sent to targets that name no limit.
+    /// Counts requests that are sent to targets without a limit.
     pub(super) fn count_unpermitted(&self, targets: &[TargetKey], now: Instant) {
         let mut pool = self.permits.lock();
         for target in targets {
@@ -83,7 +85,8 @@
         }
     }
 
-    /// There are no permits for these targets for a while; gives the longest time.
+    /// Records that targets give no permits for a while, and returns the longest of these
+    /// times.
     pub(super) fn record_withheld(&self, withheld: Vec<WithheldTarget>, now: Instant) -> Duration {
         let mut fleet = self.fleet.lock();
         let mut longest = Duration::ZERO;
@@ -94,7 +97,8 @@
         longest
     }
 
-    /// A permit for a target that may be used within `wait`.
+    /// Acquires a permit for a target that may be used within `wait`, from the pool or
+    /// from the issuing host.
     pub(super) async fn acquire_permit(
         self: &Arc<Self>,
         id: &TargetId,
@@ -113,7 +117,7 @@
             retry_after,
         };
         let Some(request) = self.permit_request(id, wait) else {
-            // It has left meanwhile.
+            // The target has left the fleet meanwhile.
             return Err(withheld(RETRY_PAUSE));
         };
         match self.request_permits(request).await {
@@ -133,8 +137,7 @@
         }
     }
 
-    /// Tells the host that hands out the permits for a target what was sent there before
-    /// its limit was known.
+    /// Reports to the issuing host what was sent to a target before its limit was known.
     pub(super) async fn report_sends(self: &Arc<Self>, id: &TargetId) {
         let request = self.permit_request(id, Duration::ZERO);
         let sends = request.filter(|request| !request.unpermitted.is_empty());
@@ -171,7 +174,8 @@
         }
     }
 
-    /// Hands out permits for a target, of which this host may hand out a part.
+    /// Issues permits for a target on behalf of its zone. `share` is the share of the
+    /// limit that this host may issue.
     pub fn issue_permits(
         self: &Arc<Self>,
         request: &PermitRequest,
--- a/src/forward/poison_evidence.rs
+++ b/src/forward/poison_evidence.rs
@@ -1,4 +1,4 @@
-//! What is noted of a request and the targets that ended under it.
+//! Records targets that ended under a request, and requests that targets survived.
 
 use std::time::Instant;
 
@@ -8,12 +8,12 @@
 use crate::poison::{PoisonVerdict, RunStart, key_text};
 
 impl Exchange {
-    /// Whether the request is refused, since targets do not survive it.
+    /// Returns whether the request is refused because targets crash under it.
     pub(super) fn is_poison(&self, now: Instant) -> bool {
         self.tables.poison.lock().is_poison(self.key, now)
     }
 
-    /// The process of the target that was sent the request has ended.
+    /// Records that the process of the target ended after it was sent the request.
     pub(super) fn record_end(&self, target: &TargetId, start: &RunStart, now: Instant) {
         if !start.is_suspect(now) {
             return;
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The targets ran the request and live on.
+    /// Records that the targets ran the request and did not crash.
     pub(super) fn record_survival(&self, now: Instant) {
         let cleared = self.tables.poison.lock().observe_survival(self.key, now);
         if cleared {
--- a/src/forward/probe.rs
+++ b/src/forward/probe.rs
@@ -1,4 +1,4 @@
-//! Short questions to targets: reports, orders, health.
+//! Short requests to targets: reports, orders, health checks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,20 +14,20 @@
 use crate::ids::TargetId;
 use crate::platform::{names, target_record};
 
-/// Largest answer to a question, in bytes.
+/// Largest body of a response, in bytes.
 const MAX_BODY_BYTES: usize = 1024 * 1024;
-/// Age up to which a report is used again: reports lag by 200 ms anyway, and
-/// all streams of an engine fall silent at the same moment.
+/// Age up to which a report is reused: reports lag by 200 ms anyway, and all streams of
+/// an engine stall at the same moment.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(150);
-/// How long an engine may take to report: link delays are below a
-/// millisecond, and a report waits for no slot.
+/// Longest time for an engine to report: link delays are below a millisecond, and a
+/// report waits for no slot.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Asks a target something on a connection of its own.
+/// Sends a request to a target on a new connection and reads the response.
 ///
 /// # Errors
 ///
-/// If no whole answer comes within `limit`; the text says why.
+/// If the response is not complete within `limit`; the text gives the reason.
 pub async fn call_target(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -64,8 +64,8 @@
     }
 }
 
-/// An engine's report, not older than 150 ms; callers that ask at the
-/// same time share one question.
+/// Returns an engine's report that is at most 150 ms old. Concurrent callers share one
+/// request.
 ///
 /// # Errors
 ///
@@ -92,13 +92,13 @@
     }
 }
 
-/// A report of another start of the engine says nothing of this one, and that
-/// this one has ended.
+/// Rejects a report of another start of the engine: it says nothing about this one,
+/// except that it has ended.
 fn same_start(target: &TargetId, report: EngineReport) -> Result<EngineReport, String> {
     let reporting = target_record::start_id(target_record::platform_id(target), report.started_ms);
     match report.started_ms.is_none() || reporting == *target {
         true => Ok(report),
-        false => Err(format!("it has started again as {reporting}")),
+        false => Err(format!("engine restarted as {reporting}")),
     }
 }
 
--- a/src/forward/relay.rs
+++ b/src/forward/relay.rs
@@ -1,5 +1,5 @@
-//! One stream: events go on to the caller, and on a break the stream goes on
-//! at another path within the same answer.
+//! Relays one stream: passes events to the caller, and after a failure continues the
+//! stream over another path within the same response.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -17,20 +17,20 @@
 use super::stream_times::StreamTimes;
 use super::watch::{PathWatch, SilenceVerdict};
 
-/// A stream under way.
+/// A running stream.
 struct StreamRelay {
     exchange: Arc<Exchange>,
     watch: PathWatch,
     _in_flight: InFlightRequest,
     tried: TriedTargets,
     body: Incoming,
-    /// Status that the caller was given.
+    /// Status that was sent to the caller.
     status: u16,
     events: EventSplitter,
     times: StreamTimes,
 }
 
-/// The answer to the caller whose events follow.
+/// Creates the response to the caller, whose body relays the events.
 pub(super) fn open(
     watch: PathWatch,
     in_flight: InFlightRequest,
@@ -63,7 +63,7 @@
     response
 }
 
-/// What the target's side of a stream did.
+/// What happened on the target's side of a stream.
 enum StreamStep {
     Events(Bytes),
     End,
@@ -74,7 +74,7 @@
 }
 
 impl StreamRelay {
-    /// The next events; `None` at the end of the stream.
+    /// Returns the next events, or `None` at the end of the stream.
     async fn next(&mut self) -> std::io::Result<Option<Bytes>> {
         loop {
             let reason = match self.step().await {
@@ -143,11 +143,12 @@
         }
     }
 
-    /// Whether the stream can go on nowhere else.
+    /// Returns whether the stream cannot continue anywhere else.
     ///
-    /// What is known of an engine that fell silent may be wrong: one that leaves takes no
-    /// connections any more and serves on what passes it. To cut the stream gains nobody
-    /// anything; engines give up what waits for a dead one after two seconds themselves.
+    /// An engine that is known to be silent may be shutting down: it accepts no
+    /// connections but completes the requests that pass it. Cutting the stream would gain
+    /// nothing, as engines abort requests that wait for a dead engine after two seconds
+    /// by themselves.
     fn has_no_alternative(&self) -> bool {
         let route = &self.exchange.matched.route;
         let attempts_left = self.tried.sent + 1 < route.max_attempts;
@@ -155,7 +156,7 @@
         !may_resume && !self.exchange.is_poison(Instant::now())
     }
 
-    /// Goes on at another path after the last event that was passed on.
+    /// Continues on another path after the last event that was passed on.
     async fn resume(&mut self, reason: &str) -> std::io::Result<()> {
         self.watch.release();
         self.events.drop_partial();
--- a/src/forward/repath.rs
+++ b/src/forward/repath.rs
@@ -15,23 +15,22 @@
 use crate::platform::target_record::platform_id;
 use crate::platform::{names, order};
 
-/// How long the first engine may take to accept a new path.
+/// Longest time for the first engine to accept a new path.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a request that is moved waits for a permit: callers notice the pause.
+/// Longest time that a moved request waits for a permit: callers notice the pause.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(100);
-/// Orders to move one request at the most: each that is done reads its tokens
-/// again somewhere, and each is priced. An engine that refuses for want of room
-/// has a neighbour that takes it, or none does.
+/// Move orders for one request at most. Each executed order makes an engine read the
+/// tokens again, and each has a price. If an engine refuses for lack of room, another
+/// holder of its layers accepts, or none does.
 const MAX_MOVES: u32 = 5;
 
 impl PathWatch {
-    /// Puts other engines in the place of `failed` and of all others that are
-    /// gone; an engine that refuses its part is passed by in the next try.
+    /// Replaces `failed` and all other unavailable engines of the path. An engine that
+    /// refuses its part is excluded from the next attempt.
     ///
-    /// The first engine holds the connection and cannot be replaced so. The
-    /// request keeps what all other engines have read, and it is no new
-    /// arrival: the retry budget of a few hundred would be used up by the
-    /// requests of one lost engine.
+    /// The first engine holds the connection and cannot be replaced this way. The request
+    /// keeps what all other engines have read. A move spends no retry: the requests of
+    /// one lost engine would use up the retry budget of a few hundred.
     pub(super) async fn move_away(&mut self, failed: &TargetId) -> bool {
         let Some(path) = self.chosen.path.clone() else {
             return false;
@@ -39,7 +38,7 @@
         let mut failing = self.unavailable_engines(&path.hops, Instant::now());
         failing.push(failed.clone());
         if self.exchange.is_poison(Instant::now()) {
-            // Each engine that takes its part over would crash in its turn.
+            // Each engine that took over would crash in turn.
             return false;
         }
         while self.moves < MAX_MOVES {
@@ -64,7 +63,7 @@
         false
     }
 
-    /// The engines that the request would newly pass and may not be sent to in time.
+    /// Returns the engines that the new path adds and that give no permit in time.
     async fn engines_without_permit(
         &self,
         repaired: &EnginePath,
@@ -80,7 +79,7 @@
         }
     }
 
-    /// The request goes on over `repaired`.
+    /// Continues the request on the path `repaired`.
     fn switch_path(&mut self, repaired: EnginePath, before: &EnginePath) {
         let tables = self.exchange.tables.clone();
         self.liveness = LivenessGuard::open(tables.clone(), Some(&repaired));
@@ -90,7 +89,7 @@
         self.observe_progress(Instant::now());
     }
 
-    /// The path with other engines in the place of all that are `failing`.
+    /// Returns the path with all engines in `failing` replaced.
     fn repair(&self, path: &EnginePath, failing: &[TargetId]) -> Option<EnginePath> {
         let exchange = &self.exchange;
         let model = exchange.service.engine.as_ref()?;
@@ -149,7 +148,7 @@
         }
     }
 
-    /// The engine that could not take the request over.
+    /// Records a failure of the engine that could not take over, and returns its id.
     fn record_refusing_engine(&self, body: &[u8]) -> Option<TargetId> {
         let address = order::refusing_engine(body)?;
         let mut fleet = self.exchange.tables.fleet.lock();
@@ -159,10 +158,10 @@
     }
 }
 
-/// What the first engine says to a new path.
+/// Result of an order to the first engine to use a new path.
 enum MoveResult {
     Done,
-    /// An engine of the path cannot take its part: this one, if it is named.
+    /// An engine of the path cannot take its part; `Some` if it is named.
     Refused(Option<TargetId>),
     NoReply,
 }
--- a/src/forward/response.rs
+++ b/src/forward/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: a target's own, or a refusal.
+//! Responses to callers: a target's own, or a refusal.
 
 use std::time::Duration;
 
@@ -13,25 +13,25 @@
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// Body of an answer; an error in it cuts the connection, so that an answer
-/// that broke off never looks whole.
+/// Body of a response. An error in it closes the connection, so that a truncated response
+/// is never taken for a complete one.
 pub type ResponseBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Why a request gets no answer of a target, and what its caller may conclude.
+/// Why a request gets no response from a target, and what its caller may conclude.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Refusal {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
     /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// The reason, for the caller, the counters and the log.
+    /// Reason as the caller, the metrics and the log show it.
     pub reason: RefusalReason,
-    /// When to come back.
+    /// Value of the `Retry-After` header.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// The request has not run and will not.
+    /// Creates the refusal of a request that has not run and will not run.
     pub fn not_run(reason: RefusalReason, retry_after: Duration) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A target may have run the request, and failed.
+    /// Creates the refusal of a request that a target may have run before it failed.
     pub fn may_have_run(status: StatusCode, reason: RefusalReason) -> Self {
         Self {
             status,
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Targets crashed as they began to run the request, this attempt of it or an
-    /// earlier one: it may have run. No time to come back is given, since it would
-    /// be refused again.
+    /// Creates the refusal of a request under which targets crashed as they began to run
+    /// it, in this attempt or an earlier one, so that it may have run. It has no
+    /// `Retry-After`, since the request would be refused again.
     pub fn poison() -> Self {
         Self::may_have_run(StatusCode::BAD_GATEWAY, RefusalReason::PoisonRequest)
     }
 
-    /// The configuration does not allow the request.
+    /// Creates the refusal of a request that the configuration does not allow.
     pub fn rejected(reason: RejectReason) -> Self {
         let (status, reason) = match reason {
             RejectReason::NoRoute => (StatusCode::NOT_FOUND, RefusalReason::Unknown),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The answer that tells the caller.
+    /// Builds the response that reports the refusal to the caller.
     pub fn into_response(self, id: &str) -> Response<ResponseBody> {
         let body = serde_json::json!({
             "verdict": self.verdict,
@@ -99,7 +99,7 @@
     }
 }
 
-/// A body that is there as a whole.
+/// Creates a body from bytes that are complete.
 pub(super) fn whole_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never| match never {})
--- a/src/forward/serve.rs
+++ b/src/forward/serve.rs
@@ -1,4 +1,4 @@
-//! Takes callers' connections.
+//! Accepts callers' connections.
 
 use std::convert::Infallible;
 use std::io;
@@ -16,22 +16,22 @@
 use super::socket;
 use super::tables::ServingTables;
 
-/// How much longer an idle connection is kept than the configuration says:
-/// a request that is on its way as the time runs out still finds it open.
+/// Time that an idle connection is kept beyond the configured timeout, so that a request
+/// that is in transit at that moment still finds it open.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// Pause after a failed accept, for instance while descriptors are used up.
+/// Pause after a failed accept, for instance while file descriptors are used up.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// A running listener.
 #[derive(Debug)]
 pub struct ServingHandle {
-    /// The address in use.
+    /// Address that the listener is bound to.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl ServingHandle {
-    /// Stops taking connections; those that are open go on.
+    /// Stops accepting connections; open ones continue.
     pub fn stop(&self) {
         self.task.abort();
     }
@@ -56,7 +56,7 @@
                 tokio::spawn(serve_connection(tables.clone(), stream));
             }
             Err(error) => {
-                log::warn!(error:% = error; "cannot take a connection");
+                log::warn!(error:% = error; "cannot accept connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -65,7 +65,7 @@
 
 async fn serve_connection(tables: Arc<ServingTables>, stream: TcpStream) {
     if let Err(error) = socket::prepare(&stream) {
-        log::debug!("a caller's connection is gone: {error}");
+        log::debug!("cannot configure caller connection: {error}");
         return;
     }
     let limits = tables
@@ -79,7 +79,7 @@
         async move {
             let mut response = handle_request(tables.clone(), request).await;
             if tables.is_draining() {
-                // The caller opens its next connection to a host that stays.
+                // The caller opens its next connection to a host that keeps running.
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
@@ -93,6 +93,6 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!("a caller's connection ended: {error}");
+        log::debug!("caller connection failed: {error}");
     }
 }
--- a/src/forward/socket.rs
+++ b/src/forward/socket.rs
@@ -1,4 +1,4 @@
-//! Sockets that notice a silent peer.
+//! Sockets that detect an unresponsive peer.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,24 +7,23 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How long sent bytes may stay without acknowledgement. A peer without power,
-/// or behind a partition, never answers by itself; the connection would hang
-/// until its request's deadline. Link delays are a few milliseconds, and one
-/// lost packet is sent again within a second.
+/// Longest time that sent bytes may stay unacknowledged. A peer that lost power or is
+/// partitioned never replies, and the connection would hang until its request's deadline.
+/// Link delays are a few milliseconds, and a lost packet is retransmitted within a
+/// second.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause before the first keep-alive probe on a quiet connection, and between
-/// probes.
+/// Pause before the first keep-alive probe on an idle connection, and between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Connections that wait to be taken; a burst must not overflow the queue,
-/// else callers wait a second for the next try.
+/// Length of the accept queue. If a burst overflows it, callers wait a second for the
+/// retransmission.
 const BACKLOG: u32 = 1024;
 
-/// Connects within `limit`, with small messages sent at once.
+/// Connects within `limit`, and configures the connection as [`prepare`] does.
 ///
 /// # Errors
 ///
-/// If no connection stands in time; nothing was sent then.
+/// If the connection is not established in time; nothing has been sent then.
 pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let connected = tokio::time::timeout(limit, TcpStream::connect(address)).await;
     let stream = connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
@@ -32,14 +31,15 @@
     Ok(stream)
 }
 
-/// Sets a connection up for small messages and for noticing a silent peer.
+/// Configures a connection to send small messages at once and to detect an unresponsive
+/// peer.
 ///
 /// # Errors
 ///
 /// If the system refuses an option.
 pub fn prepare(stream: &TcpStream) -> io::Result<()> {
-    // Events are small: with Nagle's algorithm each would wait for the
-    // acknowledgement of the one before, up to 40 ms.
+    // Events are small: with Nagle's algorithm each would wait up to 40 ms for the
+    // acknowledgement of the one before.
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
@@ -49,7 +49,7 @@
     socket.set_tcp_keepalive(&keepalive.with_retries(3))
 }
 
-/// Opens a listening socket with room for a burst.
+/// Opens a listening socket whose accept queue holds a burst.
 ///
 /// # Errors
 ///
--- a/src/forward/stream_times.rs
+++ b/src/forward/stream_times.rs
@@ -1,4 +1,4 @@
-//! How evenly a stream reached its caller.
+//! Measures the pauses of a stream as its caller sees them.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 }
 
 impl StreamTimes {
-    /// Of a stream whose request arrived then.
+    /// Creates the times of a stream whose request arrived at `arrived`.
     pub(super) fn new(arrived: Instant) -> Self {
         Self {
             arrived,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Events are passed on; gives the time since those before.
+    /// Records that events are passed on, and returns the time since the previous ones.
     pub(super) fn observe(&mut self, now: Instant) -> Option<Duration> {
         let pause = now.saturating_duration_since(self.last);
         self.last = now;
@@ -38,17 +38,17 @@
         }
     }
 
-    /// Whether an event came.
+    /// Returns whether an event was passed on.
     pub(super) fn has_begun(&self) -> bool {
         self.first.is_some()
     }
 
-    /// Time from the request to its first event; zero if there was none.
+    /// Returns the time from the request to its first event; zero if there was none.
     pub(super) fn first(&self) -> Duration {
         self.first.unwrap_or_default()
     }
 
-    /// Longest pause between two events.
+    /// Returns the longest pause between two events.
     pub(super) fn longest(&self) -> Duration {
         self.longest
     }
--- a/src/forward/tables.rs
+++ b/src/forward/tables.rs
@@ -1,4 +1,4 @@
-//! What the data path shares with the workers that keep it up to date.
+//! State that the data path shares with the tasks that keep it up to date.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -23,12 +23,11 @@
 use crate::poison::PoisonTable;
 use crate::retry::{WindowBudget, WindowSettings};
 
-/// A report and the moment at which it came; one question at a time.
+/// A report and the time at which it was received. The lock admits one request at a time.
 pub(super) type ReportCell =
     Arc<tokio::sync::Mutex<Option<(Instant, Result<Arc<EngineReport>, ()>)>>>;
 
-/// Shared state of the data path. No lock is held across an await, and never
-/// two at once.
+/// Shared state of the data path. No lock is held across an await, and no two at once.
 pub struct ServingTables {
     /// The name of this host.
     pub host: HostId,
@@ -36,19 +35,20 @@
     pub zone: ZoneId,
     /// Counters and histograms.
     pub metrics: ServingMetrics,
-    /// The configuration in force, once one is known.
+    /// The configuration in effect, once one is known.
     pub configuration: ArcSwapOption<IngressConfiguration>,
     /// The targets.
     pub fleet: Mutex<FleetTable>,
-    /// Set once the process was told to stop.
+    /// Set once the process is shutting down.
     pub draining: AtomicBool,
-    /// Set once a new stream could no longer end before the process does.
+    /// Set once a new stream could not end before the process does.
     pub closing: AtomicBool,
-    /// Set once no new request at all could end before the process does.
+    /// Set once no new request could end before the process does.
     pub ending: AtomicBool,
-    /// Requests being answered.
+    /// Requests in flight.
     pub in_flight: AtomicUsize,
-    /// Requests answered since the start; tells a drain that callers left.
+    /// Requests completed since the start, by which a drain detects that callers have
+    /// left.
     pub answered: AtomicUsize,
     overload: Mutex<OverloadGauge>,
     budgets: Mutex<FastMap<ServiceId, WindowBudget>>,
@@ -58,18 +58,18 @@
     pub(super) liveness: LivenessTable,
     /// The limits that targets have named.
     pub limits: Mutex<LimitTable>,
-    /// The permits that this host holds, and those that it hands out.
+    /// Permits that this host holds, and those that it issues.
     pub(super) permits: Mutex<PermitPool>,
     pub(super) issuer: Mutex<PermitIssuer>,
     pub(super) permit_source: OnceLock<PermitSource>,
-    /// Requests that targets ended under.
+    /// Requests under which targets ended.
     pub poison: Mutex<PoisonTable>,
-    /// Told when a request is found to be poison.
+    /// Notified when a request is found to be poison.
     pub poison_updates: Notify,
 }
 
 impl ServingTables {
-    /// Empty tables for a host of an availability zone.
+    /// Creates empty tables for a host of an availability zone.
     pub fn new(host: HostId, zone: ZoneId, budget_settings: WindowSettings) -> Self {
         Self {
             host,
@@ -97,17 +97,17 @@
         }
     }
 
-    /// Whether the process was told to stop.
+    /// Returns whether the process is shutting down.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Whether a new request could no longer end before the process does.
+    /// Returns whether a new request could not end before the process does.
     pub(super) fn is_too_late(&self, is_stream: bool) -> bool {
         self.ending.load(Ordering::Relaxed) || (is_stream && self.closing.load(Ordering::Relaxed))
     }
 
-    /// A request for a service has come; it earns a part of a retry.
+    /// Counts a request for a service, which adds a part of a retry to its budget.
     pub(super) fn count_request(&self, service: &ServiceId, now: Instant) {
         let settings = *self.budget_settings.lock();
         let mut budgets = self.budgets.lock();
@@ -115,7 +115,7 @@
         budget.count_request(settings, now);
     }
 
-    /// Sets this host's part of the retries.
+    /// Sets this host's share of the retries.
     pub fn set_budget(&self, settings: WindowSettings) {
         *self.budget_settings.lock() = settings;
     }
@@ -128,12 +128,13 @@
         budget.is_some_and(|budget| budget.spend(settings, now))
     }
 
-    /// A request found a place.
+    /// Records that a request found a target with room.
     pub(super) fn count_start(&self, now: Instant) {
         self.overload.lock().count_start(now);
     }
 
-    /// A request found no place; says when its caller should come back.
+    /// Records that a request found no room, and returns when its caller should come
+    /// back.
     pub(super) fn count_refusal(&self, now: Instant) -> Duration {
         self.overload.lock().count_refusal(now, rand::random())
     }
@@ -151,12 +152,12 @@
         closed.entry(target.clone()).or_default().clone()
     }
 
-    /// Tells all requests that pass a target that it has ended.
+    /// Notifies all requests that pass a target that it has ended.
     pub fn notify_lost(&self, target: &str) {
         self.liveness.notify_lost(target);
     }
 
-    /// Forgets what was kept about a target that is gone.
+    /// Removes the state of a target that has left.
     pub fn forget_target(&self, target: &str) {
         self.reports.lock().remove(target);
         self.closed.lock().remove(target);
@@ -173,7 +174,7 @@
     }
 }
 
-/// Counts a request on its targets for as long as it lives.
+/// Counts a request on its targets until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     tables: Arc<ServingTables>,
@@ -181,7 +182,7 @@
 }
 
 impl InFlightGuard {
-    /// Counts a request on targets, with what it asks of each.
+    /// Counts a request on targets, with the load that it puts on each.
     pub fn open(tables: Arc<ServingTables>, loads: Vec<(TargetId, TargetLoad)>) -> Self {
         let mut fleet = tables.fleet.lock();
         for (target, load) in &loads {
@@ -191,7 +192,7 @@
         Self { tables, loads }
     }
 
-    /// The targets have read the request: its first event has come.
+    /// Records that the targets have read the request, as its first event shows.
     pub fn observe_read(&mut self) {
         if self.loads.iter().all(|(_, load)| load.unread == 0.0) {
             return;
--- a/src/forward/watch.rs
+++ b/src/forward/watch.rs
@@ -1,5 +1,5 @@
-//! Watches over a request on its path: finds the engine that holds it up. The
-//! request is then moved (`moving`).
+//! Watches a request on its path and finds the engine that stalls it. The request is then
+//! moved (`repath`).
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,35 +19,36 @@
 use crate::poison::RunStart;
 use crate::verdict::RunVerdict;
 
-/// Shortest silence after which a request asks what is wrong. Reports lag by
-/// 200 ms; passes of a loaded engine take up to about 100 ms.
+/// Shortest silence after which a request is checked. Reports lag by 200 ms, and passes
+/// of a loaded engine take up to about 100 ms.
 const MIN_SILENCE: Duration = Duration::from_millis(350);
-/// Silence after which a request asks, in times of the route's longest pause.
+/// Silence after which a request is checked, in multiples of the longest pause that the
+/// route allows.
 const SILENCE_FACTOR: f64 = 1.75;
-/// Pause between two questions about the same silence: below the lag of a
-/// report, so that the first report that tells is seen.
+/// Pause between two checks of the same silence: below the lag of a report, so that the
+/// first report that shows the fault is used.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A request on its target or path.
+/// A request that runs on a target or path.
 pub(super) struct PathWatch {
     pub(super) exchange: Arc<Exchange>,
     pub(super) chosen: ChosenTarget,
     pub(super) guard: Option<InFlightGuard>,
     pub(super) liveness: LivenessGuard,
-    /// When something was last heard of the request.
+    /// When the target last showed progress on the request.
     pub(super) last_progress: Instant,
-    /// When the next question may be asked.
+    /// When the next check is due.
     check_at: Instant,
     pub(super) moves: u32,
     start: RunStart,
 }
 
-/// What a silence means.
+/// Result of a check of a silent request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum SilenceVerdict {
-    /// The request goes on; nothing is known to be wrong.
+    /// The request continues; no fault is known.
     Waiting,
-    /// The request cannot go on where it is, because of this target.
+    /// The request cannot continue on its path because of this target.
     Lost(TargetId),
 }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    /// An event came from the target.
+    /// Records an event of the target.
     pub(super) fn observe_event(&mut self, now: Instant) {
         if let Some(guard) = &mut self.guard {
             guard.observe_read();
@@ -84,30 +85,30 @@
         }
     }
 
-    /// Something came from the target.
+    /// Records progress, which postpones the next check.
     pub(super) fn observe_progress(&mut self, now: Instant) {
         self.last_progress = now;
         self.check_at = now + silence_limit(&self.exchange);
     }
 
-    /// Waits until an engine of the path is lost; does not end before.
+    /// Waits until an engine of the path is lost, and forever if none is.
     pub(super) async fn engine_lost(&self) {
         self.liveness.lost().await;
     }
 
-    /// When to ask what is wrong, if nothing comes until then.
+    /// Returns when the request is checked if nothing arrives before.
     pub(super) fn check_at(&self) -> Instant {
         self.check_at
     }
 
-    /// Notes a failed attempt if the process of its target has ended.
+    /// Records a failed attempt if the process of its target has ended.
     pub(super) async fn record_failure(&self, failure: &AttemptFailure) {
         if failure.cause == FailureCause::Broken {
             self.record_break().await;
         }
     }
 
-    /// The connection to the target broke; it is noted if its process has ended.
+    /// Records a broken connection to the target if its process has ended.
     pub(super) async fn record_break(&self) {
         let broke = Instant::now();
         let (target, address) = (&self.chosen.id, self.chosen.address);
@@ -116,12 +117,12 @@
         }
     }
 
-    /// No longer counts the request on its targets.
+    /// Stops counting the request on its targets.
     pub(super) fn release(&mut self) {
         self.guard = None;
     }
 
-    /// Sends the request and waits for the head of its answer until `limit`.
+    /// Sends the request and waits for the head of the response until `limit`.
     pub(super) async fn send(
         &mut self,
         last_event: Option<&str>,
@@ -145,8 +146,8 @@
         head
     }
 
-    /// Waits for the head of an answer until `limit`. Meanwhile the request is
-    /// moved away from engines that hold it up.
+    /// Waits for the head of a response until `limit`, and moves the request away from
+    /// engines that stall it.
     async fn await_head<F>(
         &mut self,
         head: F,
@@ -181,21 +182,21 @@
         }
     }
 
-    /// Moves the request away from engines that have just ended. What cannot
-    /// be moved now is judged again once it has fallen silent.
+    /// Moves the request away from engines that have just ended. If it cannot be moved
+    /// now, it is checked again once it is silent.
     pub(super) async fn handle_lost_engine(&mut self) {
         if let Some(lost) = self.unavailable_later_engine(Instant::now()) {
             self.move_away(&lost).await;
         }
     }
 
-    /// Finds out what a silence means, and moves the request if an engine
-    /// after the first is at fault.
+    /// Checks a silent request, and moves it if an engine after the first is at fault.
     ///
-    /// An engine that is known to be gone may be leaving: it takes no connections any
-    /// more, or has no entry, and serves on what passes it. So the request is moved away
-    /// from it if it can be, and is lost only if the first engine says that it stands
-    /// still: streams were cut around planned work whose engines served them to the end.
+    /// An engine that is known to be unavailable may be shutting down: it accepts no
+    /// connections or has no entry, but completes the requests that pass it. The request
+    /// is therefore moved away from it if possible, and is lost only if the first engine
+    /// reports that it is stalled. Otherwise streams would be cut during planned
+    /// maintenance although their engines serve them to the end.
     pub(super) async fn handle_silence(&mut self) -> SilenceVerdict {
         let now = Instant::now();
         self.check_at = now + CHECK_INTERVAL;
@@ -217,19 +218,21 @@
         }
     }
 
-    /// An engine after the first that is known to be gone or silent.
+    /// Returns an engine after the first that is known to be removed or silent.
     fn unavailable_later_engine(&self, now: Instant) -> Option<TargetId> {
         let hops = self.chosen.path.as_ref()?.hops.get(1..)?;
         self.unavailable_engines(hops, now).into_iter().next()
     }
 
-    /// The engine that holds the request up, as the first one reports.
+    /// Returns the engine that stalls the request, according to the report of the first
+    /// engine.
     async fn find_faulty_engine(&self, now: Instant) -> Option<TargetId> {
         let path = self.chosen.path.as_ref()?;
         let id = &self.chosen.id;
         let tables = &self.exchange.tables;
         let failed = match fetch_report(tables, id, self.chosen.address, now).await {
-            // It takes no connections, and this request's stands: it leaves, and serves on.
+            // The port is closed and this request's connection is open: the engine is
+            // shutting down and completes the request.
             Err(()) if is_closed(tables, id, self.chosen.address, now).await => None,
             Err(()) => Some(id.clone()),
             Ok(report) => {
@@ -252,12 +255,12 @@
         }
     }
 
-    /// Asks the engines of the path how slow they are.
+    /// Requests the pace of the engines of the path.
     ///
-    /// One slow engine in the middle holds up all requests that pass it, while
-    /// the first engine, which did its part, looks at fault. The cost of paths
-    /// keeps new requests away from it; those that run stay, since each move
-    /// is an order that is priced, and reads everything again.
+    /// One slow engine in the middle stalls all requests that pass it, while the first
+    /// engine, which did its part, appears to be at fault. The cost of paths keeps new
+    /// requests away from the slow engine. Running requests stay, since each move is an
+    /// order that has a price and makes an engine read all tokens again.
     async fn update_paces(&self, path: &EnginePath, now: Instant) {
         let tables = &self.exchange.tables;
         let due = {
@@ -280,7 +283,7 @@
         }
     }
 
-    /// The engines among these that are known to be gone or silent.
+    /// Returns the engines of these hops that are known to be removed or silent.
     pub(super) fn unavailable_engines(&self, hops: &[PathHop], now: Instant) -> Vec<TargetId> {
         let fleet = self.exchange.tables.fleet.lock();
         let unavailable = |id: &TargetId| fleet.get(id).is_none_or(|state| state.is_silent(now));
