--- a/src/permits.rs
+++ b/src/permits.rs
@@ -1,17 +1,16 @@
-//! Permits to send to targets that limit their rate of requests.
+//! Permits to send requests to targets that limit their rate.
 //!
-//! A target in need names the requests a second that it takes from all hosts
-//! together. Hosts that each keep to that number send a multiple of it.
+//! An overloaded target names the requests per second that it accepts from all hosts
+//! together. If each host kept to that rate by itself, they would send a multiple of it.
 //!
 //! - A [`RateLimit`] is a rate that a target may name.
-//! - A [`LimitTable`] holds what targets last said, in the order in which they
-//!   can have said it; hosts tell each other of changes ([`LimitDelta`]).
+//! - A [`LimitTable`] holds the latest limits of targets, in the order in which the
+//!   targets can have sent them. Hosts exchange changes ([`LimitDelta`]).
+//! - One host of a target's zone ([`issuing_host`]) issues permits at the target's limit
+//!   ([`PermitIssuer`]). The other hosts request them ([`PermitRequest`]) and hold the
+//!   granted ones for a short time ([`PermitPool`]).
 //!
-//! - One host of a target's zone ([`issuing_host`]) hands out permits at its limit
-//!   ([`PermitIssuer`]); the others ask it ([`PermitRequest`]) and keep what they get
-//!   for a moment ([`PermitPool`]).
-//!
-//! Pure: the present time is an argument.
+//! This module performs no I/O: the present time is an argument.
 
 mod assignment;
 mod issuer;
--- a/src/permits/issuer.rs
+++ b/src/permits/issuer.rs
@@ -1,4 +1,4 @@
-//! The host that hands out the permits for a target.
+//! Issues the permits for a target.
 
 use std::time::{Duration, Instant};
 
@@ -8,55 +8,57 @@
 use crate::collections::FastMap;
 use crate::ids::{HostId, TargetKey};
 
-/// Permits that may be saved up, as time at the limit; one besides that which is due at
-/// the least: hosts that were sent away come back a little later than it is.
+/// Unused permits that may accumulate, as time at the limit. At least one accumulates
+/// besides the permit that is due, since hosts whose requests were withheld return a
+/// little later than it is.
 const MAX_SAVED_TIME: Duration = Duration::from_millis(250);
-/// Rate at which even a target that takes less, or nothing, is sent requests:
-/// only its answers tell that its limit is over.
+/// Requests per second that are sent even to a target that accepts fewer or none: only
+/// its responses show that its limit has ended.
 const PROBE_RATE: f64 = 0.25;
-/// What a target may get in a window, in times of its limit and in requests
-/// besides, together with what was sent before its limit was known.
+/// Most requests to a target in a window, as a multiple of its limit and a number of
+/// requests in addition, including those sent before its limit was known.
 const WINDOW_FACTOR: f64 = 1.25;
 const WINDOW_SLACK: f64 = 3.0;
-/// How long a host that was sent away counts as one that wants a permit.
+/// How long a host whose request was withheld counts as waiting for a permit.
 const WAITING_TTL: Duration = Duration::from_secs(2);
-/// Shortest time after which a host may ask again.
+/// Shortest time after which a host may request again.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Questions a permit while more hosts want some than there are.
+/// Requests per permit while more hosts wait than permits are available.
 const REQUESTS_PER_PERMIT: f64 = 2.0;
-/// Time from the first request about a target to its first permit: other hosts tell
-/// meanwhile what they have sent there.
+/// Time from the first request for a target to its first permit, in which other hosts
+/// report what they have sent there.
 const INITIAL_DELAY: Duration = Duration::from_secs(1);
-/// How long a target that nobody asks about is remembered.
+/// How long the account of a target without requests is kept.
 const ACCOUNT_TTL: Duration = Duration::from_secs(10);
 
-/// What was handed out for one target.
+/// Permits that were issued for one target.
 #[derive(Debug)]
 struct PermitAccount {
-    /// When the next permit is due at the limit, with nothing saved up.
+    /// When the next permit is due at the limit, without accumulated permits.
     due: Instant,
     opened: Instant,
     issued: SendCounts,
-    /// What hosts sent without permits.
+    /// Requests that hosts sent without permits.
     reported: FastMap<HostId, SendCounts>,
-    /// Hosts that were sent away, and when.
+    /// Hosts whose requests were withheld, and when.
     waiting: FastMap<HostId, Instant>,
     last_request: Instant,
 }
 
-/// Hands out permits for targets, each at its limit.
+/// Issues permits for targets, each at its limit.
 ///
-/// One host does it for each target, so that what is sent in all stays at the limit
-/// whatever hosts have to send, and without a word between them. An account begins
-/// empty: a host that takes over hands out nothing that another one may have saved.
+/// One host issues all permits for a target, so that the total stays at the limit
+/// whatever the hosts have to send, and without coordination among them. An account
+/// starts empty: a host that takes over issues no permits that another host may have
+/// accumulated.
 #[derive(Debug, Default)]
 pub struct PermitIssuer {
     accounts: FastMap<TargetKey, PermitAccount>,
 }
 
 impl PermitIssuer {
-    /// Answers a request about a target with a limit. `share` is the part of the limit
-    /// that this host may hand out, from 0 to 1.
+    /// Replies to a request for permits for a target with a limit. `share` is the share
+    /// of the limit that this host may issue, from 0 to 1.
     pub fn handle_request(
         &mut self,
         request: &PermitRequest,
@@ -75,7 +77,7 @@
         let delay = start - now;
         let room = account.window_room(per_second, now);
         match room {
-            // The host has only told what it sent.
+            // The host only reports what it sent.
             _ if request.wanted == 0 => PermitReply::Withheld { retry_after: delay },
             0 => account.withhold(request, account.issued.until_next_expiry(now), now),
             _ if delay > request.max_wait => {
@@ -106,7 +108,7 @@
 }
 
 impl PermitAccount {
-    /// An account with nothing saved up.
+    /// Creates an account without accumulated permits.
     fn open(now: Instant) -> Self {
         Self {
             due: now + INITIAL_DELAY,
@@ -118,7 +120,7 @@
         }
     }
 
-    /// Takes in what a host sent without permits, in place of what it said before.
+    /// Records what a host sent without permits, which replaces its previous report.
     fn record_report(&mut self, request: &PermitRequest, now: Instant) {
         self.reported.retain(|_, sends| sends.total(now) > 0);
         self.waiting.retain(|_, at| now < *at + WAITING_TTL);
@@ -129,14 +131,14 @@
         self.reported.insert(request.host.clone(), sends);
     }
 
-    /// When the next permit may be used.
+    /// Returns when the next permit may be used.
     fn next_start(&self, spacing: Duration, now: Instant) -> Instant {
         let saved = MAX_SAVED_TIME.max(spacing);
         let start = self.due.checked_sub(saved).unwrap_or(now);
         start.max(self.opened + INITIAL_DELAY).max(now)
     }
 
-    /// Permits that the window still has room for.
+    /// Returns how many more permits fit into the window.
     fn window_room(&self, per_second: f64, now: Instant) -> u32 {
         let window = SEND_WINDOW.as_secs_f64();
         let allowed = WINDOW_FACTOR * per_second * window + WINDOW_SLACK;
@@ -150,8 +152,8 @@
         self.due = self.due.max(start) + spacing * permits;
     }
 
-    /// Hosts that want permits come back in turn: how often they ask in all depends on
-    /// the limit, and not on how many they are.
+    /// Withholds permits. Waiting hosts return one after the other: how often they
+    /// request in total depends on the limit, and not on their number.
     fn withhold(&mut self, request: &PermitRequest, pause: Duration, now: Instant) -> PermitReply {
         self.waiting.insert(request.host.clone(), now);
         PermitReply::Withheld {
--- a/src/permits/observation.rs
+++ b/src/permits/observation.rs
@@ -1,26 +1,26 @@
-//! What one answer says of its target's limit.
+//! What one response shows about its target's limit.
 
 use std::time::Instant;
 
 use super::rate::RateLimit;
 
-/// What an answer says of its target's limit, and between which moments the
-/// target said it: answers overtake each other.
+/// The limit that a response names, and the interval in which the target sent it:
+/// responses can overtake each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitObservation {
-    /// The limit; `None` if the answer names none.
+    /// The limit; `None` if the response names none.
     pub rate: Option<RateLimit>,
     /// When the request was sent.
     pub sent: Instant,
-    /// When the head of the answer had come.
+    /// When the head of the response was received.
     pub received: Instant,
 }
 
 impl LimitObservation {
-    /// Whether this one stands in the place of `known`, which says otherwise.
+    /// Returns whether this observation replaces `known`, which has another rate.
     ///
-    /// Where the order of the two is open, the lower rate stands: an answer
-    /// that was overtaken must not lift a limit.
+    /// Where the order of the two is unknown, the lower rate wins: a response that was
+    /// overtaken must not lift a limit.
     pub fn replaces(&self, known: &Self) -> bool {
         match self.is_lower_than(known) {
             true => self.received > known.sent,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Takes in that the target said the same once more.
+    /// Extends the observation by another one with the same rate.
     pub fn confirm(&mut self, other: &Self) {
         self.sent = self.sent.max(other.sent);
         self.received = self.received.max(other.received);
--- a/src/permits/request.rs
+++ b/src/permits/request.rs
@@ -1,44 +1,45 @@
-//! What hosts ask each other for, and are answered.
+//! Requests for permits between hosts, and their replies.
 
 use std::time::Duration;
 
 use super::table::LimitRecord;
 use crate::ids::{HostId, ZoneId};
 
-/// A question for permits to send to a target.
+/// A request for permits to send to a target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PermitRequest {
-    /// The host that asks.
+    /// The requesting host.
     pub host: HostId,
-    /// Availability zone of the target, whose hosts hand out the permits.
+    /// Availability zone of the target, whose hosts issue the permits.
     pub zone: ZoneId,
-    /// The target, and what the host knows of its limit.
+    /// The target, and what the requesting host knows of its limit.
     pub limit: LimitRecord,
-    /// Permits that it can use; 0 if it only tells what it sent.
+    /// Number of permits that the host can use; 0 if it only reports what it sent.
     pub wanted: u32,
-    /// How long its requests can wait for the first one.
+    /// How long the host's requests can wait for the first permit.
     pub max_wait: Duration,
-    /// What it sent without permits, by half seconds of age, the newest first.
+    /// Requests that the host sent without permits, by half seconds of age, the newest
+    /// first.
     pub unpermitted: Vec<u16>,
-    /// Whether another host passes it on: it is passed on once at the most.
+    /// Whether another host relays the request; it is relayed at most once.
     pub relayed: bool,
 }
 
-/// The answer to a [`PermitRequest`].
+/// The reply to a [`PermitRequest`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PermitReply {
-    /// So many requests may be sent.
+    /// Permits are granted.
     Granted {
-        /// How many.
+        /// Number of permits.
         permits: u32,
-        /// Time until the first may be sent.
+        /// Time until the first permit may be used.
         delay: Duration,
-        /// Time from each to the next one.
+        /// Time from one permit to the next.
         spacing: Duration,
     },
-    /// None may be sent.
+    /// No permit is granted.
     Withheld {
-        /// Time after which the host may ask again.
+        /// Time after which the host may request again.
         retry_after: Duration,
     },
     /// The target no longer names a limit.
--- a/src/permits/send_counts.rs
+++ b/src/permits/send_counts.rs
@@ -1,12 +1,12 @@
-//! How much was sent to a target lately.
+//! Counts the requests that were recently sent to a target.
 
 use std::time::{Duration, Instant};
 
-/// Span over which a target's requests are counted.
+/// Time span over which a target's requests are counted.
 pub(super) const SEND_WINDOW: Duration = Duration::from_secs(4);
 /// Resolution of the counts.
 const SLOT: Duration = Duration::from_millis(500);
-/// Slots of a window, and the one that is not over yet.
+/// Slots of a window, and the current slot, which has not ended.
 const SLOTS: usize = 9;
 
 /// Requests of the last [`SEND_WINDOW`], by half seconds of age.
@@ -14,12 +14,12 @@
 pub(super) struct SendCounts {
     /// When the newest slot began.
     newest: Instant,
-    /// The newest slot first.
+    /// Counts, the newest slot first.
     slots: [u16; SLOTS],
 }
 
 impl SendCounts {
-    /// Nothing was sent.
+    /// Creates empty counts.
     pub(super) fn new(now: Instant) -> Self {
         Self {
             newest: now,
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Counts by age, the newest first, as another host told them a moment ago.
+    /// Creates counts from counts by age, the newest first, that another host has just
+    /// reported.
     pub(super) fn from_ages(ages: &[u16], now: Instant) -> Self {
         let mut counts = Self::new(now);
         let slots = counts.slots.iter_mut();
@@ -37,7 +38,7 @@
         counts
     }
 
-    /// Counts by age, the newest first, without the empty ones at the end.
+    /// Returns the counts by age, the newest first, without the empty ones at the end.
     pub(super) fn ages(&self, now: Instant) -> Vec<u16> {
         let mut counts = *self;
         counts.advance(now);
@@ -45,28 +46,28 @@
         counts.slots[..used.map_or(0, |last| last + 1)].to_vec()
     }
 
-    /// Requests are sent now.
+    /// Counts requests that are sent now.
     pub(super) fn count(&mut self, requests: u32, now: Instant) {
         self.advance(now);
         let requests = u16::try_from(requests).unwrap_or(u16::MAX);
         self.slots[0] = self.slots[0].saturating_add(requests);
     }
 
-    /// Requests of the last window.
+    /// Returns the requests of the last window.
     pub(super) fn total(&self, now: Instant) -> u32 {
         let mut counts = *self;
         counts.advance(now);
         counts.slots.iter().copied().map(u32::from).sum()
     }
 
-    /// Requests of the last half second to second.
+    /// Returns the requests of the last half to whole second.
     pub(super) fn recent(&self, now: Instant) -> u32 {
         let mut counts = *self;
         counts.advance(now);
         counts.slots[..2].iter().copied().map(u32::from).sum()
     }
 
-    /// Time until the oldest requests that count no longer do.
+    /// Returns the time until the oldest counted requests expire.
     pub(super) fn until_next_expiry(&self, now: Instant) -> Duration {
         let passed = now.saturating_duration_since(self.newest);
         SLOT - (passed - SLOT * whole_slots(passed))
--- a/src/permits/table.rs
+++ b/src/permits/table.rs
@@ -1,4 +1,4 @@
-//! The limits that targets have named.
+//! Table of the limits that targets have named.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,13 +9,13 @@
 use crate::ids::{IncarnationId, TargetKey};
 use crate::spread::{ListingBounds, SpreadProgress};
 
-/// Most targets that are remembered; a record takes some 60 bytes.
+/// Targets that are remembered at most; an entry takes about 60 bytes.
 const MAX_ENTRIES: usize = 4096;
-/// Words in one listing at the most: 28 bytes each, four times a second in both
-/// directions, 14 KB a second while there is ever more news.
+/// Records in one delta at most: at 28 bytes each, four times a second in both
+/// directions, 14 KB/s while there are always more updates.
 const MAX_DELTA_RECORDS: usize = 64;
 
-/// What an answer changed of what is known.
+/// Change of a target's limit by an observation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitChange {
     /// The target names a limit, or another one than before.
@@ -24,21 +24,21 @@
     Ended,
 }
 
-/// What a host has heard of a target's limit, as it tells others.
+/// A target's limit as hosts report it to each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitRecord {
     /// The target.
     pub target: TargetKey,
-    /// The limit; `None` if it is over.
+    /// The limit; `None` if it has ended.
     pub rate: Option<RateLimit>,
-    /// Time since the request was sent whose answer said so.
+    /// Time since the request was sent whose response named it.
     pub sent_age: Duration,
-    /// Time since the answer came.
+    /// Time since that response was received.
     pub received_age: Duration,
 }
 
 impl LimitRecord {
-    /// What it says, as of a moment.
+    /// Converts the record to an observation, as of `now`.
     pub fn observation(&self, now: Instant) -> LimitObservation {
         let before = |age: Duration| now.checked_sub(age).unwrap_or(now);
         LimitObservation {
@@ -49,12 +49,12 @@
     }
 }
 
-/// The words that a host has for another one.
+/// What changed between two versions of a host's table.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct LimitDelta {
-    /// The versions that it covers.
+    /// The versions that the delta covers.
     pub bounds: ListingBounds,
-    /// What changed in between.
+    /// The limits that changed in between.
     pub records: Vec<LimitRecord>,
 }
 
@@ -65,17 +65,17 @@
     changed: u64,
 }
 
-/// What targets last said of their limits, to any host.
+/// The latest limits of targets, as observed by any host.
 #[derive(Debug, Default)]
 pub struct LimitTable {
     entries: FastMap<TargetKey, LimitEntry>,
-    /// Grows with each change of a limit.
+    /// Incremented by each change of a limit.
     version: u64,
     progress: SpreadProgress,
 }
 
 impl LimitTable {
-    /// Takes in what an answer of a target says; gives what that changes.
+    /// Applies an observation of a target, and returns the change that it causes.
     pub fn observe(
         &mut self,
         target: TargetKey,
@@ -104,17 +104,17 @@
         )
     }
 
-    /// The limit of a target, if it names one.
+    /// Returns the limit of a target, if it names one.
     pub fn limit(&self, target: TargetKey) -> Option<RateLimit> {
         self.entries.get(&target)?.observation.rate
     }
 
-    /// Whether no target has named a limit.
+    /// Returns whether no target has named a limit.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// What is known of a target's limit, as told to another host.
+    /// Returns the record of a target's limit for another host.
     pub fn record(&self, target: TargetKey, now: Instant) -> Option<LimitRecord> {
         let observation = self.entries.get(&target)?.observation;
         Some(LimitRecord {
@@ -125,8 +125,8 @@
         })
     }
 
-    /// What to tell the host at an address: everything that changed since what it said
-    /// that it has taken in, oldest changes first.
+    /// Returns the delta for the host at an address: all changes since the version that
+    /// it has acknowledged, oldest first.
     pub fn delta_for(&self, address: SocketAddr, now: Instant) -> LimitDelta {
         let mut bounds = self.progress.bounds_for(address, self.version);
         let updates = self.entries.iter();
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Takes in what a start of the host at an address lists; gives what that changes.
+    /// Applies the delta from an incarnation of the host at an address, and returns the
+    /// changes that it causes.
     pub fn apply_delta(
         &mut self,
         address: SocketAddr,
@@ -162,12 +163,13 @@
         changes.collect()
     }
 
-    /// Forgets a target that is gone.
+    /// Removes a target that has left.
     pub fn forget(&mut self, target: TargetKey) {
         self.entries.remove(&target);
     }
 
-    /// Drops the limit that was heard of longest ago, those that are over first.
+    /// Removes the entry that changed longest ago if the table is full, ended limits
+    /// first.
     fn make_room(&mut self) {
         if self.entries.len() < MAX_ENTRIES {
             return;
