--- a/tests/forwarding/host.rs
+++ b/tests/forwarding/host.rs
@@ -17,11 +17,11 @@
 
 /// What a caller read until the connection closed.
 #[derive(Debug)]
-pub(crate) struct CallerAnswer {
+pub(crate) struct CallerResponse {
     pub(crate) text: String,
 }
 
-impl CallerAnswer {
+impl CallerResponse {
     pub(crate) fn status(&self) -> u16 {
         let status = self.text.split(' ').nth(1);
         status.and_then(|status| status.parse().ok()).unwrap_or(0)
@@ -91,14 +91,14 @@
     }
 
     /// Sends one request and reads until the connection closes.
-    pub(crate) async fn call(&self, method: &str, path: &str, extra: &str) -> CallerAnswer {
+    pub(crate) async fn call(&self, method: &str, path: &str, extra: &str) -> CallerResponse {
         let mut stream = self.connect().await;
         let request = request(method, path, extra);
         stream.write_all(request.as_bytes()).await.expect("sent");
         let mut bytes = Vec::new();
         // A cut answer may end in a reset; what came before it counts.
         let _ = stream.read_to_end(&mut bytes).await;
-        CallerAnswer {
+        CallerResponse {
             text: String::from_utf8_lossy(&bytes).into_owned(),
         }
     }
--- a/tests/forwarding/limits.rs
+++ b/tests/forwarding/limits.rs
@@ -9,11 +9,11 @@
 use jackdawwick::permits::PermitReply;
 
 use super::host::TestHost;
-use super::stub_target::{SeenRequest, Step, StubTarget, answer};
+use super::stub_target::{SeenRequest, Step, StubTarget, response};
 
 /// An answer that names a limit, unless that is empty.
 fn limited(seen: &SeenRequest, status: &str, limit: &str) -> Vec<Step> {
-    let Step::Write(text) = answer(seen.id(), status, "fine") else {
+    let Step::Write(text) = response(seen.id(), status, "fine") else {
         return Vec::new();
     };
     let header = match limit {
@@ -28,7 +28,7 @@
     StubTarget::spawn(move |seen| limited(seen, "200 OK", limit)).await
 }
 
-fn named(host: &TestHost, id: &str) -> Option<f64> {
+fn named_limit(host: &TestHost, id: &str) -> Option<f64> {
     let limit = host.tables.limits.lock().limit(target_key(id));
     limit.map(|limit| limit.per_second())
 }
@@ -41,7 +41,7 @@
         let host = TestHost::open();
         host.add_plain("i-1", target.address);
         host.call("GET", "/unsafe/", "").await;
-        assert_eq!(named(&host, "i-1"), Some(6.4), "{status}");
+        assert_eq!(named_limit(&host, "i-1"), Some(6.4), "{status}");
     }
 }
 
@@ -55,16 +55,16 @@
         for _ in 0..3 {
             assert_eq!(host.call("GET", "/safe/", "").await.status(), 200);
         }
-        assert_eq!(named(&host, "i-1"), None, "{unusable}");
+        assert_eq!(named_limit(&host, "i-1"), None, "{unusable}");
     }
 }
 
 /// Guards against a limit that lasts for longer than its target names it.
 #[tokio::test]
-async fn a_limit_ends_with_an_answer_that_does_not_name_it() {
-    let asked = Arc::new(AtomicUsize::new(0));
+async fn a_limit_ends_with_a_response_that_does_not_name_it() {
+    let received = Arc::new(AtomicUsize::new(0));
     let target = StubTarget::spawn(move |seen| {
-        let limit = match asked.fetch_add(1, Ordering::Relaxed) {
+        let limit = match received.fetch_add(1, Ordering::Relaxed) {
             0 => "20",
             _ => "",
         };
@@ -74,23 +74,23 @@
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
     host.call("GET", "/safe/", "").await;
-    assert_eq!(named(&host, "i-1"), Some(20.0));
+    assert_eq!(named_limit(&host, "i-1"), Some(20.0));
     let until = Instant::now() + Duration::from_secs(5);
-    while named(&host, "i-1").is_some() && Instant::now() < until {
+    while named_limit(&host, "i-1").is_some() && Instant::now() < until {
         host.call("GET", "/safe/", "").await;
     }
-    assert_eq!(named(&host, "i-1"), None);
+    assert_eq!(named_limit(&host, "i-1"), None);
 }
 
 /// Guards against requests that are refused although another target takes them.
 #[tokio::test]
-async fn what_a_limit_does_not_allow_goes_to_another_target() {
+async fn requests_over_a_limit_go_to_another_target() {
     let (target, other) = (spawn_limited("1").await, spawn_limited("").await);
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
     host.add_plain("i-2", other.address);
     let mut tries = 0;
-    while named(&host, "i-1").is_none() && tries < 50 {
+    while named_limit(&host, "i-1").is_none() && tries < 50 {
         host.call("GET", "/safe/", "").await;
         tries += 1;
     }
@@ -103,7 +103,7 @@
 
 /// Guards against requests that are held until their deadline where no permit is near.
 #[tokio::test]
-async fn without_a_permit_the_caller_is_told_at_once_when_to_come_back() {
+async fn without_a_permit_a_request_is_refused_at_once_with_a_retry_after() {
     let target = spawn_limited("1").await;
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
@@ -113,11 +113,11 @@
         .set_permit_source(Arc::new(move |_| async move { withheld }.boxed()));
     assert_eq!(host.call("GET", "/unsafe/", "").await.status(), 200);
     let began = Instant::now();
-    let answer = host.call("GET", "/unsafe/", "").await;
+    let response = host.call("GET", "/unsafe/", "").await;
     assert!(began.elapsed() < Duration::from_millis(500));
-    assert_eq!(answer.status(), 503);
-    assert!(answer.text.contains("\"reason\":\"no_permit\""));
-    let after = answer
+    assert_eq!(response.status(), 503);
+    assert!(response.text.contains("\"reason\":\"no_permit\""));
+    let after = response
         .header("retry-after")
         .and_then(|after| after.parse().ok());
     assert!(
@@ -129,7 +129,7 @@
 
 /// Guards against requests that are refused although their turn comes in time.
 #[tokio::test]
-async fn a_request_waits_for_a_permit_that_is_near() {
+async fn a_request_waits_for_a_permit_that_is_due_soon() {
     let target = spawn_limited("20").await;
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
--- a/tests/forwarding/main.rs
+++ b/tests/forwarding/main.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use host::{TestHost, request};
-use stub_target::{SeenRequest, Step, StubTarget, answer, chunk, event, last_chunk, stream_head};
+use stub_target::{SeenRequest, Step, StubTarget, chunk, event, last_chunk, response, stream_head};
 use tokio::io::AsyncWriteExt;
 
 const REPORT: &str = "GET /jackdawwick/report";
@@ -31,13 +31,13 @@
     )
 }
 
-async fn sound() -> StubTarget {
-    StubTarget::spawn(|seen| vec![answer(seen.id(), "200 OK", "fine")]).await
+async fn healthy_target() -> StubTarget {
+    StubTarget::spawn(|seen| vec![response(seen.id(), "200 OK", "fine")]).await
 }
 
 #[tokio::test]
-async fn a_target_gets_the_request_and_only_this_hosts_own_headers() {
-    let target = sound().await;
+async fn a_target_receives_the_request_and_only_headers_set_by_this_host() {
+    let target = healthy_target().await;
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
     let extra = "X-Jackdawwick-Tenant: forged\r\nX-Jackdawwick-Target-Instance: forged\r\n\
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn what_no_configuration_allows_is_rejected() {
+async fn a_request_that_the_configuration_does_not_allow_is_rejected() {
     let host = TestHost::open();
     let unknown = host.call("GET", "/other/", "").await;
     assert_eq!(unknown.status(), 404);
@@ -79,17 +79,17 @@
 }
 
 #[tokio::test]
-async fn without_a_target_the_caller_is_told_when_to_come_back() {
+async fn without_a_target_the_refusal_has_a_retry_after() {
     let host = TestHost::open();
-    let answer = host.call("GET", "/safe/", "").await;
-    assert_eq!(answer.status(), 503);
-    assert!(answer.header("retry-after").is_some());
-    assert!(answer.text.contains("\"verdict\":\"not_run\""));
+    let response = host.call("GET", "/safe/", "").await;
+    assert_eq!(response.status(), 503);
+    assert!(response.header("retry-after").is_some());
+    assert!(response.text.contains("\"verdict\":\"not_run\""));
 }
 
 #[tokio::test]
 async fn a_body_over_the_limit_is_refused() {
-    let target = sound().await;
+    let target = healthy_target().await;
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
     let mut stream = host.connect().await;
@@ -106,7 +106,7 @@
 /// lengths, or a length and chunks, were accepted.
 #[tokio::test]
 async fn ambiguous_lengths_reach_no_target() {
-    let target = sound().await;
+    let target = healthy_target().await;
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
     for extra in [
@@ -138,34 +138,34 @@
     let host = TestHost::open();
     host.add_plain("i-1", broken.address);
     host.add_plain("i-2", other.address);
-    let answer = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
-    assert_eq!(answer.status(), 502);
-    assert!(answer.text.contains("\"verdict\":\"may_have_run\""));
+    let response = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
+    assert_eq!(response.status(), 502);
+    assert!(response.text.contains("\"verdict\":\"may_have_run\""));
     assert_eq!(broken.seen().len() + other.seen().len(), 1);
 }
 
 #[tokio::test]
-async fn a_refused_request_goes_to_another_target_whatever_its_kind() {
+async fn a_refused_request_of_any_kind_is_retried_on_another_target() {
     let full = StubTarget::spawn(|_| vec![not_executed()]).await;
     let host = TestHost::open();
     host.add_plain("i-1", full.address);
-    let answer = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
-    assert_eq!(answer.status(), 503);
-    let sound = sound().await;
-    host.add_plain("i-2", sound.address);
+    let response = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
+    assert_eq!(response.status(), 503);
+    let healthy = healthy_target().await;
+    host.add_plain("i-2", healthy.address);
     for _ in 0..4 {
-        let answer = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
-        assert_eq!(answer.status(), 200);
+        let response = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
+        assert_eq!(response.status(), 200);
     }
 }
 
 #[tokio::test]
-async fn an_idempotent_request_survives_a_lost_answer() {
+async fn an_idempotent_request_is_retried_after_a_lost_response() {
     let broken = StubTarget::spawn(|_| vec![Step::Reset]).await;
-    let sound = sound().await;
+    let healthy = healthy_target().await;
     let host = TestHost::open();
     host.add_plain("i-1", broken.address);
-    host.add_plain("i-2", sound.address);
+    host.add_plain("i-2", healthy.address);
     for _ in 0..4 {
         assert_eq!(host.call("GET", "/safe/", "").await.status(), 200);
     }
@@ -176,8 +176,8 @@
 /// the zone are left; a request comes milliseconds before the process ends.
 /// Cause: only streams were refused towards the end.
 #[tokio::test]
-async fn a_host_at_its_end_takes_nothing_new() {
-    let target = sound().await;
+async fn a_host_about_to_stop_refuses_new_requests() {
+    let target = healthy_target().await;
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
     host.tables.closing.store(true, Ordering::Relaxed);
@@ -196,14 +196,14 @@
 /// is left for the second attempt. Cause: the refusal for want of a target did
 /// not know of the first attempt.
 #[tokio::test]
-async fn no_target_left_does_not_mean_not_run() {
+async fn a_refusal_after_a_failed_attempt_does_not_report_not_run() {
     let broken = StubTarget::spawn(|_| vec![Step::Reset]).await;
     let host = TestHost::open();
     host.add_plain("i-1", broken.address);
     let lost = host.call("GET", "/safe/", "").await;
     assert_eq!(lost.status(), 502);
     assert!(lost.text.contains("\"verdict\":\"may_have_run\""));
-    let failing = StubTarget::spawn(|seen| vec![answer(seen.id(), "500 Oops", "sorry")]).await;
+    let failing = StubTarget::spawn(|seen| vec![response(seen.id(), "500 Oops", "sorry")]).await;
     let host = TestHost::open();
     host.add_plain("i-1", failing.address);
     let failed = host.call("GET", "/safe/", "").await;
@@ -215,17 +215,17 @@
 /// sends the answer of an earlier request. Cause: answers were matched by
 /// their order on the connection.
 #[tokio::test]
-async fn an_answer_with_another_id_is_not_passed_on() {
-    let crossed = StubTarget::spawn(|_| vec![answer("r0", "200 OK", "foreign")]).await;
+async fn a_response_with_another_id_is_not_passed_on() {
+    let crossed = StubTarget::spawn(|_| vec![response("r0", "200 OK", "foreign")]).await;
     let host = TestHost::open();
     host.add_plain("i-1", crossed.address);
-    let answer = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
-    assert_eq!(answer.status(), 502);
-    assert!(!answer.text.contains("foreign"));
+    let response = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
+    assert_eq!(response.status(), 502);
+    assert!(!response.text.contains("foreign"));
 }
 
 #[tokio::test]
-async fn an_answer_without_proof_or_cut_short_is_not_passed_on() {
+async fn a_response_without_proof_or_truncated_is_not_passed_on() {
     let unproven = |seen: &SeenRequest| {
         let head = format!(
             "HTTP/1.1 200 OK\r\nx-jackdawwick-attempt-id: {}\r\ncontent-length: 2\r\n\r\nno",
@@ -247,51 +247,51 @@
     ] {
         let host = TestHost::open();
         host.add_plain("i-1", target.address);
-        let answer = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
-        assert_eq!(answer.status(), 502);
+        let response = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
+        assert_eq!(response.status(), 502);
     }
 }
 
 #[tokio::test]
-async fn a_targets_own_failure_comes_through_with_its_proof() {
-    let failing = StubTarget::spawn(|seen| vec![answer(seen.id(), "500 Oops", "sorry")]).await;
+async fn a_failure_returned_by_a_target_is_passed_on_with_its_proof() {
+    let failing = StubTarget::spawn(|seen| vec![response(seen.id(), "500 Oops", "sorry")]).await;
     let host = TestHost::open();
     host.add_plain("i-1", failing.address);
-    let answer = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
-    assert_eq!(answer.status(), 500);
-    assert_eq!(answer.header("x-jackdawwick-server-seal"), Some("s"));
+    let response = host.call("POST", "/unsafe/", "Content-Length: 0\r\n").await;
+    assert_eq!(response.status(), 500);
+    assert_eq!(response.header("x-jackdawwick-server-seal"), Some("s"));
 }
 
 /// Bytes after a whole answer belong to no request.
 #[tokio::test]
-async fn surplus_bytes_reach_nobody() {
+async fn surplus_bytes_are_not_passed_on() {
     let noisy = StubTarget::spawn(|seen| {
         vec![
-            answer(seen.id(), "200 OK", "fine"),
-            answer(seen.id(), "200 OK", "again"),
+            response(seen.id(), "200 OK", "fine"),
+            response(seen.id(), "200 OK", "again"),
         ]
     })
     .await;
     let host = TestHost::open();
     host.add_plain("i-1", noisy.address);
     for _ in 0..3 {
-        let answer = host.call("GET", "/safe/", "").await;
-        assert_eq!(answer.status(), 200);
-        assert!(answer.text.ends_with("fine"));
+        let response = host.call("GET", "/safe/", "").await;
+        assert_eq!(response.status(), 200);
+        assert!(response.text.ends_with("fine"));
     }
 }
 
 #[tokio::test]
-async fn a_path_names_its_engines_and_layers() {
+async fn the_path_header_names_engines_and_layers() {
     let engine =
         StubTarget::spawn(|seen| vec![stream_head(seen.id()), event(1), event(2), last_chunk()])
             .await;
     let host = TestHost::open();
     host.add_engine("i-1", engine.address, 0, 50);
     host.add_engine("i-2", "127.0.0.1:9".parse().expect("an address"), 50, 80);
-    let answer = host.call("POST", "/stream/", "Content-Length: 0\r\n").await;
-    assert_eq!(answer.event_ids(), [1, 2]);
-    assert!(answer.is_whole_stream());
+    let response = host.call("POST", "/stream/", "Content-Length: 0\r\n").await;
+    assert_eq!(response.event_ids(), [1, 2]);
+    assert!(response.is_whole_stream());
     let path = format!("{}=0-50,127.0.0.1:9=50-80", engine.address);
     assert_eq!(
         engine.seen()[0].header("x-jackdawwick-hop-count"),
@@ -303,7 +303,7 @@
 /// engine breaks off within an event. Cause: the stream was not taken up at
 /// another engine after the last whole event.
 #[tokio::test]
-async fn a_broken_stream_goes_on_elsewhere_after_the_last_whole_event() {
+async fn a_broken_stream_resumes_elsewhere_after_the_last_complete_event() {
     let breaking = StubTarget::spawn(|seen| match seen.header("last-event-id") {
         None => vec![
             stream_head(seen.id()),
@@ -329,32 +329,32 @@
         }
         host.add_engine("i-2", resuming.address, 0, 80);
     };
-    let (answer, ()) = tokio::join!(serving, adding);
-    assert_eq!(answer.event_ids(), [1, 2, 3, 4]);
-    assert_eq!(answer.text.matches("id: 3\ndata: t3\n\n").count(), 1);
+    let (response, ()) = tokio::join!(serving, adding);
+    assert_eq!(response.event_ids(), [1, 2, 3, 4]);
+    assert_eq!(response.text.matches("id: 3\ndata: t3\n\n").count(), 1);
     assert!(
-        !answer.text.contains("daid"),
+        !response.text.contains("daid"),
         "half an event was joined to a whole one"
     );
-    assert!(answer.is_whole_stream());
+    assert!(response.is_whole_stream());
 }
 
 #[tokio::test]
-async fn a_stream_that_cannot_go_on_does_not_look_whole() {
+async fn a_stream_that_cannot_resume_is_not_terminated_regularly() {
     let breaking =
         StubTarget::spawn(|seen| vec![stream_head(seen.id()), event(1), Step::Reset]).await;
     let host = TestHost::open();
     host.add_engine("i-1", breaking.address, 0, 80);
-    let answer = host.call("POST", "/stream/", "Content-Length: 0\r\n").await;
-    assert_eq!(answer.event_ids(), [1]);
-    assert!(!answer.is_whole_stream());
+    let response = host.call("POST", "/stream/", "Content-Length: 0\r\n").await;
+    assert_eq!(response.event_ids(), [1]);
+    assert!(!response.is_whole_stream());
 }
 
 /// Symptom: engines work for callers that have left. Sequence: a caller closes
 /// its connection in the middle of a stream. Cause: the engine's connection
 /// stayed open.
 #[tokio::test]
-async fn a_callers_leaving_reaches_the_engine() {
+async fn a_closed_caller_connection_closes_the_engine_connection() {
     let engine = StubTarget::spawn(|seen| vec![stream_head(seen.id()), event(1), Step::Hold]).await;
     let host = TestHost::open();
     host.add_engine("i-1", engine.address, 0, 80);
--- a/tests/forwarding/moves.rs
+++ b/tests/forwarding/moves.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-use crate::host::{CallerAnswer, TestHost};
+use crate::host::{CallerResponse, TestHost};
 use crate::stub_target::{
     SeenRequest, Step, StubTarget, event, last_chunk, serve_once, stream_head,
 };
@@ -92,7 +92,7 @@
 }
 
 /// Calls a stream; `meanwhile` runs once the first engine has the request.
-async fn call_and<F>(host: &TestHost, first: &StubTarget, meanwhile: F) -> CallerAnswer
+async fn call_and<F>(host: &TestHost, first: &StubTarget, meanwhile: F) -> CallerResponse
 where
     F: Future<Output = ()>,
 {
@@ -103,8 +103,8 @@
         }
         meanwhile.await;
     };
-    let (answer, ()) = bounded(async { tokio::join!(serving, acting) }).await;
-    answer
+    let (response, ()) = bounded(async { tokio::join!(serving, acting) }).await;
+    response
 }
 
 /// Ends an engine once it is connected to.
@@ -117,7 +117,7 @@
 /// A host that was called, what the caller got, and the engine that came.
 struct EndedPath {
     host: TestHost,
-    answer: CallerAnswer,
+    response: CallerResponse,
     spare: SocketAddr,
 }
 
@@ -135,15 +135,15 @@
     let host = TestHost::open();
     host.add_engine("i-1", first.address, 0, 50);
     host.add_engine("i-2", ending.address, 50, 80);
-    let answer = call_and(&host, first, async {
+    let response = call_and(&host, first, async {
         meanwhile(&host);
         host.add_engine("i-3", spare.address, 50, 80);
         end(ending).await;
     });
-    let answer = answer.await;
+    let response = response.await;
     EndedPath {
         host,
-        answer,
+        response,
         spare: spare.address,
     }
 }
@@ -169,10 +169,10 @@
     let host = TestHost::open();
     host.add_engine("i-1", first.address, 0, 50);
     host.add_engine("i-2", dead.address, 50, 80);
-    let answer = call_and(&host, &first, async {
+    let response = call_and(&host, &first, async {
         host.add_engine("i-3", other.address, 50, 80);
     });
-    assert_eq!(answer.await.event_ids(), [1, 2]);
+    assert_eq!(response.await.event_ids(), [1, 2]);
     let orders = ordered_paths(&first);
     assert_eq!(orders.len(), 1);
     assert!(orders[0].contains("\"operation\":\"repath\""));
@@ -188,7 +188,7 @@
     let first = pausing_engine("", |_| vec![json("{}")]).await;
     let ending = IdleEngine::spawn().await;
     let path = call_while_an_engine_ends(&first, ending, |_| ()).await;
-    assert_eq!(path.answer.event_ids(), [1, 2]);
+    assert_eq!(path.response.event_ids(), [1, 2]);
     let orders = ordered_paths(&first);
     assert_eq!(orders.len(), 1);
     assert!(orders[0].contains(&format!("{}=50-80", path.spare)));
@@ -198,7 +198,7 @@
 /// Sequence: an engine ends, the one that is to take over refuses. Cause: one
 /// move was tried for each silence.
 #[tokio::test]
-async fn a_refused_move_is_tried_over_the_next_engine() {
+async fn a_refused_move_is_retried_with_the_next_engine() {
     let ending = IdleEngine::spawn().await;
     let refusing = IdleEngine::spawn().await;
     let other = IdleEngine::spawn().await;
@@ -213,7 +213,7 @@
     let host = TestHost::open();
     host.add_engine("i-1", first.address, 0, 50);
     host.add_engine("i-2", ending.address, 50, 80);
-    let answer = call_and(&host, &first, async {
+    let response = call_and(&host, &first, async {
         host.add_engine("i-3", refusing.address, 50, 80);
         host.add_engine("i-4", other.address, 50, 80);
         // Dearer, so that the other one is asked first.
@@ -221,7 +221,7 @@
         host.tables.fleet.lock().observe_pace("i-4", 8.0, now);
         end(ending).await;
     });
-    assert_eq!(answer.await.event_ids(), [1, 2]);
+    assert_eq!(response.await.event_ids(), [1, 2]);
     let orders = ordered_paths(&first);
     assert_eq!(orders.len(), 2, "{orders:?}");
     assert!(orders[1].contains(&format!("{}=50-80", other.address)));
@@ -233,16 +233,16 @@
 /// are used up. Cause: a silence was judged by what is known of the engine, and the stream
 /// was cut for want of another attempt, before the engine itself had given it up.
 #[tokio::test]
-async fn a_stream_without_another_attempt_waits_for_its_engine() {
+async fn a_stream_without_attempts_left_waits_for_its_engine() {
     let first = pausing_engine("", |_| vec![json("{}")]).await;
     let ending = IdleEngine::spawn().await;
     let host = TestHost::open();
     host.add_engine("i-1", first.address, 0, 50);
     host.add_engine("i-2", ending.address, 50, 80);
     let serving = host.call("POST", "/once/", "Content-Length: 0\r\n");
-    let (answer, ()) = bounded(async { tokio::join!(serving, end(ending)) }).await;
-    assert_eq!(answer.event_ids(), [1, 2]);
-    assert!(answer.is_whole_stream());
+    let (response, ()) = bounded(async { tokio::join!(serving, end(ending)) }).await;
+    assert_eq!(response.event_ids(), [1, 2]);
+    assert!(response.is_whole_stream());
 }
 
 /// Symptom: streams of three seconds and more are cut around planned work, though their
@@ -252,7 +252,7 @@
 /// elsewhere, where nobody has room. Cause: an engine that does not report was taken for
 /// lost, though the connection on which it serves the stream stood.
 #[tokio::test]
-async fn a_stream_stays_with_a_first_engine_that_leaves() {
+async fn a_stream_stays_with_a_first_engine_that_shuts_down() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let host = TestHost::open();
@@ -272,10 +272,10 @@
         serve_once(stream, steps).await;
     });
     let serving = host.call("POST", "/stream/", "Content-Length: 0\r\n");
-    let answer = bounded(serving).await;
+    let response = bounded(serving).await;
     leaving.await.expect("it has served");
-    assert_eq!(answer.event_ids(), [1, 2]);
-    assert!(answer.is_whole_stream());
+    assert_eq!(response.event_ids(), [1, 2]);
+    assert!(response.is_whole_stream());
 }
 
 /// Symptom: a healthy request is refused for ten minutes. Sequence: three engines in the
@@ -283,11 +283,11 @@
 /// a path ended was held against the request, though the first one, which begins to run
 /// it before all others, had survived it.
 #[tokio::test]
-async fn the_loss_of_a_later_engine_is_not_held_against_a_request() {
+async fn the_loss_of_a_later_engine_is_no_poison_evidence() {
     let first = pausing_engine("", |_| vec![json("{}")]).await;
     let ending = IdleEngine::spawn().await;
     let path = call_while_an_engine_ends(&first, ending, |_| ()).await;
-    assert_eq!(path.answer.event_ids(), [1, 2]);
+    assert_eq!(path.response.event_ids(), [1, 2]);
     assert!(path.host.tables.poison.lock().is_empty());
 }
 
@@ -296,7 +296,7 @@
 /// and the host moves the request to the next holder of its layers. Cause: only a new
 /// attempt asked whether the request is refused.
 #[tokio::test]
-async fn a_poison_request_is_moved_no_further() {
+async fn a_poison_request_is_not_moved() {
     let ending = IdleEngine::spawn().await;
     let stalled = format!(r#"{{"id":"r1","address":"{}"}}"#, ending.address);
     let first = pausing_engine(&stalled, |_| vec![json("{}")]).await;
@@ -313,7 +313,7 @@
             host.tables.poison.lock().observe_end(key, target, now);
         }
     });
-    let answer = path.await.answer;
-    assert!(!answer.is_whole_stream(), "{}", answer.text);
+    let response = path.await.response;
+    assert!(!response.is_whole_stream(), "{}", response.text);
     assert_eq!(ordered_paths(&first), Vec::<String>::new());
 }
--- a/tests/forwarding/poison.rs
+++ b/tests/forwarding/poison.rs
@@ -11,13 +11,13 @@
 
 use crate::host::TestHost;
 use crate::stub_target::{
-    SeenRequest, Step, StubTarget, answer, event, last_chunk, serve_once, stream_head,
+    SeenRequest, Step, StubTarget, event, last_chunk, response, serve_once, stream_head,
 };
 
 /// Path of the request that engines do not survive.
 const POISON: &str = "/stream/poison";
 /// Path of a request that every engine answers.
-const SOUND: &str = "/stream/sound";
+const HEALTHY: &str = "/stream/sound";
 
 /// An engine whose process ends as soon as it begins to run a poison request:
 /// all its connections close, and its port refuses new ones.
@@ -128,7 +128,7 @@
     assert!(refused.text.contains("\"verdict\":\"may_have_run\""));
     assert!(refused.text.contains("\"reason\":\"poison_request\""));
     // Whoever asks for something else is served by the engines that are left.
-    let served = host.call("POST", SOUND, "Content-Length: 0\r\n").await;
+    let served = host.call("POST", HEALTHY, "Content-Length: 0\r\n").await;
     assert!(served.is_whole_stream(), "{}", served.text);
 }
 
@@ -136,7 +136,7 @@
 /// power. Sequence: two engines end under it, the third one answers it; two more end
 /// under the same draft an hour later. Cause: what ended counted, what answered did not.
 #[tokio::test]
-async fn a_request_that_an_engine_answers_is_served_again() {
+async fn a_request_that_an_engine_survives_is_served_again() {
     let host = TestHost::open();
     let survivor =
         StubTarget::spawn(|seen| vec![stream_head(seen.id()), event(1), last_chunk()]).await;
@@ -161,15 +161,19 @@
 /// engines reset the connections of a request, attempt after attempt, and live on.
 /// Cause: a broken connection was taken for the end of its engine.
 #[tokio::test]
-async fn an_engine_that_breaks_off_and_lives_is_no_proof() {
+async fn a_connection_broken_by_a_live_engine_is_no_poison_evidence() {
     let host = TestHost::open();
     for number in 0..5 {
         let breaking = StubTarget::spawn(|seen| vec![stream_head(seen.id()), Step::Reset]).await;
         host.add_engine(&format!("i-{number}"), breaking.address, 0, 80);
     }
     for _ in 0..3 {
-        let answer = host.call("POST", POISON, "Content-Length: 0\r\n").await;
-        assert!(!answer.text.contains("poison_request"), "{}", answer.text);
+        let response = host.call("POST", POISON, "Content-Length: 0\r\n").await;
+        assert!(
+            !response.text.contains("poison_request"),
+            "{}",
+            response.text
+        );
     }
 }
 
@@ -177,7 +181,7 @@
 /// engine and is taken up at another one, which ends before it answers at all. Cause: only
 /// the end of an engine that had answered was noted there.
 #[tokio::test]
-async fn an_engine_that_ends_before_it_answers_counts_as_well() {
+async fn an_engine_that_ends_before_it_responds_counts() {
     let host = TestHost::open();
     let first = FragileEngine::spawn(EndsAfter::Head).await;
     host.add_engine("i-1", first.address, 0, 80);
@@ -198,8 +202,8 @@
 /// before its first event. Cause: whatever was answered cleared the request; an engine
 /// that never began to run it has not survived it.
 #[tokio::test]
-async fn an_answer_without_a_run_clears_nothing() {
-    let failing = |seen: &SeenRequest| vec![answer(seen.id(), "500 Oops", "sorry")];
+async fn a_response_without_a_run_does_not_clear_a_request() {
+    let failing = |seen: &SeenRequest| vec![response(seen.id(), "500 Oops", "sorry")];
     let empty = |seen: &SeenRequest| vec![stream_head(seen.id()), last_chunk()];
     for script in [failing as fn(&SeenRequest) -> Vec<Step>, empty] {
         let host = TestHost::open();
@@ -221,7 +225,7 @@
 /// their connections are reset, while they live on. Cause: that an engine had refused a
 /// connection once counted from then on.
 #[tokio::test]
-async fn an_engine_that_takes_connections_again_has_not_ended() {
+async fn an_engine_that_accepts_connections_again_has_not_ended() {
     let host = TestHost::open();
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -230,7 +234,7 @@
         let (stream, _) = listener.accept().await.expect("a connection");
         drop((listener, stream));
     });
-    host.call("POST", SOUND, "Content-Length: 0\r\n").await;
+    host.call("POST", HEALTHY, "Content-Length: 0\r\n").await;
     cut.await.expect("it was cut");
     assert_eq!(host.tables.poison.lock().len(), 1);
     let healed = TcpListener::bind(address).await.expect("the port again");
--- a/tests/forwarding/stub_target.rs
+++ b/tests/forwarding/stub_target.rs
@@ -40,7 +40,7 @@
 }
 
 /// A whole answer that is the target's own.
-pub(crate) fn answer(id: &str, status: &str, body: &str) -> Step {
+pub(crate) fn response(id: &str, status: &str, body: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 {status}\r\nx-jackdawwick-attempt-id: {id}\r\nx-jackdawwick-server-seal: s\r\n\
          content-length: {}\r\n\r\n{body}",
--- a/tests/permits/main.rs
+++ b/tests/permits/main.rs
@@ -14,7 +14,7 @@
 }
 
 /// An answer that came between two moments, in milliseconds.
-fn answer(start: Instant, per_second: Option<f64>, sent: u64, received: u64) -> LimitObservation {
+fn response(start: Instant, per_second: Option<f64>, sent: u64, received: u64) -> LimitObservation {
     LimitObservation {
         rate: per_second.map(rate),
         sent: start + Duration::from_millis(sent),
@@ -51,58 +51,58 @@
 }
 
 #[test]
-fn a_limit_is_named_changed_and_ended_by_later_answers() {
+fn a_limit_is_named_changed_and_ended_by_later_responses() {
     let start = Instant::now();
     let mut table = LimitTable::default();
-    assert_eq!(table.observe(TARGET, answer(start, None, 0, 5)), None);
-    let named = table.observe(TARGET, answer(start, Some(6.0), 10, 20));
+    assert_eq!(table.observe(TARGET, response(start, None, 0, 5)), None);
+    let named = table.observe(TARGET, response(start, Some(6.0), 10, 20));
     assert_eq!(named, Some(LimitChange::Named(rate(6.0))));
     assert_eq!(
-        table.observe(TARGET, answer(start, Some(6.0), 15, 25)),
+        table.observe(TARGET, response(start, Some(6.0), 15, 25)),
         None
     );
-    let raised = table.observe(TARGET, answer(start, Some(9.0), 30, 40));
+    let raised = table.observe(TARGET, response(start, Some(9.0), 30, 40));
     assert_eq!(raised, Some(LimitChange::Named(rate(9.0))));
-    let ended = table.observe(TARGET, answer(start, None, 50, 60));
+    let ended = table.observe(TARGET, response(start, None, 50, 60));
     assert_eq!(ended, Some(LimitChange::Ended));
     assert_eq!(table.limit(TARGET), None);
 }
 
 /// Guards against an overtaken answer that lifts a limit.
 #[test]
-fn an_answer_that_may_be_older_does_not_lift_a_limit() {
+fn a_response_that_may_be_older_does_not_lift_a_limit() {
     let start = Instant::now();
     let mut table = LimitTable::default();
-    table.observe(TARGET, answer(start, Some(6.0), 10, 20));
-    assert_eq!(table.observe(TARGET, answer(start, None, 15, 90)), None);
+    table.observe(TARGET, response(start, Some(6.0), 10, 20));
+    assert_eq!(table.observe(TARGET, response(start, None, 15, 90)), None);
     assert_eq!(
-        table.observe(TARGET, answer(start, Some(9.0), 19, 90)),
+        table.observe(TARGET, response(start, Some(9.0), 19, 90)),
         None
     );
     assert_eq!(table.limit(TARGET), Some(rate(6.0)));
-    let lowered = table.observe(TARGET, answer(start, Some(2.0), 0, 95));
+    let lowered = table.observe(TARGET, response(start, Some(2.0), 0, 95));
     assert_eq!(lowered, Some(LimitChange::Named(rate(2.0))));
 }
 
 /// Guards against a limit that comes back with an answer from before its end.
 #[test]
-fn an_answer_from_before_the_end_of_a_limit_does_not_name_it_again() {
+fn a_response_from_before_the_end_of_a_limit_does_not_name_it_again() {
     let start = Instant::now();
     let mut table = LimitTable::default();
-    table.observe(TARGET, answer(start, Some(6.0), 0, 5));
-    table.observe(TARGET, answer(start, None, 50, 60));
+    table.observe(TARGET, response(start, Some(6.0), 0, 5));
+    table.observe(TARGET, response(start, None, 50, 60));
     assert_eq!(
-        table.observe(TARGET, answer(start, Some(6.0), 10, 40)),
+        table.observe(TARGET, response(start, Some(6.0), 10, 40)),
         None
     );
     assert_eq!(table.limit(TARGET), None);
 }
 
 #[test]
-fn another_start_of_a_target_begins_without_a_limit() {
+fn a_restarted_target_has_no_limit() {
     let start = Instant::now();
     let mut table = LimitTable::default();
-    table.observe(TARGET, answer(start, Some(6.0), 10, 20));
+    table.observe(TARGET, response(start, Some(6.0), 10, 20));
     assert_eq!(table.limit(TARGET + 1), None);
     table.forget(TARGET);
     assert_eq!(table.limit(TARGET), None);
