--- a/tests/forwarding/host.rs
+++ b/tests/forwarding/host.rs
@@ -1,4 +1,4 @@
-//! An entry host's data path over loopback, with tables that a test fills.
+//! The data path of an entry host over loopback, with tables that a test fills.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
     serving: ServingHandle,
 }
 
-/// What a caller read until the connection closed.
+/// All bytes that a caller read until the connection closed.
 #[derive(Debug)]
 pub(crate) struct CallerResponse {
     pub(crate) text: String,
@@ -34,12 +34,12 @@
         values.next().map(|(_, value)| value.trim())
     }
 
-    /// Whether a stream came to its regular end.
+    /// Returns whether a stream ended with its last chunk.
     pub(crate) fn is_whole_stream(&self) -> bool {
         self.text.ends_with("0\r\n\r\n")
     }
 
-    /// Ids of the events, in the order in which they came.
+    /// Returns the ids of the events in the order of their arrival.
     pub(crate) fn event_ids(&self) -> Vec<u32> {
         let lines = self.text.lines();
         lines
@@ -96,7 +96,7 @@
         let request = request(method, path, extra);
         stream.write_all(request.as_bytes()).await.expect("sent");
         let mut bytes = Vec::new();
-        // A cut answer may end in a reset; what came before it counts.
+        // A truncated response may end in a reset; the bytes before it count.
         let _ = stream.read_to_end(&mut bytes).await;
         CallerResponse {
             text: String::from_utf8_lossy(&bytes).into_owned(),
--- a/tests/forwarding/limits.rs
+++ b/tests/forwarding/limits.rs
@@ -1,4 +1,4 @@
-//! Targets that limit their rate of requests.
+//! Tests targets that limit their rate of requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,7 +11,7 @@
 use super::host::TestHost;
 use super::stub_target::{SeenRequest, Step, StubTarget, response};
 
-/// An answer that names a limit, unless that is empty.
+/// Creates a response that names a limit, unless `limit` is empty.
 fn limited(seen: &SeenRequest, status: &str, limit: &str) -> Vec<Step> {
     let Step::Write(text) = response(seen.id(), status, "fine") else {
         return Vec::new();
@@ -33,7 +33,8 @@
     limit.map(|limit| limit.per_second())
 }
 
-/// Guards against limits that only whole answers, or only successes, tell of.
+/// Guards against limits that are read only from complete or only from successful
+/// responses.
 #[tokio::test]
 async fn a_limit_is_read_from_successes_and_failures() {
     for status in ["200 OK", "500 Internal Server Error"] {
@@ -45,7 +46,8 @@
     }
 }
 
-/// Guards against values that stop a host from sending, or from keeping a limit.
+/// Guards against unusable values that stop a host from sending, or that it keeps as a
+/// limit.
 #[tokio::test]
 async fn an_unusable_limit_changes_nothing() {
     for unusable in ["many", "-1", "inf", "NaN", "1\r\nserver-limit: 2"] {
@@ -59,7 +61,7 @@
     }
 }
 
-/// Guards against a limit that lasts for longer than its target names it.
+/// Guards against a limit that stays in effect after its target has stopped naming it.
 #[tokio::test]
 async fn a_limit_ends_with_a_response_that_does_not_name_it() {
     let received = Arc::new(AtomicUsize::new(0));
@@ -82,7 +84,7 @@
     assert_eq!(named_limit(&host, "i-1"), None);
 }
 
-/// Guards against requests that are refused although another target takes them.
+/// Guards against requests that are refused although another target has no limit.
 #[tokio::test]
 async fn requests_over_a_limit_go_to_another_target() {
     let (target, other) = (spawn_limited("1").await, spawn_limited("").await);
@@ -101,7 +103,7 @@
     assert!(target.seen().len() <= before + 2);
 }
 
-/// Guards against requests that are held until their deadline where no permit is near.
+/// Guards against requests that wait until their deadline although no permit is due soon.
 #[tokio::test]
 async fn without_a_permit_a_request_is_refused_at_once_with_a_retry_after() {
     let target = spawn_limited("1").await;
@@ -127,7 +129,7 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// Guards against requests that are refused although their turn comes in time.
+/// Guards against requests that are refused although a permit is due in time.
 #[tokio::test]
 async fn a_request_waits_for_a_permit_that_is_due_soon() {
     let target = spawn_limited("20").await;
--- a/tests/forwarding/main.rs
+++ b/tests/forwarding/main.rs
@@ -1,4 +1,4 @@
-//! The data path against targets that fail in every way they can.
+//! Tests the data path against targets that fail in various ways.
 
 mod host;
 mod limits;
@@ -101,9 +101,9 @@
     assert!(target.seen().is_empty());
 }
 
-/// Symptom: one caller gets another's answer, or one request becomes two.
-/// Sequence: a head is sent that two programs read differently. Cause: both
-/// lengths, or a length and chunks, were accepted.
+/// Guards against request smuggling: a head with two lengths, or with a length and
+/// chunks, is read differently by two programs, so that one caller gets another's
+/// response or one request becomes two.
 #[tokio::test]
 async fn ambiguous_lengths_reach_no_target() {
     let target = healthy_target().await;
@@ -129,8 +129,8 @@
     assert!(target.seen().is_empty());
 }
 
-/// Symptom: a charge is made twice. Sequence: a target runs a non-idempotent
-/// request and its answer is lost. Cause: the request was sent once more.
+/// Guards against a charge that is made twice because a non-idempotent request is sent
+/// again after its response was lost.
 #[tokio::test]
 async fn a_non_idempotent_request_is_never_sent_twice() {
     let broken = StubTarget::spawn(|_| vec![Step::Reset]).await;
@@ -171,10 +171,9 @@
     }
 }
 
-/// Symptom: a charge is run and its answer lost around planned work. Sequence:
-/// a host was told to stop; callers still reach it, because too few hosts of
-/// the zone are left; a request comes milliseconds before the process ends.
-/// Cause: only streams were refused towards the end.
+/// Guards against a charge whose response is lost during planned maintenance: callers
+/// still reach a stopping host when few hosts of the zone are left, and a request arrives
+/// milliseconds before the process ends. Streams are refused earlier than other requests.
 #[tokio::test]
 async fn a_host_about_to_stop_refuses_new_requests() {
     let target = healthy_target().await;
@@ -191,10 +190,9 @@
     assert_eq!(target.seen().len(), 1);
 }
 
-/// Symptom: a caller is told that its request has not run, and it has.
-/// Sequence: the only target loses the answer, or fails after running; no other
-/// is left for the second attempt. Cause: the refusal for want of a target did
-/// not know of the first attempt.
+/// Guards against a caller that receives `not_run` although its request may have run: the
+/// only target loses the response or fails after running, and no other target is left for
+/// the second attempt.
 #[tokio::test]
 async fn a_refusal_after_a_failed_attempt_does_not_report_not_run() {
     let broken = StubTarget::spawn(|_| vec![Step::Reset]).await;
@@ -211,9 +209,9 @@
     assert_eq!(failed.header("x-jackdawwick-server-seal"), Some("s"));
 }
 
-/// Symptom: a caller gets an answer that is not its own. Sequence: a target
-/// sends the answer of an earlier request. Cause: answers were matched by
-/// their order on the connection.
+/// Guards against responses that are matched by their order on the connection: a target
+/// that sends the response of an earlier request would give a caller another one's
+/// response.
 #[tokio::test]
 async fn a_response_with_another_id_is_not_passed_on() {
     let crossed = StubTarget::spawn(|_| vec![response("r0", "200 OK", "foreign")]).await;
@@ -262,7 +260,7 @@
     assert_eq!(response.header("x-jackdawwick-server-seal"), Some("s"));
 }
 
-/// Bytes after a whole answer belong to no request.
+/// Guards against bytes after a complete response, which belong to no request.
 #[tokio::test]
 async fn surplus_bytes_are_not_passed_on() {
     let noisy = StubTarget::spawn(|seen| {
@@ -299,9 +297,8 @@
     );
 }
 
-/// Symptom: an answer ends in the middle, or events come twice. Sequence: an
-/// engine breaks off within an event. Cause: the stream was not taken up at
-/// another engine after the last whole event.
+/// Guards against a truncated response or duplicate events after an engine fails within
+/// an event: the stream has to resume at another engine after the last complete event.
 #[tokio::test]
 async fn a_broken_stream_resumes_elsewhere_after_the_last_complete_event() {
     let breaking = StubTarget::spawn(|seen| match seen.header("last-event-id") {
@@ -334,7 +331,7 @@
     assert_eq!(response.text.matches("id: 3\ndata: t3\n\n").count(), 1);
     assert!(
         !response.text.contains("daid"),
-        "half an event was joined to a whole one"
+        "a partial event was joined to a complete one"
     );
     assert!(response.is_whole_stream());
 }
@@ -350,9 +347,8 @@
     assert!(!response.is_whole_stream());
 }
 
-/// Symptom: engines work for callers that have left. Sequence: a caller closes
-/// its connection in the middle of a stream. Cause: the engine's connection
-/// stayed open.
+/// Guards against engines that work for callers that have left: a caller closes its
+/// connection in the middle of a stream, and the engine's connection stays open.
 #[tokio::test]
 async fn a_closed_caller_connection_closes_the_engine_connection() {
     let engine = StubTarget::spawn(|seen| vec![stream_head(seen.id()), event(1), Step::Hold]).await;
--- a/tests/forwarding/moves.rs
+++ b/tests/forwarding/moves.rs
@@ -1,4 +1,4 @@
-//! Requests that are moved away from engines that have ended or stall.
+//! Tests requests that are moved away from engines that have ended or stall.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 };
 use crate::{ORDER, REPORT, json};
 
-/// An engine that takes connections and says nothing on them, until its
-/// process ends: dropping it closes the port and all connections.
+/// An engine that accepts connections and sends nothing on them. Dropping it closes the
+/// port and all connections, as the end of its process does.
 struct IdleEngine {
     address: SocketAddr,
     taken: Arc<AtomicUsize>,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Fails a test that would wait for ever where it should fail.
+/// Fails a test that would otherwise wait forever.
 async fn bounded<F>(waiting: F) -> F::Output
 where
     F: Future,
@@ -61,7 +61,7 @@
         .expect("an end within 20 s")
 }
 
-/// The paths of the orders that an engine got.
+/// Returns the bodies of the move orders that an engine received.
 fn ordered_paths(engine: &StubTarget) -> Vec<String> {
     let seen = engine.seen().into_iter();
     let orders = seen.filter(|seen| seen.head.starts_with(ORDER));
@@ -69,9 +69,9 @@
     bodies.collect()
 }
 
-/// The first engine of the paths: one event, a long pause, another event.
-/// Reports that nobody is waited for but `stalled`, and answers orders as
-/// `order` says.
+/// Spawns the first engine of the paths, which sends one event, pauses and sends another
+/// event. It reports the engines in `stalled` as stalled, and responds to orders with the
+/// steps of `order`.
 async fn pausing_engine<F>(stalled: &str, order: F) -> StubTarget
 where
     F: Fn(&SeenRequest) -> Vec<Step> + Send + Sync + 'static,
@@ -91,7 +91,7 @@
     .await
 }
 
-/// Calls a stream; `meanwhile` runs once the first engine has the request.
+/// Calls a stream, and runs `meanwhile` once the first engine has the request.
 async fn call_and<F>(host: &TestHost, first: &StubTarget, meanwhile: F) -> CallerResponse
 where
     F: Future<Output = ()>,
@@ -107,22 +107,22 @@
     response
 }
 
-/// Ends an engine once it is connected to.
+/// Ends an engine once it has a connection.
 async fn end(engine: IdleEngine) {
     while engine.taken.load(Ordering::Relaxed) == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// A host that was called, what the caller got, and the engine that came.
+/// The called host, the response to the caller, and the spare engine.
 struct EndedPath {
     host: TestHost,
     response: CallerResponse,
     spare: SocketAddr,
 }
 
-/// Calls a stream over two engines. While it runs `meanwhile` does, another holder of the
-/// second one's layers comes, and the second one ends.
+/// Calls a stream over two engines. While it runs, `meanwhile` is called, another holder
+/// of the second engine's layers is added, and the second engine ends.
 async fn call_while_an_engine_ends<F>(
     first: &StubTarget,
     ending: IdleEngine,
@@ -156,12 +156,12 @@
     ))]
 }
 
-/// Symptom: streams stand still for two seconds and end. Sequence: an engine
-/// in the middle of the path dies. Cause: nobody asked the first engine whom
-/// it waits for, or moved the request.
+/// Guards against streams that stall for two seconds and end after an engine in the
+/// middle of the path dies: the host has to request the first engine's report and move
+/// the request.
 #[tokio::test]
 async fn a_stalled_stream_is_moved_to_another_engine() {
-    // Takes connections still, so that only the report tells.
+    // It still accepts connections, so that only the report shows the fault.
     let dead = IdleEngine::spawn().await;
     let stalled = format!(r#"{{"id":"r1","address":"{}"}}"#, dead.address);
     let first = pausing_engine(&stalled, |_| vec![json("{}")]).await;
@@ -179,10 +179,9 @@
     assert!(orders[0].contains(&format!("{}=50-80", other.address)));
 }
 
-/// Symptom: after the crash of an engine every stream that passed it pauses for
-/// more than 350 ms. Sequence: the process of an engine in the middle of the
-/// path ends; the first engine has not noticed yet. Cause: only silence told of
-/// it, and only the first engine's report whom the stream waits for.
+/// Guards against pauses of more than 350 ms in every stream that passes a crashed
+/// engine. The first engine has not noticed the end yet, so the host has to detect it by
+/// its own connection to the engine, before silence and reports show it.
 #[tokio::test]
 async fn a_stream_is_moved_as_soon_as_an_engine_of_its_path_ends() {
     let first = pausing_engine("", |_| vec![json("{}")]).await;
@@ -194,9 +193,8 @@
     assert!(orders[0].contains(&format!("{}=50-80", path.spare)));
 }
 
-/// Symptom: a stream is cut although an engine with room holds the lost layers.
-/// Sequence: an engine ends, the one that is to take over refuses. Cause: one
-/// move was tried for each silence.
+/// Guards against a stream that is cut although an engine with room holds the lost
+/// layers: the engine that is to take over refuses, and the next one has to be tried.
 #[tokio::test]
 async fn a_refused_move_is_retried_with_the_next_engine() {
     let ending = IdleEngine::spawn().await;
@@ -216,7 +214,7 @@
     let response = call_and(&host, &first, async {
         host.add_engine("i-3", refusing.address, 50, 80);
         host.add_engine("i-4", other.address, 50, 80);
-        // Dearer, so that the other one is asked first.
+        // `i-4` costs more, so that the refusing engine is tried first.
         let now = std::time::Instant::now();
         host.tables.fleet.lock().observe_pace("i-4", 8.0, now);
         end(ending).await;
@@ -227,11 +225,9 @@
     assert!(orders[1].contains(&format!("{}=50-80", other.address)));
 }
 
-/// Symptom: streams are cut around planned work though their engines go on. Sequence: an
-/// engine that leaves takes no connections any more and still serves what passes it; the
-/// next event comes after half a second; nobody takes over, and the attempts of the request
-/// are used up. Cause: a silence was judged by what is known of the engine, and the stream
-/// was cut for want of another attempt, before the engine itself had given it up.
+/// Guards against a stream without attempts left that is cut while an engine of its path
+/// shuts down. Such an engine accepts no connections but serves the requests that pass
+/// it: the stream may be cut only once the engine has given it up.
 #[tokio::test]
 async fn a_stream_without_attempts_left_waits_for_its_engine() {
     let first = pausing_engine("", |_| vec![json("{}")]).await;
@@ -245,12 +241,9 @@
     assert!(response.is_whole_stream());
 }
 
-/// Symptom: streams of three seconds and more are cut around planned work, though their
-/// engines serve them to the end. Sequence: the first engine of a path leaves: it takes no
-/// connections any more, and goes on with what it has; its next event comes after half a
-/// second. The host asks it for a report, is refused a connection, and takes the stream up
-/// elsewhere, where nobody has room. Cause: an engine that does not report was taken for
-/// lost, though the connection on which it serves the stream stood.
+/// Guards against a stream that is taken from a first engine that shuts down. The engine
+/// refuses the connection for a report, but the connection that serves the stream stays
+/// open, and no other engine may have room.
 #[tokio::test]
 async fn a_stream_stays_with_a_first_engine_that_shuts_down() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -278,10 +271,9 @@
     assert!(response.is_whole_stream());
 }
 
-/// Symptom: a healthy request is refused for ten minutes. Sequence: three engines in the
-/// middle of its paths are lost, one attempt after the other. Cause: whichever engine of
-/// a path ended was held against the request, though the first one, which begins to run
-/// it before all others, had survived it.
+/// Guards against a healthy request that is refused for ten minutes after three engines
+/// in the middle of its paths were lost. Their loss is no evidence against the request,
+/// as the first engine, which begins to run it before all others, survived it.
 #[tokio::test]
 async fn the_loss_of_a_later_engine_is_no_poison_evidence() {
     let first = pausing_engine("", |_| vec![json("{}")]).await;
@@ -291,10 +283,9 @@
     assert!(path.host.tables.poison.lock().is_empty());
 }
 
-/// Symptom: a request that is refused everywhere goes on to crash engines. Sequence: it
-/// runs on a path while other hosts find out what it does; an engine of the path ends,
-/// and the host moves the request to the next holder of its layers. Cause: only a new
-/// attempt asked whether the request is refused.
+/// Guards against a poison request that crashes more engines while it runs: an engine of
+/// its path ends after other hosts have found it to be poison, and the host would move it
+/// to the next holder of the layers.
 #[tokio::test]
 async fn a_poison_request_is_not_moved() {
     let ending = IdleEngine::spawn().await;
--- a/tests/forwarding/poison.rs
+++ b/tests/forwarding/poison.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines end.
+//! Tests requests under which engines end.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -14,19 +14,19 @@
     SeenRequest, Step, StubTarget, event, last_chunk, response, serve_once, stream_head,
 };
 
-/// Path of the request that engines do not survive.
+/// Path of the request that crashes engines.
 const POISON: &str = "/stream/poison";
-/// Path of a request that every engine answers.
+/// Path of a request that every engine completes.
 const HEALTHY: &str = "/stream/sound";
 
-/// An engine whose process ends as soon as it begins to run a poison request:
-/// all its connections close, and its port refuses new ones.
+/// An engine whose process ends as soon as it begins to run a poison request: all its
+/// connections close, and its port refuses new ones.
 struct FragileEngine {
     address: SocketAddr,
     ended: Arc<AtomicBool>,
 }
 
-/// When a fragile engine ends.
+/// Stage of a poison request at which a fragile engine ends.
 #[derive(Clone, Copy, PartialEq)]
 enum EndsAfter {
     Head,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Answers one request; `None` if the engine does not survive it.
+/// Responds to one request; returns `None` if the engine does not survive it.
 async fn serve(stream: &mut TcpStream, ends_after: EndsAfter) -> Option<()> {
     let mut part = [0; 4096];
     let read = stream.read(&mut part).await.unwrap_or(0);
@@ -82,7 +82,7 @@
     Some(())
 }
 
-/// Engines that each hold every layer, known to the host.
+/// Spawns engines that each hold all layers and adds them to the host.
 async fn spawn_engines(host: &TestHost, numbers: Range<usize>) -> Vec<FragileEngine> {
     let mut engines = Vec::new();
     for number in numbers {
@@ -97,28 +97,15 @@
     engines.iter().filter(|engine| engine.has_ended()).count()
 }
 
-/// Symptom: engine after engine ends, up to ten within ten seconds, until no zone
-/// has a holder of the first layers left; five requests of six are refused, over
-/// and over, for as long as one caller comes back with one request.
-///
-/// Sequence: the engine that begins to run the request closes all its connections
-/// 50 to 170 ms after it was sent it. The host takes the stream up at another
-/// engine, which ends too. The caller comes again, under another id and mostly at
-/// another host, and each time the request goes to the next engine.
-///
-/// Cause: each attempt was judged by itself. A host remembered of a failed attempt
-/// which engine to leave alone, and nothing of the request.
-///
-/// Evidence: of the 20 requests of five hosts that broke with the eighth engine,
-/// one alone had given its caller no event; its route, organisation and size were
-/// those of an attempt at each of the seven engines before, on four hosts, one of
-/// them sent there by the host itself. The engines took no connections afterwards,
-/// and their orders were all within their memory.
+/// Guards against one repeated request that ends up to ten engines within ten seconds,
+/// until no zone has a holder of the first layers and five of six requests are refused.
+/// Each engine closes its connections 50 to 170 ms after it began to run the request, and
+/// host and caller try the next one.
 #[tokio::test]
 async fn a_request_that_crashed_three_engines_reaches_no_fourth() {
     let host = TestHost::open();
     let engines = spawn_engines(&host, 0..6).await;
-    // The second attempt of the first call is the host's own.
+    // The second attempt of the first call is made by the host itself.
     for _ in 0..2 {
         host.call("POST", POISON, "Content-Length: 0\r\n").await;
     }
@@ -127,14 +114,14 @@
     assert_eq!(refused.status(), 502, "{}", refused.text);
     assert!(refused.text.contains("\"verdict\":\"may_have_run\""));
     assert!(refused.text.contains("\"reason\":\"poison_request\""));
-    // Whoever asks for something else is served by the engines that are left.
+    // Other requests are served by the engines that are left.
     let served = host.call("POST", HEALTHY, "Content-Length: 0\r\n").await;
     assert!(served.is_whole_stream(), "{}", served.text);
 }
 
-/// Symptom: a draft is refused for a day because the rack on which it ran lost its
-/// power. Sequence: two engines end under it, the third one answers it; two more end
-/// under the same draft an hour later. Cause: what ended counted, what answered did not.
+/// Guards against a healthy request that is refused for a day because it ran on a rack
+/// that lost power: two engines end under it, the third one completes it, and two more
+/// end under it an hour later. Each completion has to clear the request.
 #[tokio::test]
 async fn a_request_that_an_engine_survives_is_served_again() {
     let host = TestHost::open();
@@ -146,7 +133,7 @@
     host.add_engine("i-9", survivor.address, 0, 80);
     let served = host.call("POST", POISON, "Content-Length: 0\r\n").await;
     assert!(served.is_whole_stream(), "{}", served.text);
-    // The survivor is out of rotation while two more engines end.
+    // The surviving engine is ejected while two more engines end.
     let now = Instant::now();
     host.tables.fleet.lock().observe_silence("i-9", now);
     let more = spawn_engines(&host, 2..4).await;
@@ -157,9 +144,8 @@
     assert!(served.is_whole_stream(), "{}", served.text);
 }
 
-/// Symptom: callers are refused for a day after a fault of the network. Sequence:
-/// engines reset the connections of a request, attempt after attempt, and live on.
-/// Cause: a broken connection was taken for the end of its engine.
+/// Guards against callers that are refused for a day after a network fault: engines reset
+/// the connections of a request, attempt after attempt, but their processes do not end.
 #[tokio::test]
 async fn a_connection_broken_by_a_live_engine_is_no_poison_evidence() {
     let host = TestHost::open();
@@ -177,9 +163,8 @@
     }
 }
 
-/// Symptom: a request crashes more engines than three. Sequence: a stream breaks with its
-/// engine and is taken up at another one, which ends before it answers at all. Cause: only
-/// the end of an engine that had answered was noted there.
+/// Guards against a request that crashes more than three engines: a stream breaks with
+/// its engine and is resumed at another one, which ends before it responds at all.
 #[tokio::test]
 async fn an_engine_that_ends_before_it_responds_counts() {
     let host = TestHost::open();
@@ -187,7 +172,7 @@
     host.add_engine("i-1", first.address, 0, 80);
     let second = FragileEngine::spawn(EndsAfter::Request).await;
     host.add_engine("i-2", second.address, 0, 80);
-    // Dearer, so that the request is taken up there.
+    // `i-2` costs more, so that it is the second choice.
     let now = Instant::now();
     host.tables.fleet.lock().observe_pace("i-2", 50.0, now);
     host.call("POST", POISON, "Content-Length: 0\r\n").await;
@@ -197,10 +182,9 @@
     assert_eq!(ended(&third), 1);
 }
 
-/// Symptom: a request goes on to crash engines after three have ended. Sequence: between
-/// two crashes an engine answers it with a failure at once, or with a stream that ends
-/// before its first event. Cause: whatever was answered cleared the request; an engine
-/// that never began to run it has not survived it.
+/// Guards against a request that crashes more engines after three have ended. Between two
+/// crashes an engine responds with a failure at once, or with a stream that ends before
+/// its first event. An engine that never began to run the request has not survived it.
 #[tokio::test]
 async fn a_response_without_a_run_does_not_clear_a_request() {
     let failing = |seen: &SeenRequest| vec![response(seen.id(), "500 Oops", "sorry")];
@@ -220,10 +204,9 @@
     }
 }
 
-/// Symptom: a healthy request is refused after a cut has healed. Sequence: a cut refuses
-/// connections to three engines for a moment, and their requests break; later others of
-/// their connections are reset, while they live on. Cause: that an engine had refused a
-/// connection once counted from then on.
+/// Guards against a healthy request that is refused after a network fault has healed. A
+/// connection that was refused during the fault does not show that an engine has ended
+/// when a later connection is reset.
 #[tokio::test]
 async fn an_engine_that_accepts_connections_again_has_not_ended() {
     let host = TestHost::open();
--- a/tests/forwarding/stub_target.rs
+++ b/tests/forwarding/stub_target.rs
@@ -1,4 +1,4 @@
-//! A target that does byte for byte what a test tells it to.
+//! A target that sends exactly the bytes that a test specifies.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     }
 }
 
-/// What the target does next on a connection.
+/// The next action of the target on a connection.
 #[derive(Debug, Clone)]
 pub(crate) enum Step {
     Write(String),
@@ -39,7 +39,7 @@
     Hold,
 }
 
-/// A whole answer that is the target's own.
+/// Creates a complete response that is marked as the target's own.
 pub(crate) fn response(id: &str, status: &str, body: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 {status}\r\nx-jackdawwick-attempt-id: {id}\r\nx-jackdawwick-server-seal: s\r\n\
@@ -48,7 +48,7 @@
     ))
 }
 
-/// The head of a stream of events in chunks.
+/// Creates the head of a stream of events in chunks.
 pub(crate) fn stream_head(id: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 200 OK\r\nx-jackdawwick-attempt-id: {id}\r\nx-jackdawwick-server-seal: s\r\n\
@@ -75,7 +75,7 @@
 }
 
 impl StubTarget {
-    /// Answers each request with the steps that `script` gives.
+    /// Responds to each request with the steps that `script` returns.
     pub(crate) async fn spawn<F>(script: F) -> Self
     where
         F: Fn(&SeenRequest) -> Vec<Step> + Send + Sync + 'static,
@@ -106,13 +106,13 @@
         self.seen.lock().clone()
     }
 
-    /// Connections that the other side closed while they were held.
+    /// Returns the number of connections that the other side closed while they were held.
     pub(crate) fn closed(&self) -> usize {
         *self.closed.lock()
     }
 }
 
-/// Answers the one request of a connection, by its id.
+/// Responds to the one request of a connection, with steps that depend on its id.
 pub(crate) async fn serve_once<F>(stream: TcpStream, steps: F)
 where
     F: Fn(&str) -> Vec<Step>,
--- a/tests/permit_assignment.rs
+++ b/tests/permit_assignment.rs
@@ -1,5 +1,5 @@
-//! Which host hands out the permits for a target, as hosts that hear of each other by
-//! their views see it.
+//! Tests which host issues the permits for a target, as hosts see it that learn of each
+//! other by gossip.
 
 mod fleet_in_memory;
 
@@ -13,21 +13,21 @@
 const HOSTS_EACH: usize = 8;
 const TARGETS: u64 = 12;
 
-/// The host that one takes for the issuer of a target of a zone.
+/// Returns the host that the host at `index` takes for the issuer of a target of a zone.
 fn expected_issuer(fleet: &SimFleet, index: usize, zone: &str, target: u64) -> Option<HostId> {
     let gossip = &fleet.hosts[index].gossip;
     gossip.permit_host(zone, target, fleet.now)
 }
 
-/// Hosts that answer for a target of a zone, whichever live host asks. A host of another
-/// zone may be sent on once.
+/// Returns the hosts that issue permits for a target of a zone, whichever live host
+/// requests. A request from a host of another zone may be relayed once.
 fn issuers(fleet: &SimFleet, zone: &str, target: u64) -> Vec<HostId> {
     let live = (0..fleet.hosts.len()).filter(|index| fleet.hosts[*index].lives);
     let named = live.filter_map(|index| {
         let requested = index_of(fleet, &expected_issuer(fleet, index, zone, target)?);
         let relayed_to = expected_issuer(fleet, requested, zone, target)?;
         let issuer = expected_issuer(fleet, index_of(fleet, &relayed_to), zone, target)?;
-        assert_eq!(relayed_to, issuer, "a question is passed on twice");
+        assert_eq!(relayed_to, issuer, "a request is relayed twice");
         Some(issuer)
     });
     let mut named = named.collect::<Vec<_>>();
@@ -41,7 +41,7 @@
     hosts.position(|host| host.name == *name).expect("a host")
 }
 
-/// Guards against two hosts that hand out the same limit.
+/// Guards against two hosts that issue the same limit.
 #[test]
 fn all_hosts_agree_on_the_issuing_host() {
     let mut fleet = SimFleet::new(ZONES, HOSTS_EACH, 1);
@@ -53,7 +53,7 @@
     }
 }
 
-/// Guards against targets that nobody hands out permits for after a host has ended.
+/// Guards against targets without an issuing host after a host has ended.
 #[test]
 fn another_host_issues_permits_after_the_issuing_host_ends() {
     let mut fleet = SimFleet::new(ZONES, HOSTS_EACH, 1);
@@ -69,7 +69,7 @@
     assert_eq!(&*fleet.hosts[index_of(&fleet, &next[0])].zone, zone);
 }
 
-/// Guards against a whole limit on either side of a partition.
+/// Guards against both sides of a partition issuing the whole limit.
 #[test]
 fn the_sides_of_a_partition_issue_shares_of_a_limit() {
     for known in 1..40 {
@@ -81,7 +81,7 @@
     assert_eq!(issued_share(7, 8), 1.0);
 }
 
-/// Guards against a host that hands out permits before it has heard of the others.
+/// Guards against a host that issues permits before it knows the others.
 #[test]
 fn a_starting_host_issues_no_permits() {
     let mut fleet = SimFleet::new(ZONES, HOSTS_EACH, 1);
--- a/tests/permits/main.rs
+++ b/tests/permits/main.rs
@@ -1,4 +1,4 @@
-//! What targets say of their limits, in whatever order it comes.
+//! Tests the table of limits with responses that are received in any order.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,8 @@
     RateLimit::new(per_second).expect("a valid rate")
 }
 
-/// An answer that came between two moments, in milliseconds.
+/// Creates an observation of a response that was sent and received at these times, in
+/// milliseconds.
 fn response(start: Instant, per_second: Option<f64>, sent: u64, received: u64) -> LimitObservation {
     LimitObservation {
         rate: per_second.map(rate),
@@ -68,7 +69,7 @@
     assert_eq!(table.limit(TARGET), None);
 }
 
-/// Guards against an overtaken answer that lifts a limit.
+/// Guards against a limit that is lifted by a response that was overtaken.
 #[test]
 fn a_response_that_may_be_older_does_not_lift_a_limit() {
     let start = Instant::now();
@@ -84,7 +85,7 @@
     assert_eq!(lowered, Some(LimitChange::Named(rate(2.0))));
 }
 
-/// Guards against a limit that comes back with an answer from before its end.
+/// Guards against a limit that is restored by a response from before its end.
 #[test]
 fn a_response_from_before_the_end_of_a_limit_does_not_name_it_again() {
     let start = Instant::now();
