--- a/src/forward/exchange.rs
+++ b/src/forward/exchange.rs
@@ -61,11 +61,11 @@
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
     let head = CallerHead::read(&parts, arrived);
-    let counted = InFlightRequest::open(tables.clone());
+    let in_flight_request = InFlightRequest::open(tables.clone());
     let opened = open(tables.clone(), parts, body, &head, arrived).await;
     let result = match opened {
         Err(refusal) => Err(refusal),
-        Ok(exchange) => forward(Arc::new(exchange), counted).await,
+        Ok(exchange) => forward(Arc::new(exchange), in_flight_request).await,
     };
     let mut response = match result {
         Ok(response) => response,
@@ -218,7 +218,7 @@
 /// Sends the request to one target after another until one responds.
 async fn forward(
     exchange: Arc<Exchange>,
-    counted: InFlightRequest,
+    in_flight_request: InFlightRequest,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let mut tried = TriedTargets::default();
     let mut failed_response = None;
@@ -235,7 +235,7 @@
         let failure = match watch.send(None, limit).await {
             Ok(response) if exchange.is_stream(&response) => {
                 exchange.observe_success(&watch.chosen);
-                return Ok(relay::open(watch, counted, tried, response));
+                return Ok(relay::open(watch, in_flight_request, tried, response));
             }
             Ok(response) => match read_whole(response, exchange.deadline).await {
                 Ok(response) if exchange.may_fail_over(&response, &tried) => {
--- a/src/forward/lateness.rs
+++ b/src/forward/lateness.rs
@@ -1,5 +1,5 @@
-//! Whether a response came within the times that its route promises, as measured on this
-//! host.
+//! Classifies whether a response came within the times that its route promises, as
+//! measured on this host.
 
 use std::time::Duration;
 
--- a/src/forward/permit_wait.rs
+++ b/src/forward/permit_wait.rs
@@ -13,7 +13,7 @@
 use crate::permits::max_permit_wait;
 use crate::reason::RefusalReason;
 
-/// Targets that are selected at most for lack of a permit.
+/// Largest number of targets or paths that are tried for lack of a permit.
 const MAX_CHOICES: u32 = 6;
 /// Longest wait for a permit of a request that has another choice.
 const SHORT_WAIT: Duration = Duration::from_millis(30);
@@ -44,7 +44,8 @@
             let targets = self.tables.attempt_targets(chosen.ids(), now);
             let withheld = match targets.wait {
                 wait if wait > longest => Err(wait),
-                // A path that is cheapest despite its wait has no substitute.
+                // A choice without a known wait usually has alternatives. A path that is
+                // cheapest despite its wait has none, so the request waits longer for it.
                 Duration::ZERO => {
                     self.acquire_permits(&targets, SHORT_WAIT.min(longest))
                         .await
--- a/tests/forwarding/poison.rs
+++ b/tests/forwarding/poison.rs
@@ -97,10 +97,10 @@
     engines.iter().filter(|engine| engine.has_ended()).count()
 }
 
-/// Guards against one repeated request that ends up to ten engines within ten seconds,
-/// until no zone has a holder of the first layers and five of six requests are refused.
-/// Each engine closes its connections 50 to 170 ms after it began to run the request, and
-/// host and caller try the next one.
+/// Guards against one repeated request that ends up to ten engines in ten seconds, until
+/// no zone has a holder of the first layers and five of six requests are refused. Each
+/// engine closes its connections 50 to 170 ms after it got the request, which goes to the
+/// next one.
 #[tokio::test]
 async fn a_request_that_crashed_three_engines_reaches_no_fourth() {
     let host = TestHost::open();
