--- a/src/forward/choice.rs
+++ b/src/forward/choice.rs
@@ -45,10 +45,10 @@
     /// Returns the loads after a move from the path `before`. Targets of that path have
     /// read the request already.
     pub(super) fn loads_after_move(&self, before: &EnginePath) -> Vec<(TargetId, TargetLoad)> {
-        let stays = |id: &TargetId| before.hops.iter().any(|hop| hop.target == *id);
+        let was_passed = |id: &TargetId| before.hops.iter().any(|hop| hop.target == *id);
         let mut loads = self.loads();
         for (id, load) in &mut loads {
-            if stays(id) {
+            if was_passed(id) {
                 load.unread = 0.0;
             }
         }
--- a/src/forward/head.rs
+++ b/src/forward/head.rs
@@ -103,13 +103,13 @@
     let counts = text(names::TOKEN_COUNTS).and_then(|value| value.split_once(','));
     let number = |value: &str| value.trim().parse::<u32>().ok();
     let prompt = counts.and_then(|(prompt, _)| number(prompt));
-    let most = counts
-        .and_then(|(_, most)| number(most))
+    let max_answer = counts
+        .and_then(|(_, max_answer)| number(max_answer))
         .unwrap_or(u32::MAX);
     let hint = text(names::LENGTH_HINT).and_then(number);
     RequestSize {
         prompt: prompt.unwrap_or(model.usual_prompt),
-        answer: hint.unwrap_or(model.usual_answer).min(most),
+        answer: hint.unwrap_or(model.usual_answer).min(max_answer),
     }
 }
 
--- a/src/permits/send_counts.rs
+++ b/src/permits/send_counts.rs
@@ -69,13 +69,13 @@
 
     /// Returns the time until the oldest counted requests expire.
     pub(super) fn until_next_expiry(&self, now: Instant) -> Duration {
-        let passed = now.saturating_duration_since(self.newest);
-        SLOT - (passed - SLOT * whole_slots(passed))
+        let elapsed = now.saturating_duration_since(self.newest);
+        SLOT - (elapsed - SLOT * whole_slots(elapsed))
     }
 
     fn advance(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.newest);
-        let slots = whole_slots(passed);
+        let elapsed = now.saturating_duration_since(self.newest);
+        let slots = whole_slots(elapsed);
         if slots == 0 {
             return;
         }
--- a/tests/forwarding/moves.rs
+++ b/tests/forwarding/moves.rs
@@ -19,7 +19,7 @@
 /// port and all connections, as the end of its process does.
 struct IdleEngine {
     address: SocketAddr,
-    taken: Arc<AtomicUsize>,
+    accepted: Arc<AtomicUsize>,
     task: JoinHandle<()>,
 }
 
@@ -27,8 +27,8 @@
     async fn spawn() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let taken = Arc::new(AtomicUsize::new(0));
-        let counted = taken.clone();
+        let accepted = Arc::new(AtomicUsize::new(0));
+        let counted = accepted.clone();
         let task = tokio::spawn(async move {
             let mut open = Vec::new();
             while let Ok((stream, _)) = listener.accept().await {
@@ -38,7 +38,7 @@
         });
         Self {
             address,
-            taken,
+            accepted,
             task,
         }
     }
@@ -109,7 +109,7 @@
 
 /// Ends an engine once it has a connection.
 async fn end(engine: IdleEngine) {
-    while engine.taken.load(Ordering::Relaxed) == 0 {
+    while engine.accepted.load(Ordering::Relaxed) == 0 {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
