--- a/src/forward/attempt.rs
+++ b/src/forward/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a connection to a target, the request, the head of its answer.
+//! One attempt: connects to a target, sends the request and reads the head of the
+//! response.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,31 +20,31 @@
 use crate::platform::{names, order};
 use crate::verdict::RunVerdict;
 
-/// How long a connection may take: about a thousand times the delay of a link
-/// in the availability zone. A target that is dead or cut off never answers.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
+/// Longest time to connect: about a thousand times the delay of a link within an
+/// availability zone. A target that is down or partitioned never replies.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a target is sent, whichever it is.
+/// The request that is sent to a target, the same for every target.
 #[derive(Debug, Clone)]
 pub(super) struct OutgoingRequest {
     pub(super) id: String,
     pub(super) method: Method,
     pub(super) uri: Uri,
-    /// Headers that stay the same for every attempt.
+    /// Headers that are the same for every attempt.
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
 
-/// Why an attempt gave no answer that may be passed on.
+/// Why an attempt gave no response that may be passed on.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct AttemptFailure {
     pub(super) verdict: RunVerdict,
     pub(super) cause: FailureCause,
-    /// The engine at fault, if the target named another one.
+    /// Address of the engine at fault, if the target named another engine.
     pub(super) at: Option<SocketAddr>,
 }
 
-/// What went wrong.
+/// Kind of failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum FailureCause {
     #[error("no connection")]
@@ -63,7 +64,7 @@
 }
 
 impl FailureCause {
-    /// The name used in metrics and logs.
+    /// Returns the name used in metrics and logs.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Connect => "connect",
@@ -87,12 +88,12 @@
     }
 }
 
-/// Connects and writes the request; the future that is given waits for the
-/// head of the answer.
+/// Connects and returns a future that sends the request and waits for the head of the
+/// response.
 ///
-/// Each attempt has a connection of its own: on a kept one, a late answer of
-/// an earlier request or a close by the target can cross the request, and a
-/// non-idempotent one could not be sent again.
+/// Each attempt uses a new connection. On a reused one, a late response to an earlier
+/// request or a close by the target could cross the request, and a non-idempotent request
+/// could not be sent again.
 pub(super) async fn send(
     tables: Arc<ServingTables>,
     outgoing: &OutgoingRequest,
@@ -102,32 +103,32 @@
 ) -> Result<impl Future<Output = Result<Response<Incoming>, AttemptFailure>> + use<>, AttemptFailure>
 {
     let now = Instant::now();
-    let left = deadline.saturating_duration_since(now);
-    let connected = socket::connect(chosen.address, CONNECT_LIMIT.min(left)).await;
+    let remaining = deadline.saturating_duration_since(now);
+    let connected = socket::connect(chosen.address, CONNECT_TIMEOUT.min(remaining)).await;
     let not_run = |_| AttemptFailure::new(RunVerdict::NotRun, FailureCause::Connect);
     let stream = connected.map_err(not_run)?;
-    let shaken = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+    let opened = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) =
-        shaken.map_err(|_| AttemptFailure::new(RunVerdict::NotRun, FailureCause::Connect))?;
+        opened.map_err(|_| AttemptFailure::new(RunVerdict::NotRun, FailureCause::Connect))?;
     tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("connection to a target ended: {error}");
+            log::debug!("connection to target failed: {error}");
         }
     });
     let sent = Instant::now();
-    let request = build(outgoing, chosen, last_event, deadline, sent);
+    let request = build_request(outgoing, chosen, last_event, deadline, sent);
     let (id, target) = (outgoing.id.clone(), chosen.id.clone());
     Ok(async move {
-        let answer = sender.send_request(request).await;
+        let response = sender.send_request(request).await;
         let broken = |_| AttemptFailure::new(RunVerdict::MayHaveRun, FailureCause::Broken);
-        let answer = answer.map_err(broken)?;
-        let (status, headers) = (answer.status(), answer.headers());
+        let response = response.map_err(broken)?;
+        let (status, headers) = (response.status(), response.headers());
         tables.observe_limit(&target, status, headers, sent, Instant::now());
-        check(&id, answer)
+        check_response(&id, response)
     })
 }
 
-fn build(
+fn build_request(
     outgoing: &OutgoingRequest,
     chosen: &ChosenTarget,
     last_event: Option<&str>,
@@ -139,15 +140,15 @@
     *request.uri_mut() = outgoing.uri.clone();
     let headers = request.headers_mut();
     *headers = outgoing.headers.clone();
-    let left = deadline.saturating_duration_since(now).as_millis().max(1);
-    headers.insert(names::DEADLINE_MS, number_value(left));
+    let remaining = deadline.saturating_duration_since(now).as_millis().max(1);
+    headers.insert(names::DEADLINE_MS, number_value(remaining));
     let path = chosen.path.as_ref().map(order::path_value);
-    let named = [
+    let optional = [
         (names::TARGET_INSTANCE, Some(platform_id(&chosen.id))),
         (names::ENGINE_PATH, path.as_deref()),
         (names::LAST_EVENT_ID, last_event),
     ];
-    for (name, value) in named {
+    for (name, value) in optional {
         if let Some(Ok(value)) = value.map(HeaderValue::from_str) {
             headers.insert(name, value);
         }
@@ -155,8 +156,12 @@
     request
 }
 
-/// Takes an answer only if it is this request's and is the target's own.
-fn check(id: &str, response: Response<Incoming>) -> Result<Response<Incoming>, AttemptFailure> {
+/// Accepts a response only if it belongs to this request and was made by the target
+/// itself.
+fn check_response(
+    id: &str,
+    response: Response<Incoming>,
+) -> Result<Response<Incoming>, AttemptFailure> {
     let headers = response.headers();
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let at = text(names::AT_SERVER).and_then(|value| value.trim().parse().ok());
--- a/src/forward/conduct.rs
+++ b/src/forward/attempt_policy.rs
@@ -1,16 +1,16 @@
-//! Where the attempts of one request go, whether there is another, and what is
-//! noted of each.
+//! Selects targets for the attempts of one request, decides about retries, and records
+//! the result of each attempt.
 
 use std::time::Instant;
 
 use http::Response;
 use hyper::body::Incoming;
 
-use super::answer::{AnswerBody, Refusal};
 use super::attempt::{AttemptFailure, FailureCause};
 use super::choice::{self, ChosenTarget};
 use super::exchange::{Exchange, NO_ROUTE_RETRY, TriedTargets};
-use super::lateness::AnswerLateness;
+use super::lateness::ResponseLateness;
+use super::response::{Refusal, ResponseBody};
 use super::stream_times::StreamTimes;
 use super::tables::InFlightGuard;
 use crate::ids::TargetId;
@@ -20,16 +20,17 @@
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// Time that a repeatable request leaves to its last attempt, as a part of
-/// what is left.
+/// Part of the remaining time that an attempt of an idempotent request may take if it is
+/// not the last one.
 const FIRST_ATTEMPT_SHARE: f64 = 0.5;
-/// How long a stream's first attempt may take to its head, in times of the
-/// route's aim. Callers of streams wait four times the aim at least.
-const STREAM_HEAD_AIMS: f64 = 2.4;
+/// Longest time to the head of a stream's response for an attempt that is not the last
+/// one, in multiples of the route's latency aim. Callers of streams wait at least four
+/// times the aim.
+const STREAM_HEAD_FACTOR: f64 = 2.4;
 
 impl Exchange {
-    /// Chooses where the next attempt goes. `started` tells whether the caller has
-    /// a part of the answer.
+    /// Selects the target or path of the next attempt. `started` tells whether the caller
+    /// already has a part of the response.
     pub(super) fn choose(
         &self,
         avoid: &[TargetId],
@@ -55,8 +56,8 @@
         let no_route = || Refusal::not_run(RefusalReason::NoRoute, NO_ROUTE_RETRY);
         let chosen = chosen.ok_or_else(no_route)?;
         let full = chosen.path.as_ref().is_some_and(|path| path.full);
-        // A stream that has begun goes on even if it has to wait for room:
-        // to cut it would waste what was done, and its caller starts over.
+        // A stream that has begun continues even if it has to wait for room: to cut it
+        // would waste the work done, and its caller would start over.
         if full && !started {
             let after = self.tables.count_refusal(now);
             return Err(Refusal::not_run(RefusalReason::NoRoom, after));
@@ -64,20 +65,21 @@
         Ok(chosen)
     }
 
-    /// Counts the next attempt where it goes, `tried` others before.
+    /// Counts the next attempt on its targets. `tried` is the number of targets that were
+    /// tried before.
     pub(super) fn commit(
         &self,
         chosen: ChosenTarget,
         tried: usize,
     ) -> (ChosenTarget, InFlightGuard) {
         self.tables.count_start(Instant::now());
-        self.note_route(&chosen, tried);
+        self.log_route(&chosen, tried);
         let guard = InFlightGuard::open(self.tables.clone(), chosen.loads());
         (chosen, guard)
     }
 
-    /// One line on where a request goes, and what decided that.
-    pub(super) fn note_route(&self, chosen: &ChosenTarget, tried: usize) {
+    /// Logs the target of an attempt and the facts that decided on it.
+    pub(super) fn log_route(&self, chosen: &ChosenTarget, tried: usize) {
         let path = chosen.path.as_ref();
         log::info!(
             request:% = self.outgoing.id,
@@ -94,17 +96,17 @@
         );
     }
 
-    /// One line on a whole answer.
-    pub(super) fn note_answer(
+    /// Logs and counts a complete response.
+    pub(super) fn record_response(
         &self,
         chosen: &ChosenTarget,
         status: u16,
         times: Option<StreamTimes>,
     ) {
-        // A failure, or a stream without an event, may stand for a run that never began.
+        // After a failure, or a stream without an event, the run may never have begun.
         let has_begun = times.is_none_or(|times| times.has_begun());
         if has_begun && (200..300).contains(&status) {
-            self.note_survival(Instant::now());
+            self.record_survival(Instant::now());
         }
         let took = self.arrived.elapsed();
         let (first, longest) =
@@ -116,21 +118,21 @@
             after_ms = took.as_millis() as u64,
             first_event_ms = first.as_millis() as u64,
             longest_pause_ms = longest.as_millis() as u64,
-            late:% = AnswerLateness::of(&self.matched.route, took, times).name();
+            late:% = ResponseLateness::of(&self.matched.route, took, times).name();
             "answered"
         );
         self.tables.metrics.answered(status, took);
     }
 
-    /// Until when an attempt may take to the head of its answer.
-    pub(super) fn head_limit(&self, sent: u32, now: Instant) -> Instant {
+    /// Returns the deadline for the head of the response of an attempt.
+    pub(super) fn head_deadline(&self, sent: u32, now: Instant) -> Instant {
         let route = &self.matched.route;
         let last = sent + 1 >= route.max_attempts;
         let left = self.deadline.saturating_duration_since(now);
         match route.kind {
             RequestKind::Idempotent if !last => now + left.mul_f64(FIRST_ATTEMPT_SHARE),
             RequestKind::ResumableStream if !last => {
-                now + left.min(route.latency_aim.mul_f64(STREAM_HEAD_AIMS))
+                now + left.min(route.latency_aim.mul_f64(STREAM_HEAD_FACTOR))
             }
             _ => self.deadline,
         }
@@ -140,10 +142,11 @@
         self.matched.route.kind.is_stream() && response.status().is_success()
     }
 
-    /// Whether a failure that a target itself answered may be tried elsewhere.
+    /// Returns whether a failure that a target itself returned may be retried elsewhere,
+    /// and spends a retry if so.
     pub(super) fn may_fail_over(
         &self,
-        response: &Response<AnswerBody>,
+        response: &Response<ResponseBody>,
         tried: &TriedTargets,
     ) -> bool {
         let route = &self.matched.route;
@@ -154,7 +157,8 @@
             && self.tables.spend_retry(&self.service.name, Instant::now())
     }
 
-    /// Whether the request may be sent once more.
+    /// Returns whether the request may be sent once more, and spends a retry unless no
+    /// connection was made.
     pub(super) fn may_retry(
         &self,
         failure: &AttemptFailure,
@@ -171,8 +175,8 @@
             && (free || self.tables.spend_retry(&self.service.name, Instant::now()))
     }
 
-    /// Puts down a failed attempt, and whom the next one avoids.
-    pub(super) fn note_failure(
+    /// Records a failed attempt, and the target that the next one avoids.
+    pub(super) fn record_failure(
         &self,
         chosen: &ChosenTarget,
         failure: &AttemptFailure,
@@ -181,7 +185,7 @@
         self.observe_failure(chosen, Some(failure));
         tried.count(chosen, failure.cause != FailureCause::Connect);
         tried.may_have_run |= failure.verdict != RunVerdict::NotRun;
-        if let Some(at) = failure.at.and_then(|at| chosen.at(at)) {
+        if let Some(at) = failure.at.and_then(|at| chosen.target_at(at)) {
             tried.avoid_instead(at);
         }
     }
@@ -193,18 +197,18 @@
         }
     }
 
-    /// Puts down who failed; `None` stands for a failure that the target
-    /// itself answered.
+    /// Records which target failed. `None` stands for a failure that the target itself
+    /// returned.
     pub(super) fn observe_failure(&self, chosen: &ChosenTarget, failure: Option<&AttemptFailure>) {
         let now = Instant::now();
         let at = failure
             .and_then(|failure| failure.at)
-            .and_then(|at| chosen.at(at));
+            .and_then(|at| chosen.target_at(at));
         let id = at.unwrap_or_else(|| chosen.id.clone());
         let cause = failure.map(|failure| failure.cause);
         let mut fleet = self.tables.fleet.lock();
-        let out = match cause {
-            // A full engine is no faulty one.
+        let ejected_until = match cause {
+            // A full engine is not faulty.
             Some(FailureCause::Refused) => {
                 fleet.observe_full(&id, now);
                 None
@@ -218,14 +222,14 @@
         drop(fleet);
         let name = cause.map_or("answered_failure", FailureCause::name);
         self.tables.metrics.attempt_failed(name);
-        if out.is_some() {
+        if ejected_until.is_some() {
             self.tables.metrics.ejected(name);
         }
         log::info!(
             request:% = self.outgoing.id,
             target_id:% = id,
             cause:% = name,
-            out_ms = out.map_or(0, |out| out.saturating_duration_since(now).as_millis() as u64);
+            out_ms = ejected_until.map_or(0, |until| until.saturating_duration_since(now).as_millis() as u64);
             "attempt failed"
         );
     }
--- a/src/forward/exchange.rs
+++ b/src/forward/exchange.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handles one request of a caller, from its head to the response.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,11 +10,11 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 
-use super::answer::{AnswerBody, Refusal, whole_body};
 use super::attempt::{AttemptFailure, FailureCause, OutgoingRequest};
 use super::choice::{self, ChosenTarget};
 use super::head::{CallerHead, forwarded, request_size};
 use super::relay;
+use super::response::{Refusal, ResponseBody, whole_body};
 use super::tables::ServingTables;
 use super::watch::PathWatch;
 use crate::fleet::RequestSize;
@@ -25,49 +25,49 @@
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// When a caller may come back that found no target: about the time in which
-/// a lost engine is noticed and its requests are moved.
+/// `Retry-After` of a request for which no target is available: about the time in which a
+/// lost engine is noticed and its requests are moved.
 pub(super) const NO_ROUTE_RETRY: Duration = Duration::from_millis(500);
-/// When a caller may come back that found no configuration: a start takes
-/// about a second.
+/// `Retry-After` of a request that arrives before the configuration: a start takes about
+/// a second.
 const NOT_READY_RETRY: Duration = Duration::from_secs(1);
-/// When a caller may come back that a stopping host refused: at once, since
-/// its next connection leads to another host.
+/// `Retry-After` of a request that a stopping host refuses: short, since the caller's
+/// next connection leads to another host.
 const DRAINING_RETRY: Duration = Duration::from_millis(50);
 
-/// Everything about one request that its attempts share.
+/// State that the attempts of one request share.
 #[derive(Debug)]
 pub(super) struct Exchange {
     pub(super) tables: Arc<ServingTables>,
     pub(super) outgoing: OutgoingRequest,
     pub(super) matched: MatchedRequest,
     pub(super) service: Arc<ServiceSpec>,
-    /// What all attempts of the request share, whichever host they reach.
+    /// Key that all attempts of the request share on all hosts.
     pub(super) key: RequestKey,
     pub(super) size: RequestSize,
-    /// Version of the configuration that matched it.
+    /// Version of the configuration that matched the request.
     pub(super) configuration: u64,
-    /// When its head had come.
+    /// When the head of the request was received.
     pub(super) arrived: Instant,
     /// The earlier of the caller's deadline and the route's timeout.
     pub(super) deadline: Instant,
 }
 
-/// Answers a caller's request.
-pub async fn answer_request(
+/// Handles a caller's request and returns its response.
+pub async fn handle_request(
     tables: Arc<ServingTables>,
     request: Request<Incoming>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
     let head = CallerHead::read(&parts, arrived);
-    let counted = CountedRequest::open(tables.clone());
+    let in_flight_request = InFlightRequest::open(tables.clone());
     let opened = open(tables.clone(), parts, body, &head, arrived).await;
-    let carried = match opened {
+    let result = match opened {
         Err(refusal) => Err(refusal),
-        Ok(exchange) => carry(Arc::new(exchange), counted).await,
+        Ok(exchange) => forward(Arc::new(exchange), in_flight_request).await,
     };
-    let mut response = match carried {
+    let mut response = match result {
         Ok(response) => response,
         Err(refusal) => refuse(&tables, &head.id, refusal, arrived),
     };
@@ -84,7 +84,7 @@
     id: &str,
     refusal: Refusal,
     arrived: Instant,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let configuration = tables.configuration.load();
     log::info!(
         request:% = id,
@@ -100,20 +100,20 @@
     refusal.into_response(id)
 }
 
-/// Counts a request for as long as it is being answered.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub(super) struct CountedRequest {
+pub(super) struct InFlightRequest {
     tables: Arc<ServingTables>,
 }
 
-impl CountedRequest {
+impl InFlightRequest {
     fn open(tables: Arc<ServingTables>) -> Self {
         tables.in_flight.fetch_add(1, Ordering::Relaxed);
         Self { tables }
     }
 }
 
-impl Drop for CountedRequest {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.tables.in_flight.fetch_sub(1, Ordering::Relaxed);
         self.tables.answered.fetch_add(1, Ordering::Relaxed);
@@ -215,49 +215,50 @@
     Ok(body.map_err(malformed)?.to_bytes())
 }
 
-/// Sends the request to one target after another until one answers.
-async fn carry(
+/// Sends the request to one target after another until one responds.
+async fn forward(
     exchange: Arc<Exchange>,
-    counted: CountedRequest,
-) -> Result<Response<AnswerBody>, Refusal> {
+    in_flight_request: InFlightRequest,
+) -> Result<Response<ResponseBody>, Refusal> {
     let mut tried = TriedTargets::default();
-    let mut failed_answer = None;
+    let mut failed_response = None;
     loop {
         let started = Instant::now();
         let (chosen, guard) = match exchange.choose_permitted(&tried.avoid, false).await {
             Ok(chosen) => chosen,
-            // Nobody else is left: the answer of the target that failed stands.
-            Err(refusal) => return failed_answer.ok_or(refusal.after(&tried)),
+            // No other target is left: the response of the target that failed is
+            // returned.
+            Err(refusal) => return failed_response.ok_or(refusal.after(&tried)),
         };
-        let limit = exchange.head_limit(tried.sent, started);
+        let limit = exchange.head_deadline(tried.sent, started);
         let mut watch = PathWatch::open(exchange.clone(), chosen, guard, started);
         let failure = match watch.send(None, limit).await {
             Ok(response) if exchange.is_stream(&response) => {
                 exchange.observe_success(&watch.chosen);
-                return Ok(relay::open(watch, counted, tried, response));
+                return Ok(relay::open(watch, in_flight_request, tried, response));
             }
             Ok(response) => match read_whole(response, exchange.deadline).await {
                 Ok(response) if exchange.may_fail_over(&response, &tried) => {
                     exchange.observe_failure(&watch.chosen, None);
                     tried.count(&watch.chosen, true);
                     tried.may_have_run = true;
-                    failed_answer = Some(response);
+                    failed_response = Some(response);
                     continue;
                 }
                 Ok(response) => {
                     exchange.observe_success(&watch.chosen);
-                    exchange.note_answer(&watch.chosen, response.status().as_u16(), None);
+                    exchange.record_response(&watch.chosen, response.status().as_u16(), None);
                     return Ok(response);
                 }
                 Err(failure) => {
-                    watch.note_failure(&failure).await;
+                    watch.record_failure(&failure).await;
                     failure
                 }
             },
             Err(failure) => failure,
         };
         watch.release();
-        exchange.note_failure(&watch.chosen, &failure, &mut tried);
+        exchange.record_failure(&watch.chosen, &failure, &mut tried);
         if !exchange.may_retry(&failure, &tried, Instant::now()) {
             return Err(final_refusal(&failure, &tried));
         }
@@ -265,10 +266,10 @@
 }
 
 impl Refusal {
-    /// The refusal of a request for which targets were tried before.
+    /// Adapts a refusal to the attempts that were made before.
     ///
-    /// A caller that is told `NotRun` may send a charge again; after an attempt
-    /// that may have run, the lack of another target does not make that true.
+    /// A caller that receives `NotRun` may send a charge again. After an attempt that may
+    /// have run, the lack of another target does not make `NotRun` true.
     fn after(self, tried: &TriedTargets) -> Self {
         match tried.may_have_run {
             true => Self::may_have_run(StatusCode::BAD_GATEWAY, self.reason),
@@ -280,11 +281,11 @@
 /// Targets that were tried for one request.
 #[derive(Debug, Default)]
 pub(super) struct TriedTargets {
-    /// Targets not to use again.
+    /// Targets that later attempts avoid.
     pub(super) avoid: Vec<TargetId>,
     /// Attempts that reached a target.
     pub(super) sent: u32,
-    /// Whether one of them may have run.
+    /// Whether one of these attempts may have run.
     pub(super) may_have_run: bool,
 }
 
@@ -294,18 +295,19 @@
         self.sent += u32::from(sent);
     }
 
-    /// Another engine of the path was at fault; the first may be used again.
+    /// Avoids `at`, the engine of the path that was at fault, instead of the first
+    /// engine, which may be used again.
     pub(super) fn avoid_instead(&mut self, at: TargetId) {
         self.avoid.pop();
         self.avoid.push(at);
     }
 }
 
-/// Reads an answer as a whole, so that one that breaks off is never passed on.
+/// Reads a complete response, so that a truncated one is never passed on.
 async fn read_whole(
     response: Response<Incoming>,
     deadline: Instant,
-) -> Result<Response<AnswerBody>, AttemptFailure> {
+) -> Result<Response<ResponseBody>, AttemptFailure> {
     let (head, body) = response.into_parts();
     let failed = |cause| AttemptFailure {
         verdict: RunVerdict::MayHaveRun,
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -1,4 +1,4 @@
-//! What the answers of targets say of their limits.
+//! Reads the rate limits that targets send with their responses.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,8 +13,8 @@
 use crate::platform::names;
 
 impl ServingTables {
-    /// Takes in what the head of an answer says of its target's limit; `sent` is
-    /// when the request was.
+    /// Records the limit that the head of a response names. `sent` is when the request
+    /// was sent.
     pub(super) fn observe_limit(
         self: &Arc<Self>,
         target: &TargetId,
@@ -26,29 +26,29 @@
         let rate = match named_rate(headers) {
             // Another target at the same address may have sent it.
             _ if status == StatusCode::MISDIRECTED_REQUEST => return,
-            // Only what the target itself made says that there is no limit.
+            // Only a response of the target itself shows that there is no limit.
             NamedRate::Absent if !headers.contains_key(names::SERVER_SEAL) => return,
             NamedRate::Absent if self.limits.lock().is_empty() => return,
             NamedRate::Absent => None,
             NamedRate::PerSecond(named) => match RateLimit::new(named) {
-                None => return self.note_unusable_limit(target, headers),
+                None => return self.record_unusable_limit(target, headers),
                 rate => rate,
             },
-            NamedRate::Unreadable => return self.note_unusable_limit(target, headers),
+            NamedRate::Unreadable => return self.record_unusable_limit(target, headers),
         };
         let observation = LimitObservation {
             rate,
             sent,
-            heard: now,
+            received: now,
         };
         let change = self.limits.lock().observe(target_key(target), observation);
         if let Some(change) = change {
-            self.take_limit_change(target, change, "answer");
+            self.apply_limit_change(target, change, "answer");
         }
     }
 
-    /// Another host told of a change of a target's limit.
-    pub fn hear_limit_change(
+    /// Applies a change of a target's limit that another host reported.
+    pub fn apply_reported_limit(
         self: &Arc<Self>,
         target: TargetKey,
         change: LimitChange,
@@ -56,23 +56,23 @@
     ) {
         let id = self.fleet.lock().id_of(target).cloned();
         if let Some(id) = id {
-            self.take_limit_change(&id, change, host);
+            self.apply_limit_change(&id, change, host);
         }
     }
 
-    fn take_limit_change(self: &Arc<Self>, target: &TargetId, change: LimitChange, source: &str) {
-        self.note_limit_change(target, change, source);
+    fn apply_limit_change(self: &Arc<Self>, target: &TargetId, change: LimitChange, source: &str) {
+        self.record_limit_change(target, change, source);
         match change {
             LimitChange::Ended => self.fleet.lock().observe_unlimited(target),
             LimitChange::Named(_) => {
                 let (tables, target) = (self.clone(), target.clone());
-                tokio::spawn(async move { tables.tell_sends(&target).await });
+                tokio::spawn(async move { tables.report_sends(&target).await });
             }
         }
     }
 
-    /// One line where a target begins or ceases to limit its requests.
-    fn note_limit_change(&self, target: &str, change: LimitChange, source: &str) {
+    /// Logs and counts that a target begins, changes or ends its limit.
+    fn record_limit_change(&self, target: &str, change: LimitChange, source: &str) {
         let (name, per_second) = match change {
             LimitChange::Named(rate) => ("named", Some(rate.per_second())),
             LimitChange::Ended => ("ended", None),
@@ -87,7 +87,7 @@
         );
     }
 
-    fn note_unusable_limit(&self, target: &TargetId, headers: &HeaderMap) {
+    fn record_unusable_limit(&self, target: &TargetId, headers: &HeaderMap) {
         self.metrics.limit_said("unusable");
         log::warn!(
             target_id:% = target,
--- a/src/forward/liveness.rs
+++ b/src/forward/liveness.rs
@@ -1,11 +1,11 @@
-//! Notices within milliseconds that the process of an engine has ended.
+//! Detects within milliseconds that the process of an engine has ended.
 //!
-//! A request depends on every engine of its path but is connected to the first
-//! one only. When a later one crashes nothing comes any more, and that shows
-//! after 350 ms of silence at the earliest, which is over the longest pause of
-//! 200 to 250 ms that callers are promised. A crash closes the connections of
-//! the process, though: one idle connection to each engine in use tells at
-//! once, and the requests are moved while their callers notice nothing.
+//! A request depends on every engine of its path but is connected to the first one only.
+//! When a later engine crashes, events stop, which shows after 350 ms of silence at the
+//! earliest. That exceeds the longest pause of 200 to 250 ms that callers are promised. A
+//! crash closes the connections of the process, though: one idle connection to each
+//! engine in use shows it at once, and the requests are moved before their callers
+//! notice.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,26 +23,25 @@
 use crate::fleet::EnginePath;
 use crate::ids::TargetId;
 
-/// How long a connection may take: a thousand times the delay of a link.
-const CONNECT_LIMIT: Duration = Duration::from_millis(250);
-/// Tries without an answer after which an engine counts as lost. One lost
-/// packet alone delays a connection by a second.
-const SILENT_TRIES: u32 = 2;
-/// Shortest life of a connection that the engine closed for being idle. Where
-/// they live shorter the engine has too many, and watching it costs more than
-/// it tells.
-const LEAST_LIFE: Duration = Duration::from_secs(1);
+/// Longest time to connect: a thousand times the delay of a link.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Connection attempts that time out before an engine counts as lost. A single lost
+/// packet delays a connection by a second.
+const MAX_CONNECT_ATTEMPTS: u32 = 2;
+/// Shortest lifetime of a connection that an engine may close for being idle. An engine
+/// that closes them sooner has too many, and watching it costs more than it is worth.
+const MIN_CONNECTION_LIFETIME: Duration = Duration::from_secs(1);
 /// Pause after a connection that lived shorter.
-const CROWDED_PAUSE: Duration = Duration::from_secs(5);
+const SHORT_LIVED_PAUSE: Duration = Duration::from_secs(5);
 
-/// The engines that are watched, and whom to tell.
+/// The engines that are watched, and the requests to notify.
 #[derive(Debug, Default)]
 pub(super) struct LivenessTable {
     connected: Mutex<FastSet<TargetId>>,
     waiting: Mutex<FastMap<TargetId, Vec<Arc<Notify>>>>,
 }
 
-/// Waits for word that one of the engines that a request depends on is lost.
+/// Notifies a request when one of the engines that it depends on is lost.
 #[derive(Debug)]
 pub(super) struct LivenessGuard {
     tables: Arc<ServingTables>,
@@ -51,7 +50,7 @@
 }
 
 impl LivenessGuard {
-    /// Watches the engines of a path after the first: that one's end shows on
+    /// Watches the engines of a path after the first. The end of the first one shows on
     /// the request's own connection.
     pub(super) fn open(tables: Arc<ServingTables>, path: Option<&EnginePath>) -> Self {
         let lost = Arc::new(Notify::new());
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Waits until an engine is lost; does not end before.
+    /// Waits until an engine is lost, and forever if none is.
     pub(super) async fn lost(&self) {
         self.lost.notified().await;
     }
@@ -93,23 +92,26 @@
 
     fn remove(&self, target: &TargetId, waiting: &Arc<Notify>) {
         let mut table = self.waiting.lock();
-        let Some(others) = table.get_mut(target) else {
+        let Some(waiters) = table.get_mut(target) else {
             return;
         };
-        if let Some(index) = others.iter().position(|one| Arc::ptr_eq(one, waiting)) {
-            others.swap_remove(index);
+        if let Some(index) = waiters
+            .iter()
+            .position(|waiter| Arc::ptr_eq(waiter, waiting))
+        {
+            waiters.swap_remove(index);
         }
-        if others.is_empty() {
+        if waiters.is_empty() {
             table.remove(target);
         }
     }
 
-    /// Tells all that depend on a target that it is lost.
-    pub(super) fn tell_lost(&self, target: &str) {
+    /// Notifies all requests that depend on a target that it is lost.
+    pub(super) fn notify_lost(&self, target: &str) {
         let waiting = self.waiting.lock().get(target).cloned();
-        for one in waiting.iter().flatten() {
-            // A request that is being moved at this moment hears of it after.
-            one.notify_one();
+        for waiter in waiting.iter().flatten() {
+            // A request that is being moved at this moment receives it afterwards.
+            waiter.notify_one();
         }
     }
 
@@ -118,7 +120,7 @@
     }
 }
 
-/// Sees to it that a connection to an engine is open while requests pass it.
+/// Keeps a connection to an engine open while requests pass it.
 fn watch_engine(tables: &Arc<ServingTables>, target: &TargetId, address: SocketAddr) {
     let new = tables.liveness.connected.lock().insert(target.clone());
     if new {
@@ -127,44 +129,43 @@
 }
 
 async fn watch(tables: Arc<ServingTables>, target: TargetId, address: SocketAddr) {
-    let mut crowded = false;
+    let mut short_lived = false;
     while tables.liveness.is_needed(&target) {
         let Some(mut stream) = connect(address).await else {
-            tell_lost(&tables, &target);
+            notify_lost(&tables, &target);
             break;
         };
-        if crowded {
+        if short_lived {
             drop(stream);
-            tokio::time::sleep(CROWDED_PAUSE).await;
-            crowded = false;
+            tokio::time::sleep(SHORT_LIVED_PAUSE).await;
+            short_lived = false;
             continue;
         }
         let opened = Instant::now();
         read_to_end(&mut stream).await;
-        crowded = opened.elapsed() < LEAST_LIFE;
+        short_lived = opened.elapsed() < MIN_CONNECTION_LIFETIME;
     }
     tables.liveness.connected.lock().remove(&target);
 }
 
-/// A connection to an engine; `None` if its process has ended, or nothing can
-/// reach it.
+/// Connects to an engine. Returns `None` if its process has ended or cannot be reached.
 async fn connect(address: SocketAddr) -> Option<TcpStream> {
-    for _ in 0..SILENT_TRIES {
-        match socket::connect(address, CONNECT_LIMIT).await {
+    for _ in 0..MAX_CONNECT_ATTEMPTS {
+        match socket::connect(address, CONNECT_TIMEOUT).await {
             Ok(stream) => return Some(stream),
             Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => return None,
-            Err(error) => log::debug!("{address} is not reached: {error}"),
+            Err(error) => log::debug!("cannot connect to engine {address}: {error}"),
         }
     }
     None
 }
 
 async fn read_to_end(stream: &mut TcpStream) {
-    let mut part = [0; 256];
-    while matches!(stream.read(&mut part).await, Ok(1..)) {}
+    let mut buffer = [0; 256];
+    while matches!(stream.read(&mut buffer).await, Ok(1..)) {}
 }
 
-fn tell_lost(tables: &ServingTables, target: &TargetId) {
+fn notify_lost(tables: &ServingTables, target: &TargetId) {
     let known = {
         let mut fleet = tables.fleet.lock();
         fleet.observe_silence(target, Instant::now());
@@ -174,5 +175,5 @@
         tables.metrics.ejected("ended");
         log::info!(target_id:% = target; "target takes no connections");
     }
-    tables.liveness.tell_lost(target);
+    tables.liveness.notify_lost(target);
 }
--- a/src/forward/permitting.rs
+++ b/src/forward/permit_wait.rs
@@ -1,69 +1,73 @@
-//! Permits of one request for the targets that limit their rate.
+//! Acquires the permits of one request for targets that limit their rate.
 
 use std::time::{Duration, Instant};
 
 use futures::future::join_all;
 
-use super::answer::Refusal;
 use super::choice::ChosenTarget;
 use super::exchange::Exchange;
-use super::permits::{HeldPermit, PassedTargets, WithheldTarget};
+use super::permits::{AttemptTargets, HeldPermit, WithheldTarget};
+use super::response::Refusal;
 use super::tables::InFlightGuard;
 use crate::ids::TargetId;
-use crate::permits::permit_patience;
+use crate::permits::max_permit_wait;
 use crate::reason::RefusalReason;
 
-/// How often another target is chosen for want of a permit.
-const MOST_CHOICES: u32 = 6;
-/// How long a request that has another way waits for a permit.
+/// Largest number of targets or paths that are tried for lack of a permit.
+const MAX_CHOICES: u32 = 6;
+/// Longest wait for a permit of a request that has another choice.
 const SHORT_WAIT: Duration = Duration::from_millis(30);
-/// Largest part by which a refused caller comes back later than there may be a permit:
-/// callers that were refused together come back one after the other.
-const RETURN_SPREAD: f64 = 0.5;
-/// How long a stream that has begun waits for one.
+/// Largest relative delay that is added to `Retry-After`, so that callers that were
+/// refused together come back one after the other.
+const RETRY_JITTER: f64 = 0.5;
+/// Longest wait for a permit of a stream that has begun.
 const STREAM_WAIT: Duration = Duration::from_secs(1);
 
 impl Exchange {
-    /// Chooses where the next attempt goes, and waits until it may be sent there.
-    /// `started` tells whether the caller has a part of the answer.
+    /// Selects the target or path of the next attempt, and waits until the request may be
+    /// sent there. `started` tells whether the caller already has a part of the response.
     pub(super) async fn choose_permitted(
         &self,
         avoid: &[TargetId],
         started: bool,
     ) -> Result<(ChosenTarget, InFlightGuard), Refusal> {
-        let mut passed = avoid.to_vec();
+        let mut excluded = avoid.to_vec();
         let mut retry_after: Option<Duration> = None;
-        for _ in 0..MOST_CHOICES {
-            let chosen = match self.choose(&passed, started) {
+        for _ in 0..MAX_CHOICES {
+            let chosen = match self.choose(&excluded, started) {
                 Ok(chosen) => chosen,
                 Err(refusal) if retry_after.is_none() => return Err(refusal),
                 Err(_) => break,
             };
             let now = Instant::now();
             let longest = self.longest_wait(started, now);
-            let targets = self.tables.passed_targets(chosen.ids(), now);
+            let targets = self.tables.attempt_targets(chosen.ids(), now);
             let withheld = match targets.wait {
                 wait if wait > longest => Err(wait),
-                // What is cheapest although it has to be waited for has no substitute.
-                Duration::ZERO => self.permit(&targets, SHORT_WAIT.min(longest)).await,
-                _ => self.permit(&targets, longest).await,
+                // A choice without a known wait usually has alternatives. A path that is
+                // cheapest despite its wait has none, so the request waits longer for it.
+                Duration::ZERO => {
+                    self.acquire_permits(&targets, SHORT_WAIT.min(longest))
+                        .await
+                }
+                _ => self.acquire_permits(&targets, longest).await,
             };
             let Err(withheld) = withheld else {
                 return Ok(self.commit(chosen, avoid.len()));
             };
             retry_after = Some(retry_after.map_or(withheld, |after| after.min(withheld)));
             if !targets.wait.is_zero() {
-                passed.extend(self.withheld_among(chosen.ids()));
+                excluded.extend(self.withheld_targets(chosen.ids()));
             }
         }
         self.tables.metrics.permit("refused");
-        let spread = 1.0 + RETURN_SPREAD * rand::random::<f64>();
-        let retry_after = retry_after.unwrap_or_default().mul_f64(spread);
+        let jitter = 1.0 + RETRY_JITTER * rand::random::<f64>();
+        let retry_after = retry_after.unwrap_or_default().mul_f64(jitter);
         Err(Refusal::not_run(RefusalReason::NoPermit, retry_after))
     }
 
-    /// The targets for which there is no permit now.
-    pub(super) fn withheld_among<'a, I>(&self, targets: I) -> Vec<TargetId>
+    /// Returns the targets that give no permit now.
+    pub(super) fn withheld_targets<'a, I>(&self, targets: I) -> Vec<TargetId>
     where
         I: Iterator<Item = &'a TargetId>,
     {
@@ -76,45 +80,48 @@
         targets.filter(is_withheld).cloned().collect()
     }
 
-    /// How long the request can wait for a permit and still be in time.
+    /// Returns how long the request can wait for a permit without missing its deadline.
     fn longest_wait(&self, started: bool, now: Instant) -> Duration {
         let matched = &self.matched;
         let aim = matched.route.latency_aim;
         let longest = match started {
             true => STREAM_WAIT,
-            false => permit_patience(matched.priority, aim, rand::random()),
+            false => max_permit_wait(matched.priority, aim, rand::random()),
         };
         longest.min(self.deadline.saturating_duration_since(now) / 2)
     }
 
-    /// Waits until a request may be sent to targets, at most for `wait`; else gives the
-    /// time after which it may be tried again.
-    pub(super) async fn permit(
+    /// Waits at most for `wait` until the request may be sent to the targets. Otherwise
+    /// returns the time after which to try again.
+    pub(super) async fn acquire_permits(
         &self,
-        targets: &PassedTargets,
+        targets: &AttemptTargets,
         wait: Duration,
     ) -> Result<(), Duration> {
         let limited = targets.limited.iter();
-        let asked = limited.map(|id| self.tables.permit(id, wait));
-        let (permits, withheld) = split(join_all(asked).await);
+        let acquired = limited.map(|id| self.tables.acquire_permit(id, wait));
+        let (permits, withheld) = split(join_all(acquired).await);
         if !withheld.is_empty() {
             self.tables.give_back(permits);
-            return Err(self.tables.note_withheld(withheld, Instant::now()));
+            return Err(self.tables.record_withheld(withheld, Instant::now()));
         }
         let from = permits.iter().map(|permit| permit.from).max();
         if let Some(from) = from.filter(|from| *from > Instant::now()) {
             tokio::time::sleep_until(from.into()).await;
         }
-        self.tables.count_unpermitted(&targets.free, Instant::now());
+        self.tables
+            .count_unpermitted(&targets.unlimited, Instant::now());
         Ok(())
     }
 }
 
-fn split(asked: Vec<Result<HeldPermit, WithheldTarget>>) -> (Vec<HeldPermit>, Vec<WithheldTarget>) {
+fn split(
+    acquired: Vec<Result<HeldPermit, WithheldTarget>>,
+) -> (Vec<HeldPermit>, Vec<WithheldTarget>) {
     let mut permits = Vec::new();
     let mut withheld = Vec::new();
-    for answer in asked {
-        match answer {
+    for result in acquired {
+        match result {
             Ok(permit) => permits.push(permit),
             Err(target) => withheld.push(target),
         }
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -1,4 +1,4 @@
-//! The permits of this host, and the questions for them.
+//! Permits that this host holds and issues, and its requests for them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,17 +8,16 @@
 use super::tables::ServingTables;
 use crate::fleet::target_key;
 use crate::ids::{TargetId, TargetKey};
-use crate::permits::{PermitAnswer, PermitQuestion};
+use crate::permits::{PermitReply, PermitRequest};
 
-/// Asks the host that hands out the permits for a target.
-pub type PermitSource =
-    Arc<dyn Fn(PermitQuestion) -> BoxFuture<'static, PermitAnswer> + Send + Sync>;
+/// Requests permits from the host that issues them for a target.
+pub type PermitSource = Arc<dyn Fn(PermitRequest) -> BoxFuture<'static, PermitReply> + Send + Sync>;
 
-/// Pause before permits for a target are asked for again that could not be had for
-/// another reason than its limit.
-const ODD_PAUSE: Duration = Duration::from_millis(30);
+/// Pause before the next request for permits after one that failed for another reason
+/// than the limit.
+const RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// A target for which there is no permit in time.
+/// A target that gives no permit in time.
 #[derive(Debug)]
 pub(super) struct WithheldTarget {
     id: TargetId,
@@ -34,34 +33,36 @@
 
 /// The targets that a request is about to be sent to.
 #[derive(Debug, Default)]
-pub(super) struct PassedTargets {
-    /// Those that limit their rate.
+pub(super) struct AttemptTargets {
+    /// Targets that limit their rate.
     pub(super) limited: Vec<TargetId>,
-    /// Keys of the others.
-    pub(super) free: Vec<TargetKey>,
-    /// Time until there may be permits for all of them, as far as this host knows.
+    /// Keys of the targets without a limit.
+    pub(super) unlimited: Vec<TargetKey>,
+    /// Time until all of them may have permits, as far as this host knows.
     pub(super) wait: Duration,
 }
 
 impl ServingTables {
-    /// Sets whom this host asks for permits. Without it, it hands them out itself.
+    /// Sets the source that this host requests permits from. Without one, the host issues
+    /// them itself.
     pub fn set_permit_source(&self, source: PermitSource) {
         if self.permit_source.set(source).is_err() {
-            log::error!("the source of permits was set before");
+            log::error!("permit source is already set");
         }
     }
 
-    /// Looks at the targets that a request is about to be sent to.
-    pub(super) fn passed_targets<'a, I>(&self, targets: I, now: Instant) -> PassedTargets
+    /// Classifies the targets that a request is about to be sent to by whether they limit
+    /// their rate.
+    pub(super) fn attempt_targets<'a, I>(&self, targets: I, now: Instant) -> AttemptTargets
     where
         I: Iterator<Item = &'a TargetId>,
     {
-        let mut passed = PassedTargets::default();
+        let mut classified = AttemptTargets::default();
         let known = {
             let fleet = self.fleet.lock();
             let known = targets.filter_map(|id| {
                 let state = fleet.get(id)?;
-                passed.wait = passed.wait.max(state.permit_wait(now));
+                classified.wait = classified.wait.max(state.permit_wait(now));
                 Some((id, state.key))
             });
             known.collect::<Vec<_>>()
@@ -69,14 +70,14 @@
         let limits = self.limits.lock();
         for (id, key) in known {
             match limits.limit(key) {
-                Some(_) => passed.limited.push(id.clone()),
-                None => passed.free.push(key),
+                Some(_) => classified.limited.push(id.clone()),
+                None => classified.unlimited.push(key),
             }
         }
-        passed
+        classified
     }
 
-    /// Requests are sent to targets that name no limit.
+    /// Counts requests that are sent to targets without a limit.
     pub(super) fn count_unpermitted(&self, targets: &[TargetKey], now: Instant) {
         let mut pool = self.permits.lock();
         for target in targets {
@@ -84,8 +85,9 @@
         }
     }
 
-    /// There are no permits for these targets for a while; gives the longest time.
-    pub(super) fn note_withheld(&self, withheld: Vec<WithheldTarget>, now: Instant) -> Duration {
+    /// Records that targets give no permits for a while, and returns the longest of these
+    /// times.
+    pub(super) fn record_withheld(&self, withheld: Vec<WithheldTarget>, now: Instant) -> Duration {
         let mut fleet = self.fleet.lock();
         let mut longest = Duration::ZERO;
         for target in withheld {
@@ -95,8 +97,9 @@
         longest
     }
 
-    /// A permit for a target that may be used within `wait`.
-    pub(super) async fn permit(
+    /// Acquires a permit for a target that may be used within `wait`, from the pool or
+    /// from the issuing host.
+    pub(super) async fn acquire_permit(
         self: &Arc<Self>,
         id: &TargetId,
         wait: Duration,
@@ -113,82 +116,85 @@
             id: id.clone(),
             retry_after,
         };
-        let Some(question) = self.permit_question(id, wait) else {
-            // It has left meanwhile.
-            return Err(withheld(ODD_PAUSE));
+        let Some(request) = self.permit_request(id, wait) else {
+            // The target has left the fleet meanwhile.
+            return Err(withheld(RETRY_PAUSE));
         };
-        match self.ask_permit(question).await {
-            PermitAnswer::Withheld { retry_after } => {
+        match self.request_permits(request).await {
+            PermitReply::Withheld { retry_after } => {
                 self.metrics.permit("withheld");
                 Err(withheld(retry_after))
             }
-            PermitAnswer::Unlimited => Ok(HeldPermit {
+            PermitReply::Unlimited => Ok(HeldPermit {
                 target,
                 from: Instant::now(),
             }),
             granted => {
                 self.metrics.permit("granted");
                 self.permits.lock().put(target, granted, Instant::now());
-                take().ok_or_else(|| withheld(ODD_PAUSE))
+                take().ok_or_else(|| withheld(RETRY_PAUSE))
             }
         }
     }
 
-    /// Tells the host that hands out the permits for a target what was sent there before
-    /// its limit was known.
-    pub(super) async fn tell_sends(self: &Arc<Self>, id: &TargetId) {
-        let question = self.permit_question(id, Duration::ZERO);
-        let sends = question.filter(|question| !question.unpermitted.is_empty());
-        if let Some(question) = sends {
-            self.ask_permit(PermitQuestion {
+    /// Reports to the issuing host what was sent to a target before its limit was known.
+    pub(super) async fn report_sends(self: &Arc<Self>, id: &TargetId) {
+        let request = self.permit_request(id, Duration::ZERO);
+        let sends = request.filter(|request| !request.unpermitted.is_empty());
+        if let Some(request) = sends {
+            self.request_permits(PermitRequest {
                 wanted: 0,
-                ..question
+                ..request
             })
             .await;
         }
     }
 
-    fn permit_question(&self, id: &TargetId, patience: Duration) -> Option<PermitQuestion> {
+    fn permit_request(&self, id: &TargetId, max_wait: Duration) -> Option<PermitRequest> {
         let now = Instant::now();
         let target = target_key(id);
         let zone = self.fleet.lock().get(id)?.entry.zone.clone();
-        let limit = self.limits.lock().word(target, now)?;
+        let limit = self.limits.lock().record(target, now)?;
         let pool = self.permits.lock();
-        Some(PermitQuestion {
+        Some(PermitRequest {
             host: self.host.clone(),
             zone,
             limit,
             wanted: pool.wanted(target, now),
-            patience,
+            max_wait,
             unpermitted: pool.unpermitted(target, now),
             relayed: false,
         })
     }
 
-    async fn ask_permit(self: &Arc<Self>, question: PermitQuestion) -> PermitAnswer {
+    async fn request_permits(self: &Arc<Self>, request: PermitRequest) -> PermitReply {
         match self.permit_source.get() {
-            Some(source) => source(question).await,
-            None => self.issue_permits(&question, 1.0, Instant::now()),
+            Some(source) => source(request).await,
+            None => self.issue_permits(&request, 1.0, Instant::now()),
         }
     }
 
-    /// Hands out permits for a target, of which this host may hand out a part.
+    /// Issues permits for a target on behalf of its zone. `share` is the share of the
+    /// limit that this host may issue.
     pub fn issue_permits(
         self: &Arc<Self>,
-        question: &PermitQuestion,
-        part: f64,
+        request: &PermitRequest,
+        share: f64,
         now: Instant,
-    ) -> PermitAnswer {
-        let target = question.limit.target;
-        let told = question.limit.observation(now);
-        let change = self.limits.lock().observe(target, told);
+    ) -> PermitReply {
+        let target = request.limit.target;
+        let reported = request.limit.observation(now);
+        let change = self.limits.lock().observe(target, reported);
         if let Some(change) = change {
-            self.hear_limit_change(target, change, &question.host);
+            self.apply_reported_limit(target, change, &request.host);
         }
         let limit = self.limits.lock().limit(target);
         match limit {
-            None => PermitAnswer::Unlimited,
-            Some(limit) => self.issuer.lock().answer(question, limit, part, now),
+            None => PermitReply::Unlimited,
+            Some(limit) => self
+                .issuer
+                .lock()
+                .handle_request(request, limit, share, now),
         }
     }
 
--- a/src/forward/evidence.rs
+++ b/src/forward/poison_evidence.rs
@@ -1,4 +1,4 @@
-//! What is noted of a request and the targets that ended under it.
+//! Records targets that ended under a request, and requests that targets survived.
 
 use std::time::Instant;
 
@@ -8,13 +8,13 @@
 use crate::poison::{PoisonVerdict, RunStart, key_text};
 
 impl Exchange {
-    /// Whether the request is refused, since targets do not survive it.
+    /// Returns whether the request is refused because targets crash under it.
     pub(super) fn is_poison(&self, now: Instant) -> bool {
         self.tables.poison.lock().is_poison(self.key, now)
     }
 
-    /// The process of the target that was sent the request has ended.
-    pub(super) fn note_end(&self, target: &TargetId, start: &RunStart, now: Instant) {
+    /// Records that the process of the target ended after it was sent the request.
+    pub(super) fn record_end(&self, target: &TargetId, start: &RunStart, now: Instant) {
         if !start.is_suspect(now) {
             return;
         }
@@ -31,12 +31,12 @@
             "target ended under a request"
         );
         if verdict == PoisonVerdict::Poison {
-            self.tables.poison_news.notify_waiters();
+            self.tables.poison_updates.notify_waiters();
         }
     }
 
-    /// The targets ran the request and live on.
-    pub(super) fn note_survival(&self, now: Instant) {
+    /// Records that the targets ran the request and did not crash.
+    pub(super) fn record_survival(&self, now: Instant) {
         let cleared = self.tables.poison.lock().observe_survival(self.key, now);
         if cleared {
             log::info!(
--- a/src/forward/probe.rs
+++ b/src/forward/probe.rs
@@ -1,4 +1,4 @@
-//! Short questions to targets: reports, orders, health.
+//! Short requests to targets: reports, orders, health checks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,36 +14,36 @@
 use crate::ids::TargetId;
 use crate::platform::{names, target_record};
 
-/// Largest answer to a question, in bytes.
-const MAX_ANSWER_BYTES: usize = 1024 * 1024;
-/// Age up to which a report is used again: reports lag by 200 ms anyway, and
-/// all streams of an engine fall silent at the same moment.
-const REPORT_AGE: Duration = Duration::from_millis(150);
-/// How long an engine may take to report: link delays are below a
-/// millisecond, and a report waits for no slot.
-const REPORT_LIMIT: Duration = Duration::from_millis(250);
+/// Largest body of a response, in bytes.
+const MAX_BODY_BYTES: usize = 1024 * 1024;
+/// Age up to which a report is reused: reports lag by 200 ms anyway, and all streams of
+/// an engine stall at the same moment.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(150);
+/// Longest time for an engine to report: link delays are below a millisecond, and a
+/// report waits for no slot.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Asks a target something on a connection of its own.
+/// Sends a request to a target on a new connection and reads the response.
 ///
 /// # Errors
 ///
-/// If no whole answer comes within `limit`; the text says why.
-pub async fn ask(
+/// If the response is not complete within `limit`; the text gives the reason.
+pub async fn call_target(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     limit: Duration,
 ) -> Result<(StatusCode, Bytes), String> {
-    let asking = async {
+    let call = async {
         let stream = socket::connect(address, limit)
             .await
             .map_err(|error| error.to_string())?;
-        let shaken = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-        let (mut sender, connection) = shaken.map_err(|error| error.to_string())?;
+        let connected = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+        let (mut sender, connection) = connected.map_err(|error| error.to_string())?;
         let exchange = async {
             let response = sender.send_request(request).await;
             let response = response.map_err(|error| error.to_string())?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+            let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
                 .collect()
                 .await;
             let body = body.map_err(|error| error.to_string())?;
@@ -58,14 +58,14 @@
             },
         }
     };
-    match tokio::time::timeout(limit, asking).await {
+    match tokio::time::timeout(limit, call).await {
         Ok(answer) => answer,
         Err(_) => Err("timeout".to_owned()),
     }
 }
 
-/// An engine's report, not older than 150 ms; callers that ask at the
-/// same time share one question.
+/// Returns an engine's report that is at most 150 ms old. Concurrent callers share one
+/// request.
 ///
 /// # Errors
 ///
@@ -77,37 +77,37 @@
     now: Instant,
 ) -> Result<Arc<EngineReport>, ()> {
     let cell = tables.report_cell(target);
-    let mut kept = cell.lock().await;
-    match &*kept {
-        Some((at, report)) if now.saturating_duration_since(*at) < REPORT_AGE => report.clone(),
+    let mut cached = cell.lock().await;
+    match &*cached {
+        Some((at, report)) if now.saturating_duration_since(*at) < MAX_REPORT_AGE => report.clone(),
         _ => {
-            let report = ask_report(address).await;
+            let report = request_report(address).await;
             let report = report.and_then(|report| same_start(target, report));
             let report = report.map(Arc::new).map_err(|error| {
                 log::info!(target_id:% = target, address:% = address, error:% = error; "no report");
             });
-            *kept = Some((Instant::now(), report.clone()));
+            *cached = Some((Instant::now(), report.clone()));
             report
         }
     }
 }
 
-/// A report of another start of the engine says nothing of this one, and that
-/// this one has ended.
+/// Rejects a report of another start of the engine: it says nothing about this one,
+/// except that it has ended.
 fn same_start(target: &TargetId, report: EngineReport) -> Result<EngineReport, String> {
     let reporting = target_record::start_id(target_record::platform_id(target), report.started_ms);
     match report.started_ms.is_none() || reporting == *target {
         true => Ok(report),
-        false => Err(format!("it has started again as {reporting}")),
+        false => Err(format!("engine restarted as {reporting}")),
     }
 }
 
-async fn ask_report(address: SocketAddr) -> Result<EngineReport, String> {
+async fn request_report(address: SocketAddr) -> Result<EngineReport, String> {
     let request = Request::get(names::REPORT_PATH).header(http::header::HOST, address.to_string());
     let request = request
         .body(Full::default())
         .map_err(|error| error.to_string())?;
-    let (status, body) = ask(address, request, REPORT_LIMIT).await?;
+    let (status, body) = call_target(address, request, REPORT_TIMEOUT).await?;
     match status {
         StatusCode::OK => target_record::parse_report(&body),
         status => Err(format!("status {status}")),
--- a/src/permits/issuer.rs
+++ b/src/permits/issuer.rs
@@ -1,96 +1,98 @@
-//! The host that hands out the permits for a target.
+//! Issues the permits for a target.
 
 use std::time::{Duration, Instant};
 
-use super::question::{PermitAnswer, PermitQuestion};
 use super::rate::RateLimit;
-use super::sends::{SEND_WINDOW, SendCounts};
+use super::request::{PermitReply, PermitRequest};
+use super::send_counts::{SEND_WINDOW, SendCounts};
 use crate::collections::FastMap;
 use crate::ids::{HostId, TargetKey};
 
-/// Permits that may be saved up, as time at the limit; one besides that which is due at
-/// the least: hosts that were sent away come back a little later than it is.
-const SAVED_TIME: Duration = Duration::from_millis(250);
-/// Rate at which even a target that takes less, or nothing, is sent requests:
-/// only its answers tell that its limit is over.
-const TRIAL_RATE: f64 = 0.25;
-/// What a target may get in a window, in times of its limit and in requests
-/// besides, together with what was sent before its limit was known.
+/// Unused permits that may accumulate, as time at the limit. At least one accumulates
+/// besides the permit that is due, since hosts whose requests were withheld return a
+/// little later than it is.
+const MAX_SAVED_TIME: Duration = Duration::from_millis(250);
+/// Requests per second that are sent even to a target that accepts fewer or none: only
+/// its responses show that its limit has ended.
+const PROBE_RATE: f64 = 0.25;
+/// Most requests to a target in a window, as a multiple of its limit and a number of
+/// requests in addition, including those sent before its limit was known.
 const WINDOW_FACTOR: f64 = 1.25;
 const WINDOW_SLACK: f64 = 3.0;
-/// How long a host that was sent away counts as one that wants a permit.
-const WANTED_FOR: Duration = Duration::from_secs(2);
-/// Shortest time after which a host may ask again.
-const LEAST_PAUSE: Duration = Duration::from_millis(50);
-/// Questions a permit while more hosts want some than there are.
-const QUESTIONS_PER_PERMIT: f64 = 2.0;
-/// Time from the first question about a target to its first permit: other hosts tell
-/// meanwhile what they have sent there.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// How long a target that nobody asks about is remembered.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(10);
+/// How long a host whose request was withheld counts as waiting for a permit.
+const WAITING_TTL: Duration = Duration::from_secs(2);
+/// Shortest time after which a host may request again.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Requests per permit while more hosts wait than permits are available.
+const REQUESTS_PER_PERMIT: f64 = 2.0;
+/// Time from the first request for a target to its first permit, in which other hosts
+/// report what they have sent there.
+const INITIAL_DELAY: Duration = Duration::from_secs(1);
+/// How long the account of a target without requests is kept.
+const ACCOUNT_TTL: Duration = Duration::from_secs(10);
 
-/// What was handed out for one target.
+/// Permits that were issued for one target.
 #[derive(Debug)]
 struct PermitAccount {
-    /// When the next permit is due at the limit, with nothing saved up.
+    /// When the next permit is due at the limit, without accumulated permits.
     due: Instant,
     opened: Instant,
     issued: SendCounts,
-    /// What hosts sent without permits.
+    /// Requests that hosts sent without permits.
     reported: FastMap<HostId, SendCounts>,
-    /// Hosts that were sent away, and when.
-    wanting: FastMap<HostId, Instant>,
-    asked: Instant,
+    /// Hosts whose requests were withheld, and when.
+    waiting: FastMap<HostId, Instant>,
+    last_request: Instant,
 }
 
-/// Hands out permits for targets, each at its limit.
+/// Issues permits for targets, each at its limit.
 ///
-/// One host does it for each target, so that what is sent in all stays at the limit
-/// whatever hosts have to send, and without a word between them. An account begins
-/// empty: a host that takes over hands out nothing that another one may have saved.
+/// One host issues all permits for a target, so that the total stays at the limit
+/// whatever the hosts have to send, and without coordination among them. An account
+/// starts empty: a host that takes over issues no permits that another host may have
+/// accumulated.
 #[derive(Debug, Default)]
 pub struct PermitIssuer {
     accounts: FastMap<TargetKey, PermitAccount>,
 }
 
 impl PermitIssuer {
-    /// Answers a question about a target with a limit. `part` is the part of the limit
-    /// that this host may hand out, from 0 to 1.
-    pub fn answer(
+    /// Replies to a request for permits for a target with a limit. `share` is the share
+    /// of the limit that this host may issue, from 0 to 1.
+    pub fn handle_request(
         &mut self,
-        question: &PermitQuestion,
+        request: &PermitRequest,
         limit: RateLimit,
-        part: f64,
+        share: f64,
         now: Instant,
-    ) -> PermitAnswer {
-        let per_second = (limit.per_second() * part).max(TRIAL_RATE);
+    ) -> PermitReply {
+        let per_second = (limit.per_second() * share).max(PROBE_RATE);
         let spacing = Duration::from_secs_f64(per_second.recip());
-        self.forget_unused(now);
-        let account = self.accounts.entry(question.limit.target);
+        self.remove_unused(now);
+        let account = self.accounts.entry(request.limit.target);
         let account = account.or_insert_with(|| PermitAccount::open(now));
-        account.asked = now;
-        account.report(question, now);
+        account.last_request = now;
+        account.record_report(request, now);
         let start = account.next_start(spacing, now);
         let delay = start - now;
         let room = account.window_room(per_second, now);
         match room {
-            // The host has only told what it sent.
-            _ if question.wanted == 0 => PermitAnswer::Withheld { retry_after: delay },
-            0 => account.send_away(question, account.issued.until_next_lapse(now), now),
-            _ if delay > question.patience => {
-                let pause = delay - question.patience;
-                let others = account.wanting.len() as f64;
-                let turn = Duration::from_secs_f64(others / per_second / QUESTIONS_PER_PERMIT);
-                account.send_away(question, pause.max(turn), now)
+            // The host only reports what it sent.
+            _ if request.wanted == 0 => PermitReply::Withheld { retry_after: delay },
+            0 => account.withhold(request, account.issued.until_next_expiry(now), now),
+            _ if delay > request.max_wait => {
+                let pause = delay - request.max_wait;
+                let others = account.waiting.len() as f64;
+                let backlog = Duration::from_secs_f64(others / per_second / REQUESTS_PER_PERMIT);
+                account.withhold(request, pause.max(backlog), now)
             }
             _ => {
-                let ahead = (question.patience - delay).as_secs_f64() * per_second;
-                let most = (ahead as u32).saturating_add(1).min(room);
-                let permits = question.wanted.clamp(1, most);
+                let ahead = (request.max_wait - delay).as_secs_f64() * per_second;
+                let max_permits = (ahead as u32).saturating_add(1).min(room);
+                let permits = request.wanted.clamp(1, max_permits);
                 account.issue(permits, start, spacing, now);
-                account.wanting.remove(&question.host);
-                PermitAnswer::Granted {
+                account.waiting.remove(&request.host);
+                PermitReply::Granted {
                     permits,
                     delay,
                     spacing,
@@ -99,44 +101,44 @@
         }
     }
 
-    fn forget_unused(&mut self, now: Instant) {
+    fn remove_unused(&mut self, now: Instant) {
         self.accounts
-            .retain(|_, account| now < account.asked + FORGOTTEN_AFTER);
+            .retain(|_, account| now < account.last_request + ACCOUNT_TTL);
     }
 }
 
 impl PermitAccount {
-    /// An account with nothing saved up.
+    /// Creates an account without accumulated permits.
     fn open(now: Instant) -> Self {
         Self {
-            due: now + FIRST_PAUSE,
+            due: now + INITIAL_DELAY,
             opened: now,
             issued: SendCounts::new(now),
             reported: FastMap::default(),
-            wanting: FastMap::default(),
-            asked: now,
+            waiting: FastMap::default(),
+            last_request: now,
         }
     }
 
-    /// Takes in what a host sent without permits, in place of what it said before.
-    fn report(&mut self, question: &PermitQuestion, now: Instant) {
+    /// Records what a host sent without permits, which replaces its previous report.
+    fn record_report(&mut self, request: &PermitRequest, now: Instant) {
         self.reported.retain(|_, sends| sends.total(now) > 0);
-        self.wanting.retain(|_, at| now < *at + WANTED_FOR);
-        if question.unpermitted.is_empty() {
+        self.waiting.retain(|_, at| now < *at + WAITING_TTL);
+        if request.unpermitted.is_empty() {
             return;
         }
-        let sends = SendCounts::from_ages(&question.unpermitted, now);
-        self.reported.insert(question.host.clone(), sends);
+        let sends = SendCounts::from_ages(&request.unpermitted, now);
+        self.reported.insert(request.host.clone(), sends);
     }
 
-    /// When the next permit may be used.
+    /// Returns when the next permit may be used.
     fn next_start(&self, spacing: Duration, now: Instant) -> Instant {
-        let saved = SAVED_TIME.max(spacing);
+        let saved = MAX_SAVED_TIME.max(spacing);
         let start = self.due.checked_sub(saved).unwrap_or(now);
-        start.max(self.opened + FIRST_PAUSE).max(now)
+        start.max(self.opened + INITIAL_DELAY).max(now)
     }
 
-    /// Permits that the window still has room for.
+    /// Returns how many more permits fit into the window.
     fn window_room(&self, per_second: f64, now: Instant) -> u32 {
         let window = SEND_WINDOW.as_secs_f64();
         let allowed = WINDOW_FACTOR * per_second * window + WINDOW_SLACK;
@@ -150,17 +152,12 @@
         self.due = self.due.max(start) + spacing * permits;
     }
 
-    /// Hosts that want permits come back in turn: how often they ask in all depends on
-    /// the limit, and not on how many they are.
-    fn send_away(
-        &mut self,
-        question: &PermitQuestion,
-        pause: Duration,
-        now: Instant,
-    ) -> PermitAnswer {
-        self.wanting.insert(question.host.clone(), now);
-        PermitAnswer::Withheld {
-            retry_after: pause.max(LEAST_PAUSE),
+    /// Withholds permits. Waiting hosts return one after the other: how often they
+    /// request in total depends on the limit, and not on their number.
+    fn withhold(&mut self, request: &PermitRequest, pause: Duration, now: Instant) -> PermitReply {
+        self.waiting.insert(request.host.clone(), now);
+        PermitReply::Withheld {
+            retry_after: pause.max(MIN_RETRY_AFTER),
         }
     }
 }
