--- a/src/admission/estimate.rs
+++ b/src/admission/estimate.rs
@@ -137,8 +137,8 @@
                 )
             });
         let settings = &self.settings;
-        let wait = drain.unwrap_or(settings.longest_retry_after);
-        let wait = wait.clamp(settings.shortest_retry_after, settings.longest_retry_after);
+        let wait = drain.unwrap_or(settings.max_retry_after);
+        let wait = wait.clamp(settings.min_retry_after, settings.max_retry_after);
         wait + wait.mul_f64(settings.jitter * self.rng.random::<f64>())
     }
 }
--- a/src/admission/settings.rs
+++ b/src/admission/settings.rs
@@ -12,9 +12,9 @@
     /// Seconds of its rate that an organisation may start at once after a pause.
     pub rate_burst: Duration,
     /// Shortest Retry-After before jitter.
-    pub shortest_retry_after: Duration,
+    pub min_retry_after: Duration,
     /// Longest Retry-After before jitter.
-    pub longest_retry_after: Duration,
+    pub max_retry_after: Duration,
     /// Largest jitter, as a fraction of the Retry-After.
     pub jitter: f64,
     /// Time over which refusals count as demand.
@@ -30,8 +30,8 @@
             queue_length: 256,
             total_queue_length: 4_096,
             rate_burst: Duration::from_millis(100),
-            shortest_retry_after: Duration::from_millis(50),
-            longest_retry_after: Duration::from_secs(30),
+            min_retry_after: Duration::from_millis(50),
+            max_retry_after: Duration::from_secs(30),
             jitter: 0.5,
             demand_window: Duration::from_secs(1),
             share_grace: Duration::ZERO,
--- a/src/daemon/reconciling.rs
+++ b/src/daemon/reconciling.rs
@@ -135,7 +135,7 @@
         for (target, state) in join_all(questions).await {
             match state {
                 Some(Ok(state)) => self.table.observe(&target, state, asked_at),
-                Some(Err(_)) => self.table.note_failure(&target, Instant::now()),
+                Some(Err(_)) => self.table.record_failure(&target, Instant::now()),
                 None => {}
             }
         }
@@ -161,12 +161,12 @@
         };
         self.core.note_about(subject, event);
         let sent_at = Instant::now();
-        self.table.note_order(target, order, sent_at);
+        self.table.record_order(target, order, sent_at);
         match self.core.targets.order_state(address, order).await {
             Ok(state) => self.table.observe(target, state, sent_at),
             Err(error) => {
                 log::warn!("order to {target} failed: {error}");
-                self.table.note_failure(target, Instant::now());
+                self.table.record_failure(target, Instant::now());
             }
         }
         drop(ordering);
--- a/src/daemon/sharing.rs
+++ b/src/daemon/sharing.rs
@@ -246,7 +246,7 @@
 ) -> bool {
     let was_lowered = {
         let mut desk = core.tables.shares.lock();
-        desk.shares.observe_answer(lease, grants, sent_at)
+        desk.shares.observe_reply(lease, grants, sent_at)
     };
     keep_to_grants(core);
     was_lowered
@@ -258,7 +258,7 @@
         .shares
         .lock()
         .shares
-        .observe_gone(holder, Instant::now());
+        .observe_removed(holder, Instant::now());
 }
 
 fn tick(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>) {
@@ -283,7 +283,7 @@
         .cloned()
         .collect();
     for holder in &ended {
-        desk.shares.observe_gone(holder, now);
+        desk.shares.observe_removed(holder, now);
     }
 }
 
--- a/src/reconcile/limits.rs
+++ b/src/reconcile/limits.rs
@@ -10,15 +10,15 @@
     /// Time within which a target begins an order or drops it.
     pub order_deadline: Duration,
     /// How old an observation may become before the target is asked again.
-    pub observe_every: Duration,
+    pub observe_interval: Duration,
     /// Pause after a failed order.
-    pub failure_pause: Duration,
+    pub failure_backoff: Duration,
     /// For how long a range is kept after it is no longer declared, so that
     /// runs on it can end.
     pub retain_for: Duration,
     /// For how long a target that does not answer counts as fetching weights,
     /// if it may do so.
-    pub load_memory: Duration,
+    pub load_timeout: Duration,
 }
 
 impl Default for ReconcileLimits {
@@ -26,10 +26,10 @@
         Self {
             concurrent_loads: 2,
             order_deadline: Duration::from_secs(1),
-            observe_every: Duration::from_secs(1),
-            failure_pause: Duration::from_secs(2),
+            observe_interval: Duration::from_secs(1),
+            failure_backoff: Duration::from_secs(2),
             retain_for: Duration::from_secs(30),
-            load_memory: Duration::from_secs(60),
+            load_timeout: Duration::from_secs(60),
         }
     }
 }
--- a/src/reconcile/table.rs
+++ b/src/reconcile/table.rs
@@ -108,7 +108,7 @@
     ///
     /// It may take effect although its answer is lost. Until the target is
     /// observed again it may have dropped and may be fetching what it was told.
-    pub fn note_order(&mut self, target: &TargetId, order: &StateOrder, now: Instant) {
+    pub fn record_order(&mut self, target: &TargetId, order: &StateOrder, now: Instant) {
         let seen = self.observed.get(target);
         let is_new =
             |range: &LoadedRange| seen.is_none_or(|seen| !seen.state.loaded.contains(range));
@@ -120,7 +120,7 @@
     }
 
     /// Notes that the target could not be asked or ordered at `now`.
-    pub fn note_failure(&mut self, target: &TargetId, now: Instant) {
+    pub fn record_failure(&mut self, target: &TargetId, now: Instant) {
         self.failed_at.insert(target.clone(), now);
     }
 }
@@ -157,7 +157,7 @@
 
     pub(super) fn is_backing_off(&self, target: &TargetId, now: Instant) -> bool {
         self.failed_at.get(target).is_some_and(|failed| {
-            now.saturating_duration_since(*failed) < self.limits.failure_pause
+            now.saturating_duration_since(*failed) < self.limits.failure_backoff
         })
     }
 
@@ -174,7 +174,7 @@
         now: Instant,
     ) -> Option<&TargetState> {
         let seen = self.observed.get(target)?;
-        let is_recent = now.saturating_duration_since(seen.seen_at) < self.limits.observe_every;
+        let is_recent = now.saturating_duration_since(seen.seen_at) < self.limits.observe_interval;
         let is_own = lease.is_none_or(|lease| seen.seen_at >= lease.held_since);
         let is_settled = !self.open_orders.contains_key(target);
         (is_recent && is_own && is_settled).then_some(&seen.state)
@@ -195,7 +195,7 @@
     /// load too many; counted for ever it would block all others.
     fn may_be_loading(&self, target: &TargetId, lease: OrderingLease, now: Instant) -> bool {
         let is_remembered =
-            |since: Instant| now.saturating_duration_since(since) < self.limits.load_memory;
+            |since: Instant| now.saturating_duration_since(since) < self.limits.load_timeout;
         match (self.open_orders.get(target), self.observed.get(target)) {
             (Some(order), _) if order.loads => is_remembered(order.sent_at),
             (_, Some(seen)) if seen.seen_at >= lease.held_since => {
--- a/src/shares.rs
+++ b/src/shares.rs
@@ -12,8 +12,8 @@
 //! old place has given it up, so the sum never exceeds what was bought.
 
 mod division;
-mod grant_answer;
 mod grant_entry;
+mod grant_reply;
 mod grant_table;
 mod grant_user;
 mod ledger;
--- a/src/shares/grant_entry.rs
+++ b/src/shares/grant_entry.rs
@@ -113,9 +113,9 @@
     }
 
     /// Whether it can hold nothing any more.
-    pub(super) fn has_ended(&self, gone_margin: Duration, now: Instant) -> bool {
+    pub(super) fn has_ended(&self, removal_margin: Duration, now: Instant) -> bool {
         match self.gone_at {
-            Some(gone_at) => now >= gone_at + gone_margin,
+            Some(gone_at) => now >= gone_at + removal_margin,
             None => !self.is_registered && now >= self.lapsed_at,
         }
     }
--- a/src/shares/grant_answer.rs
+++ b/src/shares/grant_reply.rs
@@ -13,7 +13,7 @@
 impl GrantTable {
     /// Grants for a host that has just reported; `None` if this table does
     /// not divide, so that the host keeps what it holds.
-    pub fn answer(&mut self, holder: &GrantHolder, now: Instant) -> Option<Vec<PeerGrant>> {
+    pub fn reply(&mut self, holder: &GrantHolder, now: Instant) -> Option<Vec<PeerGrant>> {
         if !matches!(
             self.phase(now),
             TablePhase::Collecting | TablePhase::Dividing
@@ -42,7 +42,7 @@
         now: Instant,
     ) -> Option<PeerGrant> {
         let units = self.due_units(holder, &organisation, now);
-        let lapse = self.settings.lapse;
+        let lapse = self.settings.expiry;
         let entry = self.entries.get_mut(holder)?;
         let stays = entry.is_registered;
         let grant = entry.grants.entry(organisation.clone()).or_default();
@@ -132,7 +132,7 @@
         let silent: ShareUnits = self
             .entries
             .values()
-            .filter(|entry| !entry.is_fresh(self.settings.fresh_report, now))
+            .filter(|entry| !entry.is_fresh(self.settings.max_report_age, now))
             .map(|entry| entry.counted(organisation))
             .sum();
         let available = limit - silent;
@@ -155,7 +155,7 @@
     }
 
     fn fresh_entries(&self, now: Instant) -> impl Iterator<Item = (&GrantHolder, &HolderEntry)> {
-        let limit = self.settings.fresh_report;
+        let limit = self.settings.max_report_age;
         self.entries
             .iter()
             .filter(move |(_, entry)| entry.is_fresh(limit, now))
--- a/src/shares/grant_table.rs
+++ b/src/shares/grant_table.rs
@@ -14,29 +14,29 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantSettings {
     /// Time after which a grant to a host that the log does not name ends.
-    pub lapse: Duration,
+    pub expiry: Duration,
     /// Added to a lapse that another host counts, for the rates of clocks.
     pub clock_margin: Duration,
     /// Time after which a pause makes a host ask before it uses its grants.
     pub pause_limit: Duration,
     /// Time between a host's end and the use of what it held; longer than
     /// `pause_limit`.
-    pub gone_margin: Duration,
+    pub removal_margin: Duration,
     /// Age of a report above which a host gets no part in a new division.
-    pub fresh_report: Duration,
+    pub max_report_age: Duration,
     /// Time after which a record that does not show up is written again.
-    pub append_retry: Duration,
+    pub append_retry_interval: Duration,
 }
 
 impl Default for GrantSettings {
     fn default() -> Self {
         Self {
-            lapse: Duration::from_secs(5),
+            expiry: Duration::from_secs(5),
             clock_margin: Duration::from_secs(1),
             pause_limit: Duration::from_secs(5),
-            gone_margin: Duration::from_secs(6),
-            fresh_report: Duration::from_secs(5),
-            append_retry: Duration::from_secs(2),
+            removal_margin: Duration::from_secs(6),
+            max_report_age: Duration::from_secs(5),
+            append_retry_interval: Duration::from_secs(2),
         }
     }
 }
@@ -119,7 +119,7 @@
     }
 
     /// Takes in the ledger after records have been applied.
-    pub fn follow(&mut self, ledger: &AllotmentLedger, now: Instant) {
+    pub fn observe_ledger(&mut self, ledger: &AllotmentLedger, now: Instant) {
         match ledger.opened(&self.zone) {
             Some(opened) if opened > self.lease => self.close(),
             Some(opened) if opened == self.lease && !self.is_opened => {
@@ -185,7 +185,7 @@
     }
 
     /// Takes in that an incarnation has ended.
-    pub fn observe_gone(&mut self, holder: &GrantHolder, now: Instant) {
+    pub fn observe_removed(&mut self, holder: &GrantHolder, now: Instant) {
         match self.entries.get_mut(holder) {
             Some(entry) => {
                 entry.gone_at.get_or_insert(now);
@@ -218,7 +218,7 @@
 
     /// Lets time pass, and says which records to append.
     pub fn tick(&mut self, ledger: &AllotmentLedger, now: Instant) -> Vec<AllotmentBody> {
-        self.follow(ledger, now);
+        self.observe_ledger(ledger, now);
         match self.phase(now) {
             TablePhase::Closed => Vec::new(),
             TablePhase::Opening => self.ask_opening(now).into_iter().collect(),
@@ -234,7 +234,7 @@
     }
 
     fn ask_opening(&mut self, now: Instant) -> Option<AllotmentBody> {
-        if !is_due(self.opening_asked, self.settings.append_retry, now) {
+        if !is_due(self.opening_asked, self.settings.append_retry_interval, now) {
             return None;
         }
         self.opening_asked = Some(now);
@@ -246,7 +246,7 @@
     }
 
     fn remove_ended(&mut self, now: Instant) -> Vec<AllotmentBody> {
-        let margin = self.settings.gone_margin;
+        let margin = self.settings.removal_margin;
         let ended: Vec<_> = self
             .entries
             .iter()
@@ -270,8 +270,8 @@
     }
 
     fn ask_registrations(&mut self, now: Instant) -> Vec<AllotmentBody> {
-        let retry = self.settings.append_retry;
-        let fresh = self.settings.fresh_report;
+        let retry = self.settings.append_retry_interval;
+        let fresh = self.settings.max_report_age;
         let mut bodies = Vec::new();
         for (holder, entry) in &mut self.entries {
             let is_due = is_due(entry.registration_asked, retry, now);
@@ -289,7 +289,7 @@
     }
 
     fn ask_releases(&mut self, ledger: &AllotmentLedger, now: Instant) -> Vec<AllotmentBody> {
-        let retry = self.settings.append_retry;
+        let retry = self.settings.append_retry_interval;
         let pending = ledger.pending_releases(&self.zone);
         let mut bodies = Vec::new();
         for release in pending {
@@ -328,7 +328,7 @@
 
     /// Time after which a grant that lapses has ended on any host's clock.
     pub(super) fn longest_lapse(&self) -> Duration {
-        self.settings.lapse + self.settings.clock_margin
+        self.settings.expiry + self.settings.clock_margin
     }
 
     /// What all hosts together must be thought to use.
--- a/src/shares/grant_user.rs
+++ b/src/shares/grant_user.rs
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 pub struct GrantUser {
     pause_limit: Duration,
-    addressed: Option<LogOffset>,
+    reported_lease: Option<LogOffset>,
     grants: BTreeMap<OrganisationId, HeldGrant>,
     last_tick: Instant,
     suspended_at: Option<Instant>,
@@ -47,7 +47,7 @@
     pub fn new(pause_limit: Duration, now: Instant) -> Self {
         Self {
             pause_limit,
-            addressed: None,
+            reported_lease: None,
             grants: BTreeMap::new(),
             last_tick: now,
             suspended_at: None,
@@ -78,8 +78,8 @@
     }
 
     /// Lease of the holder that was last reported to.
-    pub fn addressed(&self) -> Option<LogOffset> {
-        self.addressed
+    pub fn reported_lease(&self) -> Option<LogOffset> {
+        self.reported_lease
     }
 
     /// A report to the holder of `lease`. From now on grants of earlier
@@ -91,10 +91,13 @@
         usage: &BTreeMap<OrganisationId, ShareUsage>,
         now: Instant,
     ) -> Option<Vec<PeerDemand>> {
-        if self.addressed.is_some_and(|addressed| addressed > lease) {
+        if self
+            .reported_lease
+            .is_some_and(|reported_lease| reported_lease > lease)
+        {
             return None;
         }
-        self.addressed = Some(lease);
+        self.reported_lease = Some(lease);
         let mut organisations: Vec<_> = self.grants.keys().chain(usage.keys()).collect();
         organisations.sort_unstable();
         organisations.dedup();
@@ -128,13 +131,13 @@
     /// Takes in the answer to a report made at `sent_at`. Says whether
     /// anything was lowered, which is worth reporting at once: somebody else
     /// waits for it.
-    pub fn observe_answer(
+    pub fn observe_reply(
         &mut self,
         lease: LogOffset,
         grants: &[PeerGrant],
         sent_at: Instant,
     ) -> bool {
-        if self.addressed != Some(lease) {
+        if self.reported_lease != Some(lease) {
             return false;
         }
         let mut is_lowered = false;
--- a/src/shares/ledger.rs
+++ b/src/shares/ledger.rs
@@ -15,11 +15,11 @@
     /// It changed the ledger.
     Accepted,
     /// It was overtaken, or written under a lease that is not the last.
-    Overtaken,
+    Superseded,
     /// It hands out more than was bought.
     Exceeds,
     /// It had been applied before, or it is a checkpoint that is not needed.
-    Known,
+    AlreadyApplied,
     /// Records before it are missing; it was not applied.
     Gap,
 }
@@ -87,7 +87,7 @@
             return self.restore(*as_of, ledger);
         }
         if offset < self.next_offset {
-            return AllotmentOutcome::Known;
+            return AllotmentOutcome::AlreadyApplied;
         }
         if offset > self.next_offset {
             return AllotmentOutcome::Gap;
@@ -119,7 +119,7 @@
                 lease,
                 release,
             } => self.apply_release(zone, *lease, release),
-            AllotmentBody::Checkpoint { .. } => AllotmentOutcome::Known,
+            AllotmentBody::Checkpoint { .. } => AllotmentOutcome::AlreadyApplied,
         }
     }
 
@@ -142,7 +142,7 @@
     fn apply_split(&mut self, offset: LogOffset, split: &SplitRecord) -> AllotmentOutcome {
         let known = self.splits.get(&split.organisation);
         if known.map(|known| known.offset) != split.based_on {
-            return AllotmentOutcome::Overtaken;
+            return AllotmentOutcome::Superseded;
         }
         let given: ShareUnits = split.shares.values().copied().sum();
         if !given.is_within(split.bought) {
@@ -174,7 +174,7 @@
     ) -> AllotmentOutcome {
         let register = self.registers.entry(zone.clone()).or_default();
         if register.opened.is_some_and(|opened| opened >= lease) {
-            return AllotmentOutcome::Overtaken;
+            return AllotmentOutcome::Superseded;
         }
         register.reopened = register.opened.is_some();
         register.opened = Some(lease);
@@ -191,7 +191,7 @@
                 change(register);
                 AllotmentOutcome::Accepted
             }
-            _ => AllotmentOutcome::Overtaken,
+            _ => AllotmentOutcome::Superseded,
         }
     }
 
@@ -210,7 +210,7 @@
             .get_mut(&release.organisation)
             .filter(|split| is_holder && split.offset == release.split);
         let Some(split) = split else {
-            return AllotmentOutcome::Overtaken;
+            return AllotmentOutcome::Superseded;
         };
         if let Some(share) = split.zones.get_mut(zone) {
             share.counted = share.counted.lower(release.held).higher(share.usable);
--- a/src/shares/zone_shares.rs
+++ b/src/shares/zone_shares.rs
@@ -66,7 +66,7 @@
     ) -> AllotmentOutcome {
         let outcome = self.ledger.apply(offset, body);
         if let Some(table) = &mut self.table {
-            table.follow(&self.ledger, now);
+            table.observe_ledger(&self.ledger, now);
         }
         outcome
     }
@@ -103,9 +103,9 @@
     }
 
     /// Takes in that an incarnation has ended.
-    pub fn observe_gone(&mut self, holder: &GrantHolder, now: Instant) {
+    pub fn observe_removed(&mut self, holder: &GrantHolder, now: Instant) {
         if let Some(table) = &mut self.table {
-            table.observe_gone(holder, now);
+            table.observe_removed(holder, now);
         }
     }
 
@@ -138,7 +138,7 @@
             .as_mut()
             .filter(|table| table.lease() == report.lease)?;
         table.observe_report(from, sequence, &report.demands, is_draining, now);
-        table.answer(from, now)
+        table.reply(from, now)
     }
 
     /// Reports to this host itself if it holds the lease; to be called as
@@ -152,19 +152,19 @@
         let answer =
             self.observe_report(&holder, self.own_sequence, &report, self.is_draining, now);
         if let Some(grants) = answer {
-            self.observe_answer(report.lease, &grants, now);
+            self.observe_reply(report.lease, &grants, now);
         }
     }
 
     /// Takes in the answer to a report made at `sent_at`; says whether to
     /// report again at once.
-    pub fn observe_answer(
+    pub fn observe_reply(
         &mut self,
         lease: LogOffset,
         grants: &[PeerGrant],
         sent_at: Instant,
     ) -> bool {
-        self.user.observe_answer(lease, grants, sent_at)
+        self.user.observe_reply(lease, grants, sent_at)
     }
 
     /// Gives up all grants for good. To be called once nothing waits any
@@ -202,7 +202,7 @@
 
     /// Incarnations that the log names and that have not reported to this
     /// holder; empty on other hosts. Those that membership judges as ended
-    /// are to be passed to [`ZoneShares::observe_gone`].
+    /// are to be passed to [`ZoneShares::observe_removed`].
     pub fn awaited(&self) -> impl Iterator<Item = &GrantHolder> {
         self.table.iter().flat_map(GrantTable::awaited)
     }
--- a/tests/admission_model.rs
+++ b/tests/admission_model.rs
@@ -244,11 +244,8 @@
         self.histories[organisation].pressed |= reason != DeadlinePassed;
         let length = self.count(&self.queue, organisation);
         let wait = self.wait(organisation, length, request.service_time, now);
-        let wait = wait.unwrap_or(settings().longest_retry_after);
-        let wait = wait.clamp(
-            settings().shortest_retry_after,
-            settings().longest_retry_after,
-        );
+        let wait = wait.unwrap_or(settings().max_retry_after);
+        let wait = wait.clamp(settings().min_retry_after, settings().max_retry_after);
         Outcome::Refuse(request.request.to_string(), reason, wait)
     }
 
--- a/tests/reconcile.rs
+++ b/tests/reconcile.rs
@@ -25,10 +25,10 @@
 const LIMITS: ReconcileLimits = ReconcileLimits {
     concurrent_loads: 2,
     order_deadline: Duration::from_secs(1),
-    observe_every: Duration::from_secs(1),
-    failure_pause: Duration::from_secs(2),
+    observe_interval: Duration::from_secs(1),
+    failure_backoff: Duration::from_secs(2),
     retain_for: Duration::from_secs(3),
-    load_memory: Duration::from_secs(5),
+    load_timeout: Duration::from_secs(5),
 };
 
 /// Ranges by bit; the last one serves the same as the first.
@@ -259,7 +259,7 @@
         let index = (0..ALL).find(|engine| name(*engine) == *target).unwrap();
         let engine = &mut self.engines[index];
         if engine.is_dead {
-            return self.table.note_failure(target, self.now);
+            return self.table.record_failure(target, self.now);
         }
         engine.seen_at = Some(self.now);
         self.table.observe(target, engine.state(), self.now);
@@ -269,16 +269,16 @@
         let index = (0..OWN).find(|engine| name(*engine) == *target).unwrap();
         self.check_times(index, lease);
         self.check_drops(index, order);
-        self.table.note_order(target, order, self.now);
+        self.table.record_order(target, order, self.now);
         let now = self.now;
         let engine = &mut self.engines[index];
         let lost = engine.lost_order.take();
         if engine.is_dead || lost == Some(false) {
-            return self.table.note_failure(target, now);
+            return self.table.record_failure(target, now);
         }
         engine.obey(order, now);
         match lost {
-            Some(_) => self.table.note_failure(target, now),
+            Some(_) => self.table.record_failure(target, now),
             None => self.observe(target),
         }
         let loading = self
@@ -316,7 +316,7 @@
             });
             let is_held = (0..ALL).any(|other| {
                 let holder = &self.engines[other];
-                let recently = |died: Instant| self.now - died < LIMITS.observe_every;
+                let recently = |died: Instant| self.now - died < LIMITS.observe_interval;
                 let answers = !holder.is_dead || holder.died_at.is_some_and(recently);
                 let mut held = holder.loaded.iter();
                 answers
--- a/tests/shares_comparison.rs
+++ b/tests/shares_comparison.rs
@@ -205,7 +205,7 @@
     let Some(grants) = answer else {
         return false;
     };
-    hosts[index].1.observe_answer(report.lease, &grants, now)
+    hosts[index].1.observe_reply(report.lease, &grants, now)
 }
 
 fn median(mut outcomes: Vec<Outcome>) -> Outcome {
--- a/tests/shares_scenarios.rs
+++ b/tests/shares_scenarios.rs
@@ -75,8 +75,8 @@
     let share = model.hosts[frozen].shares.limit(ORGANISATION, model.now);
     assert_ne!(share, ShareUnits::NONE);
     let holder = model.hosts[frozen].holder.clone();
-    model.hosts[0].shares.observe_gone(&holder, model.now);
-    model.now += GrantSettings::default().gone_margin;
+    model.hosts[0].shares.observe_removed(&holder, model.now);
+    model.now += GrantSettings::default().removal_margin;
     assert_eq!(
         model.hosts[frozen].shares.limit(ORGANISATION, model.now),
         ShareUnits::NONE
@@ -161,11 +161,11 @@
     };
     let before = [split(None, 6), opened(5), split(Some(0), 8)];
     let after = [
-        (released(4, 2), AllotmentOutcome::Overtaken),
-        (split(Some(0), 12), AllotmentOutcome::Overtaken),
+        (released(4, 2), AllotmentOutcome::Superseded),
+        (split(Some(0), 12), AllotmentOutcome::Superseded),
         (split(Some(2), 13), AllotmentOutcome::Exceeds),
         (released(5, 2), AllotmentOutcome::Accepted),
-        (opened(4), AllotmentOutcome::Overtaken),
+        (opened(4), AllotmentOutcome::Superseded),
     ];
     let mut first = AllotmentLedger::default();
     for (offset, body) in (0..).zip(&before) {
@@ -174,12 +174,18 @@
     assert_eq!(first.usable(ORGANISATION, ZONES[0]).concurrent_requests, 6);
     let text = serde_json::to_string(&first.checkpoint()).expect("text");
     let checkpoint: AllotmentBody = serde_json::from_str(&text).expect("a record");
-    assert_eq!(first.apply(3, &checkpoint), AllotmentOutcome::Known);
+    assert_eq!(
+        first.apply(3, &checkpoint),
+        AllotmentOutcome::AlreadyApplied
+    );
 
     let mut second = AllotmentLedger::default();
     assert_eq!(second.apply(4, &after[0].0), AllotmentOutcome::Gap);
     assert_eq!(second.apply(3, &checkpoint), AllotmentOutcome::Accepted);
-    assert_eq!(second.apply(3, &checkpoint), AllotmentOutcome::Known);
+    assert_eq!(
+        second.apply(3, &checkpoint),
+        AllotmentOutcome::AlreadyApplied
+    );
     for (offset, (body, outcome)) in (4..).zip(&after) {
         assert_eq!(first.apply(offset, body), *outcome);
         assert_eq!(second.apply(offset, body), *outcome);
--- a/tests/shares_support/mod.rs
+++ b/tests/shares_support/mod.rs
@@ -146,7 +146,7 @@
 
     pub fn hear_gone(&mut self, index: usize) {
         for holder in &self.gone {
-            self.hosts[index].shares.observe_gone(holder, self.now);
+            self.hosts[index].shares.observe_removed(holder, self.now);
         }
     }
 
@@ -245,7 +245,7 @@
             host.holds_lapsing = grant.lapse.is_some();
         }
         host.shares
-            .observe_answer(answer.lease, &answer.grants, answer.sent_at);
+            .observe_reply(answer.lease, &answer.grants, answer.sent_at);
     }
 
     pub fn work(&mut self, index: usize, wanted: u32, ended: u32) {
