--- a/src/admission/bucket.rs
+++ b/src/admission/bucket.rs
@@ -3,16 +3,16 @@
 use std::time::{Duration, Instant};
 
 /// Nanoseconds in a minute.
-const MINUTE: u128 = 60_000_000_000;
+const MINUTE_NANOS: u128 = 60_000_000_000;
 
 /// A token bucket in whole numbers, so that long uptimes lose nothing to
-/// rounding: a token is [`MINUTE`] parts, and each nanosecond adds `rate` parts.
+/// rounding: a token is [`MINUTE_NANOS`] parts, and each nanosecond adds `rate` parts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct TokenBucket {
     rate: u32,
     burst: Duration,
     parts: u128,
-    filled: Instant,
+    last_refill: Instant,
 }
 
 impl TokenBucket {
@@ -22,7 +22,7 @@
             rate,
             burst,
             parts: 0,
-            filled: now,
+            last_refill: now,
         };
         bucket.parts = bucket.capacity();
         bucket
@@ -33,7 +33,7 @@
     fn capacity(&self) -> u128 {
         match self.rate {
             0 => 0,
-            rate => (u128::from(rate) * self.burst.as_nanos()).max(MINUTE),
+            rate => (u128::from(rate) * self.burst.as_nanos()).max(MINUTE_NANOS),
         }
     }
 
@@ -46,26 +46,26 @@
 
     /// Adds what was earned since the last refill.
     pub(super) fn refill(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.filled);
-        self.filled = self.filled.max(now);
-        let earned = u128::from(self.rate) * passed.as_nanos();
+        let elapsed = now.saturating_duration_since(self.last_refill);
+        self.last_refill = self.last_refill.max(now);
+        let earned = u128::from(self.rate) * elapsed.as_nanos();
         self.parts = (self.parts + earned).min(self.capacity());
     }
 
     /// Whether a token is there, as of the last refill.
     pub(super) fn has_token(&self) -> bool {
-        self.parts >= MINUTE
+        self.parts >= MINUTE_NANOS
     }
 
     /// Takes a token, which must be there.
     pub(super) fn take(&mut self) {
         debug_assert!(self.has_token());
-        self.parts = self.parts.saturating_sub(MINUTE);
+        self.parts = self.parts.saturating_sub(MINUTE_NANOS);
     }
 
     /// Time after the last refill until `tokens` are there; `None` if never.
     pub(super) fn time_until(&self, tokens: u64) -> Option<Duration> {
-        let needed = (u128::from(tokens) * MINUTE).saturating_sub(self.parts);
+        let needed = (u128::from(tokens) * MINUTE_NANOS).saturating_sub(self.parts);
         match self.rate {
             _ if needed == 0 => Some(Duration::ZERO),
             0 => None,
@@ -77,7 +77,7 @@
     }
 
     /// When the bucket was last refilled.
-    pub(super) fn filled(&self) -> Instant {
-        self.filled
+    pub(super) fn last_refill(&self) -> Instant {
+        self.last_refill
     }
 }
--- a/src/admission/commands.rs
+++ b/src/admission/commands.rs
@@ -7,9 +7,9 @@
 use crate::reason::RefusalReason;
 
 use super::estimate::{ARRIVAL_MARGIN, WAITING_MARGIN};
-use super::organisation::{OrganisationState, QueuePlace};
-use super::queries::LONG_WINDOWS;
-use super::table::WaitingPlace;
+use super::organisation::{OrganisationState, QueuePosition};
+use super::queries::RATE_WINDOWS;
+use super::table::QueueEntry;
 use super::{AdmissionDecision, AdmissionRequest, AdmissionTable, ReleaseCause, ShareLimit};
 
 /// What becomes of a request on its arrival.
@@ -64,35 +64,35 @@
         let window = self.settings.demand_window;
         if let Some(state) = self.organisations.get_mut(&request.organisation) {
             state.arrivals.count(window, now);
-            state.arrivals_long.count(window * LONG_WINDOWS, now);
+            state.arrivals_long.count(window * RATE_WINDOWS, now);
         }
-        let place = (Reverse(request.priority), self.arrivals);
+        let position = (Reverse(request.priority), self.arrivals);
         self.arrivals += 1;
-        match self.verdict_on_arrival(&request, place, now) {
+        match self.decide_arrival(&request, position, now) {
             ArrivalVerdict::Start => {
                 let state = self.organisations.get(&request.organisation);
-                let turn = state.map_or(0.0, |state| self.virtual_start(state));
-                self.start(&request, turn)
+                let start_tag = state.map_or(0.0, |state| self.virtual_start(state));
+                self.start(&request, start_tag)
             }
-            ArrivalVerdict::Wait => self.enqueue(request, place),
+            ArrivalVerdict::Wait => self.enqueue(request, position),
             ArrivalVerdict::Refuse(reason) => self.refuse(&request, reason, now),
         }
     }
 
-    fn verdict_on_arrival(
+    fn decide_arrival(
         &mut self,
         request: &AdmissionRequest,
-        place: QueuePlace,
+        position: QueuePosition,
         now: Instant,
     ) -> ArrivalVerdict {
         if let Some(state) = self.organisations.get_mut(&request.organisation) {
             state.bucket.refill(now);
-            state.note_shareless(self.settings.share_grace, now);
+            state.record_shareless_arrival(self.settings.share_grace, now);
         }
         let Some(state) = self.organisations.get(&request.organisation) else {
             return ArrivalVerdict::Refuse(RefusalReason::CapacityUsedUp);
         };
-        let ahead = state.queue.range(..place).count();
+        let ahead = state.queue.range(..position).count();
         let has_slot = self.running.len() < self.capacity as usize;
         let starts_now = has_slot && state.queue.is_empty() && state.may_start();
         let is_known = self.running.contains_key(&request.request)
@@ -100,13 +100,9 @@
         let is_full = self.is_full(state);
         let in_time = match starts_now {
             true => request.deadline.saturating_duration_since(now) >= request.service_time,
-            false => self.wait_estimate(state, self.asking(), now).is_reachable(
-                state,
-                request,
-                ahead,
-                ARRIVAL_MARGIN,
-                now,
-            ),
+            false => self
+                .wait_estimate(state, self.active_shares(), now)
+                .is_reachable(state, request, ahead, ARRIVAL_MARGIN, now),
         };
         match () {
             () if is_known => ArrivalVerdict::Refuse(RefusalReason::Malformed),
@@ -133,22 +129,23 @@
     fn is_full(&self, state: &OrganisationState) -> bool {
         let length = state.queue.len();
         let total = self.settings.total_queue_length;
-        let even_part = total / self.organisations.len().max(1);
-        length >= self.settings.queue_length || (self.waiting.len() >= total && length >= even_part)
+        let even_share = total / self.organisations.len().max(1);
+        length >= self.settings.queue_length
+            || (self.waiting.len() >= total && length >= even_share)
     }
 
-    fn enqueue(&mut self, request: AdmissionRequest, place: QueuePlace) -> AdmissionDecision {
+    fn enqueue(&mut self, request: AdmissionRequest, position: QueuePosition) -> AdmissionDecision {
         let decision = AdmissionDecision::Wait {
             request: request.request.clone(),
         };
-        let waiting = WaitingPlace {
+        let waiting = QueueEntry {
             organisation: request.organisation.clone(),
-            place,
+            position,
         };
         self.waiting.insert(request.request.clone(), waiting);
         if let Some(state) = self.organisations.get_mut(&request.organisation) {
-            state.drain.press();
-            state.queue.insert(place, request);
+            state.drain.record_pressure();
+            state.queue.insert(position, request);
         }
         decision
     }
@@ -167,7 +164,7 @@
         if let Some(state) = self.organisations.get_mut(&organisation) {
             state.in_flight = state.in_flight.saturating_sub(1);
             if cause == ReleaseCause::Completed {
-                state.drain.ended(!state.queue.is_empty(), now);
+                state.drain.record_end(!state.queue.is_empty(), now);
             }
         }
         let mut decisions = Vec::new();
@@ -181,7 +178,7 @@
     pub fn tick(&mut self, now: Instant) -> Vec<AdmissionDecision> {
         let mut decisions = Vec::new();
         self.start_waiting(now, &mut decisions);
-        self.give_up_waiting(now, &mut decisions);
+        self.refuse_unreachable(now, &mut decisions);
         self.organisations
             .retain(|_, state| !state.is_removed || !state.is_idle());
         decisions
@@ -194,7 +191,7 @@
             return false;
         };
         if let Some(state) = self.organisations.get_mut(&waiting.organisation) {
-            state.queue.remove(&waiting.place);
+            state.queue.remove(&waiting.position);
         }
         true
     }
@@ -204,32 +201,32 @@
     /// A request that is kept although it cannot be answered in time takes
     /// the place of one that can, and its caller learns too late to go
     /// elsewhere; one would see goodput fall while everything is busy.
-    fn give_up_waiting(&mut self, now: Instant, decisions: &mut Vec<AdmissionDecision>) {
-        for request in self.unreachable(now) {
+    fn refuse_unreachable(&mut self, now: Instant, decisions: &mut Vec<AdmissionDecision>) {
+        for request in self.unreachable_requests(now) {
             self.cancel(&request.request, now);
             decisions.push(self.refuse_waiting(&request, now));
         }
     }
 
-    fn unreachable(&self, now: Instant) -> Vec<AdmissionRequest> {
-        let mut given_up = Vec::new();
-        let asking = self.asking();
+    fn unreachable_requests(&self, now: Instant) -> Vec<AdmissionRequest> {
+        let mut unreachable = Vec::new();
+        let active_shares = self.active_shares();
         for state in self.organisations.values() {
             if state.awaits_share(self.settings.share_grace, now) {
                 let is_late = |request: &&AdmissionRequest| now >= request.deadline;
-                given_up.extend(state.queue.values().filter(is_late).cloned());
+                unreachable.extend(state.queue.values().filter(is_late).cloned());
                 continue;
             }
-            let estimate = self.wait_estimate(state, asking, now);
+            let estimate = self.wait_estimate(state, active_shares, now);
             let mut ahead = 0;
             for request in state.queue.values() {
                 match estimate.is_reachable(state, request, ahead, WAITING_MARGIN, now) {
                     true => ahead += 1,
-                    false => given_up.push(request.clone()),
+                    false => unreachable.push(request.clone()),
                 }
             }
         }
-        given_up
+        unreachable
     }
 
     pub(super) fn refuse_waiting(
@@ -257,9 +254,9 @@
     ) -> AdmissionDecision {
         let window = self.settings.demand_window;
         match self.organisations.get_mut(&request.organisation) {
-            Some(state) if wants_capacity(reason) => {
+            Some(state) if is_capacity_refusal(reason) => {
                 state.refusals.count(window, now);
-                state.drain.press();
+                state.drain.record_pressure();
             }
             _ => (),
         }
@@ -272,7 +269,7 @@
 }
 
 /// Whether more capacity would have let the request in.
-fn wants_capacity(reason: RefusalReason) -> bool {
+fn is_capacity_refusal(reason: RefusalReason) -> bool {
     !matches!(
         reason,
         RefusalReason::Malformed | RefusalReason::DeadlinePassed
--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -23,19 +23,19 @@
 pub(super) struct DrainRate {
     interval: f64,
     samples: u32,
-    pressed: bool,
+    under_pressure: bool,
     last_end: Option<Instant>,
     last_sample: Option<Instant>,
 }
 
 impl DrainRate {
     /// Records that a request had to wait or was refused.
-    pub(super) fn press(&mut self) {
-        self.pressed = true;
+    pub(super) fn record_pressure(&mut self) {
+        self.under_pressure = true;
     }
 
     /// Records the end of a request; `waiting` tells whether others wait.
-    pub(super) fn ended(&mut self, waiting: bool, now: Instant) {
+    pub(super) fn record_end(&mut self, waiting: bool, now: Instant) {
         if let Some(last) = self.last_end {
             let sample = now.saturating_duration_since(last).as_secs_f64();
             self.interval = match self.samples {
@@ -45,8 +45,8 @@
             self.samples = self.samples.saturating_add(1);
             self.last_sample = Some(now);
         }
-        self.last_end = (waiting || self.pressed).then_some(now);
-        self.pressed = false;
+        self.last_end = (waiting || self.under_pressure).then_some(now);
+        self.under_pressure = false;
     }
 
     /// Measured time between two ends, if it is known well enough.
--- a/src/admission/estimate.rs
+++ b/src/admission/estimate.rs
@@ -19,7 +19,7 @@
 pub(super) const WAITING_MARGIN: f64 = 0.5;
 
 /// Longest wait that is told from any longer one.
-const LONGEST_WAIT: Duration = Duration::from_secs(1_000_000);
+const MAX_WAIT: Duration = Duration::from_secs(1_000_000);
 
 /// What an organisation's waits are estimated from.
 #[derive(Debug, Clone, Copy)]
@@ -61,23 +61,23 @@
         margin: f64,
         now: Instant,
     ) -> bool {
-        let left = request.deadline.saturating_duration_since(now);
+        let remaining = request.deadline.saturating_duration_since(now);
         let wait = self.wait(state, ahead, request.service_time);
-        let wait = wait.map(|wait| wait.min(LONGEST_WAIT).mul_f64(margin));
-        wait.is_some_and(|wait| wait.saturating_add(request.service_time) <= left)
+        let wait = wait.map(|wait| wait.min(MAX_WAIT).mul_f64(margin));
+        wait.is_some_and(|wait| wait.saturating_add(request.service_time) <= remaining)
     }
 }
 
 impl AdmissionTable {
     /// What the waits of an organisation are estimated from at present;
-    /// `asking` is the table's [`AdmissionTable::asking`].
+    /// `active_shares` is the table's [`AdmissionTable::active_shares`].
     pub(super) fn wait_estimate(
         &self,
         state: &OrganisationState,
-        asking: u64,
+        active_shares: u64,
         now: Instant,
     ) -> WaitEstimate {
-        let slots = self.slots_for(state, asking);
+        let slots = self.usable_slots(state, active_shares);
         WaitEstimate {
             slots,
             free: slots.saturating_sub(state.in_flight),
@@ -86,7 +86,7 @@
     }
 
     /// Sum of the shares of the organisations that run or wait.
-    pub(super) fn asking(&self) -> u64 {
+    pub(super) fn active_shares(&self) -> u64 {
         self.organisations
             .values()
             .filter(|state| !state.is_idle())
@@ -96,9 +96,9 @@
 
     /// Slots that the organisation can count on, at least one if it has any
     /// share: its part, in the long run.
-    fn slots_for(&self, state: &OrganisationState, asking: u64) -> u32 {
+    fn usable_slots(&self, state: &OrganisationState, active_shares: u64) -> u32 {
         let share = state.limit.concurrent_requests;
-        self.whole_part(state, asking).max(share.min(1))
+        self.fair_slots(state, active_shares).max(share.min(1))
     }
 
     /// Whole slots that are the organisation's: its share, or its weight's
@@ -106,16 +106,16 @@
     ///
     /// Rounded down: rounded up, the parts could add up to more than the
     /// capacity, and small organisations would get more than their weight.
-    pub(super) fn whole_part(&self, state: &OrganisationState, asking: u64) -> u32 {
+    pub(super) fn fair_slots(&self, state: &OrganisationState, active_shares: u64) -> u32 {
         let share = state.limit.concurrent_requests;
-        let asking = match state.is_idle() {
-            true => asking + u64::from(share),
-            false => asking,
+        let active_shares = match state.is_idle() {
+            true => active_shares + u64::from(share),
+            false => active_shares,
         };
-        if asking <= u64::from(self.capacity) {
+        if active_shares <= u64::from(self.capacity) {
             return share;
         }
-        let part = u64::from(self.capacity) * u64::from(share) / asking;
+        let part = u64::from(self.capacity) * u64::from(share) / active_shares;
         u32::try_from(part).unwrap_or(u32::MAX)
     }
 
@@ -130,7 +130,7 @@
             .organisations
             .get(&request.organisation)
             .and_then(|state| {
-                self.wait_estimate(state, self.asking(), now).wait(
+                self.wait_estimate(state, self.active_shares(), now).wait(
                     state,
                     state.queue.len(),
                     request.service_time,
--- a/src/admission/organisation.rs
+++ b/src/admission/organisation.rs
@@ -9,18 +9,18 @@
 use super::{AdmissionRequest, AdmissionSettings, ShareLimit};
 
 /// Place in a queue: higher priority first, then order of arrival.
-pub(super) type QueuePlace = (Reverse<u8>, u64);
+pub(super) type QueuePosition = (Reverse<u8>, u64);
 
 /// State of one organisation.
 #[derive(Debug, Clone)]
 pub(super) struct OrganisationState {
     pub(super) limit: ShareLimit,
     pub(super) bucket: TokenBucket,
-    pub(super) queue: BTreeMap<QueuePlace, AdmissionRequest>,
+    pub(super) queue: BTreeMap<QueuePosition, AdmissionRequest>,
     pub(super) in_flight: u32,
     pub(super) drain: DrainRate,
     /// Virtual time up to which it has been served.
-    pub(super) served_until: f64,
+    pub(super) finish_tag: f64,
     pub(super) refusals: RecentCount,
     pub(super) arrivals: RecentCount,
     pub(super) arrivals_long: RecentCount,
@@ -39,7 +39,7 @@
             queue: BTreeMap::new(),
             in_flight: 0,
             drain: DrainRate::default(),
-            served_until: 0.0,
+            finish_tag: 0.0,
             refusals: RecentCount::new(now),
             arrivals: RecentCount::new(now),
             arrivals_long: RecentCount::new(now),
@@ -60,7 +60,7 @@
 
     /// Notes an arrival that finds no share. Those that come while others wait
     /// join them; the first one after a refusal begins to wait anew.
-    pub(super) fn note_shareless(&mut self, grace: Duration, now: Instant) {
+    pub(super) fn record_shareless_arrival(&mut self, grace: Duration, now: Instant) {
         let is_waiting = self
             .shareless_since
             .is_some_and(|since| now < since + grace);
@@ -101,49 +101,49 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct RecentCount {
     window_start: Instant,
-    present: u32,
-    last: u32,
+    current: u32,
+    previous: u32,
 }
 
 impl RecentCount {
     fn new(now: Instant) -> Self {
         Self {
             window_start: now,
-            present: 0,
-            last: 0,
+            current: 0,
+            previous: 0,
         }
     }
 
     /// Counts an event.
     pub(super) fn count(&mut self, window: Duration, now: Instant) {
-        let passed = now.saturating_duration_since(self.window_start);
-        if passed >= window {
-            self.last = match passed < window * 2 {
-                true => self.present,
+        let elapsed = now.saturating_duration_since(self.window_start);
+        if elapsed >= window {
+            self.previous = match elapsed < window * 2 {
+                true => self.current,
                 false => 0,
             };
-            self.present = 0;
+            self.current = 0;
             self.window_start = now;
         }
-        self.present = self.present.saturating_add(1);
+        self.current = self.current.saturating_add(1);
     }
 
     /// Events of the last one to two windows.
     pub(super) fn recent(&self, window: Duration, now: Instant) -> u32 {
-        let passed = now.saturating_duration_since(self.window_start);
-        match passed {
-            passed if passed < window => self.present.saturating_add(self.last),
-            passed if passed < window * 2 => self.present,
+        let elapsed = now.saturating_duration_since(self.window_start);
+        match elapsed {
+            elapsed if elapsed < window => self.current.saturating_add(self.previous),
+            elapsed if elapsed < window * 2 => self.current,
             _ => 0,
         }
     }
 
     /// Events of the fuller one of the last two windows.
     pub(super) fn peak(&self, window: Duration, now: Instant) -> u32 {
-        let passed = now.saturating_duration_since(self.window_start);
-        match passed {
-            passed if passed < window => self.present.max(self.last),
-            passed if passed < window * 2 => self.present,
+        let elapsed = now.saturating_duration_since(self.window_start);
+        match elapsed {
+            elapsed if elapsed < window => self.current.max(self.previous),
+            elapsed if elapsed < window * 2 => self.current,
             _ => 0,
         }
     }
--- a/src/admission/queries.rs
+++ b/src/admission/queries.rs
@@ -10,9 +10,9 @@
 const MINUTE: Duration = Duration::from_secs(60);
 
 /// Demand windows over which the wanted rate is averaged.
-pub(super) const LONG_WINDOWS: u32 = 10;
+pub(super) const RATE_WINDOWS: u32 = 10;
 /// Arrivals within one window that count as a burst.
-const LEAST_BURST: u32 = 6;
+const MIN_BURST_ARRIVALS: u32 = 6;
 
 impl AdmissionTable {
     /// Organisations that have a share here, by name.
@@ -55,10 +55,10 @@
             return 0;
         };
         let window = self.settings.demand_window;
-        let long = window * LONG_WINDOWS;
+        let long = window * RATE_WINDOWS;
         let average = per_minute(state.arrivals_long.peak(long, now), long);
         match state.arrivals.peak(window, now) {
-            burst if burst >= LEAST_BURST => average.max(per_minute(burst, window)),
+            burst if burst >= MIN_BURST_ARRIVALS => average.max(per_minute(burst, window)),
             _ => average,
         }
     }
@@ -89,7 +89,7 @@
             .values()
             .filter(|state| !state.queue.is_empty())
             .flat_map(|state| {
-                let last_chances = state.queue.values().map(|request| {
+                let latest_starts = state.queue.values().map(|request| {
                     let deadline = request.deadline;
                     deadline
                         .checked_sub(request.service_time)
@@ -100,7 +100,7 @@
                     false => None,
                 };
                 let token = token.filter(|wait| !wait.is_zero());
-                last_chances.chain(token.map(|wait| state.bucket.filled() + wait))
+                latest_starts.chain(token.map(|wait| state.bucket.last_refill() + wait))
             })
             .min()
     }
--- a/src/admission/table.rs
+++ b/src/admission/table.rs
@@ -9,7 +9,7 @@
 use crate::ids::{OrganisationId, RequestId};
 
 use super::AdmissionSettings;
-use super::organisation::{OrganisationState, QueuePlace};
+use super::organisation::{OrganisationState, QueuePosition};
 
 /// Shares, queues and what is in flight on this host.
 ///
@@ -22,7 +22,7 @@
     /// Sorted, because iteration decides who starts.
     pub(super) organisations: BTreeMap<OrganisationId, OrganisationState>,
     pub(super) running: FastMap<RequestId, OrganisationId>,
-    pub(super) waiting: FastMap<RequestId, WaitingPlace>,
+    pub(super) waiting: FastMap<RequestId, QueueEntry>,
     /// Requests that the targets can carry at once.
     pub(super) capacity: u32,
     /// Virtual time of the last start.
@@ -33,9 +33,9 @@
 
 /// Where a waiting request stands.
 #[derive(Debug, Clone)]
-pub(super) struct WaitingPlace {
+pub(super) struct QueueEntry {
     pub(super) organisation: OrganisationId,
-    pub(super) place: QueuePlace,
+    pub(super) position: QueuePosition,
 }
 
 impl AdmissionTable {
--- a/src/reconcile/round.rs
+++ b/src/reconcile/round.rs
@@ -33,7 +33,7 @@
     table: &'t ReconcileTable,
     lease: Option<OrderingLease>,
     now: Instant,
-    loads_left: usize,
+    load_slots: usize,
     /// Who can be counted on to hold a range. Two targets that are ordered
     /// together must not each count on the other as the holder left.
     holders: BTreeMap<ServedRange, BTreeSet<TargetId>>,
@@ -46,12 +46,12 @@
         lease: Option<OrderingLease>,
         now: Instant,
     ) -> Self {
-        let under_way = lease.map_or(0, |lease| table.loads_under_way(lease, now));
+        let in_progress = lease.map_or(0, |lease| table.loads_in_progress(lease, now));
         Self {
             table,
             lease,
             now,
-            loads_left: table.limits.concurrent_loads.saturating_sub(under_way),
+            load_slots: table.limits.concurrent_loads.saturating_sub(in_progress),
             holders: holders(table, lease, now),
             decisions: Vec::new(),
         }
@@ -76,31 +76,31 @@
         let Some(lease) = self.lease else {
             return;
         };
-        if let Some(reason) = self.hold_back(desired, lease) {
+        if let Some(reason) = self.withhold_reason(desired, lease) {
             return self.withhold(target, reason);
         }
         let held: BTreeSet<LoadedRange> = state.loaded.iter().cloned().collect();
         let fetching: BTreeSet<LoadedRange> = state.loading.iter().cloned().collect();
         let mut wanted = desired.loaded.clone();
-        let mut given_up = Vec::new();
+        let mut dropped = Vec::new();
         for range in held.difference(&desired.loaded) {
             let kept = wanted.intersection(&held);
-            let serves_on = kept.map(ServedRange::from).any(|kept| kept == range.into());
-            match self.keep_reason(target, range) {
-                Some(WithheldReason::LastHolder(_)) if serves_on => {}
+            let still_served = kept.map(ServedRange::from).any(|kept| kept == range.into());
+            match self.retain_reason(target, range) {
+                Some(WithheldReason::LastHolder(_)) if still_served => {}
                 Some(reason) => {
                     self.withhold(target, reason);
                     wanted.insert(range.clone());
                     continue;
                 }
-                None if serves_on => {}
-                None => given_up.push(ServedRange::from(range)),
+                None if still_served => {}
+                None => dropped.push(ServedRange::from(range)),
             }
         }
         for range in fetching.difference(&desired.loaded) {
             // It may be loaded by the time the order comes, and then be the
             // only one.
-            if !self.table.was_unused(target, range) || self.is_last(target, &range.into()) {
+            if !self.table.was_unused(target, range) || self.is_last_holder(target, &range.into()) {
                 wanted.insert(range.clone());
             }
         }
@@ -109,12 +109,12 @@
             return;
         }
         // A target that fetches already has its place among the loads.
-        let needs_place = fetching.is_empty() && !wanted.is_subset(&present);
-        if needs_place && self.loads_left == 0 {
+        let needs_load_slot = fetching.is_empty() && !wanted.is_subset(&present);
+        if needs_load_slot && self.load_slots == 0 {
             return self.withhold(target, WithheldReason::LoadsBounded);
         }
-        self.loads_left -= usize::from(needs_place);
-        for range in given_up {
+        self.load_slots -= usize::from(needs_load_slot);
+        for range in dropped {
             if let Some(holders) = self.holders.get_mut(&range) {
                 holders.remove(target);
             }
@@ -132,7 +132,11 @@
     }
 
     /// Why no order at all may be given to this target now.
-    fn hold_back(&self, desired: &DesiredState, lease: OrderingLease) -> Option<WithheldReason> {
+    fn withhold_reason(
+        &self,
+        desired: &DesiredState,
+        lease: OrderingLease,
+    ) -> Option<WithheldReason> {
         let deadline = self.table.limits.order_deadline;
         // A holder that was paused wakes up with a lease that has lapsed; its
         // order would race the next holder's. The deadline bounds how long an
@@ -150,22 +154,22 @@
     }
 
     /// Why a target must keep a range that is not desired there.
-    fn keep_reason(&mut self, target: &TargetId, range: &LoadedRange) -> Option<WithheldReason> {
+    fn retain_reason(&mut self, target: &TargetId, range: &LoadedRange) -> Option<WithheldReason> {
         if self.table.is_retained(target, range, self.now) {
             return Some(WithheldReason::Retained(range.clone()));
         }
         let served = ServedRange::from(range);
-        if !self.is_last(target, &served) {
+        if !self.is_last_holder(target, &served) {
             return None;
         }
         // Unloading the last holder of a range that a pipeline still names
         // would refuse every request on it until weights arrive elsewhere.
-        self.observe_elsewhere(&served);
+        self.observe_other_zones(&served);
         Some(WithheldReason::LastHolder(range.clone()))
     }
 
     /// Whether a range is wanted and no other target is known to hold it.
-    fn is_last(&self, target: &TargetId, served: &ServedRange) -> bool {
+    fn is_last_holder(&self, target: &TargetId, served: &ServedRange) -> bool {
         let holders = self.holders.get(served);
         let has_others =
             holders.is_some_and(|holders| holders.iter().any(|holder| holder != target));
@@ -174,14 +178,14 @@
 
     fn is_wanted(&self, served: &ServedRange) -> bool {
         let table = self.table;
-        let mut desired = table.desired.values().chain(table.elsewhere.values());
+        let mut desired = table.desired.values().chain(table.other_zones.values());
         desired.any(|state| serves(state, served))
     }
 
     /// Engines of other zones are asked only when something depends on it.
-    fn observe_elsewhere(&mut self, served: &ServedRange) {
+    fn observe_other_zones(&mut self, served: &ServedRange) {
         let table = self.table;
-        for (target, state) in &table.elsewhere {
+        for (target, state) in &table.other_zones {
             let is_known = table.current(target, self.lease, self.now).is_some();
             if serves(state, served) && !is_known && !table.is_backing_off(target, self.now) {
                 self.observe(target);
@@ -210,7 +214,7 @@
     now: Instant,
 ) -> BTreeMap<ServedRange, BTreeSet<TargetId>> {
     let mut holders: BTreeMap<ServedRange, BTreeSet<TargetId>> = BTreeMap::new();
-    for target in table.desired.keys().chain(table.elsewhere.keys()) {
+    for target in table.desired.keys().chain(table.other_zones.keys()) {
         let current = table.current(target, lease, now);
         let Some(state) = current.filter(|state| !state.leaving) else {
             continue;
--- a/src/reconcile/table.rs
+++ b/src/reconcile/table.rs
@@ -29,7 +29,7 @@
     pub(super) limits: ReconcileLimits,
     pub(super) desired: BTreeMap<TargetId, DesiredState>,
     /// Engines of other zones: not ordered, but they may hold the same ranges.
-    pub(super) elsewhere: BTreeMap<TargetId, DesiredState>,
+    pub(super) other_zones: BTreeMap<TargetId, DesiredState>,
     observed: BTreeMap<TargetId, Observation>,
     open_orders: BTreeMap<TargetId, OpenOrder>,
     failed_at: BTreeMap<TargetId, Instant>,
@@ -48,15 +48,15 @@
     }
 
     /// Replaces the desired states at `now`; targets no longer named are
-    /// forgotten. `elsewhere` are the engines of other zones.
+    /// forgotten. `other_zones` are the engines of other zones.
     pub fn set_desired(
         &mut self,
         desired: BTreeMap<TargetId, DesiredState>,
-        elsewhere: BTreeMap<TargetId, DesiredState>,
+        other_zones: BTreeMap<TargetId, DesiredState>,
         now: Instant,
     ) {
         let is_known =
-            |target: &TargetId| desired.contains_key(target) || elsewhere.contains_key(target);
+            |target: &TargetId| desired.contains_key(target) || other_zones.contains_key(target);
         self.observed.retain(|target, _| is_known(target));
         self.failed_at.retain(|target, _| is_known(target));
         self.open_orders.retain(|target, _| is_known(target));
@@ -71,14 +71,14 @@
             }
         }
         self.desired = desired;
-        self.elsewhere = elsewhere;
+        self.other_zones = other_zones;
     }
 
-    /// Takes in a state read from a target; the question was sent at `asked_at`.
-    pub fn observe(&mut self, target: &TargetId, state: TargetState, asked_at: Instant) {
+    /// Takes in a state read from a target; the question was sent at `requested_at`.
+    pub fn observe(&mut self, target: &TargetId, state: TargetState, requested_at: Instant) {
         let known = match self.desired.get(target) {
             Some(desired) => Some(desired),
-            None => self.elsewhere.get(target),
+            None => self.other_zones.get(target),
         };
         let Some(desired) = known else {
             return;
@@ -87,19 +87,19 @@
         since.retain(|range, _| state.loaded.contains(range) || state.loading.contains(range));
         let held = state.loaded.iter().chain(&state.loading);
         for range in held.filter(|range| !desired.loaded.contains(*range)) {
-            since.entry(range.clone()).or_insert(asked_at);
+            since.entry(range.clone()).or_insert(requested_at);
         }
         if self
             .open_orders
             .get(target)
-            .is_some_and(|order| order.sent_at <= asked_at)
+            .is_some_and(|order| order.sent_at <= requested_at)
         {
             self.open_orders.remove(target);
         }
         self.failed_at.remove(target);
         let observation = Observation {
             state,
-            seen_at: asked_at,
+            seen_at: requested_at,
         };
         self.observed.insert(target.clone(), observation);
     }
@@ -175,13 +175,13 @@
     ) -> Option<&TargetState> {
         let seen = self.observed.get(target)?;
         let is_recent = now.saturating_duration_since(seen.seen_at) < self.limits.observe_interval;
-        let is_own = lease.is_none_or(|lease| seen.seen_at >= lease.held_since);
-        let is_settled = !self.open_orders.contains_key(target);
-        (is_recent && is_own && is_settled).then_some(&seen.state)
+        let seen_under_lease = lease.is_none_or(|lease| seen.seen_at >= lease.held_since);
+        let has_no_open_order = !self.open_orders.contains_key(target);
+        (is_recent && seen_under_lease && has_no_open_order).then_some(&seen.state)
     }
 
     /// Targets that fetch weights, or may do so for all that is known.
-    pub(super) fn loads_under_way(&self, lease: OrderingLease, now: Instant) -> usize {
+    pub(super) fn loads_in_progress(&self, lease: OrderingLease, now: Instant) -> usize {
         self.desired
             .keys()
             .filter(|target| self.may_be_loading(target, lease, now))
@@ -194,14 +194,14 @@
     /// one before ordered. Left out of the count it would make room for one
     /// load too many; counted for ever it would block all others.
     fn may_be_loading(&self, target: &TargetId, lease: OrderingLease, now: Instant) -> bool {
-        let is_remembered =
+        let is_within_timeout =
             |since: Instant| now.saturating_duration_since(since) < self.limits.load_timeout;
         match (self.open_orders.get(target), self.observed.get(target)) {
-            (Some(order), _) if order.loads => is_remembered(order.sent_at),
+            (Some(order), _) if order.loads => is_within_timeout(order.sent_at),
             (_, Some(seen)) if seen.seen_at >= lease.held_since => {
-                !seen.state.loading.is_empty() && is_remembered(seen.seen_at)
+                !seen.state.loading.is_empty() && is_within_timeout(seen.seen_at)
             }
-            _ => is_remembered(lease.held_since),
+            _ => is_within_timeout(lease.held_since),
         }
     }
 
--- a/src/shares/division.rs
+++ b/src/shares/division.rs
@@ -5,32 +5,32 @@
 /// arrives. Remainders go to the first.
 pub fn divide(available: u32, wants: &[u32]) -> Vec<u32> {
     let mut parts = vec![0; wants.len()];
-    let mut rest = available;
-    while rest > 0 {
-        let short: Vec<_> = (0..wants.len())
+    let mut remaining = available;
+    while remaining > 0 {
+        let unsatisfied: Vec<_> = (0..wants.len())
             .filter(|index| parts[*index] < wants[*index])
             .collect();
-        if short.is_empty() {
+        if unsatisfied.is_empty() {
             break;
         }
         // All who are still short have been given the same so far. A
         // remainder is given only when no whole round is left: given earlier
         // it would put the first ahead of the others.
-        let level = (rest / length(short.len())).max(1);
-        for index in short {
-            let given = level.min(wants[index] - parts[index]).min(rest);
-            parts[index] += given;
-            rest -= given;
+        let level = (remaining / length(unsatisfied.len())).max(1);
+        for index in unsatisfied {
+            let granted = level.min(wants[index] - parts[index]).min(remaining);
+            parts[index] += granted;
+            remaining -= granted;
         }
     }
-    spread(rest, &mut parts);
+    spread_evenly(remaining, &mut parts);
     parts
 }
 
-fn spread(rest: u32, parts: &mut [u32]) {
+fn spread_evenly(remaining: u32, parts: &mut [u32]) {
     let count = length(parts.len().max(1));
-    for (order, part) in (0..).zip(parts) {
-        *part += rest / count + u32::from(order < rest % count);
+    for (position, part) in (0..).zip(parts) {
+        *part += remaining / count + u32::from(position < remaining % count);
     }
 }
 
--- a/src/shares/grant_entry.rs
+++ b/src/shares/grant_entry.rs
@@ -23,7 +23,7 @@
     /// Whether the host has the last grant sent.
     pub(super) is_acknowledged: bool,
     /// Whether the last grant sent stays until told otherwise.
-    pub(super) stays: bool,
+    pub(super) is_permanent: bool,
 }
 
 impl GrantEntry {
@@ -34,7 +34,7 @@
         self.held.higher(self.outstanding)
     }
 
-    pub(super) fn take_in(&mut self, demand: &PeerDemand, lease: LogOffset) {
+    pub(super) fn apply_demand(&mut self, demand: &PeerDemand, lease: LogOffset) {
         self.held = ShareUnits::new(demand.held_grant, demand.held_rate);
         self.want = ShareUnits::new(
             demand.in_flight.saturating_add(demand.waiting),
@@ -53,12 +53,12 @@
         self.want = ShareUnits::NONE;
     }
 
-    pub(super) fn send(&mut self, number: u64, units: ShareUnits, stays: bool) {
+    pub(super) fn send(&mut self, number: u64, units: ShareUnits, is_permanent: bool) {
         self.number = number;
         self.granted = units;
         self.outstanding = self.outstanding.higher(units);
         self.is_acknowledged = false;
-        self.stays = stays;
+        self.is_permanent = is_permanent;
     }
 }
 
@@ -70,24 +70,24 @@
     pub(super) is_registered: bool,
     pub(super) last_report: Instant,
     /// When grants that lapse have ended for certain.
-    pub(super) lapsed_at: Instant,
-    pub(super) gone_at: Option<Instant>,
+    pub(super) expires_at: Instant,
+    pub(super) removed_at: Option<Instant>,
     /// Whether it is shutting down and takes nothing new.
     pub(super) is_draining: bool,
-    pub(super) registration_asked: Option<Instant>,
+    pub(super) registration_appended_at: Option<Instant>,
     pub(super) grants: BTreeMap<OrganisationId, GrantEntry>,
 }
 
 impl HolderEntry {
-    pub(super) fn new(is_registered: bool, lapsed_at: Instant, now: Instant) -> Self {
+    pub(super) fn new(is_registered: bool, expires_at: Instant, now: Instant) -> Self {
         Self {
             sequence: 0,
             is_registered,
             last_report: now,
-            lapsed_at,
-            gone_at: None,
+            expires_at,
+            removed_at: None,
             is_draining: false,
-            registration_asked: None,
+            registration_appended_at: None,
             grants: BTreeMap::new(),
         }
     }
@@ -107,20 +107,20 @@
     }
 
     pub(super) fn is_fresh(&self, limit: Duration, now: Instant) -> bool {
-        self.gone_at.is_none()
+        self.removed_at.is_none()
             && !self.is_draining
             && now.saturating_duration_since(self.last_report) <= limit
     }
 
     /// Whether it can hold nothing any more.
     pub(super) fn has_ended(&self, removal_margin: Duration, now: Instant) -> bool {
-        match self.gone_at {
-            Some(gone_at) => now >= gone_at + removal_margin,
-            None => !self.is_registered && now >= self.lapsed_at,
+        match self.removed_at {
+            Some(removed_at) => now >= removed_at + removal_margin,
+            None => !self.is_registered && now >= self.expires_at,
         }
     }
 
-    pub(super) fn take_in(&mut self, demands: &[PeerDemand], lease: LogOffset) {
+    pub(super) fn apply_report(&mut self, demands: &[PeerDemand], lease: LogOffset) {
         for entry in self.grants.values_mut() {
             entry.clear_report();
         }
@@ -128,7 +128,7 @@
             self.grants
                 .entry(demand.organisation.clone())
                 .or_default()
-                .take_in(demand, lease);
+                .apply_demand(demand, lease);
         }
     }
 }
--- a/src/shares/grant_reply.rs
+++ b/src/shares/grant_reply.rs
@@ -28,9 +28,9 @@
             .into_iter()
             .filter_map(|organisation| self.grant(holder, organisation, now))
             .collect();
-        let lapsed_at = now + self.longest_lapse();
+        let expires_at = now + self.max_expiry();
         if let Some(entry) = self.entries.get_mut(holder) {
-            entry.lapsed_at = lapsed_at;
+            entry.expires_at = expires_at;
         }
         Some(grants)
     }
@@ -41,32 +41,37 @@
         organisation: OrganisationId,
         now: Instant,
     ) -> Option<PeerGrant> {
-        let units = self.due_units(holder, &organisation, now);
-        let lapse = self.settings.expiry;
+        let units = self.units_to_grant(holder, &organisation, now);
+        let expiry = self.settings.expiry;
         let entry = self.entries.get_mut(holder)?;
-        let stays = entry.is_registered;
+        let is_permanent = entry.is_registered;
         let grant = entry.grants.entry(organisation.clone()).or_default();
-        let is_known = match grant.number {
+        let is_current = match grant.number {
             0 => units == ShareUnits::NONE && grant.counted() == ShareUnits::NONE,
-            _ => grant.is_acknowledged && grant.granted == units && grant.stays && stays,
+            _ => {
+                grant.is_acknowledged
+                    && grant.granted == units
+                    && grant.is_permanent
+                    && is_permanent
+            }
         };
-        if is_known {
+        if is_current {
             return None;
         }
-        grant.send(self.next_number, units, stays);
+        grant.send(self.next_number, units, is_permanent);
         self.next_number += 1;
         Some(PeerGrant {
             organisation,
             concurrent_requests: units.concurrent_requests,
             requests_per_minute: units.requests_per_minute,
             number: grant.number,
-            lapse: (!stays).then_some(lapse),
+            lapse: (!is_permanent).then_some(expiry),
         })
     }
 
     /// What the host is to have: its part of a fair division, as far as the
     /// others have given it up.
-    fn due_units(&self, holder: &GrantHolder, organisation: &str, now: Instant) -> ShareUnits {
+    fn units_to_grant(&self, holder: &GrantHolder, organisation: &str, now: Instant) -> ShareUnits {
         let limit = self.limit(organisation, now);
         let others: ShareUnits = self
             .entries
@@ -74,17 +79,17 @@
             .filter(|(other, _)| *other != holder)
             .map(|(_, entry)| entry.counted(organisation))
             .sum();
-        let most = limit - others;
-        let target = self.fair_part(holder, organisation, limit, now);
+        let free = limit - others;
+        let fair = self.fair_share(holder, organisation, limit, now);
         let grant = self
             .entries
             .get(holder)
             .and_then(|entry| entry.grants.get(organisation));
         match grant {
-            Some(grant) if self.may_keep(grant, target, organisation, now) => {
-                grant.granted.lower(most)
+            Some(grant) if self.can_keep(grant, fair, organisation, now) => {
+                grant.granted.lower(free)
             }
-            _ => target.lower(most),
+            _ => fair.lower(free),
         }
     }
 
@@ -92,16 +97,16 @@
     /// would give another: nothing lies idle here, nobody is short and it is
     /// not far off. Without this, each request that starts or ends would move
     /// units everywhere.
-    fn may_keep(
+    fn can_keep(
         &self,
         grant: &GrantEntry,
-        target: ShareUnits,
+        fair: ShareUnits,
         organisation: &str,
         now: Instant,
     ) -> bool {
-        let is_near = target.is_within(grant.granted + grant.granted)
-            && target != ShareUnits::NONE
-            && grant.granted.is_within(target + target);
+        let is_close = fair.is_within(grant.granted + grant.granted)
+            && fair != ShareUnits::NONE
+            && grant.granted.is_within(fair + fair);
         // A host that joined after the others had divided everything wants
         // nothing yet and holds nothing; its first request would wait.
         let hosts = u32::try_from(self.fresh_entries(now).count()).unwrap_or(u32::MAX);
@@ -109,33 +114,33 @@
             concurrent_requests: hosts,
             requests_per_minute: hosts,
         };
-        let has_enough = one_each.is_within(self.limit(organisation, now));
-        let nobody_short = self.fresh_entries(now).all(|(_, entry)| {
+        let covers_all_hosts = one_each.is_within(self.limit(organisation, now));
+        let all_satisfied = self.fresh_entries(now).all(|(_, entry)| {
             let granted = entry.grants.get(organisation).map(|other| other.granted);
             let granted = granted.unwrap_or_default();
-            let has_some = granted.concurrent_requests > 0 && granted.requests_per_minute > 0;
-            entry.want(organisation).is_within(granted) && (has_some || !has_enough)
+            let has_minimum = granted.concurrent_requests > 0 && granted.requests_per_minute > 0;
+            entry.want(organisation).is_within(granted) && (has_minimum || !covers_all_hosts)
         });
-        let nothing_idle = self
+        let all_counted = self
             .limit(organisation, now)
             .is_within(self.counted(organisation));
-        grant.is_acknowledged && is_near && nobody_short && nothing_idle
+        grant.is_acknowledged && is_close && all_satisfied && all_counted
     }
 
-    fn fair_part(
+    fn fair_share(
         &self,
         holder: &GrantHolder,
         organisation: &str,
         limit: ShareUnits,
         now: Instant,
     ) -> ShareUnits {
-        let silent: ShareUnits = self
+        let held_by_silent: ShareUnits = self
             .entries
             .values()
             .filter(|entry| !entry.is_fresh(self.settings.max_report_age, now))
             .map(|entry| entry.counted(organisation))
             .sum();
-        let available = limit - silent;
+        let available = limit - held_by_silent;
         let wants: Vec<_> = self
             .fresh_entries(now)
             .map(|(_, entry)| entry.want(organisation))
--- a/src/shares/grant_table.rs
+++ b/src/shares/grant_table.rs
@@ -70,14 +70,14 @@
     holder: GrantHolder,
     is_opened: bool,
     is_closed: bool,
-    opening_asked: Option<Instant>,
+    opening_appended_at: Option<Instant>,
     awaited: BTreeSet<GrantHolder>,
-    seen: BTreeSet<GrantHolder>,
-    whole_from: Option<Instant>,
-    handed_in: BTreeMap<OrganisationId, ShareUnits>,
+    reported_holders: BTreeSet<GrantHolder>,
+    complete_at: Option<Instant>,
+    reported: BTreeMap<OrganisationId, ShareUnits>,
     pub(super) shares: BTreeMap<OrganisationId, ShareUnits>,
     pub(super) entries: BTreeMap<GrantHolder, HolderEntry>,
-    releases_asked: BTreeMap<OrganisationId, (LogOffset, Instant)>,
+    release_appends: BTreeMap<OrganisationId, (LogOffset, Instant)>,
     pub(super) next_number: u64,
 }
 
@@ -96,14 +96,14 @@
             holder,
             is_opened: false,
             is_closed: false,
-            opening_asked: None,
+            opening_appended_at: None,
             awaited: BTreeSet::new(),
-            seen: BTreeSet::new(),
-            whole_from: None,
-            handed_in: BTreeMap::new(),
+            reported_holders: BTreeSet::new(),
+            complete_at: None,
+            reported: BTreeMap::new(),
             shares: BTreeMap::new(),
             entries: BTreeMap::new(),
-            releases_asked: BTreeMap::new(),
+            release_appends: BTreeMap::new(),
             next_number: 1,
         }
     }
@@ -126,7 +126,7 @@
                 self.is_opened = true;
                 self.awaited = ledger.holders(&self.zone).cloned().collect();
                 if !ledger.is_reopened(&self.zone) {
-                    self.whole_from = Some(now);
+                    self.complete_at = Some(now);
                 }
             }
             _ => {}
@@ -155,11 +155,11 @@
             return;
         }
         let was_awaited = self.awaited.remove(holder);
-        let lapsed_at = now + self.longest_lapse();
+        let expires_at = now + self.max_expiry();
         let entry = self
             .entries
             .entry(holder.clone())
-            .or_insert_with(|| HolderEntry::new(was_awaited, lapsed_at, now));
+            .or_insert_with(|| HolderEntry::new(was_awaited, expires_at, now));
         if entry.sequence >= sequence {
             return;
         }
@@ -167,34 +167,34 @@
         entry.last_report = now;
         entry.is_draining = is_draining;
         // A host that speaks is not gone, whatever the platform says.
-        entry.gone_at = None;
-        entry.take_in(demands, self.lease);
+        entry.removed_at = None;
+        entry.apply_report(demands, self.lease);
         // Counted once: a host that was thought gone and comes back brings
         // units with it that have been given to others meanwhile.
-        if self.seen.insert(holder.clone()) {
+        if self.reported_holders.insert(holder.clone()) {
             for demand in demands {
                 let held = ShareUnits::new(demand.held_grant, demand.held_rate);
-                let handed_in = self
-                    .handed_in
+                let reported = self
+                    .reported
                     .entry(demand.organisation.clone())
                     .or_default();
-                *handed_in = *handed_in + held;
+                *reported = *reported + held;
             }
         }
-        self.settle(now);
+        self.schedule_completion(now);
     }
 
     /// Takes in that an incarnation has ended.
     pub fn observe_removed(&mut self, holder: &GrantHolder, now: Instant) {
         match self.entries.get_mut(holder) {
             Some(entry) => {
-                entry.gone_at.get_or_insert(now);
+                entry.removed_at.get_or_insert(now);
             }
             // Its units were never counted here. It becomes an entry without
             // any, so that the margin passes before it is no longer awaited.
             None if self.awaited.contains(holder) => {
                 let mut entry = HolderEntry::new(true, now, now);
-                entry.gone_at = Some(now);
+                entry.removed_at = Some(now);
                 self.entries.insert(holder.clone(), entry);
             }
             None => {}
@@ -208,10 +208,10 @@
 
     /// How far the table is.
     pub fn phase(&self, now: Instant) -> TablePhase {
-        match self.whole_from {
+        match self.complete_at {
             _ if self.is_closed => TablePhase::Closed,
             _ if !self.is_opened => TablePhase::Opening,
-            Some(whole_from) if now >= whole_from => TablePhase::Dividing,
+            Some(complete_at) if now >= complete_at => TablePhase::Dividing,
             _ => TablePhase::Collecting,
         }
     }
@@ -221,23 +221,27 @@
         self.observe_ledger(ledger, now);
         match self.phase(now) {
             TablePhase::Closed => Vec::new(),
-            TablePhase::Opening => self.ask_opening(now).into_iter().collect(),
+            TablePhase::Opening => self.opening_record(now).into_iter().collect(),
             phase => {
                 let mut bodies = self.remove_ended(now);
-                bodies.extend(self.ask_registrations(now));
+                bodies.extend(self.registration_records(now));
                 if phase == TablePhase::Dividing {
-                    bodies.extend(self.ask_releases(ledger, now));
+                    bodies.extend(self.release_records(ledger, now));
                 }
                 bodies
             }
         }
     }
 
-    fn ask_opening(&mut self, now: Instant) -> Option<AllotmentBody> {
-        if !is_due(self.opening_asked, self.settings.append_retry_interval, now) {
+    fn opening_record(&mut self, now: Instant) -> Option<AllotmentBody> {
+        if !is_due(
+            self.opening_appended_at,
+            self.settings.append_retry_interval,
+            now,
+        ) {
             return None;
         }
-        self.opening_asked = Some(now);
+        self.opening_appended_at = Some(now);
         Some(AllotmentBody::Opened {
             zone: self.zone.clone(),
             lease: self.lease,
@@ -265,20 +269,20 @@
                 });
             }
         }
-        self.settle(now);
+        self.schedule_completion(now);
         bodies
     }
 
-    fn ask_registrations(&mut self, now: Instant) -> Vec<AllotmentBody> {
+    fn registration_records(&mut self, now: Instant) -> Vec<AllotmentBody> {
         let retry = self.settings.append_retry_interval;
         let fresh = self.settings.max_report_age;
         let mut bodies = Vec::new();
         for (holder, entry) in &mut self.entries {
-            let is_due = is_due(entry.registration_asked, retry, now);
+            let is_due = is_due(entry.registration_appended_at, retry, now);
             if entry.is_registered || !entry.is_fresh(fresh, now) || !is_due {
                 continue;
             }
-            entry.registration_asked = Some(now);
+            entry.registration_appended_at = Some(now);
             bodies.push(AllotmentBody::Joined {
                 zone: self.zone.clone(),
                 lease: self.lease,
@@ -288,20 +292,20 @@
         bodies
     }
 
-    fn ask_releases(&mut self, ledger: &AllotmentLedger, now: Instant) -> Vec<AllotmentBody> {
+    fn release_records(&mut self, ledger: &AllotmentLedger, now: Instant) -> Vec<AllotmentBody> {
         let retry = self.settings.append_retry_interval;
         let pending = ledger.pending_releases(&self.zone);
         let mut bodies = Vec::new();
         for release in pending {
-            let asked = self.releases_asked.get(&release.organisation);
-            let asked_at = asked
+            let last_append = self.release_appends.get(&release.organisation);
+            let appended_at = last_append
                 .filter(|(split, _)| *split == release.split)
                 .map(|(_, at)| *at);
             let is_given_up = self.counted(&release.organisation).is_within(release.held);
-            if !is_given_up || !is_due(asked_at, retry, now) {
+            if !is_given_up || !is_due(appended_at, retry, now) {
                 continue;
             }
-            self.note_release(&release, now);
+            self.record_release(&release, now);
             bodies.push(AllotmentBody::Released {
                 zone: self.zone.clone(),
                 lease: self.lease,
@@ -311,23 +315,23 @@
         bodies
     }
 
-    fn note_release(&mut self, release: &ReleaseRecord, now: Instant) {
-        self.releases_asked
+    fn record_release(&mut self, release: &ReleaseRecord, now: Instant) {
+        self.release_appends
             .insert(release.organisation.clone(), (release.split, now));
     }
 
     /// Notes when the last awaited incarnation is accounted for. Grants that
     /// lapse may have been given to hosts that the log does not name; they
     /// have ended once a lapse has passed.
-    fn settle(&mut self, now: Instant) {
+    fn schedule_completion(&mut self, now: Instant) {
         if self.awaited.is_empty() {
-            let whole_from = now + self.longest_lapse();
-            self.whole_from.get_or_insert(whole_from);
+            let complete_at = now + self.max_expiry();
+            self.complete_at.get_or_insert(complete_at);
         }
     }
 
     /// Time after which a grant that lapses has ended on any host's clock.
-    pub(super) fn longest_lapse(&self) -> Duration {
+    pub(super) fn max_expiry(&self) -> Duration {
         self.settings.expiry + self.settings.clock_margin
     }
 
@@ -345,14 +349,14 @@
         match self.phase(now) {
             TablePhase::Dividing => share,
             TablePhase::Collecting => {
-                let handed_in = self.handed_in.get(organisation).copied();
-                share.lower(handed_in.unwrap_or_default())
+                let reported = self.reported.get(organisation).copied();
+                share.lower(reported.unwrap_or_default())
             }
             TablePhase::Opening | TablePhase::Closed => ShareUnits::NONE,
         }
     }
 }
 
-fn is_due(asked: Option<Instant>, retry: Duration, now: Instant) -> bool {
-    asked.is_none_or(|asked| now.saturating_duration_since(asked) >= retry)
+fn is_due(appended_at: Option<Instant>, retry: Duration, now: Instant) -> bool {
+    appended_at.is_none_or(|appended_at| now.saturating_duration_since(appended_at) >= retry)
 }
--- a/src/shares/grant_user.rs
+++ b/src/shares/grant_user.rs
@@ -24,7 +24,7 @@
     lease: LogOffset,
     number: u64,
     units: ShareUnits,
-    lapses_at: Option<Instant>,
+    expires_at: Option<Instant>,
 }
 
 /// What this host may use.
@@ -91,10 +91,7 @@
         usage: &BTreeMap<OrganisationId, ShareUsage>,
         now: Instant,
     ) -> Option<Vec<PeerDemand>> {
-        if self
-            .reported_lease
-            .is_some_and(|reported_lease| reported_lease > lease)
-        {
+        if self.reported_lease.is_some_and(|reported| reported > lease) {
             return None;
         }
         self.reported_lease = Some(lease);
@@ -142,7 +139,7 @@
         }
         let mut is_lowered = false;
         for grant in grants {
-            is_lowered |= self.take_in(lease, grant, sent_at);
+            is_lowered |= self.apply_grant(lease, grant, sent_at);
         }
         // An answer to a report from before the pause proves nothing.
         if self
@@ -154,7 +151,7 @@
         is_lowered
     }
 
-    fn take_in(&mut self, lease: LogOffset, grant: &PeerGrant, sent_at: Instant) -> bool {
+    fn apply_grant(&mut self, lease: LogOffset, grant: &PeerGrant, sent_at: Instant) -> bool {
         let known = self.grants.get(&grant.organisation);
         // Answers may overtake each other; an old one must not bring back
         // what a newer one has taken away.
@@ -170,7 +167,7 @@
             lease,
             number: grant.number,
             units,
-            lapses_at: grant.lapse.map(|lapse| sent_at + lapse),
+            expires_at: grant.lapse.map(|lapse| sent_at + lapse),
         };
         self.grants.insert(grant.organisation.clone(), held);
         !before.is_within(units)
@@ -188,7 +185,9 @@
 
     fn granted(&self, organisation: &str, now: Instant) -> ShareUnits {
         match self.grants.get(organisation) {
-            Some(grant) if grant.lapses_at.is_none_or(|lapses_at| now < lapses_at) => grant.units,
+            Some(grant) if grant.expires_at.is_none_or(|expires_at| now < expires_at) => {
+                grant.units
+            }
             _ => ShareUnits::NONE,
         }
     }
--- a/src/shares/ledger.rs
+++ b/src/shares/ledger.rs
@@ -144,8 +144,8 @@
         if known.map(|known| known.offset) != split.based_on {
             return AllotmentOutcome::Superseded;
         }
-        let given: ShareUnits = split.shares.values().copied().sum();
-        if !given.is_within(split.bought) {
+        let allotted: ShareUnits = split.shares.values().copied().sum();
+        if !allotted.is_within(split.bought) {
             return AllotmentOutcome::Exceeds;
         }
         let mut zones = known.map_or_else(|| assumed_zones(split), |known| known.zones.clone());
@@ -255,12 +255,12 @@
         let counted: ShareUnits = self.zones.values().map(|zone| zone.counted).sum();
         let mut free = self.bought - counted;
         for zone in self.zones.values_mut() {
-            let gap = zone.target - zone.usable;
-            let own = gap.lower(zone.counted - zone.usable);
-            let fresh = (gap - own).lower(free);
-            zone.usable = zone.usable + own + fresh;
-            zone.counted = zone.counted + fresh;
-            free = free - fresh;
+            let shortfall = zone.target - zone.usable;
+            let reserved = shortfall.lower(zone.counted - zone.usable);
+            let newly_counted = (shortfall - reserved).lower(free);
+            zone.usable = zone.usable + reserved + newly_counted;
+            zone.counted = zone.counted + newly_counted;
+            free = free - newly_counted;
         }
         self.zones
             .retain(|_, zone| zone.target != ShareUnits::NONE || zone.counted != ShareUnits::NONE);
--- a/src/shares/ledger_queries.rs
+++ b/src/shares/ledger_queries.rs
@@ -77,7 +77,7 @@
     where
         F: Fn(&OrganisationId) -> LogOffset,
     {
-        let gone = self
+        let undeclared = self
             .splits
             .keys()
             .filter(|organisation| !self.declared.contains_key(*organisation))
@@ -87,7 +87,7 @@
             .iter()
             .map(|(organisation, bought)| (organisation, *bought));
         declared
-            .chain(gone)
+            .chain(undeclared)
             .filter_map(|(organisation, bought)| {
                 self.due_split(organisation, bought, version(organisation))
             })
@@ -103,19 +103,19 @@
         let known = self.splits.get(organisation);
         let shares = even_split(bought, &self.zones);
         // A split over the same zones stays as it is, also if it is not even.
-        let zones_given = |split: &OrganisationSplit| {
-            let given = split.zones.iter();
-            given
+        let current_zones = |split: &OrganisationSplit| {
+            let allotted = split.zones.iter();
+            allotted
                 .filter(|(_, share)| share.target != ShareUnits::NONE)
                 .map(|(zone, _)| zone.clone())
                 .collect::<BTreeSet<_>>()
         };
-        let zones_due: BTreeSet<_> = shares
+        let due_zones: BTreeSet<_> = shares
             .iter()
             .filter(|(_, units)| **units != ShareUnits::NONE)
             .map(|(zone, _)| zone.clone())
             .collect();
-        if known.is_some_and(|split| split.bought == bought && zones_given(split) == zones_due) {
+        if known.is_some_and(|split| split.bought == bought && current_zones(split) == due_zones) {
             return None;
         }
         Some(SplitRecord {
--- a/src/shares/zone_shares.rs
+++ b/src/shares/zone_shares.rs
@@ -149,9 +149,8 @@
         };
         self.own_sequence += 1;
         let holder = self.holder.clone();
-        let answer =
-            self.observe_report(&holder, self.own_sequence, &report, self.is_draining, now);
-        if let Some(grants) = answer {
+        let reply = self.observe_report(&holder, self.own_sequence, &report, self.is_draining, now);
+        if let Some(grants) = reply {
             self.observe_reply(report.lease, &grants, now);
         }
     }
