--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,9 +1,9 @@
-//! Limits, queues and giving up, per organisation.
+//! Per-organisation admission control: rate limits, bounded queues and load shedding.
 //!
-//! [`AdmissionTable`] starts a request, lets it wait in its organisation's
-//! bounded queue, or refuses it for good. Commands return the decisions that
-//! they cause; nothing happens by itself, so [`AdmissionTable::tick`] has to
-//! be called at about the time that [`AdmissionTable::next_tick`] names.
+//! [`AdmissionTable`] starts a request, queues it in its organisation's bounded queue, or
+//! refuses it permanently. Each command returns the decisions that it causes. The table
+//! has no timer of its own: the caller calls [`AdmissionTable::tick`] at about the time
+//! that [`AdmissionTable::next_tick`] returns.
 
 mod bucket;
 mod commands;
--- a/src/admission/bucket.rs
+++ b/src/admission/bucket.rs
@@ -1,12 +1,13 @@
-//! A token bucket for the rate of starts.
+//! Token bucket that limits the rate of starts.
 
 use std::time::{Duration, Instant};
 
-/// Nanoseconds in a minute.
+/// Nanoseconds per minute.
 const MINUTE_NANOS: u128 = 60_000_000_000;
 
-/// A token bucket in whole numbers, so that long uptimes lose nothing to
-/// rounding: a token is [`MINUTE_NANOS`] parts, and each nanosecond adds `rate` parts.
+/// Token bucket in integer arithmetic, so that rounding errors do not accumulate over
+/// long uptimes. A token is [`MINUTE_NANOS`] parts, and each nanosecond adds `rate`
+/// parts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct TokenBucket {
     rate: u32,
@@ -16,7 +17,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that refills with `rate` tokens a minute.
+    /// Creates a full bucket that refills at `rate` tokens per minute.
     pub(super) fn new(rate: u32, burst: Duration, now: Instant) -> Self {
         let mut bucket = Self {
             rate,
@@ -28,8 +29,8 @@
         bucket
     }
 
-    /// Room for `burst` seconds of tokens, and for one token at least if any
-    /// is ever earned.
+    /// Returns the capacity in parts: `burst` seconds of tokens, but at least one token
+    /// unless the rate is zero.
     fn capacity(&self) -> u128 {
         match self.rate {
             0 => 0,
@@ -37,14 +38,14 @@
         }
     }
 
-    /// Changes the rate; what was saved is kept as far as there is room.
+    /// Changes the rate. Saved tokens are kept up to the new capacity.
     pub(super) fn set_rate(&mut self, rate: u32, now: Instant) {
         self.refill(now);
         self.rate = rate;
         self.parts = self.parts.min(self.capacity());
     }
 
-    /// Adds what was earned since the last refill.
+    /// Adds the tokens earned since the last refill.
     pub(super) fn refill(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.last_refill);
         self.last_refill = self.last_refill.max(now);
@@ -52,18 +53,19 @@
         self.parts = (self.parts + earned).min(self.capacity());
     }
 
-    /// Whether a token is there, as of the last refill.
+    /// Returns whether a token is available, as of the last refill.
     pub(super) fn has_token(&self) -> bool {
         self.parts >= MINUTE_NANOS
     }
 
-    /// Takes a token, which must be there.
+    /// Takes a token. The caller must have checked that one is available.
     pub(super) fn take(&mut self) {
         debug_assert!(self.has_token());
         self.parts = self.parts.saturating_sub(MINUTE_NANOS);
     }
 
-    /// Time after the last refill until `tokens` are there; `None` if never.
+    /// Returns the time after the last refill until `tokens` are available, or `None` if
+    /// they never are.
     pub(super) fn time_until(&self, tokens: u64) -> Option<Duration> {
         let needed = (u128::from(tokens) * MINUTE_NANOS).saturating_sub(self.parts);
         match self.rate {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// When the bucket was last refilled.
+    /// Returns the time of the last refill.
     pub(super) fn last_refill(&self) -> Instant {
         self.last_refill
     }
--- a/src/admission/commands.rs
+++ b/src/admission/commands.rs
@@ -1,4 +1,4 @@
-//! Changing the table: shares, arrivals, ends and the passing of time.
+//! Commands that change the table: shares, arrivals, releases and ticks.
 
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -12,7 +12,7 @@
 use super::table::QueueEntry;
 use super::{AdmissionDecision, AdmissionRequest, AdmissionTable, ReleaseCause, ShareLimit};
 
-/// What becomes of a request on its arrival.
+/// Outcome of the arrival checks for a request.
 enum ArrivalVerdict {
     Start,
     Wait,
@@ -20,9 +20,9 @@
 }
 
 impl AdmissionTable {
-    /// Sets what this host may use of an organisation's capacity. What is in
-    /// flight above a lowered share runs on; nothing new starts meanwhile.
-    /// Waiting requests start or are refused at the next `tick`.
+    /// Sets what this host may use of an organisation's capacity. Requests in flight
+    /// above a lowered share continue, and no new ones start until they end. Waiting
+    /// requests start or are refused at the next `tick`.
     pub fn set_share(&mut self, organisation: OrganisationId, limit: ShareLimit, now: Instant) {
         let settings = &self.settings;
         let state = self
@@ -39,8 +39,8 @@
         state.is_removed = false;
     }
 
-    /// Forgets an organisation that is no longer declared. Nothing of it
-    /// starts any more; what waits is refused at the next `tick`.
+    /// Removes an organisation that is no longer declared. None of its requests start any
+    /// more, and its waiting requests are refused at the next `tick`.
     pub fn remove_share(&mut self, organisation: &OrganisationId, now: Instant) {
         if !self.organisations.contains_key(organisation) {
             return;
@@ -51,15 +51,15 @@
         }
     }
 
-    /// Sets how many requests the targets can carry at once.
+    /// Sets how many requests the targets can serve at once.
     pub fn set_capacity(&mut self, concurrent: u32) {
         self.capacity = concurrent;
     }
 
     /// Decides about a request that has just arrived.
     ///
-    /// A request id that already runs or waits is refused as malformed: the
-    /// release of one would otherwise free the slot of the other.
+    /// A request id that already runs or waits is refused as malformed: otherwise,
+    /// releasing one of the two requests would free the slot of the other.
     pub fn admit(&mut self, request: AdmissionRequest, now: Instant) -> AdmissionDecision {
         let window = self.settings.demand_window;
         if let Some(state) = self.organisations.get_mut(&request.organisation) {
@@ -113,19 +113,19 @@
             () if state.has_no_share() => ArrivalVerdict::Refuse(RefusalReason::CapacityUsedUp),
             () if !in_time => ArrivalVerdict::Refuse(RefusalReason::DeadlineUnreachable),
             () if starts_now => ArrivalVerdict::Start,
-            // With room on the host, it is the share that holds the queue up.
+            // The host has a free slot, so the share is what limits the organisation.
             () if is_full && has_slot => ArrivalVerdict::Refuse(RefusalReason::CapacityUsedUp),
             () if is_full => ArrivalVerdict::Refuse(RefusalReason::QueueFull),
             () => ArrivalVerdict::Wait,
         }
     }
 
-    /// Whether an organisation may queue no more.
+    /// Returns whether an organisation's queue accepts no more requests.
     ///
-    /// If a full total refused everybody, a few large organisations could
-    /// fill it and one would see a small one refused with an empty queue; so
-    /// each may fill its even part of the total in any case, which bounds
-    /// what waits by twice the total.
+    /// If a full total refused every organisation, a few large organisations could fill
+    /// it, and small ones would be refused with empty queues. Each organisation may
+    /// therefore always fill an even share of the total, which bounds the number of
+    /// waiting requests by twice the total.
     fn is_full(&self, state: &OrganisationState) -> bool {
         let length = state.queue.len();
         let total = self.settings.total_queue_length;
@@ -150,8 +150,8 @@
         decision
     }
 
-    /// Takes a started request off and returns the decisions about those that
-    /// waited for its slot. An unknown request changes nothing.
+    /// Releases a started request and returns the decisions about requests that waited
+    /// for its slot. An unknown request changes nothing.
     pub fn release(
         &mut self,
         request: &RequestId,
@@ -172,9 +172,9 @@
         decisions
     }
 
-    /// Starts what may start now and gives up what can no longer be answered
-    /// in time. The cost grows with what waits, so call it every few
-    /// milliseconds rather than at every event.
+    /// Starts waiting requests that may start now and refuses those that can no longer
+    /// meet their deadlines. The cost grows with the number of waiting requests, so call
+    /// it every few milliseconds rather than on every event.
     pub fn tick(&mut self, now: Instant) -> Vec<AdmissionDecision> {
         let mut decisions = Vec::new();
         self.start_waiting(now, &mut decisions);
@@ -184,8 +184,8 @@
         decisions
     }
 
-    /// Drops a request that waits; one that runs has to be released instead.
-    /// Returns whether it waited.
+    /// Removes a waiting request and returns whether it was waiting. A running request
+    /// has to be released instead.
     pub fn cancel(&mut self, request: &RequestId, _now: Instant) -> bool {
         let Some(waiting) = self.waiting.remove(request) else {
             return false;
@@ -198,9 +198,9 @@
 
     /// Refuses each waiting request whose estimate passes its deadline.
     ///
-    /// A request that is kept although it cannot be answered in time takes
-    /// the place of one that can, and its caller learns too late to go
-    /// elsewhere; one would see goodput fall while everything is busy.
+    /// A queued request that cannot meet its deadline takes the place of one that can,
+    /// and its caller learns too late to go elsewhere. Goodput would fall while all slots
+    /// are busy.
     fn refuse_unreachable(&mut self, now: Instant, decisions: &mut Vec<AdmissionDecision>) {
         for request in self.unreachable_requests(now) {
             self.cancel(&request.request, now);
@@ -268,7 +268,7 @@
     }
 }
 
-/// Whether more capacity would have let the request in.
+/// Returns whether more capacity would have admitted the request.
 fn is_capacity_refusal(reason: RefusalReason) -> bool {
     !matches!(
         reason,
--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -1,24 +1,24 @@
-//! How fast an organisation's requests end while others wait.
+//! Rate at which an organisation's requests end while others wait.
 
 use std::time::{Duration, Instant};
 
 /// Weight of a new interval in the moving average.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// Intervals after which the measured rate is used.
+/// Number of intervals after which the measured rate is used.
 const SAMPLES_NEEDED: u32 = 8;
-/// Age after which a measurement is no longer believed.
+/// Age after which a measurement is discarded.
 const STALE_AFTER: Duration = Duration::from_secs(10);
 
-/// Moving average of the time between two ends of requests.
+/// Moving average of the time between two completed requests.
 ///
-/// Only intervals that began under pressure count, that is with somebody
-/// waiting or refused: an idle organisation ends requests as slowly as they
-/// come, and would be thought slow.
+/// Only intervals that began under pressure count, that is, with a request waiting or
+/// refused. The requests of an idle organisation end as slowly as they arrive, which says
+/// nothing about how fast it could be served.
 ///
-/// Refusals have to count as pressure. After a stall the average is so long
-/// that every arrival is refused and nobody waits; if only waiting counted,
-/// no further interval would be measured and one would see an organisation
-/// refused for good although its slots come free.
+/// Refusals have to count as pressure. After a stall the average is so long that every
+/// arrival is refused and the queue stays empty. If only waiting requests counted, no
+/// further interval would be measured, and the organisation would be refused for ever
+/// although its slots become free.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct DrainRate {
     interval: f64,
@@ -34,7 +34,7 @@
         self.under_pressure = true;
     }
 
-    /// Records the end of a request; `waiting` tells whether others wait.
+    /// Records the end of a request; `waiting` says whether others wait.
     pub(super) fn record_end(&mut self, waiting: bool, now: Instant) {
         if let Some(last) = self.last_end {
             let sample = now.saturating_duration_since(last).as_secs_f64();
@@ -49,7 +49,8 @@
         self.under_pressure = false;
     }
 
-    /// Measured time between two ends, if it is known well enough.
+    /// Returns the measured time between two ends, or `None` with too few or only old
+    /// samples.
     pub(super) fn interval(&self, now: Instant) -> Option<Duration> {
         let age = now.saturating_duration_since(self.last_sample?);
         match self.samples {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Forgets the measurement, because the limits changed.
+    /// Discards the measurement after a change of limits.
     pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
--- a/src/admission/estimate.rs
+++ b/src/admission/estimate.rs
@@ -1,4 +1,4 @@
-//! How long a request would wait, and when a refused caller should come back.
+//! Estimates of queueing delays, and Retry-After for refused requests.
 
 use std::time::{Duration, Instant};
 
@@ -7,34 +7,33 @@
 use super::organisation::OrganisationState;
 use super::{AdmissionRequest, AdmissionTable};
 
-/// Margin on the estimated wait of a request that arrives.
+/// Margin on the estimated wait of an arriving request.
 ///
-/// Drain rates vary. A request let in on the bare estimate is given up later
-/// about as often as not; one would see callers refused after they have
-/// waited, instead of at once.
+/// Drain rates vary: about half of the requests admitted on the bare estimate would be
+/// refused later, after they have waited instead of at once.
 pub(super) const ARRIVAL_MARGIN: f64 = 1.5;
 
-/// Margin on the estimated wait of a request that waits already: it is kept
-/// unless it is hopeless even if things go twice as fast.
+/// Margin on the estimated wait of a request that already waits. It is kept unless it
+/// would miss its deadline even at twice the estimated speed.
 pub(super) const WAITING_MARGIN: f64 = 0.5;
 
-/// Longest wait that is told from any longer one.
+/// Cap on estimated waits, so that the margin cannot overflow the duration.
 const MAX_WAIT: Duration = Duration::from_secs(1_000_000);
 
-/// What an organisation's waits are estimated from.
+/// Inputs for estimating an organisation's waits.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitEstimate {
-    /// Slots that it can count on.
+    /// Slots that the organisation can count on.
     slots: u32,
-    /// Of these, the ones that are free.
+    /// How many of these slots are free.
     free: u32,
     /// Measured time between two ends.
     interval: Option<Duration>,
 }
 
 impl WaitEstimate {
-    /// Time until a request with `ahead` others before it in its queue can
-    /// start; `None` if the share never lets it.
+    /// Returns the time until a request with `ahead` others before it in its queue can
+    /// start, or `None` if the share never allows it.
     pub(super) fn wait(
         &self,
         state: &OrganisationState,
@@ -51,8 +50,8 @@
         Some(by_rate.max(interval.saturating_mul(ends_needed)))
     }
 
-    /// Whether a request with `ahead` others before it would end in time if
-    /// its wait were `margin` times the estimate.
+    /// Returns whether a request with `ahead` others before it would end in time if its
+    /// wait were `margin` times the estimate.
     pub(super) fn is_reachable(
         &self,
         state: &OrganisationState,
@@ -69,8 +68,8 @@
 }
 
 impl AdmissionTable {
-    /// What the waits of an organisation are estimated from at present;
-    /// `active_shares` is the table's [`AdmissionTable::active_shares`].
+    /// Returns the present inputs for estimating an organisation's waits; `active_shares`
+    /// is the result of [`AdmissionTable::active_shares`].
     pub(super) fn wait_estimate(
         &self,
         state: &OrganisationState,
@@ -85,7 +84,7 @@
         }
     }
 
-    /// Sum of the shares of the organisations that run or wait.
+    /// Returns the sum of the shares of organisations with running or waiting requests.
     pub(super) fn active_shares(&self) -> u64 {
         self.organisations
             .values()
@@ -94,17 +93,17 @@
             .sum()
     }
 
-    /// Slots that the organisation can count on, at least one if it has any
-    /// share: its part, in the long run.
+    /// Returns the slots that the organisation can count on in the long run: its fair
+    /// slots, but at least one if it has any share.
     fn usable_slots(&self, state: &OrganisationState, active_shares: u64) -> u32 {
         let share = state.limit.concurrent_requests;
         self.fair_slots(state, active_shares).max(share.min(1))
     }
 
-    /// Whole slots that are the organisation's: its share, or its weight's
-    /// part of the host's capacity among those that ask, if that is less.
+    /// Returns the whole slots of an organisation: its share, or its weighted part of the
+    /// host's capacity among the active organisations if that is less.
     ///
-    /// Rounded down: rounded up, the parts could add up to more than the
+    /// The result is rounded down: rounded up, the parts could add up to more than the
     /// capacity, and small organisations would get more than their weight.
     pub(super) fn fair_slots(&self, state: &OrganisationState, active_shares: u64) -> u32 {
         let share = state.limit.concurrent_requests;
@@ -119,12 +118,11 @@
         u32::try_from(part).unwrap_or(u32::MAX)
     }
 
-    /// When a refused caller should come back: after the time in which what
-    /// waits drains, with jitter.
+    /// Returns when a refused caller should come back: after the queue has drained, plus
+    /// jitter.
     ///
-    /// Callers that were refused together and come back together are refused
-    /// together again; one would see refusals in waves. The jitter spreads
-    /// them over half the time again.
+    /// Callers that are refused together and come back together are refused together
+    /// again, so refusals would come in waves. The jitter adds up to half of the wait.
     pub(super) fn retry_after(&mut self, request: &AdmissionRequest, now: Instant) -> Duration {
         let drain = self
             .organisations
--- a/src/admission/organisation.rs
+++ b/src/admission/organisation.rs
@@ -1,4 +1,4 @@
-//! One organisation's share, queue and counts.
+//! State of one organisation: share, queue and counters.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use super::drain::DrainRate;
 use super::{AdmissionRequest, AdmissionSettings, ShareLimit};
 
-/// Place in a queue: higher priority first, then order of arrival.
+/// Position in a queue: higher priority first, then order of arrival.
 pub(super) type QueuePosition = (Reverse<u8>, u64);
 
 /// State of one organisation.
@@ -19,19 +19,20 @@
     pub(super) queue: BTreeMap<QueuePosition, AdmissionRequest>,
     pub(super) in_flight: u32,
     pub(super) drain: DrainRate,
-    /// Virtual time up to which it has been served.
+    /// Virtual finish time of its last started request.
     pub(super) finish_tag: f64,
     pub(super) refusals: RecentCount,
     pub(super) arrivals: RecentCount,
     pub(super) arrivals_long: RecentCount,
-    /// Since when requests have waited for a first share.
+    /// Start of the present grace period without a share.
     pub(super) shareless_since: Option<Instant>,
-    /// Whether it is no longer declared; it goes once nothing of it runs.
+    /// Whether it is no longer declared. Its state is dropped once nothing of it runs or
+    /// waits.
     pub(super) is_removed: bool,
 }
 
 impl OrganisationState {
-    /// An organisation with nothing in flight.
+    /// Creates an organisation with nothing in flight.
     pub(super) fn new(limit: ShareLimit, settings: &AdmissionSettings, now: Instant) -> Self {
         Self {
             limit,
@@ -48,18 +49,18 @@
         }
     }
 
-    /// Whether its own share lets it start one more, as of the last refill.
+    /// Returns whether its own share allows one more start, as of the last refill.
     pub(super) fn may_start(&self) -> bool {
         self.in_flight < self.limit.concurrent_requests && self.bucket.has_token()
     }
 
-    /// Whether its share lets it start nothing at all.
+    /// Returns whether its share allows no starts at all.
     pub(super) fn has_no_share(&self) -> bool {
         self.limit.concurrent_requests == 0 || self.limit.requests_per_minute == 0
     }
 
-    /// Notes an arrival that finds no share. Those that come while others wait
-    /// join them; the first one after a refusal begins to wait anew.
+    /// Records an arrival without a share. Arrivals during a grace period share it; the
+    /// first arrival after its end begins a new one.
     pub(super) fn record_shareless_arrival(&mut self, grace: Duration, now: Instant) {
         let is_waiting = self
             .shareless_since
@@ -69,12 +70,12 @@
         }
     }
 
-    /// Whether requests may wait although there is no share.
+    /// Returns whether requests may wait although there is no share.
     ///
-    /// Grants move between hosts with demand, and in between a host may hold
-    /// nothing for the time of a report or two. Refusing what waits in that
-    /// moment would send callers away from capacity that they bought; one
-    /// would see refusals on one host while another holds idle units.
+    /// Grants move between hosts with demand, and in between a host may hold none for the
+    /// time of one or two reports. Refusing the waiting requests at that moment would
+    /// turn callers away from capacity that they bought, while another host holds idle
+    /// units.
     pub(super) fn awaits_share(&self, grace: Duration, now: Instant) -> bool {
         let is_waiting = self
             .shareless_since
@@ -82,22 +83,22 @@
         self.has_no_share() && is_waiting && !self.is_removed
     }
 
-    /// Its weight against the other organisations.
+    /// Returns its weight against the other organisations.
     pub(super) fn weight(&self) -> f64 {
         f64::from(self.limit.concurrent_requests.max(1))
     }
 
-    /// Whether nothing of it is left to keep.
+    /// Returns whether it has neither running nor waiting requests.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight == 0 && self.queue.is_empty()
     }
 }
 
-/// Events in the present and the last window: refusals, and arrivals.
+/// Counter of events (refusals or arrivals) in the current and the previous window.
 ///
-/// A host whose share is too small refuses at once, so nothing waits; if only
-/// waiting requests counted as demand, the share would never move here and
-/// one would see a host refuse while others are idle.
+/// A host whose share is too small refuses at once, so nothing waits. If only waiting
+/// requests counted as demand, no share would ever move to this host, and it would refuse
+/// requests while others are idle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct RecentCount {
     window_start: Instant,
@@ -128,7 +129,7 @@
         self.current = self.current.saturating_add(1);
     }
 
-    /// Events of the last one to two windows.
+    /// Returns the number of events in the last one to two windows.
     pub(super) fn recent(&self, window: Duration, now: Instant) -> u32 {
         let elapsed = now.saturating_duration_since(self.window_start);
         match elapsed {
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Events of the fuller one of the last two windows.
+    /// Returns the larger count of the last two windows.
     pub(super) fn peak(&self, window: Duration, now: Instant) -> u32 {
         let elapsed = now.saturating_duration_since(self.window_start);
         match elapsed {
--- a/src/admission/overload.rs
+++ b/src/admission/overload.rs
@@ -1,22 +1,21 @@
-//! When a refused caller should come back.
+//! Retry-After for requests refused during overload.
 
 use std::time::{Duration, Instant};
 
-/// Shortest time to come back. A zone that is short of engines stays so for
-/// seconds; a caller that comes back in the middle of that and is refused again
-/// is lost, while one that is served late is not. With 0.5 s in its place mean
-/// worth was 0.721 and not 0.729 (40 simulated days with faults).
+/// Minimum Retry-After. A zone that is short of engines stays so for seconds. A caller
+/// that comes back earlier, for example after 0.5 s, is refused again and lost, while one
+/// that is served late is not.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Longest time to come back. Overload by lost engines lasts some seconds,
-/// until their layers are held again.
+/// Maximum Retry-After. Overload caused by lost engines lasts some seconds, until their
+/// layers are loaded again.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Time over which refusals are weighed against starts.
+/// Time constant of the exponential decay of both counters.
 const DECAY_TIME: Duration = Duration::from_secs(2);
-/// Largest jitter, as a part of the time: callers that were refused in the
-/// same moment must not come back in the same moment.
+/// Maximum jitter as a fraction of the Retry-After: callers that are refused at the same
+/// moment must not come back at the same moment.
 const MAX_JITTER: f64 = 0.5;
 
-/// Refusals and starts of the last seconds.
+/// Exponentially decaying counters of refusals and starts.
 #[derive(Debug, Clone, Default)]
 pub struct OverloadGauge {
     refused: f64,
@@ -25,17 +24,17 @@
 }
 
 impl OverloadGauge {
-    /// A request was started.
+    /// Counts a started request.
     pub fn count_start(&mut self, now: Instant) {
         self.decay(now);
         self.started += 1.0;
     }
 
-    /// A request is refused; says when its caller should come back. `random` is
-    /// a random number from 0 to 1.
+    /// Counts a refused request and returns its Retry-After; `random` is a random number
+    /// from 0 to 1.
     ///
-    /// With as many refusals as starts the load is twice what is served, and
-    /// it takes twice as long until a caller that comes back finds a place.
+    /// With as many refusals as starts, the load is twice the capacity, and a returning
+    /// caller has to wait twice as long for a free slot.
     pub fn count_refusal(&mut self, now: Instant, random: f64) -> Duration {
         self.decay(now);
         self.refused += 1.0;
--- a/src/admission/queries.rs
+++ b/src/admission/queries.rs
@@ -1,4 +1,4 @@
-//! Reading the table.
+//! Read-only queries of the table.
 
 use std::time::{Duration, Instant};
 
@@ -6,16 +6,16 @@
 
 use super::{AdmissionTable, ShareLimit};
 
-/// Time over which rates are told.
+/// Unit of time of the reported rates.
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// Demand windows over which the wanted rate is averaged.
+/// Number of demand windows over which the wanted rate is averaged.
 pub(super) const RATE_WINDOWS: u32 = 10;
-/// Arrivals within one window that count as a burst.
+/// Minimum number of arrivals in one window that counts as a burst.
 const MIN_BURST_ARRIVALS: u32 = 6;
 
 impl AdmissionTable {
-    /// Organisations that have a share here, by name.
+    /// Returns the organisations that have a share on this host, by name.
     pub fn organisations(&self) -> impl Iterator<Item = &OrganisationId> {
         self.organisations
             .iter()
@@ -23,15 +23,15 @@
             .map(|(organisation, _)| organisation)
     }
 
-    /// What this host may use of an organisation's capacity; nothing if it
-    /// knows no such organisation.
+    /// Returns what this host may use of an organisation's capacity; zero for an unknown
+    /// organisation.
     pub fn share(&self, organisation: &OrganisationId) -> ShareLimit {
         let state = self.organisations.get(organisation);
         state.map(|state| state.limit).unwrap_or_default()
     }
 
-    /// Requests of an organisation that run, wait, or were lately refused for
-    /// want of capacity: what the division of shares should move towards.
+    /// Returns the number of an organisation's requests that run, wait, or were recently
+    /// refused for lack of capacity. The division of shares follows this demand.
     pub fn demand(&self, organisation: &OrganisationId, now: Instant) -> u32 {
         let Some(state) = self.organisations.get(organisation) else {
             return 0;
@@ -44,12 +44,12 @@
             .saturating_add(refused)
     }
 
-    /// Rate, in requests a minute, that an organisation wants on this host.
+    /// Returns the rate, in requests per minute, that an organisation wants on this host.
     ///
-    /// Averaged over several windows: the few arrivals of a small organisation
-    /// come unevenly, and a rate that followed each of them would move grants
-    /// all the time and leave a host without any when the next one comes. A
-    /// burst that is large enough to be no accident counts at once.
+    /// The rate is averaged over several windows: the few arrivals of a small
+    /// organisation come unevenly, and a rate that followed each of them would constantly
+    /// move grants and leave a host without any at the next arrival. A burst too large to
+    /// be random counts at once.
     pub fn wanted_rate(&self, organisation: &OrganisationId, now: Instant) -> u32 {
         let Some(state) = self.organisations.get(organisation) else {
             return 0;
@@ -63,27 +63,28 @@
         }
     }
 
-    /// Requests of an organisation that run.
+    /// Returns the number of running requests of an organisation.
     pub fn in_flight(&self, organisation: &OrganisationId) -> u32 {
         self.organisations
             .get(organisation)
             .map_or(0, |state| state.in_flight)
     }
 
-    /// Requests of an organisation that wait.
+    /// Returns the number of waiting requests of an organisation.
     pub fn waiting(&self, organisation: &OrganisationId) -> usize {
         self.organisations
             .get(organisation)
             .map_or(0, |state| state.queue.len())
     }
 
-    /// When `tick` is due next if nothing else happens: a request's last
-    /// chance, or the next token of a rate; `None` if nobody waits.
+    /// Returns when `tick` is due if nothing else happens: at the latest start that still
+    /// meets a request's deadline, or at the next token of a rate limit. Returns `None`
+    /// if no request waits.
     ///
-    /// Only a token that is still to come is waited for. With one at hand it
-    /// is the host's capacity or the share that holds the queue up, and its
-    /// release starts the next; naming a time that has passed would keep the
-    /// caller's loop busy on a whole core.
+    /// Only a token that is not yet available sets a time. With a token available, the
+    /// queue waits for the host's capacity or for the share, and a release starts the
+    /// next request. A time in the past would keep the caller's loop busy on a whole
+    /// core.
     pub fn next_tick(&self) -> Option<Instant> {
         self.organisations
             .values()
--- a/src/admission/select.rs
+++ b/src/admission/select.rs
@@ -1,4 +1,4 @@
-//! Which organisation starts next: start-time fair queueing.
+//! Start-time fair queueing between organisations.
 
 use std::time::Instant;
 
@@ -7,20 +7,21 @@
 use super::organisation::OrganisationState;
 use super::{AdmissionDecision, AdmissionRequest, AdmissionTable};
 
-/// Seconds of service that a request counts for at least, so that requests
-/// estimated at nothing still take turns.
+/// Minimum cost of a request in seconds of service, so that organisations with requests
+/// estimated at zero still take turns.
 const MIN_COST_SECONDS: f64 = 1e-3;
 
-/// Starts by which an organisation below its part may go ahead of its turn.
+/// Number of starts by which an organisation below its fair slots may run ahead of its
+/// start tag.
 const BURST_STARTS: f64 = 2.0;
 
-/// Seconds of service that a request counts for.
+/// Returns the cost of a request in seconds of service.
 fn cost(request: &AdmissionRequest) -> f64 {
     request.service_time.as_secs_f64().max(MIN_COST_SECONDS)
 }
 
 impl AdmissionTable {
-    /// Starts waiting requests while there is room.
+    /// Starts waiting requests while slots are free.
     pub(super) fn start_waiting(&mut self, now: Instant, decisions: &mut Vec<AdmissionDecision>) {
         for state in self.organisations.values_mut() {
             state.bucket.refill(now);
@@ -41,18 +42,18 @@
         }
     }
 
-    /// The organisation whose turn it is among those that wait and whose own
-    /// share has room: the one with the earliest virtual start.
+    /// Returns the organisation with the earliest start tag among those that have waiting
+    /// requests and room in their own share.
     ///
-    /// Serving the longest queue or the oldest request first would let one
-    /// large organisation hold every slot; one would see the others' waits
-    /// grow with its load. Virtual time grows by cost over weight, so each
-    /// gets its weight's part of the slots' time.
+    /// Serving the longest queue or the oldest request first would let one large
+    /// organisation hold every slot, and the waits of the others would grow with its
+    /// load. Virtual time grows by cost over weight, so each organisation gets its
+    /// weighted part of the slots' time.
     ///
-    /// That alone lets a burst of a small organisation, still below its part,
-    /// wait for several turns of a large one that is far above its own. One
-    /// below its part therefore counts as earlier by [`BURST_STARTS`], which
-    /// bounds what it can be ahead of the others.
+    /// That alone would let a burst of a small organisation below its fair slots wait for
+    /// several starts of a large one far above its own. An organisation below its fair
+    /// slots is therefore moved ahead by [`BURST_STARTS`], which bounds its lead over the
+    /// others.
     fn next_organisation(&self) -> Option<(f64, OrganisationId)> {
         let active_shares = self.active_shares();
         self.organisations
@@ -70,7 +71,7 @@
             .map(|(start_tag, organisation)| (start_tag, organisation.clone()))
     }
 
-    /// Virtual time at which the organisation's next request would start.
+    /// Returns the virtual time at which the organisation's next request would start.
     pub(super) fn virtual_start(&self, state: &OrganisationState) -> f64 {
         state.finish_tag.max(self.virtual_time)
     }
@@ -82,11 +83,11 @@
         Some(request)
     }
 
-    /// Starts a request whose organisation may start one, at its `start_tag`.
+    /// Starts a request whose organisation may start one, with the given `start_tag`.
     ///
-    /// Virtual time follows the turns and not the starts that are ahead of
-    /// theirs: it would pass organisations that wait, and what they are owed
-    /// would be forgotten.
+    /// Virtual time follows the start tags, not the starts that run ahead of theirs.
+    /// Otherwise it would pass organisations with waiting requests, and the service that
+    /// they are owed would be lost.
     pub(super) fn start(
         &mut self,
         request: &AdmissionRequest,
--- a/src/admission/settings.rs
+++ b/src/admission/settings.rs
@@ -1,26 +1,27 @@
-//! What can be set about admission.
+//! Settings of admission control.
 
 use std::time::Duration;
 
 /// Settings of an [`super::AdmissionTable`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionSettings {
-    /// Requests that may wait in one organisation's queue.
+    /// Maximum number of waiting requests per organisation.
     pub queue_length: usize,
-    /// Requests that may wait in all queues together.
+    /// Maximum number of waiting requests of all organisations together.
     pub total_queue_length: usize,
-    /// Seconds of its rate that an organisation may start at once after a pause.
+    /// Burst size: how many seconds of its rate an organisation may start at once after a
+    /// pause.
     pub rate_burst: Duration,
-    /// Shortest Retry-After before jitter.
+    /// Minimum Retry-After before jitter.
     pub min_retry_after: Duration,
-    /// Longest Retry-After before jitter.
+    /// Maximum Retry-After before jitter.
     pub max_retry_after: Duration,
-    /// Largest jitter, as a fraction of the Retry-After.
+    /// Maximum jitter as a fraction of the Retry-After.
     pub jitter: f64,
-    /// Time over which refusals count as demand.
+    /// Window in which refusals count as demand.
     pub demand_window: Duration,
-    /// How long requests may wait while this host holds no share of their
-    /// organisation at all, for another host may be about to give one up.
+    /// How long requests may wait while this host holds no share of their organisation,
+    /// as another host may be about to release one.
     pub share_grace: Duration,
 }
 
--- a/src/admission/table.rs
+++ b/src/admission/table.rs
@@ -1,4 +1,4 @@
-//! The table that admission decides from.
+//! State of admission control on one host.
 
 use std::collections::BTreeMap;
 
@@ -11,27 +11,27 @@
 use super::AdmissionSettings;
 use super::organisation::{OrganisationState, QueuePosition};
 
-/// Shares, queues and what is in flight on this host.
+/// Shares, queues and requests in flight on this host.
 ///
-/// Everything that the table holds is bounded: by the declared organisations,
-/// by the queue lengths and by the requests in flight.
+/// Its size is bounded by the declared organisations, the queue lengths and the requests
+/// in flight.
 #[derive(Debug)]
 pub struct AdmissionTable {
     pub(super) settings: AdmissionSettings,
     pub(super) rng: StdRng,
-    /// Sorted, because iteration decides who starts.
+    /// Sorted, because the iteration order decides which organisation starts first.
     pub(super) organisations: BTreeMap<OrganisationId, OrganisationState>,
     pub(super) running: FastMap<RequestId, OrganisationId>,
     pub(super) waiting: FastMap<RequestId, QueueEntry>,
-    /// Requests that the targets can carry at once.
+    /// Number of requests that the targets can serve at once.
     pub(super) capacity: u32,
     /// Virtual time of the last start.
     pub(super) virtual_time: f64,
-    /// Arrivals so far.
+    /// Number of arrivals so far.
     pub(super) arrivals: u64,
 }
 
-/// Where a waiting request stands.
+/// Location of a waiting request.
 #[derive(Debug, Clone)]
 pub(super) struct QueueEntry {
     pub(super) organisation: OrganisationId,
@@ -39,8 +39,8 @@
 }
 
 impl AdmissionTable {
-    /// A table without organisations and without a host-wide bound; `seed`
-    /// feeds the jitter.
+    /// Creates a table without organisations and without a host-wide limit; `seed` seeds
+    /// the jitter.
     pub fn new(settings: AdmissionSettings, seed: u64) -> Self {
         Self {
             settings,
--- a/src/admission/ticket.rs
+++ b/src/admission/ticket.rs
@@ -1,45 +1,45 @@
-//! What is asked of admission and what it answers.
+//! Requests and decisions of admission control.
 
 use std::time::{Duration, Instant};
 
 use crate::ids::{OrganisationId, RequestId};
 use crate::reason::RefusalReason;
 
-/// A request that asks to be started.
+/// A request that asks for admission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Organisation that pays for it.
+    /// Organisation that is charged for it.
     pub organisation: OrganisationId,
-    /// Estimated time to serve it once started.
+    /// Estimated time to serve the request once started.
     pub service_time: Duration,
-    /// When the answer is worthless.
+    /// When a response is no longer of use.
     pub deadline: Instant,
-    /// Priority within the organisation; higher goes first.
+    /// Priority within the organisation; higher priorities start first.
     pub priority: u8,
 }
 
-/// What admission decides about one request.
+/// Decision about one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// Start it now; the caller of `admit` must release it when it ends.
+    /// The request starts now. The caller of `admit` must release it when it ends.
     Start {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// It waits in its organisation's queue; a later decision names it.
+    /// The request waits in its organisation's queue; a later decision names it.
     Wait {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// It is refused, at once and for good.
+    /// The request is refused at once and permanently.
     Refuse {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// The reason, as counted.
+        /// The reason, as counted in metrics.
         reason: RefusalReason,
-        /// When the caller should come back.
+        /// How long the caller should wait before it comes back.
         retry_after: Duration,
     },
 }
@@ -47,17 +47,17 @@
 /// What this host may use of an organisation's bought capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ShareLimit {
-    /// Requests in flight at once.
+    /// Maximum number of requests in flight.
     pub concurrent_requests: u32,
-    /// Requests started per minute.
+    /// Maximum number of starts per minute.
     pub requests_per_minute: u32,
 }
 
 /// How a started request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseCause {
-    /// It was served to its end.
+    /// The request was served to its end.
     Completed,
-    /// It failed, was given up or its caller went away.
+    /// The request failed, was dropped, or its caller disconnected.
     Abandoned,
 }
