--- a/src/shares.rs
+++ b/src/shares.rs
@@ -1,15 +1,15 @@
-//! Division of the capacity that each organisation bought, with no agreement
-//! for each request.
+//! Division of each organisation's bought capacity over zones and hosts, without
+//! coordination per request.
 //!
-//! Two levels. The log holds each organisation's split over the availability
-//! zones and who may hold grants in a zone ([`AllotmentLedger`]). Within a
-//! zone the holder of the lease on its shares divides the zone's part over
-//! hosts by grants that travel in answers to heartbeats ([`GrantTable`]), and
-//! each host keeps to its last grant ([`GrantUser`]).
+//! There are two levels. The log holds each organisation's split over the availability
+//! zones and the hosts that may hold grants in a zone ([`AllotmentLedger`]). Within a
+//! zone, the holder of the lease on its shares divides the zone's part over hosts by
+//! grants, which travel in replies to heartbeats ([`GrantTable`]). Each host uses no more
+//! than its last grant ([`GrantUser`]).
 //!
-//! Every unit of capacity is at one place at any time: with a host, with a
-//! zone's holder, or with the log. It is used at the new place only after the
-//! old place has given it up, so the sum never exceeds what was bought.
+//! Every unit of capacity has exactly one owner at any time: a host, the lease holder of
+//! a zone, or the log. A new owner uses it only after the old one has released it, so the
+//! sum never exceeds what was bought.
 
 mod division;
 mod grant_entry;
--- a/src/shares/division.rs
+++ b/src/shares/division.rs
@@ -1,8 +1,8 @@
-//! How an amount is divided over those who want some of it.
+//! Max-min fair division of an amount.
 
-/// Divides `available` by max-min fairness over `wants`, then spreads what
-/// nobody wants evenly, so that the next request finds some of it wherever it
-/// arrives. Remainders go to the first.
+/// Divides `available` by max-min fairness over `wants`, then spreads the unwanted rest
+/// evenly, so that the next request finds some of it on whichever host it arrives.
+/// Remainders go to the first parts.
 pub fn divide(available: u32, wants: &[u32]) -> Vec<u32> {
     let mut parts = vec![0; wants.len()];
     let mut remaining = available;
@@ -13,9 +13,9 @@
         if unsatisfied.is_empty() {
             break;
         }
-        // All who are still short have been given the same so far. A
-        // remainder is given only when no whole round is left: given earlier
-        // it would put the first ahead of the others.
+        // All unsatisfied parts have received the same amount so far. Single units are
+        // given only when no full round is left: given earlier, they would put the first
+        // parts ahead of the others.
         let level = (remaining / length(unsatisfied.len())).max(1);
         for index in unsatisfied {
             let granted = level.min(wants[index] - parts[index]).min(remaining);
--- a/src/shares/grant_entry.rs
+++ b/src/shares/grant_entry.rs
@@ -1,4 +1,4 @@
-//! What the holder of a zone's shares knows of one host.
+//! What the lease holder of a zone's shares knows about one host.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,26 +10,26 @@
 /// One organisation's grant to one host.
 #[derive(Debug, Clone, Default)]
 pub(super) struct GrantEntry {
-    /// Number of the last grant sent; zero if none was.
+    /// Number of the last grant sent; zero if none was sent.
     pub(super) number: u64,
     /// Units of the last grant sent.
     pub(super) granted: ShareUnits,
-    /// Most units of any grant sent since one was acknowledged.
+    /// Maximum units of all grants sent since the last acknowledgement.
     outstanding: ShareUnits,
-    /// What the host said that it may use.
+    /// Units that the host last reported to hold.
     pub(super) held: ShareUnits,
-    /// What the host has use for.
+    /// Units that the host last reported to want.
     pub(super) want: ShareUnits,
-    /// Whether the host has the last grant sent.
+    /// Whether the host has acknowledged the last grant sent.
     pub(super) is_acknowledged: bool,
-    /// Whether the last grant sent stays until told otherwise.
+    /// Whether the last grant sent is valid until it is replaced, without an expiry.
     pub(super) is_permanent: bool,
 }
 
 impl GrantEntry {
-    /// What the host must be thought to use. An answer may be lost, or come
-    /// late: a lowered grant counts in full until the host says it has it, and
-    /// a raised one from when it is sent.
+    /// Returns the units to count as used by the host. A reply may be lost or late, so a
+    /// lowered grant counts in full until the host acknowledges it, and a raised one from
+    /// the moment it is sent.
     pub(super) fn counted(&self) -> ShareUnits {
         self.held.higher(self.outstanding)
     }
@@ -47,7 +47,8 @@
         }
     }
 
-    /// The host no longer speaks of this organisation: it uses nothing of it.
+    /// Clears held and wanted units. A host whose report leaves out an organisation uses
+    /// none of its capacity.
     pub(super) fn clear_report(&mut self) {
         self.held = ShareUnits::NONE;
         self.want = ShareUnits::NONE;
@@ -66,13 +67,13 @@
 #[derive(Debug, Clone)]
 pub(super) struct HolderEntry {
     pub(super) sequence: u64,
-    /// Whether the log names it, so that a later holder will ask for it.
+    /// Whether the log names it, so that a later lease holder will wait for its report.
     pub(super) is_registered: bool,
     pub(super) last_report: Instant,
-    /// When grants that lapse have ended for certain.
+    /// When all its expiring grants have ended on any clock.
     pub(super) expires_at: Instant,
     pub(super) removed_at: Option<Instant>,
-    /// Whether it is shutting down and takes nothing new.
+    /// Whether it is shutting down and accepts no new requests.
     pub(super) is_draining: bool,
     pub(super) registration_appended_at: Option<Instant>,
     pub(super) grants: BTreeMap<OrganisationId, GrantEntry>,
@@ -112,7 +113,7 @@
             && now.saturating_duration_since(self.last_report) <= limit
     }
 
-    /// Whether it can hold nothing any more.
+    /// Returns whether it can no longer hold any grant.
     pub(super) fn has_ended(&self, removal_margin: Duration, now: Instant) -> bool {
         match self.removed_at {
             Some(removed_at) => now >= removed_at + removal_margin,
--- a/src/shares/grant_reply.rs
+++ b/src/shares/grant_reply.rs
@@ -1,4 +1,4 @@
-//! What the holder of a zone's shares answers a host.
+//! Replies of the lease holder of a zone's shares to reports of hosts.
 
 use std::time::Instant;
 
@@ -11,8 +11,8 @@
 use crate::peer::PeerGrant;
 
 impl GrantTable {
-    /// Grants for a host that has just reported; `None` if this table does
-    /// not divide, so that the host keeps what it holds.
+    /// Returns the changed grants for a host that has just reported, or `None` if this
+    /// table does not divide, in which case the host keeps its grants.
     pub fn reply(&mut self, holder: &GrantHolder, now: Instant) -> Option<Vec<PeerGrant>> {
         if !matches!(
             self.phase(now),
@@ -69,8 +69,8 @@
         })
     }
 
-    /// What the host is to have: its part of a fair division, as far as the
-    /// others have given it up.
+    /// Returns the units to grant to a host: its part of a fair division, limited by what
+    /// the other hosts have released.
     fn units_to_grant(&self, holder: &GrantHolder, organisation: &str, now: Instant) -> ShareUnits {
         let limit = self.limit(organisation, now);
         let others: ShareUnits = self
@@ -93,10 +93,10 @@
         }
     }
 
-    /// Whether a grant may stay as it is although a division from scratch
-    /// would give another: nothing lies idle here, nobody is short and it is
-    /// not far off. Without this, each request that starts or ends would move
-    /// units everywhere.
+    /// Returns whether a grant may stay as it is although a division from scratch would
+    /// give another. It may if every host has what it wants, all units are in use, and
+    /// the grant is within a factor of two of its fair share. Otherwise each start or end
+    /// of a request would move units between all hosts.
     fn can_keep(
         &self,
         grant: &GrantEntry,
@@ -107,8 +107,8 @@
         let is_close = fair.is_within(grant.granted + grant.granted)
             && fair != ShareUnits::NONE
             && grant.granted.is_within(fair + fair);
-        // A host that joined after the others had divided everything wants
-        // nothing yet and holds nothing; its first request would wait.
+        // A host that joined after the others had divided everything wants nothing yet
+        // and holds nothing, and its first request would have to wait.
         let hosts = u32::try_from(self.fresh_entries(now).count()).unwrap_or(u32::MAX);
         let one_each = ShareUnits {
             concurrent_requests: hosts,
--- a/src/shares/grant_table.rs
+++ b/src/shares/grant_table.rs
@@ -1,4 +1,4 @@
-//! The side of the holder of a zone's shares: what each host holds.
+//! Grants of a zone, as kept by the holder of the lease on its shares.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -10,21 +10,20 @@
 use crate::ids::{LogOffset, OrganisationId, ZoneId};
 use crate::peer::PeerDemand;
 
-/// Times of the division in a zone.
+/// Timing of the division within a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantSettings {
-    /// Time after which a grant to a host that the log does not name ends.
+    /// Lifetime of a grant to a host that is not registered in the log.
     pub expiry: Duration,
-    /// Added to a lapse that another host counts, for the rates of clocks.
+    /// Added to an expiry that another host's clock measures, to allow for clock drift.
     pub clock_margin: Duration,
-    /// Time after which a pause makes a host ask before it uses its grants.
+    /// Length of a pause after which a host must report before it uses its grants.
     pub pause_limit: Duration,
-    /// Time between a host's end and the use of what it held; longer than
-    /// `pause_limit`.
+    /// Time between a host's end and the reuse of its units; longer than `pause_limit`.
     pub removal_margin: Duration,
-    /// Age of a report above which a host gets no part in a new division.
+    /// Maximum age of a report for a host to take part in a new division.
     pub max_report_age: Duration,
-    /// Time after which a record that does not show up is written again.
+    /// Time after which a record that has not appeared in the log is appended again.
     pub append_retry_interval: Duration,
 }
 
@@ -41,27 +40,27 @@
     }
 }
 
-/// How far a new holder is.
+/// Progress of a new lease holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TablePhase {
-    /// Its opening record has not shown up in the log.
+    /// Its opening record has not appeared in the log yet.
     Opening,
-    /// It divides what hosts have handed in; others have not reported yet.
+    /// It divides only the units that hosts have reported; others have not reported yet.
     Collecting,
     /// It divides the zone's whole share.
     Dividing,
-    /// A later lease has been seen; it divides nothing any more.
+    /// A later lease has been seen, and it no longer divides.
     Closed,
 }
 
-/// Divides a zone's shares over hosts, under one lease.
+/// Divides a zone's shares over hosts under one lease.
 ///
-/// A new holder does not know what hosts hold. What they report is theirs and
-/// can be moved among them at once. Units that no one reported may still be
-/// used by a host that has not been heard, or be handed out by an earlier
-/// holder that does not know it was replaced. They are free only once every
-/// incarnation that the log names has reported under this lease, after which
-/// it takes no grant of an earlier one, or is known to be gone.
+/// A new lease holder does not know what hosts hold. Reported units belong to the hosts
+/// that report them and can be moved between these at once. Units that no host reported
+/// may still be in use by a host that has not reported, or may be granted by an earlier
+/// lease holder that does not know it was replaced. They become free only once every
+/// incarnation that the log names has reported under this lease, after which it rejects
+/// grants of earlier leases, or is known to have ended.
 #[derive(Debug)]
 pub struct GrantTable {
     pub(super) settings: GrantSettings,
@@ -82,7 +81,7 @@
 }
 
 impl GrantTable {
-    /// A table for the lease that this incarnation took.
+    /// Creates a table for a lease that this incarnation has acquired.
     pub fn open(
         settings: GrantSettings,
         zone: ZoneId,
@@ -108,17 +107,17 @@
         }
     }
 
-    /// Stops dividing for good.
+    /// Stops dividing permanently.
     pub fn close(&mut self) {
         self.is_closed = true;
     }
 
-    /// The lease under which this table divides.
+    /// Returns the lease under which this table divides.
     pub fn lease(&self) -> LogOffset {
         self.lease
     }
 
-    /// Takes in the ledger after records have been applied.
+    /// Updates the table from the ledger after records have been applied.
     pub fn observe_ledger(&mut self, ledger: &AllotmentLedger, now: Instant) {
         match ledger.opened(&self.zone) {
             Some(opened) if opened > self.lease => self.close(),
@@ -138,8 +137,8 @@
         }
     }
 
-    /// Takes in what a host holds and wants. The report names every
-    /// organisation of which it holds or wants anything.
+    /// Records what a host holds and wants. The report must name every organisation of
+    /// which it holds or wants anything.
     pub fn observe_report(
         &mut self,
         holder: &GrantHolder,
@@ -166,11 +165,11 @@
         entry.sequence = sequence;
         entry.last_report = now;
         entry.is_draining = is_draining;
-        // A host that speaks is not gone, whatever the platform says.
+        // A host that reports is alive, whatever the platform says.
         entry.removed_at = None;
         entry.apply_report(demands, self.lease);
-        // Counted once: a host that was thought gone and comes back brings
-        // units with it that have been given to others meanwhile.
+        // Counted once: a host that was taken for ended and returns brings units that
+        // have been granted to others meanwhile.
         if self.reported_holders.insert(holder.clone()) {
             for demand in demands {
                 let held = ShareUnits::new(demand.held_grant, demand.held_rate);
@@ -184,14 +183,14 @@
         self.schedule_completion(now);
     }
 
-    /// Takes in that an incarnation has ended.
+    /// Records that an incarnation has ended.
     pub fn observe_removed(&mut self, holder: &GrantHolder, now: Instant) {
         match self.entries.get_mut(holder) {
             Some(entry) => {
                 entry.removed_at.get_or_insert(now);
             }
-            // Its units were never counted here. It becomes an entry without
-            // any, so that the margin passes before it is no longer awaited.
+            // Its units were never counted here. An entry without units makes the margin
+            // pass before the incarnation is no longer awaited.
             None if self.awaited.contains(holder) => {
                 let mut entry = HolderEntry::new(true, now, now);
                 entry.removed_at = Some(now);
@@ -201,12 +200,12 @@
         }
     }
 
-    /// Incarnations that have not reported yet.
+    /// Returns the incarnations that have not reported yet.
     pub fn awaited(&self) -> impl Iterator<Item = &GrantHolder> {
         self.awaited.iter()
     }
 
-    /// How far the table is.
+    /// Returns the progress of the table.
     pub fn phase(&self, now: Instant) -> TablePhase {
         match self.complete_at {
             _ if self.is_closed => TablePhase::Closed,
@@ -216,7 +215,7 @@
         }
     }
 
-    /// Lets time pass, and says which records to append.
+    /// Advances time and returns the records to append.
     pub fn tick(&mut self, ledger: &AllotmentLedger, now: Instant) -> Vec<AllotmentBody> {
         self.observe_ledger(ledger, now);
         match self.phase(now) {
@@ -320,9 +319,9 @@
             .insert(release.organisation.clone(), (release.split, now));
     }
 
-    /// Notes when the last awaited incarnation is accounted for. Grants that
-    /// lapse may have been given to hosts that the log does not name; they
-    /// have ended once a lapse has passed.
+    /// Sets when the division is complete, once no incarnation is awaited any more. Hosts
+    /// that the log does not name may hold expiring grants, which have ended after one
+    /// expiry.
     fn schedule_completion(&mut self, now: Instant) {
         if self.awaited.is_empty() {
             let complete_at = now + self.max_expiry();
@@ -330,12 +329,12 @@
         }
     }
 
-    /// Time after which a grant that lapses has ended on any host's clock.
+    /// Returns the time after which an expiring grant has ended on any host's clock.
     pub(super) fn max_expiry(&self) -> Duration {
         self.settings.expiry + self.settings.clock_margin
     }
 
-    /// What all hosts together must be thought to use.
+    /// Returns the units to count as used by all hosts together.
     pub fn counted(&self, organisation: &str) -> ShareUnits {
         self.entries
             .values()
@@ -343,7 +342,7 @@
             .sum()
     }
 
-    /// Most that may be handed out of an organisation's share.
+    /// Returns the maximum that may be granted of an organisation's share.
     pub(super) fn limit(&self, organisation: &str, now: Instant) -> ShareUnits {
         let share = self.shares.get(organisation).copied().unwrap_or_default();
         match self.phase(now) {
--- a/src/shares/grant_user.rs
+++ b/src/shares/grant_user.rs
@@ -1,4 +1,4 @@
-//! The side of a host that uses grants.
+//! Grants as used by a host.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,14 +7,14 @@
 use crate::ids::{LogOffset, OrganisationId};
 use crate::peer::{PeerDemand, PeerGrant};
 
-/// What an organisation's requests take up on this host.
+/// Load of one organisation's requests on this host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ShareUsage {
     /// Requests in flight.
     pub in_flight: u32,
     /// Requests waiting in the queue.
     pub waiting: u32,
-    /// Requests per minute asked for over the last seconds.
+    /// Requests per minute wanted over the last seconds.
     pub wanted_rate: u32,
 }
 
@@ -27,11 +27,10 @@
     expires_at: Option<Instant>,
 }
 
-/// What this host may use.
+/// Grants that this host may use.
 ///
-/// A grant stays until another takes its place, also when no holder can be
-/// reached, unless it was given with a time to lapse. A host without any
-/// grant uses nothing.
+/// A grant is valid until another replaces it, even if no lease holder can be reached,
+/// unless it was given with an expiry. A host without a grant uses nothing.
 #[derive(Debug)]
 pub struct GrantUser {
     pause_limit: Duration,
@@ -43,7 +42,7 @@
 }
 
 impl GrantUser {
-    /// A user without grants.
+    /// Creates a user without grants.
     pub fn new(pause_limit: Duration, now: Instant) -> Self {
         Self {
             pause_limit,
@@ -55,12 +54,12 @@
         }
     }
 
-    /// Lets time pass; to be called several times a second and before any
-    /// other use after a wait.
+    /// Advances time. Must be called several times a second, and before any other use
+    /// after a wait.
     ///
-    /// A process that was frozen may have been declared gone, and what it
-    /// held given to others. After a pause nothing is used until the holder
-    /// has answered a report made since.
+    /// A process that was frozen may have been declared dead, and its units granted to
+    /// others. After a pause it uses nothing until the lease holder has replied to a
+    /// report sent since then.
     pub fn tick(&mut self, now: Instant) {
         let pause = now.saturating_duration_since(self.last_tick);
         if pause >= self.pause_limit {
@@ -69,7 +68,7 @@
         self.last_tick = now;
     }
 
-    /// Gives up all grants for good; this host is shutting down.
+    /// Returns all grants permanently, because this host is shutting down.
     pub fn hand_back(&mut self) {
         self.is_handed_back = true;
         for grant in self.grants.values_mut() {
@@ -77,14 +76,14 @@
         }
     }
 
-    /// Lease of the holder that was last reported to.
+    /// Returns the lease whose holder received the last report.
     pub fn reported_lease(&self) -> Option<LogOffset> {
         self.reported_lease
     }
 
-    /// A report to the holder of `lease`. From now on grants of earlier
-    /// leases are refused: the holder counts on what is reported here. `None`
-    /// if a report to a later holder was made before.
+    /// Returns a report for the holder of `lease`, or `None` after a report to a later
+    /// holder. From now on grants of earlier leases are rejected, because the lease
+    /// holder relies on the reported units.
     pub fn report(
         &mut self,
         lease: LogOffset,
@@ -116,8 +115,8 @@
             in_flight: usage.in_flight,
             waiting: usage.waiting,
             wanted_rate: usage.wanted_rate,
-            // Requests in flight above a lowered grant still take up capacity;
-            // it is given up only as they end.
+            // Requests in flight above a lowered grant still use capacity, which is
+            // released only as they end.
             held_grant: granted.concurrent_requests.max(usage.in_flight),
             held_rate: granted.requests_per_minute,
             grant_number: grant.map_or(0, |grant| grant.number),
@@ -125,9 +124,9 @@
         }
     }
 
-    /// Takes in the answer to a report made at `sent_at`. Says whether
-    /// anything was lowered, which is worth reporting at once: somebody else
-    /// waits for it.
+    /// Applies the reply to a report sent at `sent_at`. Returns whether any grant was
+    /// lowered, in which case the host should report again at once, as another host waits
+    /// for the units.
     pub fn observe_reply(
         &mut self,
         lease: LogOffset,
@@ -141,7 +140,7 @@
         for grant in grants {
             is_lowered |= self.apply_grant(lease, grant, sent_at);
         }
-        // An answer to a report from before the pause proves nothing.
+        // A reply to a report from before the pause does not confirm the grants.
         if self
             .suspended_at
             .is_some_and(|suspended| sent_at >= suspended)
@@ -153,8 +152,8 @@
 
     fn apply_grant(&mut self, lease: LogOffset, grant: &PeerGrant, sent_at: Instant) -> bool {
         let known = self.grants.get(&grant.organisation);
-        // Answers may overtake each other; an old one must not bring back
-        // what a newer one has taken away.
+        // Replies may arrive out of order; an older one must not restore units that a
+        // newer one has taken away.
         if known.is_some_and(|known| known.lease == lease && known.number >= grant.number) {
             return false;
         }
@@ -173,7 +172,7 @@
         !before.is_within(units)
     }
 
-    /// What this host may use of an organisation's capacity now.
+    /// Returns what this host may use of an organisation's capacity at `now`.
     pub fn limit(&self, organisation: &str, now: Instant) -> ShareUnits {
         let pause = now.saturating_duration_since(self.last_tick);
         match self.suspended_at {
--- a/src/shares/ledger.rs
+++ b/src/shares/ledger.rs
@@ -1,4 +1,4 @@
-//! What the allotment stream says, judged alike by every reader.
+//! State derived from the allotment stream; every reader derives the same.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,30 +9,31 @@
 use super::units::ShareUnits;
 use crate::ids::{LogOffset, OrganisationId, ZoneId};
 
-/// Whether a record counts.
+/// Outcome of applying a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AllotmentOutcome {
-    /// It changed the ledger.
+    /// The record changed the ledger.
     Accepted,
-    /// It was overtaken, or written under a lease that is not the last.
+    /// The record is based on an older state, or was written under a lease that is not
+    /// the last.
     Superseded,
-    /// It hands out more than was bought.
+    /// The record allots more than was bought.
     Exceeds,
-    /// It had been applied before, or it is a checkpoint that is not needed.
+    /// The record was applied before, or is a checkpoint that is not needed.
     AlreadyApplied,
-    /// Records before it are missing; it was not applied.
+    /// Records before it are missing, and it was not applied.
     Gap,
 }
 
 /// One zone's part of an organisation's capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(super) struct ZoneShare {
-    /// What the last split gives it.
+    /// Units that the last split allots to it.
     pub(super) target: ShareUnits,
-    /// What it may use now.
+    /// Units that it may use now.
     pub(super) usable: ShareUnits,
-    /// What it must be thought to use: more than `usable` until the zone has
-    /// said that it gave up the rest.
+    /// Units to count as used by it; more than `usable` until the zone has recorded that
+    /// it released the rest.
     pub(super) counted: ShareUnits,
 }
 
@@ -45,11 +46,11 @@
     pub(super) zones: BTreeMap<ZoneId, ZoneShare>,
 }
 
-/// Who divides a zone's shares and who may hold grants there.
+/// The current lease on a zone's shares and the hosts that may hold grants there.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub(super) struct ZoneRegister {
     pub(super) opened: Option<LogOffset>,
-    /// Whether an earlier lease was opened before the last.
+    /// Whether an earlier lease was opened before the last one.
     pub(super) reopened: bool,
     pub(super) holders: BTreeSet<GrantHolder>,
 }
@@ -60,8 +61,8 @@
     pub(super) next_offset: LogOffset,
     pub(super) splits: BTreeMap<OrganisationId, OrganisationSplit>,
     pub(super) registers: BTreeMap<ZoneId, ZoneRegister>,
-    /// Capacity as declared, for organisations without a split. Not part of
-    /// the stream, so not of a checkpoint either.
+    /// Declared capacity, for organisations without a split. It is not part of the
+    /// stream, and so not of a checkpoint.
     #[serde(skip)]
     pub(super) declared: BTreeMap<OrganisationId, ShareUnits>,
     #[serde(skip)]
@@ -69,7 +70,7 @@
 }
 
 impl AllotmentLedger {
-    /// Takes in what is declared: capacity bought and the zones to split over.
+    /// Sets the declared capacities and the zones to split them over.
     pub fn set_declared(
         &mut self,
         declared: BTreeMap<OrganisationId, ShareUnits>,
@@ -123,15 +124,15 @@
         }
     }
 
-    /// Passes over a record that cannot be read; all readers pass over it.
+    /// Skips a record that cannot be decoded, as all readers do.
     pub fn skip(&mut self, offset: LogOffset) {
         if offset == self.next_offset {
             self.next_offset = offset + 1;
         }
     }
 
-    /// A checkpoint serves only a reader that has nothing yet. To all others
-    /// it may be old, written by a process that was paused.
+    /// Restores the ledger from a checkpoint. Only a reader without any state uses one:
+    /// to all others it may be outdated, written by a process that was paused.
     fn restore(&mut self, as_of: LogOffset, ledger: &Self) -> AllotmentOutcome {
         self.splits = ledger.splits.clone();
         self.registers = ledger.registers.clone();
@@ -219,7 +220,7 @@
         AllotmentOutcome::Accepted
     }
 
-    /// The even split that is in force for an organisation without a record.
+    /// Returns the even split that is in effect for an organisation without a record.
     pub(super) fn default_split(&self, organisation: &str) -> BTreeMap<ZoneId, ShareUnits> {
         match self.declared.get(organisation) {
             Some(bought) => even_split(*bought, &self.zones),
@@ -244,10 +245,10 @@
 }
 
 impl OrganisationSplit {
-    /// Lowers at once, raises only by what nobody is thought to use.
+    /// Lowers shares at once, and raises them only by units that are not counted as used.
     ///
-    /// Were a raise usable when it is read, a zone that has not read the
-    /// record yet, being cut off, would go on using the same units.
+    /// If a raise took effect as soon as it was read, a partitioned zone that has not
+    /// read the record yet would go on using the same units.
     fn redistribute(&mut self) {
         for zone in self.zones.values_mut() {
             zone.usable = zone.usable.lower(zone.target);
--- a/src/shares/ledger_queries.rs
+++ b/src/shares/ledger_queries.rs
@@ -1,4 +1,4 @@
-//! What can be asked of the ledger.
+//! Read-only queries of the ledger.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,12 +9,12 @@
 use crate::ids::{LogOffset, OrganisationId};
 
 impl AllotmentLedger {
-    /// Offset of the next record to apply.
+    /// Returns the offset of the next record to apply.
     pub fn next_offset(&self) -> LogOffset {
         self.next_offset
     }
 
-    /// What the hosts of a zone may use of an organisation's capacity.
+    /// Returns what the hosts of a zone may use of an organisation's capacity.
     pub fn usable(&self, organisation: &str, zone: &str) -> ShareUnits {
         match self.splits.get(organisation) {
             Some(split) => split.zones.get(zone).map(|share| share.usable),
@@ -23,7 +23,7 @@
         .unwrap_or_default()
     }
 
-    /// All organisations' shares in a zone.
+    /// Returns all organisations' shares in a zone.
     pub fn zone_shares(&self, zone: &str) -> BTreeMap<OrganisationId, ShareUnits> {
         self.splits
             .keys()
@@ -32,12 +32,13 @@
             .collect()
     }
 
-    /// Lease under which a zone's shares are divided, as this stream knows it.
+    /// Returns the lease under which a zone's shares are divided, according to the
+    /// stream.
     pub fn opened(&self, zone: &str) -> Option<LogOffset> {
         self.registers.get(zone)?.opened
     }
 
-    /// Whether the last lease of a zone follows an earlier one, under which
+    /// Returns whether the last lease of a zone follows an earlier one, under which
     /// grants may have been given.
     pub fn is_reopened(&self, zone: &str) -> bool {
         self.registers
@@ -45,7 +46,7 @@
             .is_some_and(|register| register.reopened)
     }
 
-    /// Incarnations that may hold grants in a zone.
+    /// Returns the incarnations that may hold grants in a zone.
     pub fn holders(&self, zone: &str) -> impl Iterator<Item = &GrantHolder> {
         self.registers
             .get(zone)
@@ -53,8 +54,9 @@
             .flat_map(|register| &register.holders)
     }
 
-    /// Shares of a zone that were lowered and not yet given up: organisation,
-    /// the split that lowered it, and what may still be used.
+    /// Returns the shares of a zone that were lowered and not yet released: the
+    /// organisation, the split that lowered the share, and the units that may still be
+    /// used.
     pub fn pending_releases(&self, zone: &str) -> Vec<ReleaseRecord> {
         self.splits
             .iter()
@@ -69,10 +71,10 @@
             .collect()
     }
 
-    /// Splits to write so that the stream follows what is declared; `version`
-    /// gives the offset of each organisation's declaration.
+    /// Returns the splits to write so that the stream matches the declared state;
+    /// `version` returns the offset of each organisation's declaration.
     ///
-    /// An organisation that is no longer declared gets a split of nothing.
+    /// An organisation that is no longer declared gets an empty split.
     pub fn due_splits<F>(&self, version: F) -> Vec<SplitRecord>
     where
         F: Fn(&OrganisationId) -> LogOffset,
@@ -102,7 +104,7 @@
     ) -> Option<SplitRecord> {
         let known = self.splits.get(organisation);
         let shares = even_split(bought, &self.zones);
-        // A split over the same zones stays as it is, also if it is not even.
+        // A split over the same zones stays as it is, even if it is uneven.
         let current_zones = |split: &OrganisationSplit| {
             let allotted = split.zones.iter();
             allotted
@@ -128,7 +130,7 @@
         })
     }
 
-    /// A checkpoint of everything applied so far.
+    /// Returns a checkpoint of everything applied so far.
     pub fn checkpoint(&self) -> AllotmentBody {
         AllotmentBody::Checkpoint {
             as_of: self.next_offset,
--- a/src/shares/record.rs
+++ b/src/shares/record.rs
@@ -8,98 +8,97 @@
 use super::units::ShareUnits;
 use crate::ids::{HostId, IncarnationId, LogOffset, OrganisationId, ZoneId};
 
-/// An organisation's split over zones, written by the holder of the
-/// system-wide lease.
+/// An organisation's split over zones, written by the holder of the system-wide lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SplitRecord {
-    /// The organisation.
+    /// Organisation whose capacity is split.
     pub organisation: OrganisationId,
     /// Offset of the declaration whose capacity is split.
     pub version: LogOffset,
-    /// Offset of the organisation's last accepted split that the writer saw.
+    /// Offset of the organisation's last accepted split that the writer had read.
     pub based_on: Option<LogOffset>,
     /// Capacity bought.
     pub bought: ShareUnits,
-    /// What zones may have used before the first split: the even split that
-    /// was in force without a record. Ignored in later splits.
+    /// Units that zones may have used before the first split: the even split that was in
+    /// effect without a record. Ignored in later splits.
     #[serde(default)]
     pub assumed: BTreeMap<ZoneId, ShareUnits>,
-    /// What each zone is to have.
+    /// Units allotted to each zone.
     pub shares: BTreeMap<ZoneId, ShareUnits>,
 }
 
 /// An incarnation of a host that may hold grants in a zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct GrantHolder {
-    /// The host.
+    /// Name of the host.
     pub host: HostId,
-    /// Its incarnation.
+    /// Incarnation of the host.
     pub incarnation: IncarnationId,
 }
 
-/// A zone's word that it uses no more than its lowered share.
+/// Statement of a zone that it uses no more than its lowered share.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseRecord {
-    /// The organisation.
+    /// Organisation whose share was lowered.
     pub organisation: OrganisationId,
-    /// Offset of the split by which the share was lowered.
+    /// Offset of the split that lowered the share.
     pub split: LogOffset,
-    /// Most that the zone's hosts use from now on.
+    /// Maximum units that the zone's hosts use from now on.
     pub held: ShareUnits,
 }
 
 /// Body of a record in the allotment stream.
 ///
-/// Records of a zone carry the lease under which they were written. They
-/// count only while that lease is the last one opened in this stream: a
-/// paused holder's late record changes nothing.
+/// Records of a zone carry the lease under which they were written. They count only while
+/// that lease is the last one opened in the stream, so that a late record of a paused
+/// lease holder has no effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum AllotmentBody {
     /// A split over zones.
     Split(SplitRecord),
-    /// The holder of a new lease on a zone's shares begins. It counts as one
-    /// that may hold grants, and may hand out grants that lapse.
+    /// The holder of a new lease on a zone's shares starts. From now on it may hold
+    /// grants itself and may give out expiring grants.
     Opened {
-        /// The zone.
+        /// Zone of the shares.
         zone: ZoneId,
         /// Offset of the lease.
         lease: LogOffset,
-        /// The incarnation that has the lease.
+        /// Incarnation that holds the lease.
         holder: GrantHolder,
     },
-    /// An incarnation may hold grants that stay.
+    /// An incarnation may hold grants without an expiry.
     Joined {
-        /// The zone.
+        /// Zone of the shares.
         zone: ZoneId,
         /// Offset of the writer's lease.
         lease: LogOffset,
-        /// The incarnation.
+        /// Incarnation that joined.
         holder: GrantHolder,
     },
-    /// An incarnation is known to be gone and holds no grants.
+    /// An incarnation is known to have ended and holds no grants.
     Left {
-        /// The zone.
+        /// Zone of the shares.
         zone: ZoneId,
         /// Offset of the writer's lease.
         lease: LogOffset,
-        /// The incarnation.
+        /// Incarnation that ended.
         holder: GrantHolder,
     },
-    /// A zone has given up what a split took from it.
+    /// A zone has released what a split took from it.
     Released {
-        /// The zone.
+        /// Zone of the shares.
         zone: ZoneId,
         /// Offset of the writer's lease.
         lease: LogOffset,
-        /// What it uses now.
+        /// What the zone uses now.
         release: ReleaseRecord,
     },
-    /// The whole ledger, for readers that start after older records expired.
+    /// The whole ledger, for readers that start after older records have expired.
     Checkpoint {
         /// Offset after the last record contained.
         as_of: LogOffset,
-        /// The ledger.
+        /// State of the ledger.
         ledger: Box<AllotmentLedger>,
     },
 }
--- a/src/shares/units.rs
+++ b/src/shares/units.rs
@@ -8,24 +8,24 @@
 use crate::admission::ShareLimit;
 use crate::resources::CapacitySpec;
 
-/// Seconds in a minute.
+/// Seconds per minute.
 pub(crate) const MINUTE_SECONDS: u32 = 60;
 
-/// An amount of both kinds of capacity; operations work on each kind apart.
+/// Amounts of both kinds of capacity; operations apply to each kind separately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ShareUnits {
-    /// Requests in flight at once.
+    /// Maximum number of requests in flight.
     pub concurrent_requests: u32,
-    /// Requests started per minute: a second's worth of a small organisation
-    /// does not divide over the hosts of a zone.
+    /// Maximum number of starts per minute; the per-second rate of a small organisation
+    /// is too small to divide over the hosts of a zone.
     pub requests_per_minute: u32,
 }
 
 impl ShareUnits {
-    /// Nothing.
+    /// No capacity.
     pub const NONE: Self = Self::new(0, 0);
 
-    /// An amount.
+    /// Creates an amount.
     pub const fn new(concurrent_requests: u32, requests_per_minute: u32) -> Self {
         Self {
             concurrent_requests,
@@ -33,19 +33,19 @@
         }
     }
 
-    /// The lower of two amounts, kind by kind.
+    /// Returns the minimum of two amounts for each kind.
     #[must_use]
     pub fn lower(self, other: Self) -> Self {
         self.zip(other, u32::min)
     }
 
-    /// The higher of two amounts, kind by kind.
+    /// Returns the maximum of two amounts for each kind.
     #[must_use]
     pub fn higher(self, other: Self) -> Self {
         self.zip(other, u32::max)
     }
 
-    /// Whether neither kind exceeds that of `limit`.
+    /// Returns whether neither kind exceeds that of `limit`.
     pub fn is_within(self, limit: Self) -> bool {
         self.lower(limit) == self
     }
@@ -69,8 +69,8 @@
     }
 }
 
-/// Subtraction stops at zero: where more is counted as used than there is,
-/// nothing is free.
+/// Subtraction saturates at zero: if more is counted as used than exists, nothing is
+/// free.
 impl Sub for ShareUnits {
     type Output = Self;
 
--- a/src/shares/zone_shares.rs
+++ b/src/shares/zone_shares.rs
@@ -1,5 +1,5 @@
-//! One host's part in the division of its zone's shares: user always, holder
-//! while it has the lease.
+//! One host's role in the division of its zone's shares: it always uses grants, and gives
+//! them out while it holds the lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -12,21 +12,20 @@
 use crate::ids::{LogOffset, OrganisationId, ZoneId};
 use crate::peer::{PeerDemand, PeerGrant};
 
-/// What a host tells the holder of a lease.
+/// Report of a host to the holder of a lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShareReport {
-    /// Lease whose holder is addressed.
+    /// Lease whose holder the report is for.
     pub lease: LogOffset,
     /// What the host holds and wants.
     pub demands: Vec<PeerDemand>,
 }
 
-/// Ledger, grants in use and, with the lease, grants given.
+/// Ledger, grants in use and, with the lease, the table of grants given out.
 ///
-/// It keeps the one rule that spans both sides: a host that reports to a
-/// later holder divides nothing itself any more. The later holder frees what
-/// no one reported once all have reported; an earlier one that went on
-/// dividing would hand out the same units again.
+/// Enforces the one rule that spans both sides: a host that reports to a later lease
+/// holder stops dividing. The later holder frees unreported units once all hosts have
+/// reported, and an earlier one that went on dividing would grant the same units again.
 #[derive(Debug)]
 pub struct ZoneShares {
     settings: GrantSettings,
@@ -41,7 +40,7 @@
 }
 
 impl ZoneShares {
-    /// A host that holds nothing yet.
+    /// Creates the state of a host without grants.
     pub fn new(settings: GrantSettings, zone: ZoneId, holder: GrantHolder, now: Instant) -> Self {
         let user = GrantUser::new(settings.pause_limit, now);
         Self {
@@ -71,12 +70,12 @@
         outcome
     }
 
-    /// Passes over a record of the stream that cannot be read.
+    /// Skips a record of the stream that cannot be decoded.
     pub fn skip(&mut self, offset: LogOffset) {
         self.ledger.skip(offset);
     }
 
-    /// Takes in what is declared.
+    /// Sets the declared capacities and zones.
     pub fn set_declared(
         &mut self,
         declared: BTreeMap<OrganisationId, ShareUnits>,
@@ -85,8 +84,8 @@
         self.ledger.set_declared(declared, zones);
     }
 
-    /// Takes in that a host of the zone has the lease at `lease`; `is_own` if
-    /// it is this incarnation. Earlier leases change nothing.
+    /// Records that a host of the zone holds the lease at offset `lease`; `is_own` if it
+    /// is this incarnation. Earlier leases change nothing.
     pub fn observe_lease(&mut self, lease: LogOffset, is_own: bool) {
         if self.lease.is_some_and(|known| known >= lease) {
             return;
@@ -102,14 +101,14 @@
         }
     }
 
-    /// Takes in that an incarnation has ended.
+    /// Records that an incarnation has ended.
     pub fn observe_removed(&mut self, holder: &GrantHolder, now: Instant) {
         if let Some(table) = &mut self.table {
             table.observe_removed(holder, now);
         }
     }
 
-    /// The report for the holder of the last lease known; `None` without one.
+    /// Returns the report for the holder of the last known lease, or `None` without one.
     pub fn report(
         &mut self,
         usage: &BTreeMap<OrganisationId, ShareUsage>,
@@ -123,8 +122,8 @@
         Some(ShareReport { lease, demands })
     }
 
-    /// Answers a report as the holder of the lease that it addresses; `None`
-    /// if this host does not divide under that lease.
+    /// Replies to a report as the holder of the lease that it names; `None` if this host
+    /// does not divide under that lease.
     pub fn observe_report(
         &mut self,
         from: &GrantHolder,
@@ -141,8 +140,8 @@
         table.reply(from, now)
     }
 
-    /// Reports to this host itself if it holds the lease; to be called as
-    /// often as a heartbeat goes to another holder.
+    /// Reports to this host itself if it holds the lease. Must be called as often as
+    /// heartbeats are sent to another lease holder.
     pub fn report_to_self(&mut self, usage: &BTreeMap<OrganisationId, ShareUsage>, now: Instant) {
         let Some(report) = self.report(usage, now) else {
             return;
@@ -155,8 +154,8 @@
         }
     }
 
-    /// Takes in the answer to a report made at `sent_at`; says whether to
-    /// report again at once.
+    /// Applies the reply to a report sent at `sent_at` and returns whether to report
+    /// again at once.
     pub fn observe_reply(
         &mut self,
         lease: LogOffset,
@@ -166,14 +165,14 @@
         self.user.observe_reply(lease, grants, sent_at)
     }
 
-    /// Gives up all grants for good. To be called once nothing waits any
-    /// more: what waits could not be started without a grant.
+    /// Returns all grants permanently. To be called only once no request waits any more,
+    /// as waiting requests could not start without a grant.
     pub fn hand_back(&mut self) {
         self.is_draining = true;
         self.user.hand_back();
     }
 
-    /// Lets time pass, and says which records to append to the stream.
+    /// Advances time and returns the records to append to the stream.
     pub fn tick(&mut self, now: Instant) -> Vec<AllotmentBody> {
         self.user.tick(now);
         match &mut self.table {
@@ -184,29 +183,29 @@
 }
 
 impl ZoneShares {
-    /// What this host may use of an organisation's capacity now.
+    /// Returns what this host may use of an organisation's capacity at `now`.
     pub fn limit(&self, organisation: &str, now: Instant) -> ShareUnits {
         self.user.limit(organisation, now)
     }
 
-    /// The allotment stream as applied so far.
+    /// Returns the allotment stream as applied so far.
     pub fn ledger(&self) -> &AllotmentLedger {
         &self.ledger
     }
 
-    /// The last lease known.
+    /// Returns the last known lease.
     pub fn lease(&self) -> Option<LogOffset> {
         self.lease
     }
 
-    /// Incarnations that the log names and that have not reported to this
-    /// holder; empty on other hosts. Those that membership judges as ended
-    /// are to be passed to [`ZoneShares::observe_removed`].
+    /// Returns the incarnations that the log names and that have not reported to this
+    /// lease holder; empty on other hosts. Those that membership considers ended must be
+    /// passed to [`ZoneShares::observe_removed`].
     pub fn awaited(&self) -> impl Iterator<Item = &GrantHolder> {
         self.table.iter().flat_map(GrantTable::awaited)
     }
 
-    /// The table of grants given, if this host has had the lease.
+    /// Returns the table of grants given out, if this host has held the lease.
     pub fn table(&self) -> Option<&GrantTable> {
         self.table.as_ref()
     }
