--- a/src/reconcile.rs
+++ b/src/reconcile.rs
@@ -1,8 +1,10 @@
-//! Declared state against observed state of targets: which orders to give.
+//! Reconciliation of the declared with the observed state of targets: decides which
+//! orders to send.
 //!
-//! One lease holder gives the orders of an availability zone. An order says
-//! which state to be in, so a repeated or late one does no harm by itself; a
-//! stale one is mended by the next observation. Nothing here does I/O.
+//! The holder of one lease sends the orders of an availability zone. An order names the
+//! complete state that a target should be in, so that a repeated or late order does no
+//! harm by itself, and the next observation corrects the effect of a stale one. This
+//! module does no I/O.
 
 mod decision;
 mod desired;
--- a/src/reconcile/decision.rs
+++ b/src/reconcile/decision.rs
@@ -1,11 +1,11 @@
-//! What the reconciler decides.
+//! Decisions of the reconciler.
 
 use std::time::Instant;
 
 use crate::ids::{LogOffset, TargetId};
 use crate::target::wire::{LoadedRange, StateOrder};
 
-/// The lease under which this daemon gives orders.
+/// The lease under which this daemon sends orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OrderingLease {
     /// Log offset of the accepted acquisition.
@@ -19,40 +19,41 @@
 /// What to do about one target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReconcileDecision {
-    /// Ask the target for its state.
+    /// Request the target's state.
     Observe {
-        /// The target.
+        /// Send an order, then read the state back.
         target: TargetId,
     },
-    /// Give an order, then read the state back.
+    /// Target to request.
     Order {
-        /// The target.
+        /// Target that receives the order.
         target: TargetId,
-        /// What to send.
+        /// State that the target should be in.
         order: StateOrder,
     },
-    /// Nothing is ordered although the target differs; counted and explained.
+    /// Send no order although the target differs from its desired state; counted and
+    /// explained.
     Withhold {
-        /// The target.
+        /// Target that differs.
         target: TargetId,
-        /// Why.
+        /// Why no order is sent.
         reason: WithheldReason,
     },
 }
 
-/// Why an order is held back.
+/// Why an order is withheld.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WithheldReason {
-    /// As many loads are under way as the weights store allows.
+    /// As many loads are in progress as the weights store allows.
     LoadsBounded,
-    /// An earlier holder's order may still arrive at a target without fencing.
+    /// An earlier lease holder's order may still arrive at a target without fencing.
     EarlierHolder,
-    /// The lease ends before the order would.
+    /// The lease ends before the deadline of the order.
     LeaseEnding,
-    /// The last order failed a moment ago.
+    /// The last order failed less than the backoff ago.
     BackingOff,
-    /// Runs that began before the range was no longer declared may use it.
+    /// Runs that began while the range was declared may still use it.
     Retained(LoadedRange),
-    /// Unloading would take away the last holder of a range.
+    /// Unloading would remove the last holder of a range.
     LastHolder(LoadedRange),
 }
--- a/src/reconcile/desired.rs
+++ b/src/reconcile/desired.rs
@@ -1,4 +1,4 @@
-//! Which ranges each engine should hold, worked out from declared resources.
+//! Desired state of each engine, derived from declared resources.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,18 +9,18 @@
 /// The state that a target should be in.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct DesiredState {
-    /// Ranges to hold.
+    /// Ranges to load.
     pub loaded: BTreeSet<LoadedRange>,
     /// Role to take.
     pub role: EngineRole,
-    /// Whether the target refuses old fencing numbers.
+    /// Whether the target rejects old fencing numbers.
     pub fencing: FencingSupport,
 }
 
-/// Works out the desired state of every engine of one availability zone.
+/// Returns the desired state of every engine of one availability zone.
 ///
-/// `engines` are the engines of the zone with their fencing support; engines
-/// that no pipeline names are desired empty.
+/// `engines` are the engines of the zone with their fencing support. Engines that no
+/// pipeline names are desired empty.
 pub fn desired_states<'a, P, F>(
     engines: &BTreeMap<TargetId, FencingSupport>,
     pipelines: P,
--- a/src/reconcile/limits.rs
+++ b/src/reconcile/limits.rs
@@ -1,23 +1,23 @@
-//! Bounds on what the reconciler does.
+//! Limits of the reconciler.
 
 use std::time::Duration;
 
-/// Bounds on what the reconciler does at once, and for how long it waits.
+/// Limits on the reconciler's concurrency and times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReconcileLimits {
-    /// Targets that may fetch weights at the same time.
+    /// Maximum number of targets that load weights at the same time.
     pub concurrent_loads: usize,
-    /// Time within which a target begins an order or drops it.
+    /// Time within which a target starts to execute an order or drops it.
     pub order_deadline: Duration,
-    /// How old an observation may become before the target is asked again.
+    /// Age at which an observation is stale and the target is read again.
     pub observe_interval: Duration,
     /// Pause after a failed order.
     pub failure_backoff: Duration,
-    /// For how long a range is kept after it is no longer declared, so that
-    /// runs on it can end.
+    /// How long a range is kept after it is no longer declared, so that runs on it can
+    /// end.
     pub retain_for: Duration,
-    /// For how long a target that does not answer counts as fetching weights,
-    /// if it may do so.
+    /// How long a target that does not respond counts as loading weights, if it may be
+    /// doing so.
     pub load_timeout: Duration,
 }
 
--- a/src/reconcile/round.rs
+++ b/src/reconcile/round.rs
@@ -8,7 +8,7 @@
 use crate::resources::FencingSupport;
 use crate::target::wire::{LoadedRange, StateOrder, TargetState};
 
-/// What a range serves, whatever adapters are loaded beside it.
+/// Layers of a model version that a range serves, regardless of loaded adapters.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ServedRange {
     model: ModelId,
@@ -28,14 +28,15 @@
     }
 }
 
-/// Running counts of one round; orders of the same round count on each other.
+/// Running counts of one round, so that each order takes the earlier ones of the round
+/// into account.
 pub(super) struct ReconcileRound<'t> {
     table: &'t ReconcileTable,
     lease: Option<OrderingLease>,
     now: Instant,
     load_slots: usize,
-    /// Who can be counted on to hold a range. Two targets that are ordered
-    /// together must not each count on the other as the holder left.
+    /// Targets that can be relied on to hold each range. Two targets that are ordered in
+    /// the same round must not each rely on the other as the remaining holder.
     holders: BTreeMap<ServedRange, BTreeSet<TargetId>>,
     decisions: Vec<ReconcileDecision>,
 }
@@ -61,7 +62,7 @@
         self.decisions
     }
 
-    /// Asks a target for its state, once a round.
+    /// Requests a target's state, once per round.
     pub(super) fn observe(&mut self, target: &TargetId) {
         let decision = ReconcileDecision::Observe {
             target: target.clone(),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Decides about a target that differs from what is desired.
+    /// Decides about a target that differs from its desired state.
     pub(super) fn plan(&mut self, target: &TargetId, desired: &DesiredState, state: &TargetState) {
         let Some(lease) = self.lease else {
             return;
@@ -98,8 +99,8 @@
             }
         }
         for range in fetching.difference(&desired.loaded) {
-            // It may be loaded by the time the order comes, and then be the
-            // only one.
+            // The range may be loaded by the time the order arrives, and then be the only
+            // copy.
             if !self.table.was_unused(target, range) || self.is_last_holder(target, &range.into()) {
                 wanted.insert(range.clone());
             }
@@ -108,7 +109,7 @@
         if wanted == present && state.role == desired.role {
             return;
         }
-        // A target that fetches already has its place among the loads.
+        // A target that is already loading is counted among the loads.
         let needs_load_slot = fetching.is_empty() && !wanted.is_subset(&present);
         if needs_load_slot && self.load_slots == 0 {
             return self.withhold(target, WithheldReason::LoadsBounded);
@@ -131,21 +132,21 @@
         });
     }
 
-    /// Why no order at all may be given to this target now.
+    /// Returns why no order at all may be sent to this target now.
     fn withhold_reason(
         &self,
         desired: &DesiredState,
         lease: OrderingLease,
     ) -> Option<WithheldReason> {
         let deadline = self.table.limits.order_deadline;
-        // A holder that was paused wakes up with a lease that has lapsed; its
-        // order would race the next holder's. The deadline bounds how long an
-        // order sent now can still begin, so it must end before the lease.
+        // A lease holder that was paused wakes up with an expired lease, and its order
+        // would race the next holder's. The deadline bounds how long an order sent now
+        // may take to start, so it must end before the lease.
         if self.now + deadline >= lease.held_until {
             return Some(WithheldReason::LeaseEnding);
         }
-        // A target without fencing carries out an earlier holder's order that
-        // is still on its way. Waiting out the longest order rules that out.
+        // A target without fencing executes an earlier lease holder's order that is still
+        // in transit. Waiting for the longest order deadline rules that out.
         let waited = self.now.saturating_duration_since(lease.held_since);
         match desired.fencing {
             FencingSupport::Ignores if waited < deadline => Some(WithheldReason::EarlierHolder),
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Why a target must keep a range that is not desired there.
+    /// Returns why a target must keep a range that is not desired there.
     fn retain_reason(&mut self, target: &TargetId, range: &LoadedRange) -> Option<WithheldReason> {
         if self.table.is_retained(target, range, self.now) {
             return Some(WithheldReason::Retained(range.clone()));
@@ -162,13 +163,13 @@
         if !self.is_last_holder(target, &served) {
             return None;
         }
-        // Unloading the last holder of a range that a pipeline still names
-        // would refuse every request on it until weights arrive elsewhere.
+        // Unloading the last holder of a range that a pipeline still names would refuse
+        // every request on it until another target has loaded the weights.
         self.observe_other_zones(&served);
         Some(WithheldReason::LastHolder(range.clone()))
     }
 
-    /// Whether a range is wanted and no other target is known to hold it.
+    /// Returns whether a range is desired and no other target is known to hold it.
     fn is_last_holder(&self, target: &TargetId, served: &ServedRange) -> bool {
         let holders = self.holders.get(served);
         let has_others =
@@ -182,7 +183,8 @@
         desired.any(|state| serves(state, served))
     }
 
-    /// Engines of other zones are asked only when something depends on it.
+    /// Requests the states of other zones' engines, but only of those that matter for
+    /// `served`.
     fn observe_other_zones(&mut self, served: &ServedRange) {
         let table = self.table;
         for (target, state) in &table.other_zones {
@@ -206,8 +208,8 @@
     ranges.any(|range| range == *served)
 }
 
-/// Targets that hold a range and take new work, as far as that is known now. A
-/// target that has not answered lately is not counted on.
+/// Returns the targets that hold a range and accept new work, as far as is known now. A
+/// target without a recent response is left out.
 fn holders(
     table: &ReconcileTable,
     lease: Option<OrderingLease>,
--- a/src/reconcile/table.rs
+++ b/src/reconcile/table.rs
@@ -1,4 +1,4 @@
-//! The reconciler's table: desired, observed, and what was ordered last.
+//! The reconciler's table of desired states, observed states and open orders.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -15,11 +15,11 @@
     seen_at: Instant,
 }
 
-/// An order whose effect was not observed yet.
+/// An order whose effect has not been observed yet.
 #[derive(Debug, Clone, Copy)]
 struct OpenOrder {
     sent_at: Instant,
-    /// Whether it made the target fetch weights.
+    /// Whether it makes the target load weights.
     loads: bool,
 }
 
@@ -28,7 +28,7 @@
 pub struct ReconcileTable {
     pub(super) limits: ReconcileLimits,
     pub(super) desired: BTreeMap<TargetId, DesiredState>,
-    /// Engines of other zones: not ordered, but they may hold the same ranges.
+    /// Engines of other zones: they receive no orders, but may hold the same ranges.
     pub(super) other_zones: BTreeMap<TargetId, DesiredState>,
     observed: BTreeMap<TargetId, Observation>,
     open_orders: BTreeMap<TargetId, OpenOrder>,
@@ -39,7 +39,7 @@
 
 // Commands.
 impl ReconcileTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: ReconcileLimits) -> Self {
         Self {
             limits,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Replaces the desired states at `now`; targets no longer named are
-    /// forgotten. `other_zones` are the engines of other zones.
+    /// Replaces the desired states at `now` and drops targets that are no longer named.
+    /// `other_zones` are the engines of other zones.
     pub fn set_desired(
         &mut self,
         desired: BTreeMap<TargetId, DesiredState>,
@@ -74,7 +74,7 @@
         self.other_zones = other_zones;
     }
 
-    /// Takes in a state read from a target; the question was sent at `requested_at`.
+    /// Records a state read from a target; the request was sent at `requested_at`.
     pub fn observe(&mut self, target: &TargetId, state: TargetState, requested_at: Instant) {
         let known = match self.desired.get(target) {
             Some(desired) => Some(desired),
@@ -104,10 +104,10 @@
         self.observed.insert(target.clone(), observation);
     }
 
-    /// Notes that an order is about to be sent at `now`.
+    /// Records that an order is about to be sent at `now`.
     ///
-    /// It may take effect although its answer is lost. Until the target is
-    /// observed again it may have dropped and may be fetching what it was told.
+    /// The order may take effect even if its response is lost. Until the target is
+    /// observed again, it may have unloaded ranges and may be loading those of the order.
     pub fn record_order(&mut self, target: &TargetId, order: &StateOrder, now: Instant) {
         let seen = self.observed.get(target);
         let is_new =
@@ -119,7 +119,7 @@
         self.open_orders.insert(target.clone(), open);
     }
 
-    /// Notes that the target could not be asked or ordered at `now`.
+    /// Records that a request or order to the target failed at `now`.
     pub fn record_failure(&mut self, target: &TargetId, now: Instant) {
         self.failed_at.insert(target.clone(), now);
     }
@@ -127,7 +127,7 @@
 
 // Queries.
 impl ReconcileTable {
-    /// Targets that differ from what is declared, as last observed.
+    /// Returns the targets whose last observed state differs from the declared one.
     pub fn differing(&self) -> Vec<TargetId> {
         self.desired
             .iter()
@@ -141,7 +141,7 @@
 
     /// Decides for every target of the zone.
     ///
-    /// Without a lease nothing is ordered, but targets are still observed.
+    /// Without a lease no orders are sent, but targets are still observed.
     pub fn decide(&self, lease: Option<OrderingLease>, now: Instant) -> Vec<ReconcileDecision> {
         let mut round = ReconcileRound::new(self, lease, now);
         for (target, desired) in &self.desired {
@@ -161,12 +161,12 @@
         })
     }
 
-    /// The state of a target, if it may be acted on.
+    /// Returns the state of a target if it may be acted on.
     ///
-    /// A new holder that trusted what it saw before its lease would undo what
-    /// the earlier holder ordered meanwhile; one would notice a range loaded
-    /// and unloaded in turns. So it observes again after the lease began, and
-    /// likewise after an order whose answer was lost.
+    /// If a new lease holder trusted observations from before its lease, it would undo
+    /// what the earlier holder ordered meanwhile, and a range would be loaded and
+    /// unloaded in turn. It therefore observes again after the start of the lease, and
+    /// likewise after an order whose response was lost.
     pub(super) fn current(
         &self,
         target: &TargetId,
@@ -180,7 +180,7 @@
         (is_recent && seen_under_lease && has_no_open_order).then_some(&seen.state)
     }
 
-    /// Targets that fetch weights, or may do so for all that is known.
+    /// Returns how many targets load weights, or may be doing so.
     pub(super) fn loads_in_progress(&self, lease: OrderingLease, now: Instant) -> usize {
         self.desired
             .keys()
@@ -188,11 +188,11 @@
             .count()
     }
 
-    /// Whether a target may be fetching weights.
+    /// Returns whether a target may be loading weights.
     ///
-    /// A target that does not answer may still fetch what this holder or the
-    /// one before ordered. Left out of the count it would make room for one
-    /// load too many; counted for ever it would block all others.
+    /// A target that does not respond may still execute a load that this lease holder or
+    /// the one before ordered. Left out of the count, it would make room for one load too
+    /// many; counted for ever, it would block all others.
     fn may_be_loading(&self, target: &TargetId, lease: OrderingLease, now: Instant) -> bool {
         let is_within_timeout =
             |since: Instant| now.saturating_duration_since(since) < self.limits.load_timeout;
@@ -205,12 +205,12 @@
         }
     }
 
-    /// Whether a range that was being fetched when the target was last seen
-    /// cannot have served a run.
+    /// Returns whether a range that was being loaded when the target was last seen cannot
+    /// have served a run.
     ///
-    /// It may have come to serve right after that. As long as it was desired
-    /// then, runs may have begun on it, and to call the fetching off would
-    /// unload it under them.
+    /// The load may have completed right after that observation. If the range was still
+    /// desired then, runs may have begun on it, and cancelling the load would unload it
+    /// under them.
     pub(super) fn was_unused(&self, target: &TargetId, range: &LoadedRange) -> bool {
         let since = self.undesired_since.get(target);
         let seen_at = self.observed.get(target).map(|seen| seen.seen_at);
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Whether runs that began while a range was desired may still use it.
+    /// Returns whether runs that began while a range was desired may still use it.
     pub(super) fn is_retained(&self, target: &TargetId, range: &LoadedRange, now: Instant) -> bool {
         let since = self.undesired_since.get(target);
         since
