--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -61,7 +61,7 @@
 /// that has 500 ms left.
 /// Cause: the estimate is not looked at before the request is queued.
 #[test]
-fn hopeless_request_is_refused_on_arrival() {
+fn request_that_cannot_meet_its_deadline_is_refused_on_arrival() {
     let now = Instant::now();
     let mut table = table(AdmissionSettings::default(), &[("a", 1)], now);
     let late = now + Duration::from_secs(60);
@@ -173,7 +173,7 @@
 /// Sequence: one runs, one waits, the organisation is removed, the first ends.
 /// Cause: the queue is dropped with the organisation.
 #[test]
-fn removed_organisation_is_answered() {
+fn waiting_requests_of_a_removed_organisation_are_refused() {
     let now = Instant::now();
     let mut table = table(AdmissionSettings::default(), &[("a", 1)], now);
     let deadline = now + Duration::from_secs(5);
@@ -196,7 +196,7 @@
 /// its organisation's rate at hand; or the rate is used up and nothing else.
 /// Cause: the next tick is due at a time that has already passed.
 #[test]
-fn full_host_waits_for_the_next_tick() {
+fn next_tick_of_a_full_host_is_in_the_future() {
     let now = Instant::now();
     let mut table = table(AdmissionSettings::default(), &[("a", 5)], now);
     let deadline = now + Duration::from_secs(5);
@@ -230,7 +230,7 @@
     /// capacity, and slots come free one after another.
     /// Cause: turns by arrival or by queue length instead of by share.
     #[test]
-    fn backlogged_organisations_get_their_part(
+    fn backlogged_organisations_are_served_by_weight(
         shares in prop::collection::vec(1..20u32, 2..6),
         capacity in 1..8u32,
         picks in prop::collection::vec(0..8usize, 400),
@@ -279,7 +279,7 @@
 /// comes back; later it goes for good.
 /// Cause: a host without any share refuses what waits at once.
 #[test]
-fn what_waits_outlasts_a_moment_without_share() {
+fn waiting_requests_survive_a_short_time_without_share() {
     const GRACE: Duration = Duration::from_secs(3);
     let settings = AdmissionSettings {
         share_grace: GRACE,
--- a/tests/admission_compare.rs
+++ b/tests/admission_compare.rs
@@ -99,7 +99,7 @@
         self.events.push(Reverse((at, number, event)));
     }
 
-    fn drawn(&mut self, mean: f64) -> Duration {
+    fn exponential(&mut self, mean: f64) -> Duration {
         Duration::from_secs_f64(-(1.0 - self.rng.random::<f64>()).ln() * mean)
     }
 
@@ -127,7 +127,7 @@
 
     fn arrive(&mut self, organisation: usize, now: Instant) {
         let mean = SERVICE_MS / 1e3;
-        let service = Duration::from_secs_f64(mean / 2.0) + self.drawn(mean / 2.0);
+        let service = Duration::from_secs_f64(mean / 2.0) + self.exponential(mean / 2.0);
         let id = self.requests.len();
         self.requests.push(FakeRequest {
             organisation,
@@ -189,7 +189,7 @@
                     self.arrive(organisation, now);
                     let rate =
                         f64::from(SHARES[organisation]) * 1e3 / SERVICE_MS * loads[organisation];
-                    let gap = self.drawn(rate.recip());
+                    let gap = self.exponential(rate.recip());
                     self.push(now + gap, Event::Arrival(organisation));
                 }
                 Event::End(request) => self.end(request, now),
@@ -218,7 +218,7 @@
     /// 95th percentile of the others' answers, in milliseconds.
     others_p95: f64,
     /// Part of the refusals that came within 10 ms.
-    at_once: f64,
+    immediate: f64,
 }
 
 fn median(values: &mut [f64]) -> (f64, String) {
@@ -248,13 +248,13 @@
         let served: usize = outcome.served.iter().map(Vec::len).sum();
         let mut others = outcome.served[1..].concat();
         let refused = outcome.refused.len();
-        let at_once = outcome.refused.iter().filter(|time| time.as_millis() <= 10);
-        let at_once = at_once.count() as f64 / refused.max(1) as f64;
+        let immediate = outcome.refused.iter().filter(|time| time.as_millis() <= 10);
+        let immediate = immediate.count() as f64 / refused.max(1) as f64;
         let cells = [
             served as f64 / bound,
             percentile(&mut others, 0.95),
             percentile(&mut outcome.refused, 0.99),
-            at_once,
+            immediate,
             outcome.late as f64 / bound,
         ];
         columns
@@ -268,12 +268,12 @@
     Row {
         goodput: medians[0].0,
         others_p95: medians[1].0,
-        at_once: medians[3].0,
+        immediate: medians[3].0,
     }
 }
 
 #[test]
-fn overload_of_one_or_all_leaves_the_others_whole() {
+fn overload_preserves_goodput_and_latency_of_other_organisations() {
     println!(
         "| run | goodput of bound | others' p95 ms | refusal p99 ms | refused within 10 ms | late of bound |"
     );
@@ -282,15 +282,15 @@
     greedy[0] = 10.0;
     row("one queue, all at 2.0", Admission::OneQueue, [2.0; 10]);
     row("one queue, one at 10", Admission::OneQueue, greedy);
-    let calm = row("table, all at 0.8", Admission::Table, [0.8; 10]);
+    let normal = row("table, all at 0.8", Admission::Table, [0.8; 10]);
     let peak = row("table, all at 1.1", Admission::Table, [1.1; 10]);
     let double = row("table, all at 2.0", Admission::Table, [2.0; 10]);
     let one = row("table, one at 10", Admission::Table, greedy);
-    assert!(double.at_once >= 0.99 && one.at_once >= 0.99);
+    assert!(double.immediate >= 0.99 && one.immediate >= 0.99);
     assert!(double.goodput >= 0.95 * peak.goodput);
     assert!(
-        one.others_p95 <= 1.1 * calm.others_p95,
+        one.others_p95 <= 1.1 * normal.others_p95,
         "{}",
-        one.others_p95 / calm.others_p95
+        one.others_p95 / normal.others_p95
     );
 }
--- a/tests/admission_model.rs
+++ b/tests/admission_model.rs
@@ -82,7 +82,7 @@
     tokens: Vec<(Instant, Option<u32>)>,
     /// Ends since the limits changed, and whether pressure followed.
     ends: Vec<(Instant, bool)>,
-    pressed: bool,
+    under_pressure: bool,
 }
 
 impl NaiveHistory {
@@ -144,12 +144,14 @@
 }
 
 impl NaiveTable {
-    fn of(&self, request: &AdmissionRequest) -> usize {
+    fn organisation_of(&self, request: &AdmissionRequest) -> usize {
         request.organisation.parse().expect("a number")
     }
 
     fn count(&self, list: &[AdmissionRequest], organisation: usize) -> usize {
-        list.iter().filter(|r| self.of(r) == organisation).count()
+        list.iter()
+            .filter(|r| self.organisation_of(r) == organisation)
+            .count()
     }
 
     fn has_slot(&self) -> bool {
@@ -163,17 +165,17 @@
 
     /// Whole slots that are the organisation's; `None` without a share.
     fn slots(&self, organisation: usize) -> Option<u64> {
-        let mut asking = 0;
+        let mut active_shares = 0;
         for other in 0..ORGANISATIONS {
             let active = self.count(&self.queue, other) + self.count(&self.running, other) > 0;
             if active || other == organisation {
-                asking += u64::from(self.limit(other).concurrent_requests);
+                active_shares += u64::from(self.limit(other).concurrent_requests);
             }
         }
         let share = u64::from(self.limit(organisation).concurrent_requests);
         match self.capacity.map(u64::from) {
             _ if share == 0 => None,
-            Some(capacity) if asking > capacity => Some(capacity * share / asking),
+            Some(capacity) if active_shares > capacity => Some(capacity * share / active_shares),
             _ => Some(share),
         }
     }
@@ -207,10 +209,13 @@
         margin: f64,
         now: Instant,
     ) -> bool {
-        self.wait(self.of(request), ahead, request.service_time, now)
-            .is_some_and(|wait| {
-                now + wait.mul_f64(margin) + request.service_time <= request.deadline
-            })
+        self.wait(
+            self.organisation_of(request),
+            ahead,
+            request.service_time,
+            now,
+        )
+        .is_some_and(|wait| now + wait.mul_f64(margin) + request.service_time <= request.deadline)
     }
 
     fn may_start(&self, organisation: usize, now: Instant) -> bool {
@@ -220,14 +225,18 @@
     }
 
     fn cost(&self, request: &AdmissionRequest) -> (f64, f64) {
-        let weight = f64::from(self.limit(self.of(request)).concurrent_requests.max(1));
+        let weight = f64::from(
+            self.limit(self.organisation_of(request))
+                .concurrent_requests
+                .max(1),
+        );
         (request.service_time.as_secs_f64().max(1e-3), weight)
     }
 
-    fn start(&mut self, request: AdmissionRequest, turn: f64, now: Instant) -> Outcome {
-        let organisation = self.of(&request);
+    fn start(&mut self, request: AdmissionRequest, start_tag: f64, now: Instant) -> Outcome {
+        let organisation = self.organisation_of(&request);
         let (cost, weight) = self.cost(&request);
-        self.starts.push((organisation, cost / weight, turn));
+        self.starts.push((organisation, cost / weight, start_tag));
         self.histories[organisation].tokens.push((now, None));
         let id = request.request.to_string();
         self.running.push(request);
@@ -240,8 +249,8 @@
         reason: RefusalReason,
         now: Instant,
     ) -> Outcome {
-        let organisation = self.of(request);
-        self.histories[organisation].pressed |= reason != DeadlinePassed;
+        let organisation = self.organisation_of(request);
+        self.histories[organisation].under_pressure |= reason != DeadlinePassed;
         let length = self.count(&self.queue, organisation);
         let wait = self.wait(organisation, length, request.service_time, now);
         let wait = wait.unwrap_or(settings().max_retry_after);
@@ -250,24 +259,25 @@
     }
 
     fn admit(&mut self, request: AdmissionRequest, now: Instant) -> Outcome {
-        let organisation = self.of(&request);
-        let mine: Vec<_> = self
+        let organisation = self.organisation_of(&request);
+        let own_queue: Vec<_> = self
             .queue
             .iter()
-            .filter(|r| self.of(r) == organisation)
+            .filter(|r| self.organisation_of(r) == organisation)
             .collect();
-        let ahead = mine
+        let ahead = own_queue
             .iter()
             .filter(|r| r.priority >= request.priority)
             .count();
         let limit = self.limit(organisation);
-        let starts = mine.is_empty() && self.has_slot() && self.may_start(organisation, now);
+        let starts = own_queue.is_empty() && self.has_slot() && self.may_start(organisation, now);
         let late = match starts {
             true => now + request.service_time > request.deadline,
             false => !self.reachable(&request, ahead, 1.5, now),
         };
         let declared = self.histories.iter().filter(|h| h.limit.is_some()).count();
-        let full = mine.len() >= 4 || (self.queue.len() >= 6 && mine.len() >= 6 / declared.max(1));
+        let full = own_queue.len() >= 4
+            || (self.queue.len() >= 6 && own_queue.len() >= 6 / declared.max(1));
         let known = self.histories[organisation].limit.is_some();
         let reason = match () {
             () if known && now >= request.deadline => DeadlinePassed,
@@ -280,7 +290,7 @@
             () if full => QueueFull,
             () => {
                 let id = request.request.to_string();
-                self.histories[organisation].pressed = true;
+                self.histories[organisation].under_pressure = true;
                 self.queue.push(request);
                 return Outcome::Wait(id);
             }
@@ -289,28 +299,28 @@
     }
 
     /// The waiting requests of an organisation, in the order of their turns.
-    fn turns(&self, organisation: usize) -> Vec<AdmissionRequest> {
-        let mut turns: Vec<_> = self
+    fn queue_of(&self, organisation: usize) -> Vec<AdmissionRequest> {
+        let mut queue: Vec<_> = self
             .queue
             .iter()
-            .filter(|r| self.of(r) == organisation)
+            .filter(|r| self.organisation_of(r) == organisation)
             .cloned()
             .collect();
-        turns.sort_by_key(|request| std::cmp::Reverse(request.priority));
-        turns
+        queue.sort_by_key(|request| std::cmp::Reverse(request.priority));
+        queue
     }
 
     fn virtual_start(&self, organisation: usize) -> f64 {
         let (mut served, mut time) = ([0.0_f64; ORGANISATIONS], 0.0_f64);
-        for &(who, cost, turn) in &self.starts {
-            served[who] = served[who].max(time) + cost;
-            time = time.max(turn);
+        for &(starter, cost, start_tag) in &self.starts {
+            served[starter] = served[starter].max(time) + cost;
+            time = time.max(start_tag);
         }
         served[organisation].max(time)
     }
 
     fn refuse_waiting(&mut self, request: &AdmissionRequest, now: Instant) -> Outcome {
-        let limit = self.limit(self.of(request));
+        let limit = self.limit(self.organisation_of(request));
         let reason = match () {
             () if now >= request.deadline => DeadlinePassed,
             () if limit.concurrent_requests == 0 || limit.requests_per_minute == 0 => {
@@ -328,24 +338,26 @@
             for organisation in 0..ORGANISATIONS {
                 let in_flight = self.count(&self.running, organisation) as u64;
                 let is_below = self.slots(organisation).is_some_and(|s| in_flight < s);
-                match self.turns(organisation).first() {
+                match self.queue_of(organisation).first() {
                     Some(first) if self.may_start(organisation, now) => {
                         let (cost, weight) = self.cost(first);
                         let credit = if is_below { 2.0 * cost / weight } else { 0.0 };
-                        let turn = self.virtual_start(organisation) - credit;
-                        if best.as_ref().is_none_or(|best| turn < best.0) {
-                            best = Some((turn, first.clone()));
+                        let start_tag = self.virtual_start(organisation) - credit;
+                        if best.as_ref().is_none_or(|best| start_tag < best.0) {
+                            best = Some((start_tag, first.clone()));
                         }
                     }
                     _ => (),
                 }
             }
-            let Some((turn, request)) = best else { break };
+            let Some((start_tag, request)) = best else {
+                break;
+            };
             self.queue
                 .retain(|waiting| waiting.request != request.request);
             outcomes.push(match now + request.service_time > request.deadline {
                 true => self.refuse_waiting(&request, now),
-                false => self.start(request, turn, now),
+                false => self.start(request, start_tag, now),
             });
         }
         outcomes
@@ -353,17 +365,17 @@
 
     fn tick(&mut self, now: Instant) -> Vec<Outcome> {
         let mut outcomes = self.start_waiting(now);
-        let mut given_up = Vec::new();
+        let mut unreachable = Vec::new();
         for organisation in 0..ORGANISATIONS {
             let mut ahead = 0;
-            for request in self.turns(organisation) {
+            for request in self.queue_of(organisation) {
                 match self.reachable(&request, ahead, 0.5, now) {
                     true => ahead += 1,
-                    false => given_up.push(request),
+                    false => unreachable.push(request),
                 }
             }
         }
-        for request in given_up {
+        for request in unreachable {
             self.queue
                 .retain(|waiting| waiting.request != request.request);
             outcomes.push(self.refuse_waiting(&request, now));
@@ -373,12 +385,12 @@
 
     fn release(&mut self, nth: usize, completed: bool, now: Instant) -> Vec<Outcome> {
         let ended = self.running.remove(nth);
-        let organisation = self.of(&ended);
+        let organisation = self.organisation_of(&ended);
         if completed {
             let waiting = self.count(&self.queue, organisation) > 0;
             let history = &mut self.histories[organisation];
-            history.ends.push((now, waiting || history.pressed));
-            history.pressed = false;
+            history.ends.push((now, waiting || history.under_pressure));
+            history.under_pressure = false;
         }
         self.start_waiting(now)
     }
@@ -389,13 +401,13 @@
             history.limit = Some(limit);
             history.tokens.push((now, Some(limit.requests_per_minute)));
             history.ends.clear();
-            history.pressed = false;
+            history.under_pressure = false;
         }
     }
 }
 
 /// Compares decisions; a Retry-After may lie up to half above the naive one.
-fn assert_alike(
+fn assert_same_decisions(
     decisions: &[AdmissionDecision],
     outcomes: &[Outcome],
 ) -> Result<(), TestCaseError> {
@@ -407,7 +419,7 @@
         outcomes
     );
     for (decision, outcome) in decisions.iter().zip(outcomes) {
-        let alike = match (decision, outcome) {
+        let is_equal = match (decision, outcome) {
             (AdmissionDecision::Start { request }, Outcome::Start(id)) => **request == **id,
             (AdmissionDecision::Wait { request }, Outcome::Wait(id)) => **request == **id,
             (
@@ -416,14 +428,14 @@
                     reason,
                     retry_after,
                 },
-                Outcome::Refuse(id, why, wait),
+                Outcome::Refuse(id, expected_reason, wait),
             ) => {
                 let jittered = *wait..=wait.mul_f64(1.5);
-                **request == **id && reason == why && jittered.contains(retry_after)
+                **request == **id && reason == expected_reason && jittered.contains(retry_after)
             }
             _ => false,
         };
-        prop_assert!(alike, "{:?} is not {:?}", decision, outcome);
+        prop_assert!(is_equal, "{:?} is not {:?}", decision, outcome);
     }
     Ok(())
 }
@@ -461,7 +473,7 @@
                     priority,
                 };
                 let decision = table.admit(request.clone(), now);
-                assert_alike(&[decision], &[naive.admit(request, now)])?;
+                assert_same_decisions(&[decision], &[naive.admit(request, now)])?;
             }
             Event::Release { nth, completed } if nth < naive.running.len() => {
                 let request = naive.running[nth].request.clone();
@@ -470,14 +482,14 @@
                     false => ReleaseCause::Abandoned,
                 };
                 let decisions = table.release(&request, now, cause);
-                assert_alike(&decisions, &naive.release(nth, completed, now))?;
+                assert_same_decisions(&decisions, &naive.release(nth, completed, now))?;
             }
             Event::Cancel(nth) if nth < naive.queue.len() => {
                 let request = naive.queue.remove(nth).request;
                 prop_assert!(table.cancel(&request, now));
             }
             Event::Release { .. } | Event::Cancel(_) => (),
-            Event::Tick => assert_alike(&table.tick(now), &naive.tick(now))?,
+            Event::Tick => assert_same_decisions(&table.tick(now), &naive.tick(now))?,
         }
         for organisation in 0..ORGANISATIONS {
             let in_flight = table.in_flight(&name(organisation)) as usize;
@@ -496,7 +508,7 @@
     })]
 
     #[test]
-    fn decisions_equal_the_naive_ones(events in events()) {
+    fn decisions_equal_those_of_the_naive_table(events in events()) {
         replay(events)?;
     }
 }
--- a/tests/reconcile.rs
+++ b/tests/reconcile.rs
@@ -21,7 +21,7 @@
 const TICK: Duration = Duration::from_millis(250);
 const LOAD_TIME: Duration = Duration::from_secs(2);
 /// Enough for every load, wait and retention after the last fault.
-const HEAL_TICKS: usize = 200;
+const RECOVERY_TICKS: usize = 200;
 const LIMITS: ReconcileLimits = ReconcileLimits {
     concurrent_loads: 2,
     order_deadline: Duration::from_secs(1),
@@ -57,18 +57,18 @@
     format!("engine-{engine}").into()
 }
 
-fn serves_as(one: &LoadedRange, other: &LoadedRange) -> bool {
-    (&one.version, one.first_layer) == (&other.version, other.first_layer)
+fn serves_as(left: &LoadedRange, right: &LoadedRange) -> bool {
+    (&left.version, left.first_layer) == (&right.version, right.first_layer)
 }
 
 #[derive(Debug, Clone)]
 enum Step {
     Advance { ticks: u8 },
     Desire { masks: [u8; ALL] },
-    Die { engine: usize },
-    Revive { engine: usize },
+    Crash { engine: usize },
+    Restart { engine: usize },
     LoseOrder { engine: usize, takes_effect: bool },
-    FarLoads,
+    OtherZoneLoads,
     ChangeLease { gap: u8, other_host: bool },
     LeaseEnding,
 }
@@ -77,11 +77,11 @@
     prop_oneof![
         4 => (1..12u8).prop_map(|ticks| Step::Advance { ticks }),
         3 => prop::array::uniform5(0..16u8).prop_map(|masks| Step::Desire { masks }),
-        1 => (0..ALL).prop_map(|engine| Step::Die { engine }),
-        2 => (0..ALL).prop_map(|engine| Step::Revive { engine }),
+        1 => (0..ALL).prop_map(|engine| Step::Crash { engine }),
+        2 => (0..ALL).prop_map(|engine| Step::Restart { engine }),
         2 => (0..OWN, any::<bool>())
             .prop_map(|(engine, takes_effect)| Step::LoseOrder { engine, takes_effect }),
-        1 => Just(Step::FarLoads),
+        1 => Just(Step::OtherZoneLoads),
         1 => (0..6u8, any::<bool>())
             .prop_map(|(gap, other_host)| Step::ChangeLease { gap, other_host }),
         1 => Just(Step::LeaseEnding),
@@ -114,7 +114,7 @@
         }
     }
 
-    fn obey(&mut self, order: &StateOrder, now: Instant) {
+    fn execute(&mut self, order: &StateOrder, now: Instant) {
         self.loaded.retain(|range| order.loaded.contains(range));
         self.loading.retain(|range, _| order.loaded.contains(range));
         for range in &order.loaded {
@@ -136,7 +136,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     now: Instant,
     engines: Vec<Engine>,
     masks: [u8; ALL],
@@ -145,14 +145,14 @@
     is_ending: bool,
 }
 
-impl World {
+impl Simulation {
     fn new(masks: [u8; ALL]) -> Self {
         let now = Instant::now();
         let mut engines: Vec<Engine> = (0..ALL).map(|_| Engine::default()).collect();
         for (engine, mask) in engines.iter_mut().zip(masks) {
             engine.loaded = ranges(mask);
         }
-        let mut world = Self {
+        let mut simulation = Self {
             now,
             engines,
             masks,
@@ -160,9 +160,9 @@
             lease: None,
             is_ending: false,
         };
-        world.tell_desired();
-        world.take_lease();
-        world
+        simulation.update_desired();
+        simulation.take_lease();
+        simulation
     }
 
     fn take_lease(&mut self) {
@@ -174,19 +174,19 @@
         });
     }
 
-    fn tell_desired(&mut self) {
+    fn update_desired(&mut self) {
         let state = |engine: usize| DesiredState {
             loaded: ranges(self.masks[engine]),
             role: EngineRole::Mixed,
             fencing: fencing(engine),
         };
         let own = (0..OWN).map(|engine| (name(engine), state(engine)));
-        let elsewhere = (OWN..ALL).map(|engine| (name(engine), state(engine)));
-        let (own, elsewhere) = (own.collect(), elsewhere.collect());
-        self.table.set_desired(own, elsewhere, self.now);
+        let other_zones = (OWN..ALL).map(|engine| (name(engine), state(engine)));
+        let (own, other_zones) = (own.collect(), other_zones.collect());
+        self.table.set_desired(own, other_zones, self.now);
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Advance { ticks } => (0..*ticks).for_each(|_| self.tick()),
             Step::Desire { masks } => {
@@ -198,18 +198,18 @@
                     }
                 }
                 self.masks = *masks;
-                self.tell_desired();
+                self.update_desired();
             }
-            Step::Die { engine } => {
+            Step::Crash { engine } => {
                 self.engines[*engine].is_dead = true;
                 self.engines[*engine].died_at = Some(self.now);
             }
-            Step::Revive { engine } => self.engines[*engine].is_dead = false,
+            Step::Restart { engine } => self.engines[*engine].is_dead = false,
             Step::LoseOrder {
                 engine,
                 takes_effect,
             } => self.engines[*engine].lost_order = Some(*takes_effect),
-            Step::FarLoads => {
+            Step::OtherZoneLoads => {
                 let desired = ranges(self.masks[OWN]);
                 self.engines[OWN].loaded.extend(desired);
             }
@@ -218,7 +218,7 @@
                 (0..*gap).for_each(|_| self.tick());
                 if *other_host {
                     self.table = ReconcileTable::new(LIMITS);
-                    self.tell_desired();
+                    self.update_desired();
                 }
                 self.lease = lease;
                 self.take_lease();
@@ -276,7 +276,7 @@
         if engine.is_dead || lost == Some(false) {
             return self.table.record_failure(target, now);
         }
-        engine.obey(order, now);
+        engine.execute(order, now);
         match lost {
             Some(_) => self.table.record_failure(target, now),
             None => self.observe(target),
@@ -296,7 +296,10 @@
         );
         if fencing(index) == FencingSupport::Ignores {
             let waited = self.now - lease.held_since;
-            assert!(waited >= LIMITS.order_deadline, "an earlier order may come");
+            assert!(
+                waited >= LIMITS.order_deadline,
+                "an earlier lease holder's order may still arrive"
+            );
         }
     }
 
@@ -308,7 +311,7 @@
             }
             if let Some(until) = engine.served_until.get(dropped) {
                 let since = self.now - *until;
-                assert!(since >= LIMITS.retain_for, "dropped under its runs");
+                assert!(since >= LIMITS.retain_for, "unloaded while runs may use it");
             }
             let is_wanted = (0..ALL).any(|other| {
                 let desired = ranges(self.masks[other]);
@@ -325,19 +328,19 @@
                         is_kept && serves_as(held, dropped)
                     })
             });
-            assert!(!is_wanted || is_held, "the last holder drops {dropped:?}");
+            assert!(!is_wanted || is_held, "the last holder unloads {dropped:?}");
         }
     }
 
-    fn heal(&mut self) {
+    fn recover(&mut self) {
         for engine in &mut self.engines {
             engine.is_dead = false;
             engine.lost_order = None;
         }
         // The other zone only loads: what it unloads within the second in which
         // it was seen is out of this zone's hands.
-        self.take(&Step::FarLoads);
-        (0..HEAL_TICKS).for_each(|_| self.tick());
+        self.apply(&Step::OtherZoneLoads);
+        (0..RECOVERY_TICKS).for_each(|_| self.tick());
         for (index, engine) in self.engines[..OWN].iter().enumerate() {
             let desired = ranges(self.masks[index]);
             assert_eq!(engine.loaded, desired, "engine {index} did not converge");
@@ -368,15 +371,15 @@
     /// change hands, in any order.
     /// Cause: an order that rests on what is no longer true.
     #[test]
-    fn orders_are_safe_and_lead_to_what_is_declared(
+    fn orders_are_safe_and_converge_to_the_declared_state(
         masks in prop::array::uniform5(0..16u8),
         steps in prop::collection::vec(step(), 1..40),
     ) {
-        let mut world = World::new(masks);
+        let mut simulation = Simulation::new(masks);
         for step in &steps {
-            world.take(step);
+            simulation.apply(step);
         }
-        world.heal();
+        simulation.recover();
     }
 }
 
@@ -385,25 +388,34 @@
 /// Cause: their loads count for ever, since nobody sees them end.
 #[test]
 fn loads_of_dead_engines_do_not_block_the_others() {
-    let mut world = World::new([0; ALL]);
-    world.take(&Step::Desire {
+    let mut simulation = Simulation::new([0; ALL]);
+    simulation.apply(&Step::Desire {
         masks: [1, 1, 1, 1, 0],
     });
     let is_loading = |engine: &Engine| !engine.loading.is_empty();
-    let loads = |world: &World| world.engines.iter().filter(|one| is_loading(one)).count();
-    for _ in 0..HEAL_TICKS {
-        if loads(&world) < LIMITS.concurrent_loads {
-            world.tick();
+    let loads = |simulation: &Simulation| {
+        simulation
+            .engines
+            .iter()
+            .filter(|engine| is_loading(engine))
+            .count()
+    };
+    for _ in 0..RECOVERY_TICKS {
+        if loads(&simulation) < LIMITS.concurrent_loads {
+            simulation.tick();
         }
     }
-    assert_eq!(loads(&world), LIMITS.concurrent_loads);
+    assert_eq!(loads(&simulation), LIMITS.concurrent_loads);
     for engine in 0..OWN {
-        if is_loading(&world.engines[engine]) {
-            world.take(&Step::Die { engine });
+        if is_loading(&simulation.engines[engine]) {
+            simulation.apply(&Step::Crash { engine });
         }
     }
-    (0..HEAL_TICKS).for_each(|_| world.tick());
-    for engine in world.engines[..OWN].iter().filter(|one| !one.is_dead) {
+    (0..RECOVERY_TICKS).for_each(|_| simulation.tick());
+    for engine in simulation.engines[..OWN]
+        .iter()
+        .filter(|engine| !engine.is_dead)
+    {
         assert_eq!(engine.loaded, ranges(1));
     }
 }
@@ -414,14 +426,14 @@
 /// load first, so that it is not loaded before runs may have ended.
 /// Cause: the same layers with and without the adapter are told apart.
 #[test]
-fn the_only_engine_serves_on_while_an_adapter_is_added() {
-    let mut world = World::new([0, 0, 0, 1, 0]);
-    world.take(&Step::Desire {
+fn only_engine_keeps_serving_while_an_adapter_is_added() {
+    let mut simulation = Simulation::new([0, 0, 0, 1, 0]);
+    simulation.apply(&Step::Desire {
         masks: [6, 6, 6, 8, 0],
     });
-    for _ in 0..HEAL_TICKS {
-        world.tick();
-        assert!(!world.engines[3].loaded.is_empty());
+    for _ in 0..RECOVERY_TICKS {
+        simulation.tick();
+        assert!(!simulation.engines[3].loaded.is_empty());
     }
-    world.heal();
+    simulation.recover();
 }
--- a/tests/shares_comparison.rs
+++ b/tests/shares_comparison.rs
@@ -29,7 +29,7 @@
 const SERVICE_STEPS: f64 = 20.0;
 
 /// A way of dividing, by seed, demand over bought capacity, and cut or not.
-type DivisionWay = fn(u64, f64, bool) -> Outcome;
+type DivisionMethod = fn(u64, f64, bool) -> Outcome;
 
 /// What became of one way of dividing.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
@@ -67,7 +67,7 @@
     let mut rng = SmallRng::seed_from_u64(seed ^ 1);
     let mut in_flight = [0; HOSTS];
     let mut outcome = Outcome::default();
-    let (mut possible, mut missed) = (0, 0);
+    let (mut usable, mut unused) = (0, 0);
     for (step, wanted) in demand(seed, load).iter().enumerate() {
         let cut = is_cut && step % 1000 >= 500;
         let limit = limits(step, &in_flight, wanted, cut);
@@ -77,18 +77,18 @@
                 .count() as u32;
             in_flight[host] -= ended;
             let room = limit[host].saturating_sub(in_flight[host]);
-            let due = wanted[host].saturating_sub(in_flight[host]);
-            in_flight[host] += room.min(due);
+            let wanted_units = wanted[host].saturating_sub(in_flight[host]);
+            in_flight[host] += room.min(wanted_units);
         }
         let used: u32 = in_flight.iter().sum();
-        let due = wanted.iter().sum::<u32>().min(BOUGHT);
-        possible += due;
-        missed += due.saturating_sub(used);
+        let wanted_units = wanted.iter().sum::<u32>().min(BOUGHT);
+        usable += wanted_units;
+        unused += wanted_units.saturating_sub(used);
         outcome.worst_excess = outcome.worst_excess.max(used.saturating_sub(BOUGHT));
         outcome.excess_steps += f64::from(u8::from(used > BOUGHT));
     }
     outcome.excess_steps /= STEPS as f64;
-    outcome.wasted = f64::from(missed) / f64::from(possible);
+    outcome.wasted = f64::from(unused) / f64::from(usable);
     outcome
 }
 
@@ -101,19 +101,19 @@
 /// Each host admits while its own use and the others', as last heard, leave
 /// room. When cut, the last two hosts are not heard by the first two.
 fn gossip(seed: u64, load: f64, is_cut: bool) -> Outcome {
-    let mut heard = [[0_u32; HOSTS]; HOSTS];
+    let mut reported = [[0_u32; HOSTS]; HOSTS];
     run(seed, load, is_cut, move |step, in_flight, _, cut| {
         for from in (0..HOSTS).filter(|from| step % HEARTBEAT_STEPS == from % HEARTBEAT_STEPS) {
-            for (to, heard) in heard.iter_mut().enumerate() {
+            for (to, reported) in reported.iter_mut().enumerate() {
                 if !cut || (from < HOSTS / 2) == (to < HOSTS / 2) {
-                    heard[from] = in_flight[from];
+                    reported[from] = in_flight[from];
                 }
             }
         }
         std::array::from_fn(|host| {
             let others: u32 = (0..HOSTS)
                 .filter(|other| *other != host)
-                .map(|other| heard[host][other])
+                .map(|other| reported[host][other])
                 .sum();
             BOUGHT.saturating_sub(others)
         })
@@ -199,17 +199,17 @@
     };
     *sequence += 1;
     let from = hosts[index].0.clone();
-    let answer = hosts[0]
+    let reply = hosts[0]
         .1
         .observe_report(&from, *sequence, &report, false, now);
-    let Some(grants) = answer else {
+    let Some(grants) = reply else {
         return false;
     };
     hosts[index].1.observe_reply(report.lease, &grants, now)
 }
 
 fn median(mut outcomes: Vec<Outcome>) -> Outcome {
-    outcomes.sort_by(|one, other| one.wasted.total_cmp(&other.wasted));
+    outcomes.sort_by(|left, right| left.wasted.total_cmp(&right.wasted));
     let worst_excess = outcomes.iter().map(|outcome| outcome.worst_excess).max();
     Outcome {
         worst_excess: worst_excess.unwrap_or(0),
@@ -219,16 +219,16 @@
 
 /// Symptom: none; the figures of `docs/design/shares.md`.
 #[test]
-fn grants_neither_exceed_nor_waste_much() {
+fn grants_never_exceed_bought_capacity_and_waste_little() {
     let mut rows = String::new();
     for (load, is_cut) in [(0.7, false), (1.0, false), (2.0, false), (2.0, true)] {
-        let ways: [(&str, DivisionWay); 3] = [
+        let methods: [(&str, DivisionMethod); 3] = [
             ("even split", even),
             ("gossip", gossip),
             ("grants", granted),
         ];
-        for (name, way) in ways {
-            let outcome = median((1..=9).map(|seed| way(seed, load, is_cut)).collect());
+        for (name, method) in methods {
+            let outcome = median((1..=9).map(|seed| method(seed, load, is_cut)).collect());
             rows += &format!(
                 "load {load}, cut {is_cut}, {name}: excess at most {} in {:.1}% of steps, wasted {:.1}%\n",
                 outcome.worst_excess,
--- a/tests/shares_model.rs
+++ b/tests/shares_model.rs
@@ -16,8 +16,8 @@
 enum ModelStep {
     Read(usize, usize),
     TakeLease(usize),
-    HearLease(usize),
-    HearGone(usize),
+    ObserveLease(usize),
+    ObserveRemovals(usize),
     Tick(usize),
     Report(usize),
     Kill(usize),
@@ -26,9 +26,9 @@
     Wait(u64, usize),
     Commit(usize, bool),
     DeliverReport(usize),
-    DeliverAnswer(usize),
+    DeliverReply(usize),
     LoseReport(usize),
-    LoseAnswer(usize),
+    LoseReply(usize),
     Round(usize),
     Exchange(usize),
 }
@@ -37,8 +37,8 @@
     match *step {
         ModelStep::Read(host, count) => model.read(host, count),
         ModelStep::TakeLease(host) => model.take_lease(host),
-        ModelStep::HearLease(host) => model.hear_lease(host),
-        ModelStep::HearGone(host) => model.hear_gone(host),
+        ModelStep::ObserveLease(host) => model.observe_last_lease(host),
+        ModelStep::ObserveRemovals(host) => model.observe_removals(host),
         ModelStep::Tick(host) => model.tick(host),
         ModelStep::Report(host) => model.report(host),
         ModelStep::Kill(host) => model.kill(host),
@@ -60,14 +60,14 @@
         ModelStep::DeliverReport(pick) if !model.reports.is_empty() => {
             model.deliver_report(pick % model.reports.len());
         }
-        ModelStep::DeliverAnswer(pick) if !model.answers.is_empty() => {
-            model.deliver_answer(pick % model.answers.len());
+        ModelStep::DeliverReply(pick) if !model.replies.is_empty() => {
+            model.deliver_reply(pick % model.replies.len());
         }
         ModelStep::LoseReport(pick) if !model.reports.is_empty() => {
             model.reports.remove(pick % model.reports.len());
         }
-        ModelStep::LoseAnswer(pick) if !model.answers.is_empty() => {
-            model.answers.remove(pick % model.answers.len());
+        ModelStep::LoseReply(pick) if !model.replies.is_empty() => {
+            model.replies.remove(pick % model.replies.len());
         }
         ModelStep::Round(zone) => model.round(zone),
         ModelStep::Exchange(host) => model.exchange(host),
@@ -81,8 +81,8 @@
     prop_oneof![
         2 => (host.clone(), 1_usize..6).prop_map(|(host, count)| ModelStep::Read(host, count)),
         1 => host.clone().prop_map(ModelStep::TakeLease),
-        2 => host.clone().prop_map(ModelStep::HearLease),
-        2 => host.clone().prop_map(ModelStep::HearGone),
+        2 => host.clone().prop_map(ModelStep::ObserveLease),
+        2 => host.clone().prop_map(ModelStep::ObserveRemovals),
         2 => host.clone().prop_map(ModelStep::Tick),
         10 => host.clone().prop_map(ModelStep::Report),
         1 => host.clone().prop_map(ModelStep::Kill),
@@ -94,9 +94,9 @@
         6 => (pick.clone(), prop::bool::weighted(0.2))
             .prop_map(|(pick, is_repeated)| ModelStep::Commit(pick, is_repeated)),
         9 => pick.clone().prop_map(ModelStep::DeliverReport),
-        9 => pick.clone().prop_map(ModelStep::DeliverAnswer),
+        9 => pick.clone().prop_map(ModelStep::DeliverReply),
         1 => pick.clone().prop_map(ModelStep::LoseReport),
-        1 => pick.prop_map(ModelStep::LoseAnswer),
+        1 => pick.prop_map(ModelStep::LoseReply),
         1 => (0..ZONES.len()).prop_map(ModelStep::Round),
         16 => host.prop_map(ModelStep::Exchange),
     ]
@@ -106,10 +106,10 @@
 fn naive_division(available: u32, wants: &[u32]) -> Vec<u32> {
     let mut parts = vec![0; wants.len()];
     for _ in 0..available {
-        let poorest = (0..wants.len())
+        let smallest = (0..wants.len())
             .filter(|index| parts[*index] < wants[*index])
             .min_by_key(|index| parts[*index]);
-        if let Some(index) = poorest {
+        if let Some(index) = smallest {
             parts[index] += 1;
         }
     }
@@ -134,13 +134,13 @@
     /// are late, lost or doubled; hosts die; splits move between zones.
     /// Cause: any unit counted at two places at once.
     #[test]
-    fn the_sum_never_exceeds_what_was_bought(
+    fn units_in_use_never_exceed_bought_capacity(
         is_cold in prop::bool::weighted(0.2),
         steps in prop::collection::vec(model_step(), 1..120),
     ) {
         let mut model = ShareModel::new();
         if !is_cold {
-            model.run_quiet(4);
+            model.run_without_faults(4);
         }
         for step in &steps {
             apply(&mut model, step);
@@ -157,7 +157,7 @@
     /// Events: any history as above, then quiet, with a new demand.
     /// Cause: units that no place counts as its own.
     #[test]
-    fn when_quiet_the_division_is_that_of_a_central_allocator(
+    fn division_without_faults_equals_that_of_a_central_allocator(
         steps in prop::collection::vec(model_step(), 1..120),
         wants in prop::collection::vec(0_u32..9, HOSTS),
     ) {
@@ -173,7 +173,7 @@
         model.settle();
         prop_assert_eq!(model.used(), BOUGHT);
         for (zone, hosts) in ZONES.iter().zip(model.hosts.chunks(HOSTS_PER_ZONE)) {
-            let share = model.judge.usable(ORGANISATION, zone);
+            let share = model.reference.usable(ORGANISATION, zone);
             let wants: Vec<_> = hosts.iter().map(|host| host.waiting).collect();
             let mut served: Vec<_> = hosts
                 .iter()
@@ -193,7 +193,7 @@
     #![proptest_config(config(0x6469_7669, 2000))]
 
     #[test]
-    fn a_division_is_fair_and_whole(
+    fn divide_is_fair_and_distributes_everything(
         available in 0_u32..40,
         wants in prop::collection::vec(0_u32..20, 1..8),
     ) {
--- a/tests/shares_scenarios.rs
+++ b/tests/shares_scenarios.rs
@@ -20,11 +20,11 @@
 /// Events: all demand moves from one host to another.
 /// Cause: units move only when something else happens.
 #[test]
-fn demand_that_moves_is_followed_within_four_reports() {
+fn units_follow_demand_within_four_reports() {
     let mut model = ShareModel::new();
     model.settle();
     let share = model
-        .judge
+        .reference
         .usable(ORGANISATION, ZONES[0])
         .concurrent_requests;
     for busy in [1, 2, 0, 1] {
@@ -50,7 +50,7 @@
 /// Events: no log, no holder and no peer for an hour.
 /// Cause: grants that end by themselves.
 #[test]
-fn a_host_that_is_cut_off_keeps_its_grant() {
+fn partitioned_host_keeps_its_grant() {
     let mut model = ShareModel::new();
     model.settle();
     let before = model.used();
@@ -68,7 +68,7 @@
 /// then it wakes up, cut off from all.
 /// Cause: a woken process trusts grants from before its sleep.
 #[test]
-fn a_woken_host_uses_nothing_until_the_holder_answers() {
+fn resumed_host_uses_nothing_until_the_lease_holder_replies() {
     let mut model = ShareModel::new();
     model.settle();
     let frozen = 1;
@@ -97,7 +97,7 @@
 /// Events: a host hands back its grants while requests still run.
 /// Cause: grants given again to a host that takes nothing new.
 #[test]
-fn a_draining_host_gives_up_what_it_does_not_use() {
+fn draining_host_returns_unused_units() {
     let mut model = ShareModel::new();
     model.settle();
     model.hosts[0].in_flight = 1;
@@ -108,7 +108,7 @@
         ShareUnits::NONE
     );
     let share = model
-        .judge
+        .reference
         .usable(ORGANISATION, ZONES[0])
         .concurrent_requests;
     let others: ShareUnits = model.hosts[1..HOSTS_PER_ZONE]
@@ -130,9 +130,9 @@
 /// records of an earlier holder and of a writer that lost a race follow.
 /// Cause: state that is not in the stream, or records judged by arrival.
 #[test]
-fn a_reader_from_a_checkpoint_judges_like_one_from_the_start() {
-    let split = |based_on, near: u32| {
-        let near = ShareUnits::new(near, near);
+fn reader_from_a_checkpoint_derives_the_same_ledger() {
+    let split = |based_on, first_units: u32| {
+        let first_units = ShareUnits::new(first_units, first_units);
         AllotmentBody::Split(SplitRecord {
             organisation: organisation(),
             version: 3,
@@ -140,8 +140,8 @@
             bought: BOUGHT,
             assumed: even_split(BOUGHT, &zones()),
             shares: BTreeMap::from([
-                (ZoneId::from(ZONES[0]), near),
-                (ZoneId::from(ZONES[1]), BOUGHT - near),
+                (ZoneId::from(ZONES[0]), first_units),
+                (ZoneId::from(ZONES[1]), BOUGHT - first_units),
             ]),
         })
     };
@@ -167,36 +167,49 @@
         (released(5, 2), AllotmentOutcome::Accepted),
         (opened(4), AllotmentOutcome::Superseded),
     ];
-    let mut first = AllotmentLedger::default();
+    let mut from_start = AllotmentLedger::default();
     for (offset, body) in (0..).zip(&before) {
-        assert_eq!(first.apply(offset, body), AllotmentOutcome::Accepted);
+        assert_eq!(from_start.apply(offset, body), AllotmentOutcome::Accepted);
     }
-    assert_eq!(first.usable(ORGANISATION, ZONES[0]).concurrent_requests, 6);
-    let text = serde_json::to_string(&first.checkpoint()).expect("text");
+    assert_eq!(
+        from_start
+            .usable(ORGANISATION, ZONES[0])
+            .concurrent_requests,
+        6
+    );
+    let text = serde_json::to_string(&from_start.checkpoint()).expect("text");
     let checkpoint: AllotmentBody = serde_json::from_str(&text).expect("a record");
     assert_eq!(
-        first.apply(3, &checkpoint),
+        from_start.apply(3, &checkpoint),
         AllotmentOutcome::AlreadyApplied
     );
 
-    let mut second = AllotmentLedger::default();
-    assert_eq!(second.apply(4, &after[0].0), AllotmentOutcome::Gap);
-    assert_eq!(second.apply(3, &checkpoint), AllotmentOutcome::Accepted);
+    let mut from_checkpoint = AllotmentLedger::default();
+    assert_eq!(from_checkpoint.apply(4, &after[0].0), AllotmentOutcome::Gap);
+    assert_eq!(
+        from_checkpoint.apply(3, &checkpoint),
+        AllotmentOutcome::Accepted
+    );
     assert_eq!(
-        second.apply(3, &checkpoint),
+        from_checkpoint.apply(3, &checkpoint),
         AllotmentOutcome::AlreadyApplied
     );
     for (offset, (body, outcome)) in (4..).zip(&after) {
-        assert_eq!(first.apply(offset, body), *outcome);
-        assert_eq!(second.apply(offset, body), *outcome);
-        assert_eq!(first, second);
+        assert_eq!(from_start.apply(offset, body), *outcome);
+        assert_eq!(from_checkpoint.apply(offset, body), *outcome);
+        assert_eq!(from_start, from_checkpoint);
     }
-    assert_eq!(first.usable(ORGANISATION, ZONES[0]).concurrent_requests, 8);
+    assert_eq!(
+        from_start
+            .usable(ORGANISATION, ZONES[0])
+            .concurrent_requests,
+        8
+    );
 }
 
 /// Half a second passes on all hosts. What `online` ones append takes effect,
 /// what the others append is lost.
-fn pass(model: &mut ShareModel, online: &[usize]) {
+fn advance(model: &mut ShareModel, online: &[usize]) {
     model.now += Duration::from_millis(500);
     for index in 0..HOSTS {
         model.tick(index);
@@ -209,25 +222,25 @@
 }
 
 /// Runs rounds of half a second for some hosts and checks the sum after each.
-fn rounds(model: &mut ShareModel, count: usize, hosts: &[usize]) {
+fn run_rounds(model: &mut ShareModel, count: usize, hosts: &[usize]) {
     for _ in 0..count {
-        pass(model, hosts);
+        advance(model, hosts);
         for index in hosts {
             model.exchange(*index);
-            check(model);
+            assert_within_bought(model);
         }
     }
 }
 
-fn check(model: &ShareModel) {
+fn assert_within_bought(model: &ShareModel) {
     let used = model.used();
     assert!(used.is_within(BOUGHT), "{used:?} in use");
 }
 
-fn want(model: &mut ShareModel, wants: [u32; HOSTS_PER_ZONE]) {
-    for (host, want) in model.hosts.iter_mut().zip(wants) {
-        host.waiting = want;
-        host.wanted_rate = want;
+fn set_wants(model: &mut ShareModel, wants: [u32; HOSTS_PER_ZONE]) {
+    for (host, wanted) in model.hosts.iter_mut().zip(wants) {
+        host.waiting = wanted;
+        host.wanted_rate = wanted;
     }
 }
 
@@ -237,14 +250,14 @@
 }
 
 /// Leaves one answer under way that gives host 2 all of the zone's share.
-fn hold_back_a_raise(model: &mut ShareModel) {
-    model.run_quiet(4);
-    want(model, [0, 0, 100]);
-    rounds(model, 1, &[2, 0, 1]);
-    rounds(model, 1, &[0, 1]);
+fn delay_a_raised_grant(model: &mut ShareModel) {
+    model.run_without_faults(4);
+    set_wants(model, [0, 0, 100]);
+    run_rounds(model, 1, &[2, 0, 1]);
+    run_rounds(model, 1, &[0, 1]);
     model.report(2);
     model.deliver_report(0);
-    assert_eq!(model.answers.len(), 1);
+    assert_eq!(model.replies.len(), 1);
     assert_eq!(limit(model, 2), 2);
 }
 
@@ -254,55 +267,55 @@
 /// the late answer arrives.
 /// Cause: grants taken from a holder that no longer counts.
 #[test]
-fn a_late_answer_of_an_earlier_holder_is_refused() {
+fn late_reply_of_an_earlier_lease_holder_is_rejected() {
     let mut model = ShareModel::new();
-    hold_back_a_raise(&mut model);
+    delay_a_raised_grant(&mut model);
     model.take_lease(1);
     for index in 0..HOSTS_PER_ZONE {
-        model.hear_lease(index);
+        model.observe_last_lease(index);
     }
-    want(&mut model, [0, 100, 0]);
-    rounds(&mut model, 20, &[1, 0, 2]);
+    set_wants(&mut model, [0, 100, 0]);
+    run_rounds(&mut model, 20, &[1, 0, 2]);
     assert_eq!(limit(&model, 1), 6);
-    model.deliver_answer(0);
-    check(&model);
+    model.deliver_reply(0);
+    assert_within_bought(&model);
 }
 
 /// Symptom: as before, under one holder.
 /// Events: a late answer is overtaken by a later one that lowers the grant.
 /// Cause: grants taken in the order of arrival.
 #[test]
-fn an_answer_that_was_overtaken_is_refused() {
+fn reply_that_arrives_out_of_order_is_rejected() {
     let mut model = ShareModel::new();
-    hold_back_a_raise(&mut model);
-    want(&mut model, [0, 100, 0]);
-    rounds(&mut model, 4, &[2, 0, 1]);
+    delay_a_raised_grant(&mut model);
+    set_wants(&mut model, [0, 100, 0]);
+    run_rounds(&mut model, 4, &[2, 0, 1]);
     assert_eq!(limit(&model, 1), 6);
-    model.deliver_answer(0);
-    check(&model);
+    model.deliver_reply(0);
+    assert_within_bought(&model);
 }
 
 /// Host 2 is replaced and the new process, not yet named in the log, gets all
 /// of the zone's share from holder 0 by grants that lapse.
-fn lend_to_an_unnamed_host(model: &mut ShareModel) {
-    model.run_quiet(4);
+fn grant_to_an_unregistered_host(model: &mut ShareModel) {
+    model.run_without_faults(4);
     model.kill(2);
-    model.hear_gone(0);
-    model.hear_lease(2);
-    rounds(model, 20, &[0, 1]);
-    want(model, [0, 0, 100]);
+    model.observe_removals(0);
+    model.observe_last_lease(2);
+    run_rounds(model, 20, &[0, 1]);
+    set_wants(model, [0, 0, 100]);
     model.read(2, model.log.len());
     for _ in 0..4 {
-        pass(model, &[]);
+        advance(model, &[]);
         for index in [2, 0, 1] {
             model.report(index);
             while !model.reports.is_empty() {
                 model.deliver_report(0);
             }
-            while !model.answers.is_empty() {
-                model.deliver_answer(0);
+            while !model.replies.is_empty() {
+                model.deliver_reply(0);
             }
-            check(model);
+            assert_within_bought(model);
             // What the holder wants to append is lost: the log is down.
             model.tick(index);
             model.appending.clear();
@@ -317,15 +330,15 @@
 /// Cause: units of hosts that the log does not name taken for free at once,
 /// or grants to them that stay.
 #[test]
-fn an_unnamed_host_loses_its_grant_before_a_new_holder_uses_it() {
+fn grant_of_an_unregistered_host_expires_before_its_units_are_reused() {
     let mut model = ShareModel::new();
-    lend_to_an_unnamed_host(&mut model);
+    grant_to_an_unregistered_host(&mut model);
     model.take_lease(1);
-    model.hear_lease(0);
-    want(&mut model, [100, 100, 0]);
-    rounds(&mut model, 2, &[1]);
+    model.observe_last_lease(0);
+    set_wants(&mut model, [100, 100, 0]);
+    run_rounds(&mut model, 2, &[1]);
     for _ in 0..30 {
-        rounds(&mut model, 1, &[1, 0]);
+        run_rounds(&mut model, 1, &[1, 0]);
         model.tick(2);
     }
     assert_eq!(limit(&model, 0) + limit(&model, 1), 6);
@@ -336,14 +349,14 @@
 /// but has not read the log and goes on answering a host that knows only it.
 /// Cause: dividing and reporting to another at the same time.
 #[test]
-fn a_holder_that_reports_to_another_divides_no_more() {
+fn lease_holder_that_reports_to_another_stops_dividing() {
     let mut model = ShareModel::new();
-    lend_to_an_unnamed_host(&mut model);
+    grant_to_an_unregistered_host(&mut model);
     model.take_lease(1);
-    model.hear_lease(0);
-    want(&mut model, [0, 100, 100]);
+    model.observe_last_lease(0);
+    set_wants(&mut model, [0, 100, 100]);
     for _ in 0..30 {
-        rounds(&mut model, 1, &[1]);
+        run_rounds(&mut model, 1, &[1]);
         for index in [0, 2] {
             model.tick(index);
             model.appending.clear();
@@ -351,10 +364,10 @@
             while !model.reports.is_empty() {
                 model.deliver_report(0);
             }
-            while !model.answers.is_empty() {
-                model.deliver_answer(0);
+            while !model.replies.is_empty() {
+                model.deliver_reply(0);
             }
-            check(&model);
+            assert_within_bought(&model);
         }
     }
     assert_eq!(limit(&model, 1), 6);
@@ -365,19 +378,19 @@
 /// answering a host on its side of the partition.
 /// Cause: a new holder that awaits only hosts that took grants.
 #[test]
-fn a_new_holder_awaits_the_earlier_one() {
+fn new_lease_holder_awaits_the_earlier_one() {
     let mut model = ShareModel::new();
     model.take_lease(0);
-    model.hear_lease(2);
+    model.observe_last_lease(2);
     model.tick(0);
     let opening = model.appending.remove(0);
     model.append(opening);
     model.read(0, 1);
-    want(&mut model, [0, 0, 100]);
+    set_wants(&mut model, [0, 0, 100]);
     model.take_lease(1);
-    want(&mut model, [0, 100, 100]);
+    set_wants(&mut model, [0, 100, 100]);
     for _ in 0..40 {
-        rounds(&mut model, 1, &[1]);
+        run_rounds(&mut model, 1, &[1]);
         for index in [0, 2] {
             model.tick(index);
             model.appending.clear();
@@ -385,16 +398,16 @@
             while !model.reports.is_empty() {
                 model.deliver_report(0);
             }
-            while !model.answers.is_empty() {
-                model.deliver_answer(0);
+            while !model.replies.is_empty() {
+                model.deliver_reply(0);
             }
-            check(&model);
+            assert_within_bought(&model);
         }
     }
     assert_eq!((limit(&model, 1), limit(&model, 2)), (0, 6));
     model.kill(0);
-    model.hear_gone(1);
-    rounds(&mut model, 40, &[1]);
+    model.observe_removals(1);
+    run_rounds(&mut model, 40, &[1]);
     assert_eq!(limit(&model, 1), 6);
 }
 
@@ -403,12 +416,12 @@
 /// it again, a third lowers it; then the first release shows up.
 /// Cause: a release taken for a later split.
 #[test]
-fn a_late_release_frees_nothing_for_a_later_split() {
+fn late_release_frees_nothing_for_a_later_split() {
     let mut model = ShareModel::new();
-    model.run_quiet(4);
+    model.run_without_faults(4);
     let didube = [3, 4, 5];
     model.split(3);
-    pass(&mut model, &[]);
+    advance(&mut model, &[]);
     for index in didube {
         model.read(index, 100);
     }
@@ -418,8 +431,8 @@
             while !model.reports.is_empty() {
                 model.deliver_report(0);
             }
-            while !model.answers.is_empty() {
-                model.deliver_answer(0);
+            while !model.replies.is_empty() {
+                model.deliver_reply(0);
             }
         }
     }
@@ -429,14 +442,14 @@
     let release = model.appending.remove(release.expect("a release"));
     model.split(2);
     for _ in 0..4 {
-        rounds(&mut model, 1, &didube);
+        run_rounds(&mut model, 1, &didube);
     }
     let used: u32 = didube.iter().map(|index| limit(&model, *index)).sum();
     assert_eq!(used, 6);
     model.split(3);
     model.append(release);
-    rounds(&mut model, 8, &[0, 1, 2]);
-    rounds(&mut model, 8, &[0, 1, 2, 3, 4, 5]);
+    run_rounds(&mut model, 8, &[0, 1, 2]);
+    run_rounds(&mut model, 8, &[0, 1, 2, 3, 4, 5]);
     let used: u32 = (0..HOSTS_PER_ZONE).map(|index| limit(&model, index)).sum();
     assert_eq!(used, 9);
 }
--- a/tests/shares_support/mod.rs
+++ b/tests/shares_support/mod.rs
@@ -36,7 +36,7 @@
     pub wanted_rate: u32,
     pub sequence: u64,
     pub read_to: usize,
-    pub holds_lapsing: bool,
+    pub holds_expiring: bool,
 }
 
 pub struct SentReport {
@@ -47,7 +47,7 @@
     pub sent_at: Instant,
 }
 
-pub struct SentAnswer {
+pub struct SentReply {
     pub to: GrantHolder,
     pub lease: LogOffset,
     pub grants: Vec<PeerGrant>,
@@ -59,16 +59,16 @@
     pub now: Instant,
     pub hosts: Vec<ModelHost>,
     pub log: Vec<AllotmentBody>,
-    pub judge: AllotmentLedger,
+    pub reference: AllotmentLedger,
     pub appending: Vec<AllotmentBody>,
     pub reports: Vec<SentReport>,
-    pub answers: Vec<SentAnswer>,
+    pub replies: Vec<SentReply>,
     /// Last lease of each zone.
     pub leases: BTreeMap<ZoneId, LogOffset>,
     pub lease_holders: BTreeMap<LogOffset, GrantHolder>,
     pub next_lease: LogOffset,
     pub next_incarnation: u64,
-    pub gone: Vec<GrantHolder>,
+    pub removed: Vec<GrantHolder>,
 }
 
 impl ShareModel {
@@ -77,17 +77,17 @@
             now: Instant::now(),
             hosts: Vec::new(),
             log: Vec::new(),
-            judge: AllotmentLedger::default(),
+            reference: AllotmentLedger::default(),
             appending: Vec::new(),
             reports: Vec::new(),
-            answers: Vec::new(),
+            replies: Vec::new(),
             leases: BTreeMap::new(),
             lease_holders: BTreeMap::new(),
             next_lease: 1,
             next_incarnation: 1,
-            gone: Vec::new(),
+            removed: Vec::new(),
         };
-        model.judge.set_declared(declared(), zones());
+        model.reference.set_declared(declared(), zones());
         for index in 0..HOSTS {
             let host = model.start(index);
             model.hosts.push(host);
@@ -114,7 +114,7 @@
             wanted_rate: 0,
             sequence: 0,
             read_to: 0,
-            holds_lapsing: false,
+            holds_expiring: false,
         }
     }
 
@@ -125,7 +125,7 @@
     pub fn kill(&mut self, index: usize) {
         let started = self.start(index);
         let killed = std::mem::replace(&mut self.hosts[index], started);
-        self.gone.push(killed.holder);
+        self.removed.push(killed.holder);
     }
 
     pub fn take_lease(&mut self, index: usize) {
@@ -137,22 +137,22 @@
         self.lease_holders.insert(lease, host.holder.clone());
     }
 
-    pub fn hear_lease(&mut self, index: usize) {
+    pub fn observe_last_lease(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         if let Some(lease) = self.leases.get(&host.zone) {
             host.shares.observe_lease(*lease, false);
         }
     }
 
-    pub fn hear_gone(&mut self, index: usize) {
-        for holder in &self.gone {
+    pub fn observe_removals(&mut self, index: usize) {
+        for holder in &self.removed {
             self.hosts[index].shares.observe_removed(holder, self.now);
         }
     }
 
     pub fn append(&mut self, body: AllotmentBody) {
         let offset = self.log.len() as LogOffset;
-        self.judge.apply(offset, &body);
+        self.reference.apply(offset, &body);
         self.log.push(body);
     }
 
@@ -224,9 +224,9 @@
             return;
         };
         let shares = &mut self.hosts[to].shares;
-        let answer = shares.observe_report(&sent.from, sent.sequence, &sent.report, false, now);
-        if let Some(grants) = answer {
-            self.answers.push(SentAnswer {
+        let reply = shares.observe_report(&sent.from, sent.sequence, &sent.report, false, now);
+        if let Some(grants) = reply {
+            self.replies.push(SentReply {
                 to: sent.from,
                 lease: sent.report.lease,
                 grants,
@@ -235,17 +235,17 @@
         }
     }
 
-    pub fn deliver_answer(&mut self, index: usize) {
-        let answer = self.answers.remove(index);
-        let Some(to) = self.index_of(&answer.to) else {
+    pub fn deliver_reply(&mut self, index: usize) {
+        let reply = self.replies.remove(index);
+        let Some(to) = self.index_of(&reply.to) else {
             return;
         };
         let host = &mut self.hosts[to];
-        if let Some(grant) = answer.grants.last() {
-            host.holds_lapsing = grant.lapse.is_some();
+        if let Some(grant) = reply.grants.last() {
+            host.holds_expiring = grant.lapse.is_some();
         }
         host.shares
-            .observe_reply(answer.lease, &answer.grants, answer.sent_at);
+            .observe_reply(reply.lease, &reply.grants, reply.sent_at);
     }
 
     pub fn work(&mut self, index: usize, wanted: u32, ended: u32) {
@@ -261,7 +261,7 @@
 
     pub fn split(&mut self, first_zone: u32) {
         let part = |all: u32| all * first_zone / 4;
-        let near = ShareUnits::new(
+        let first_units = ShareUnits::new(
             part(BOUGHT.concurrent_requests),
             part(BOUGHT.requests_per_minute),
         );
@@ -270,8 +270,8 @@
             .iter()
             .rposition(|body| matches!(body, AllotmentBody::Split(_)));
         let shares = BTreeMap::from([
-            (ZoneId::from(ZONES[0]), near),
-            (ZoneId::from(ZONES[1]), BOUGHT - near),
+            (ZoneId::from(ZONES[0]), first_units),
+            (ZoneId::from(ZONES[1]), BOUGHT - first_units),
         ]);
         self.append(AllotmentBody::Split(SplitRecord {
             organisation: organisation(),
@@ -288,7 +288,7 @@
     pub fn round(&mut self, zone: usize) {
         let hosts = zone * HOSTS_PER_ZONE..(zone + 1) * HOSTS_PER_ZONE;
         for index in hosts {
-            self.hear_lease(index);
+            self.observe_last_lease(index);
             self.exchange(index);
         }
     }
@@ -303,13 +303,13 @@
             self.append(body);
         }
         self.read(index, self.log.len());
-        let earlier = (self.reports.len(), self.answers.len());
+        let earlier = (self.reports.len(), self.replies.len());
         self.report(index);
         if self.reports.len() > earlier.0 {
             self.deliver_report(earlier.0);
         }
-        if self.answers.len() > earlier.1 {
-            self.deliver_answer(earlier.1);
+        if self.replies.len() > earlier.1 {
+            self.deliver_reply(earlier.1);
         }
     }
 
@@ -320,7 +320,7 @@
             .iter()
             .map(|host| {
                 let limit = host.shares.limit(ORGANISATION, self.now);
-                let running = if host.holds_lapsing {
+                let running = if host.holds_expiring {
                     0
                 } else {
                     host.in_flight
@@ -332,19 +332,19 @@
 
     /// Everything is delivered and nobody fails until nothing changes.
     pub fn settle(&mut self) {
-        self.run_quiet(60);
+        self.run_without_faults(60);
     }
 
-    pub fn run_quiet(&mut self, rounds: usize) {
+    pub fn run_without_faults(&mut self, rounds: usize) {
         self.reports.clear();
-        self.answers.clear();
+        self.replies.clear();
         for zone in 0..ZONES.len() {
             self.take_lease(zone * HOSTS_PER_ZONE);
         }
         for _ in 0..rounds {
             self.now += Duration::from_millis(500);
             for index in 0..HOSTS {
-                self.hear_gone(index);
+                self.observe_removals(index);
             }
             for zone in 0..ZONES.len() {
                 self.round(zone);
