--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Failures of admission that callers would notice.
+//! Failures of admission control that callers would notice.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -56,10 +56,9 @@
         .collect()
 }
 
-/// Symptom: a caller waits for its whole deadline and is refused at its end.
-/// Sequence: one slot, ten requests of 100 ms wait for it, one more arrives
-/// that has 500 ms left.
-/// Cause: the estimate is not looked at before the request is queued.
+/// Guards against a caller that waits for its whole deadline before it is refused. With
+/// one slot and ten waiting requests of 100 ms, a request with 500 ms left is refused on
+/// arrival; this fails if the wait is not estimated before the request is queued.
 #[test]
 fn request_that_cannot_meet_its_deadline_is_refused_on_arrival() {
     let now = Instant::now();
@@ -79,7 +78,7 @@
             ..
         } => {
             assert_eq!(reason, RefusalReason::DeadlineUnreachable);
-            // Eleven have to end before a newcomer starts, at 100 ms each.
+            // Eleven requests of 100 ms each have to end before a new one starts.
             let drained = SERVICE * 11;
             assert!(
                 (drained..=drained.mul_f64(1.5)).contains(&retry_after),
@@ -91,12 +90,10 @@
     assert_eq!(table.waiting(&OrganisationId::from("a")), 10);
 }
 
-/// Symptom: an organisation is refused for good although its slot comes free.
-/// Sequence: its ends come 5 s apart during a stall until that is the
-/// measured drain rate; then the targets are fast again, and each request has
-/// 600 ms left, too little to wait for one such end.
-/// Cause: only ends with a request waiting are measured, and nobody is let
-/// into the queue any more.
+/// Guards against an organisation that is refused for ever although its slot becomes
+/// free. During a stall its requests end 5 s apart until that is the measured drain rate;
+/// afterwards each request has 600 ms left, too little to wait for such an end. If only
+/// ends with a waiting request were measured, none would be any more.
 #[test]
 fn drain_rate_recovers_after_a_stall() {
     let mut now = Instant::now();
@@ -131,15 +128,15 @@
         )));
         table.tick(now);
     }
-    // Two arrivals for each end: about half must be refused, not nearly all
-    // but the one that finds the slot free.
+    // With two arrivals for each end, about half must be refused, not all but the one
+    // that finds the slot free.
     assert!(table.waiting(&OrganisationId::from("a")) > 0);
     assert!((80..=120).contains(&refused_late), "{refused_late} refused");
 }
 
-/// Symptom: a host refuses everything of an organisation while others are idle.
-/// Sequence: the host's share is zero, requests arrive and are refused.
-/// Cause: refused requests leave no demand, so no share is moved here.
+/// Guards against a host that refuses all requests of an organisation while other hosts
+/// are idle. The host's share is zero; if refused requests left no demand, no share would
+/// move to it.
 #[test]
 fn refusals_count_as_demand() {
     let now = Instant::now();
@@ -154,10 +151,9 @@
     assert_eq!(table.demand(&organisation, now + Duration::from_secs(5)), 0);
 }
 
-/// Symptom: more requests run than were bought.
-/// Sequence: a caller repeats a request id while the first one runs.
-/// Cause: the second start replaces the first one's entry, and one release
-/// then frees the slot of both or of neither.
+/// Guards against more running requests than were bought when a caller repeats the id of
+/// a running request. If the second start replaced the first one's entry, one release
+/// would free the slots of both or of neither.
 #[test]
 fn repeated_request_id_is_refused() {
     let now = Instant::now();
@@ -169,9 +165,9 @@
     assert_eq!(table.in_flight(&OrganisationId::from("a")), 1);
 }
 
-/// Symptom: waiting requests of a withdrawn organisation never get an answer.
-/// Sequence: one runs, one waits, the organisation is removed, the first ends.
-/// Cause: the queue is dropped with the organisation.
+/// Guards against waiting requests without a response. The organisation is removed while
+/// one request runs and one waits; dropping the queue together with the organisation
+/// would lose the waiting one.
 #[test]
 fn waiting_requests_of_a_removed_organisation_are_refused() {
     let now = Instant::now();
@@ -191,10 +187,9 @@
     assert_eq!(table.in_flight(&OrganisationId::from("a")), 0);
 }
 
-/// Symptom: an entry host uses a whole core while it is full.
-/// Sequence: the host's capacity is used up, one request waits with a token of
-/// its organisation's rate at hand; or the rate is used up and nothing else.
-/// Cause: the next tick is due at a time that has already passed.
+/// Guards against a busy loop on a full host: the next tick must not be due in the past.
+/// In the first case the host's capacity is used up while a token is available, in the
+/// second only the rate is used up.
 #[test]
 fn next_tick_of_a_full_host_is_in_the_future() {
     let now = Instant::now();
@@ -225,10 +220,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: a small organisation waits ever longer while a large one runs.
-    /// Sequence: all have a backlog, the shares add up to more than the host's
-    /// capacity, and slots come free one after another.
-    /// Cause: turns by arrival or by queue length instead of by share.
+    /// Guards against waits of a small organisation that grow with a large one's load.
+    /// All organisations have a backlog, their shares add up to more than the host's
+    /// capacity, and slots become free one by one; starts must follow the shares, not
+    /// arrivals or queue lengths.
     #[test]
     fn backlogged_organisations_are_served_by_weight(
         shares in prop::collection::vec(1..20u32, 2..6),
@@ -240,7 +235,7 @@
         let limits: Vec<_> = names.iter().map(String::as_str).zip(shares.clone()).collect();
         let settings = AdmissionSettings { queue_length: 1_000, ..AdmissionSettings::default() };
         let mut table = table(settings, &limits, now);
-        // The host fills up before anybody else than the first one asks.
+        // The first organisation fills the host before any other sends requests.
         table.set_capacity(capacity.min(shares[0]));
         let slots = f64::from(capacity.min(shares[0]));
         let late = now + Duration::from_secs(1_000_000);
@@ -261,8 +256,9 @@
             for (name, share) in &limits {
                 let in_flight = table.in_flight(&OrganisationId::from(*name));
                 prop_assert!(in_flight <= *share);
-                // Of the starts, each gets its weight's part, up to one start
-                // an organisation and what the first had ahead.
+                // Each organisation gets its weighted part of the starts, except for one
+                // start per organisation and the slots that the first one held at the
+                // beginning.
                 let total: u32 = shares.iter().sum();
                 let part = (ends + 1) as f64 * f64::from(*share) / f64::from(total);
                 let got = served.get(*name).copied().unwrap_or(0.0);
@@ -273,11 +269,10 @@
     }
 }
 
-/// Symptom: requests are refused on a host although their organisation's
-/// capacity lies idle on another.
-/// Sequence: requests wait; the grant moves away for the time of a report and
-/// comes back; later it goes for good.
-/// Cause: a host without any share refuses what waits at once.
+/// Guards against refusals on a host while the organisation's capacity is idle on
+/// another. The grant moves away for the time of a report and returns, and later leaves
+/// for good. A host without a share must not refuse waiting requests before the grace
+/// period ends.
 #[test]
 fn waiting_requests_survive_a_short_time_without_share() {
     const GRACE: Duration = Duration::from_secs(3);
--- a/tests/admission_compare.rs
+++ b/tests/admission_compare.rs
@@ -1,10 +1,12 @@
-//! Compares admission with one queue for all on a fake host with its own clock.
+//! Compares admission control with a single FIFO queue on a simulated host with its own
+//! clock.
 //!
-//! Ten organisations share 40 slots; the first two bought most of them. The
-//! figures are those of the fake, not of a machine; equal seeds give equal
-//! figures. `POLICY_SEEDS` and `POLICY_SECONDS` as for the routing policies.
+//! Ten organisations share 40 slots; the first two bought most of them. The figures
+//! describe the simulation, not a machine, and equal seeds give equal figures. The
+//! environment variables `POLICY_SEEDS` and `POLICY_SECONDS` set the seeds and the
+//! length, as for the routing policies.
 
-// The table is what the comparison is run for.
+// The comparison prints its table.
 #![allow(clippy::print_stdout)]
 
 use std::cmp::Reverse;
@@ -25,9 +27,9 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Admission {
-    /// The project's.
+    /// Admission control of this crate.
     Table,
-    /// One queue in order of arrival, without giving up.
+    /// One queue in order of arrival, without load shedding.
     OneQueue,
 }
 
@@ -46,11 +48,11 @@
 
 #[derive(Default)]
 struct Outcome {
-    /// Time to the answer of each request of an organisation in time.
+    /// Response times of the requests served in time, per organisation.
     served: Vec<Vec<Duration>>,
     /// Time to each refusal.
     refused: Vec<Duration>,
-    /// Requests answered after their deadline.
+    /// Number of requests served after their deadlines.
     late: usize,
 }
 
@@ -70,8 +72,8 @@
         let mut table = AdmissionTable::new(AdmissionSettings::default(), seed);
         table.set_capacity(SLOTS as u32);
         for (organisation, share) in SHARES.iter().enumerate() {
-            // Shares may be lent: what is bought adds up to the slots, and
-            // the limit is above it.
+            // Shares may be lent: the bought shares add up to the slots, and the limits
+            // are higher.
             let limit = ShareLimit {
                 concurrent_requests: *share * 3 / 2,
                 requests_per_minute: 60_000,
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Runs with each organisation offering `loads` times what it bought.
+    /// Runs the host while each organisation offers `loads` times what it bought.
     fn run(mut self, loads: &[f64; 10], length: Duration, start: Instant) -> Outcome {
         for organisation in 0..SHARES.len() {
             self.push(start, Event::Arrival(organisation));
@@ -213,11 +215,11 @@
 
 /// Medians over the seeds.
 struct Row {
-    /// Requests answered in time, as a part of what the slots can do.
+    /// Requests served in time, as a fraction of the slots' capacity.
     goodput: f64,
-    /// 95th percentile of the others' answers, in milliseconds.
+    /// 95th percentile of the other organisations' response times, in milliseconds.
     others_p95: f64,
-    /// Part of the refusals that came within 10 ms.
+    /// Fraction of the refusals that came within 10 ms.
     immediate: f64,
 }
 
--- a/tests/admission_model.rs
+++ b/tests/admission_model.rs
@@ -1,4 +1,4 @@
-//! Admission against a naive version that keeps plain lists and recomputes
+//! Compares admission control with a naive model that keeps plain lists and recomputes
 //! everything from the history at each decision.
 
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 use proptest::test_runner::RngSeed;
 
 const ORGANISATIONS: usize = 3;
-/// Parts of a token; a nanosecond earns as many as the rate a minute.
+/// Parts per token; each nanosecond adds as many parts as the rate per minute.
 const TOKEN: u128 = 60 * 1_000_000_000;
 
 #[derive(Debug, Clone)]
@@ -74,13 +74,13 @@
     organisation.to_string().into()
 }
 
-/// What happened to one organisation since it was declared.
+/// History of one organisation since it was declared.
 #[derive(Default)]
 struct NaiveHistory {
     limit: Option<ShareLimit>,
-    /// When the rate was set, or a token taken (`None`).
+    /// Changes of the rate, and tokens taken (`None`).
     tokens: Vec<(Instant, Option<u32>)>,
-    /// Ends since the limits changed, and whether pressure followed.
+    /// Ends since the limits changed, and whether each was followed by pressure.
     ends: Vec<(Instant, bool)>,
     under_pressure: bool,
 }
@@ -127,14 +127,14 @@
 struct NaiveTable {
     histories: [NaiveHistory; ORGANISATIONS],
     capacity: Option<u32>,
-    /// In order of arrival.
+    /// Waiting requests in order of arrival.
     queue: Vec<AdmissionRequest>,
     running: Vec<AdmissionRequest>,
-    /// Organisation, cost by weight, and turn of each start.
+    /// Organisation, cost over weight, and start tag of each start.
     starts: Vec<(usize, f64, f64)>,
 }
 
-/// A decision without the jittered time.
+/// A decision without the jitter.
 #[derive(Debug, Clone, PartialEq)]
 enum Outcome {
     Start(String),
@@ -163,7 +163,7 @@
         self.histories[organisation].limit.unwrap_or_default()
     }
 
-    /// Whole slots that are the organisation's; `None` without a share.
+    /// Returns the whole slots of the organisation, or `None` without a share.
     fn slots(&self, organisation: usize) -> Option<u64> {
         let mut active_shares = 0;
         for other in 0..ORGANISATIONS {
@@ -298,7 +298,7 @@
         self.refuse(&request, reason, now)
     }
 
-    /// The waiting requests of an organisation, in the order of their turns.
+    /// Returns an organisation's waiting requests in the order in which they start.
     fn queue_of(&self, organisation: usize) -> Vec<AdmissionRequest> {
         let mut queue: Vec<_> = self
             .queue
@@ -406,7 +406,7 @@
     }
 }
 
-/// Compares decisions; a Retry-After may lie up to half above the naive one.
+/// Compares decisions; jitter may add up to half to the naive Retry-After.
 fn assert_same_decisions(
     decisions: &[AdmissionDecision],
     outcomes: &[Outcome],
--- a/tests/reconcile.rs
+++ b/tests/reconcile.rs
@@ -1,7 +1,7 @@
-//! The reconciler over engines that die, lose orders and come back, under
-//! leases that change hands.
+//! Tests the reconciler on engines that crash, lose orders and restart, while the lease
+//! changes hands.
 
-#![allow(clippy::unwrap_used)] // A test ends at the first thing that is not there.
+#![allow(clippy::unwrap_used)] // A test may panic on a missing value.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -15,12 +15,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Engines of the zone, and after them one of another zone.
+/// Engines of the zone; one of another zone follows them.
 const OWN: usize = 4;
 const ALL: usize = OWN + 1;
 const TICK: Duration = Duration::from_millis(250);
 const LOAD_TIME: Duration = Duration::from_secs(2);
-/// Enough for every load, wait and retention after the last fault.
+/// Enough ticks for every load, wait and retention after the last fault.
 const RECOVERY_TICKS: usize = 200;
 const LIMITS: ReconcileLimits = ReconcileLimits {
     concurrent_loads: 2,
@@ -31,7 +31,7 @@
     load_timeout: Duration::from_secs(5),
 };
 
-/// Ranges by bit; the last one serves the same as the first.
+/// Returns the range of a bit; the last one serves the same layers as the first.
 fn range(bit: usize) -> LoadedRange {
     let (version, first_layer, adapters) = match bit {
         0 => ("v1", 0, vec![]),
@@ -94,9 +94,9 @@
     loading: BTreeMap<LoadedRange, Instant>,
     is_dead: bool,
     died_at: Option<Instant>,
-    /// Whether the next order, whose answer is lost, takes effect.
+    /// Whether the next order takes effect; its response is lost.
     lost_order: Option<bool>,
-    /// Until when a range was loaded and desired here, so that runs used it.
+    /// When a range was last both loaded and desired here, so that runs may have used it.
     served_until: BTreeMap<LoadedRange, Instant>,
     seen_at: Option<Instant>,
 }
@@ -337,8 +337,8 @@
             engine.is_dead = false;
             engine.lost_order = None;
         }
-        // The other zone only loads: what it unloads within the second in which
-        // it was seen is out of this zone's hands.
+        // The other zone only loads ranges: this zone cannot prevent what that one
+        // unloads within a second after it was observed.
         self.apply(&Step::OtherZoneLoads);
         (0..RECOVERY_TICKS).for_each(|_| self.tick());
         for (index, engine) in self.engines[..OWN].iter().enumerate() {
@@ -364,12 +364,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: requests are refused because nobody holds a range that is
-    /// declared, the weights store is flooded, or engines never come to hold
-    /// what is declared.
-    /// Events: changes, deaths, orders whose answer is lost, leases that
-    /// change hands, in any order.
-    /// Cause: an order that rests on what is no longer true.
+    /// Guards against orders that rest on outdated observations, under any order of
+    /// changed declarations, crashes, lost responses and changes of the lease. Requests
+    /// would be refused because no engine holds a declared range, the weights store would
+    /// be overloaded, or engines would not converge to the declared state.
     #[test]
     fn orders_are_safe_and_converge_to_the_declared_state(
         masks in prop::array::uniform5(0..16u8),
@@ -383,9 +381,8 @@
     }
 }
 
-/// Symptom: no engine loads anything any more.
-/// Events: as many engines as may load at once die while they do, for good.
-/// Cause: their loads count for ever, since nobody sees them end.
+/// Guards against a reconciler that loads nothing any more. As many engines as may load
+/// at once crash while loading and stay down; their loads must not count for ever.
 #[test]
 fn loads_of_dead_engines_do_not_block_the_others() {
     let mut simulation = Simulation::new([0; ALL]);
@@ -420,11 +417,10 @@
     }
 }
 
-/// Symptom: the only engine of a range refuses everything while it loads, or
-/// keeps what is no longer declared.
-/// Events: an adapter is added to the version that this engine serves; others
-/// load first, so that it is not loaded before runs may have ended.
-/// Cause: the same layers with and without the adapter are told apart.
+/// Guards against the only engine of a range that refuses requests while it loads, or
+/// that keeps what is no longer declared. An adapter is added to the version that it
+/// serves, and the other engines load first, so that runs may not have ended. The same
+/// layers with and without the adapter must count as the same range.
 #[test]
 fn only_engine_keeps_serving_while_an_adapter_is_added() {
     let mut simulation = Simulation::new([0, 0, 0, 1, 0]);
--- a/tests/shares_comparison.rs
+++ b/tests/shares_comparison.rs
@@ -1,8 +1,8 @@
-//! The division by grants against two simpler ways, on the same demand: an
-//! even split fixed once, and hosts that tell each other what they use.
+//! Compares the division by grants with two simpler methods on the same demand: a fixed
+//! even split, and hosts that exchange their usage.
 //!
-//! One zone with four hosts and 24 requests in flight bought. Demand moves
-//! from host to host; every tenth of a second hosts start what they may.
+//! One zone has four hosts and 24 bought requests in flight. Demand moves between hosts,
+//! and every 100 ms each host starts as many requests as its limit allows.
 
 mod shares_support;
 
@@ -20,29 +20,32 @@
 const HOSTS: usize = 4;
 const BOUGHT: u32 = 24;
 const STEP: Duration = Duration::from_millis(100);
-/// Steps between two heartbeats of a host.
+/// Number of steps between two heartbeats of a host.
 const HEARTBEAT_STEPS: usize = 5;
 const STEPS: usize = 3000;
-/// Steps for which demand stays where it is.
+/// Number of steps for which demand does not move.
 const PHASE_STEPS: usize = 100;
-/// One in so many requests in flight ends in a step.
+/// Mean service time in steps: each request in flight ends in a step with the inverse as
+/// its probability.
 const SERVICE_STEPS: f64 = 20.0;
 
-/// A way of dividing, by seed, demand over bought capacity, and cut or not.
+/// A method of division, given the seed, the demand over the bought capacity, and whether
+/// the zone is partitioned.
 type DivisionMethod = fn(u64, f64, bool) -> Outcome;
 
-/// What became of one way of dividing.
+/// Result of a run of one method.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 struct Outcome {
-    /// Most requests in flight above what was bought.
+    /// Maximum number of requests in flight above the bought capacity.
     worst_excess: u32,
-    /// Share of steps with more in flight than bought.
+    /// Fraction of steps with more requests in flight than bought.
     excess_steps: f64,
-    /// Share of what could have been in flight and was not.
+    /// Fraction of the usable capacity that was not used.
     wasted: f64,
 }
 
-/// Requests wanted by each host at each step: skewed, and moved at times.
+/// Returns the requests wanted by each host at each step: skewed, and moved between hosts
+/// at intervals.
 fn demand(seed: u64, load: f64) -> Vec<[u32; HOSTS]> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut weights = [1.0; HOSTS];
@@ -58,8 +61,8 @@
         .collect()
 }
 
-/// Runs a way of dividing: `limits` gives each host's limit for a step, from
-/// what is in flight and wanted.
+/// Runs a method of division; `limits` returns each host's limit for a step, given the
+/// requests in flight and wanted.
 fn run<F>(seed: u64, load: f64, is_cut: bool, mut limits: F) -> Outcome
 where
     F: FnMut(usize, &[u32; HOSTS], &[u32; HOSTS], bool) -> [u32; HOSTS],
@@ -98,8 +101,9 @@
     })
 }
 
-/// Each host admits while its own use and the others', as last heard, leave
-/// room. When cut, the last two hosts are not heard by the first two.
+/// Each host admits requests while its own usage and the last reported usage of the
+/// others leave room. In a partition, reports of the last two hosts do not reach the
+/// first two.
 fn gossip(seed: u64, load: f64, is_cut: bool) -> Outcome {
     let mut reported = [[0_u32; HOSTS]; HOSTS];
     run(seed, load, is_cut, move |step, in_flight, _, cut| {
@@ -120,8 +124,8 @@
     })
 }
 
-/// Grants of the first host; when cut, the last two hosts do not reach it.
-/// A lowered grant is acknowledged at once, as the daemon does.
+/// The first host gives out grants; in a partition the last two hosts do not reach it. A
+/// lowered grant is acknowledged at once, as in the daemon.
 fn granted(seed: u64, load: f64, is_cut: bool) -> Outcome {
     let start = Instant::now();
     let mut hosts = granting_hosts(start);
@@ -182,7 +186,7 @@
     }
 }
 
-/// One heartbeat; says whether the host wants to report again at once.
+/// Exchanges one heartbeat and returns whether the host wants to report again at once.
 fn exchange(
     hosts: &mut [(GrantHolder, ZoneShares)],
     index: usize,
@@ -217,7 +221,7 @@
     }
 }
 
-/// Symptom: none; the figures of `docs/design/shares.md`.
+/// Produces the figures of `docs/design/shares.md`.
 #[test]
 fn grants_never_exceed_bought_capacity_and_waste_little() {
     let mut rows = String::new();
--- a/tests/shares_model.rs
+++ b/tests/shares_model.rs
@@ -1,5 +1,5 @@
-//! The division of bought capacity under any order of events: no sum ever
-//! exceeds what was bought, and once things are quiet all of it is usable.
+//! Model test of the division of bought capacity under any order of events: the sum never
+//! exceeds the bought capacity, and without further faults all of it becomes usable.
 
 mod shares_support;
 
@@ -102,7 +102,7 @@
     ]
 }
 
-/// Gives one unit after the other to whoever has least and wants more.
+/// Gives units one by one to the host that has least among those that want more.
 fn naive_division(available: u32, wants: &[u32]) -> Vec<u32> {
     let mut parts = vec![0; wants.len()];
     for _ in 0..available {
@@ -129,10 +129,9 @@
 proptest! {
     #![proptest_config(config(0x7368_6172, 3000))]
 
-    /// Symptom: an organisation uses more than it bought.
-    /// Events: holders change, pause and go on; reports, answers and appends
-    /// are late, lost or doubled; hosts die; splits move between zones.
-    /// Cause: any unit counted at two places at once.
+    /// Guards against an organisation that uses more than it bought because a unit counts
+    /// in two places at once. Lease holders change, pause and resume; reports, replies
+    /// and appends are late, lost or duplicated; hosts die; splits move between zones.
     #[test]
     fn units_in_use_never_exceed_bought_capacity(
         is_cold in prop::bool::weighted(0.2),
@@ -153,9 +152,9 @@
 proptest! {
     #![proptest_config(config(0x7175_6965, 150))]
 
-    /// Symptom: capacity is lost for good after a fault.
-    /// Events: any history as above, then quiet, with a new demand.
-    /// Cause: units that no place counts as its own.
+    /// Guards against capacity that is lost for ever after a fault because no place
+    /// counts it. Any history as above is followed by a time without faults and with a
+    /// new demand.
     #[test]
     fn division_without_faults_equals_that_of_a_central_allocator(
         steps in prop::collection::vec(model_step(), 1..120),
--- a/tests/shares_scenarios.rs
+++ b/tests/shares_scenarios.rs
@@ -1,4 +1,4 @@
-//! Single failures of the division of bought capacity, told one by one.
+//! Single failures of the division of bought capacity, one per test.
 
 mod shares_support;
 
@@ -16,9 +16,8 @@
     BOUGHT, HOSTS, HOSTS_PER_ZONE, ORGANISATION, ShareModel, ZONES, organisation, zones,
 };
 
-/// Symptom: a busy host waits for long while its neighbours are idle.
-/// Events: all demand moves from one host to another.
-/// Cause: units move only when something else happens.
+/// Guards against a busy host that waits for long while its neighbours are idle. All
+/// demand moves from one host to another, and units must move without any other event.
 #[test]
 fn units_follow_demand_within_four_reports() {
     let mut model = ShareModel::new();
@@ -46,9 +45,8 @@
     }
 }
 
-/// Symptom: a zone that is cut off stops serving.
-/// Events: no log, no holder and no peer for an hour.
-/// Cause: grants that end by themselves.
+/// Guards against a partitioned zone that stops serving. Without log, lease holder and
+/// peers for an hour, grants must not expire by themselves.
 #[test]
 fn partitioned_host_keeps_its_grant() {
     let mut model = ShareModel::new();
@@ -63,10 +61,9 @@
     assert_eq!(model.used(), before);
 }
 
-/// Symptom: the zone's bought capacity is exceeded after a freeze.
-/// Events: a host is frozen, counted as gone, its units are given to others,
-/// then it wakes up, cut off from all.
-/// Cause: a woken process trusts grants from before its sleep.
+/// Guards against exceeding the bought capacity after a freeze. A frozen host is taken
+/// for dead and its units are granted to others; when it resumes, partitioned, it must
+/// not trust its old grants.
 #[test]
 fn resumed_host_uses_nothing_until_the_lease_holder_replies() {
     let mut model = ShareModel::new();
@@ -93,9 +90,8 @@
     );
 }
 
-/// Symptom: a draining host keeps capacity that others need.
-/// Events: a host hands back its grants while requests still run.
-/// Cause: grants given again to a host that takes nothing new.
+/// Guards against a draining host that keeps capacity which others need. It returns its
+/// grants while requests still run, and must not get new ones.
 #[test]
 fn draining_host_returns_unused_units() {
     let mut model = ShareModel::new();
@@ -125,10 +121,10 @@
     }
 }
 
-/// Symptom: two readers of the stream disagree on a zone's share.
-/// Events: one starts from a checkpoint, one from the first record; late
-/// records of an earlier holder and of a writer that lost a race follow.
-/// Cause: state that is not in the stream, or records judged by arrival.
+/// Guards against two readers of the stream that disagree on a zone's share. One starts
+/// from a checkpoint, one from the first record; late records of an earlier lease holder
+/// and of a writer that lost a race follow. Records must be judged by state in the
+/// stream, not by arrival.
 #[test]
 fn reader_from_a_checkpoint_derives_the_same_ledger() {
     let split = |based_on, first_units: u32| {
@@ -207,8 +203,8 @@
     );
 }
 
-/// Half a second passes on all hosts. What `online` ones append takes effect,
-/// what the others append is lost.
+/// Advances time by half a second on all hosts. Records that `online` hosts append are
+/// written; those of the others are lost.
 fn advance(model: &mut ShareModel, online: &[usize]) {
     model.now += Duration::from_millis(500);
     for index in 0..HOSTS {
@@ -249,7 +245,7 @@
     units.concurrent_requests
 }
 
-/// Leaves one answer under way that gives host 2 all of the zone's share.
+/// Leaves one reply in transit that grants host 2 all of the zone's share.
 fn delay_a_raised_grant(model: &mut ShareModel) {
     model.run_without_faults(4);
     set_wants(model, [0, 0, 100]);
@@ -261,11 +257,9 @@
     assert_eq!(limit(model, 2), 2);
 }
 
-/// Symptom: the sum is exceeded long after a holder was replaced.
-/// Events: an answer of the first holder, which raises a grant, is late; the
-/// host reports to the second holder, which gives the rest to others; then
-/// the late answer arrives.
-/// Cause: grants taken from a holder that no longer counts.
+/// Guards against exceeding the sum long after a lease holder was replaced. A late reply
+/// of the first holder raises a grant; it arrives after the host has reported to the
+/// second holder, which has granted the rest to others.
 #[test]
 fn late_reply_of_an_earlier_lease_holder_is_rejected() {
     let mut model = ShareModel::new();
@@ -281,9 +275,8 @@
     assert_within_bought(&model);
 }
 
-/// Symptom: as before, under one holder.
-/// Events: a late answer is overtaken by a later one that lowers the grant.
-/// Cause: grants taken in the order of arrival.
+/// Guards against the same excess under a single lease holder: a late reply arrives after
+/// a newer one that lowers the grant.
 #[test]
 fn reply_that_arrives_out_of_order_is_rejected() {
     let mut model = ShareModel::new();
@@ -295,8 +288,8 @@
     assert_within_bought(&model);
 }
 
-/// Host 2 is replaced and the new process, not yet named in the log, gets all
-/// of the zone's share from holder 0 by grants that lapse.
+/// Replaces host 2. The new process is not registered in the log yet and gets all of the
+/// zone's share from lease holder 0 by expiring grants.
 fn grant_to_an_unregistered_host(model: &mut ShareModel) {
     model.run_without_faults(4);
     model.kill(2);
@@ -316,7 +309,7 @@
                 model.deliver_reply(0);
             }
             assert_within_bought(model);
-            // What the holder wants to append is lost: the log is down.
+            // The log is unavailable, so the lease holder's appends are lost.
             model.tick(index);
             model.appending.clear();
         }
@@ -324,11 +317,10 @@
     assert_eq!(limit(model, 2), 6);
 }
 
-/// Symptom: the sum is exceeded after a holder was replaced.
-/// Events: during an outage of the log a new host got grants; after it a new
-/// holder is elected that has never heard of that host.
-/// Cause: units of hosts that the log does not name taken for free at once,
-/// or grants to them that stay.
+/// Guards against exceeding the sum after a lease holder was replaced. A new host got
+/// grants while the log was unavailable, and the next lease holder does not know that
+/// host. Units of unregistered hosts must not be free at once, and their grants must
+/// expire.
 #[test]
 fn grant_of_an_unregistered_host_expires_before_its_units_are_reused() {
     let mut model = ShareModel::new();
@@ -344,10 +336,9 @@
     assert_eq!(limit(&model, 0) + limit(&model, 1), 6);
 }
 
-/// Symptom: two holders hand out the same units.
-/// Events: the first holder reports to the second and so counts as heard,
-/// but has not read the log and goes on answering a host that knows only it.
-/// Cause: dividing and reporting to another at the same time.
+/// Guards against two lease holders that grant the same units. The first one reports to
+/// the second, but has not read the log and still replies to a host that knows only it. A
+/// lease holder must not divide while it reports to another.
 #[test]
 fn lease_holder_that_reports_to_another_stops_dividing() {
     let mut model = ShareModel::new();
@@ -373,10 +364,10 @@
     assert_eq!(limit(&model, 1), 6);
 }
 
-/// Symptom: as before, while the first holder is cut off from the second.
-/// Events: the first holder opens, no other host is named yet, and it goes on
-/// answering a host on its side of the partition.
-/// Cause: a new holder that awaits only hosts that took grants.
+/// Guards against the same double grant while the first lease holder is partitioned from
+/// the second. The first one has opened its lease, no other host is registered, and it
+/// still replies to a host on its side. A new lease holder must also await earlier
+/// holders, not only hosts with grants.
 #[test]
 fn new_lease_holder_awaits_the_earlier_one() {
     let mut model = ShareModel::new();
@@ -411,10 +402,9 @@
     assert_eq!(limit(&model, 1), 6);
 }
 
-/// Symptom: two zones use the same units.
-/// Events: a split lowers a zone, its release is late; a second split raises
-/// it again, a third lowers it; then the first release shows up.
-/// Cause: a release taken for a later split.
+/// Guards against two zones that use the same units. A split lowers a zone and its
+/// release is late; a second split raises the zone again and a third lowers it. The late
+/// release must not count for the third split.
 #[test]
 fn late_release_frees_nothing_for_a_later_split() {
     let mut model = ShareModel::new();
--- a/tests/shares_support/mod.rs
+++ b/tests/shares_support/mod.rs
@@ -1,5 +1,5 @@
-//! A model of two zones of hosts that divide one organisation's capacity, with
-//! a log and messages that can be late, lost or doubled. Shared by tests.
+//! Model of two zones of hosts that divide one organisation's capacity, with a log and
+//! messages that may be late, lost or duplicated.
 #![allow(dead_code, unreachable_pub, missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,7 +26,7 @@
     ZONES.iter().map(|zone| ZoneId::from(*zone)).collect()
 }
 
-/// One process of the model: the division's state and what its callers do.
+/// One process of the model: its part of the division and the load of its callers.
 pub struct ModelHost {
     pub zone: ZoneId,
     pub holder: GrantHolder,
@@ -54,7 +54,7 @@
     pub sent_at: Instant,
 }
 
-/// All hosts of two zones, the log between them and what is under way.
+/// All hosts of two zones, their log, and messages and appends in transit.
 pub struct ShareModel {
     pub now: Instant,
     pub hosts: Vec<ModelHost>,
@@ -173,8 +173,8 @@
         self.appending.extend(bodies);
     }
 
-    /// Lets time pass. Processes run on, but for one that may be frozen, and
-    /// say nothing to each other.
+    /// Advances time. All processes except `frozen` go on running, without exchanging
+    /// messages.
     pub fn wait(&mut self, time: Duration, frozen: Option<usize>) {
         let end = self.now + time;
         while self.now < end {
@@ -283,8 +283,8 @@
         }));
     }
 
-    /// A round of the zone without faults: most random orders get nowhere, so
-    /// some of their parts are orderly.
+    /// Runs a round of the zone without faults. Most random orders of events make little
+    /// progress, so some steps run in order.
     pub fn round(&mut self, zone: usize) {
         let hosts = zone * HOSTS_PER_ZONE..(zone + 1) * HOSTS_PER_ZONE;
         for index in hosts {
@@ -293,8 +293,8 @@
         }
     }
 
-    /// One host's part of a round: what it appends takes effect, it reads the
-    /// log and reports to the last holder that it has heard of.
+    /// Runs one host's part of a round: its appends are written, it reads the log and
+    /// reports to the last lease holder that it knows.
     pub fn exchange(&mut self, index: usize) {
         let earlier = self.appending.len();
         self.tick(index);
@@ -313,8 +313,8 @@
         }
     }
 
-    /// What hosts may use or do use. Requests that began under a grant which
-    /// has lapsed run to their end and are the one exception.
+    /// Returns the sum of what hosts may use or do use. The one exception are requests
+    /// that began under an expired grant, which run to their end.
     pub fn used(&self) -> ShareUnits {
         self.hosts
             .iter()
@@ -330,7 +330,7 @@
             .sum()
     }
 
-    /// Everything is delivered and nobody fails until nothing changes.
+    /// Runs without faults until nothing changes any more.
     pub fn settle(&mut self) {
         self.run_without_faults(60);
     }
