--- a/src/reconcile/round.rs
+++ b/src/reconcile/round.rs
@@ -81,7 +81,7 @@
             return self.withhold(target, reason);
         }
         let held: BTreeSet<LoadedRange> = state.loaded.iter().cloned().collect();
-        let fetching: BTreeSet<LoadedRange> = state.loading.iter().cloned().collect();
+        let being_loaded: BTreeSet<LoadedRange> = state.loading.iter().cloned().collect();
         let mut wanted = desired.loaded.clone();
         let mut dropped = Vec::new();
         for range in held.difference(&desired.loaded) {
@@ -98,19 +98,19 @@
                 None => dropped.push(ServedRange::from(range)),
             }
         }
-        for range in fetching.difference(&desired.loaded) {
+        for range in being_loaded.difference(&desired.loaded) {
             // The range may be loaded by the time the order arrives, and then be the only
             // copy.
             if !self.table.was_unused(target, range) || self.is_last_holder(target, &range.into()) {
                 wanted.insert(range.clone());
             }
         }
-        let present: BTreeSet<LoadedRange> = held.union(&fetching).cloned().collect();
+        let present: BTreeSet<LoadedRange> = held.union(&being_loaded).cloned().collect();
         if wanted == present && state.role == desired.role {
             return;
         }
         // A target that is already loading is counted among the loads.
-        let needs_load_slot = fetching.is_empty() && !wanted.is_subset(&present);
+        let needs_load_slot = being_loaded.is_empty() && !wanted.is_subset(&present);
         if needs_load_slot && self.load_slots == 0 {
             return self.withhold(target, WithheldReason::LoadsBounded);
         }
--- a/src/shares/grant_reply.rs
+++ b/src/shares/grant_reply.rs
@@ -110,21 +110,21 @@
         // A host that joined after the others had divided everything wants nothing yet
         // and holds nothing, and its first request would have to wait.
         let hosts = u32::try_from(self.fresh_entries(now).count()).unwrap_or(u32::MAX);
-        let one_each = ShareUnits {
+        let one_per_host = ShareUnits {
             concurrent_requests: hosts,
             requests_per_minute: hosts,
         };
-        let covers_all_hosts = one_each.is_within(self.limit(organisation, now));
+        let covers_all_hosts = one_per_host.is_within(self.limit(organisation, now));
         let all_satisfied = self.fresh_entries(now).all(|(_, entry)| {
             let granted = entry.grants.get(organisation).map(|other| other.granted);
             let granted = granted.unwrap_or_default();
             let has_minimum = granted.concurrent_requests > 0 && granted.requests_per_minute > 0;
             entry.want(organisation).is_within(granted) && (has_minimum || !covers_all_hosts)
         });
-        let all_counted = self
+        let nothing_free = self
             .limit(organisation, now)
             .is_within(self.counted(organisation));
-        grant.is_acknowledged && is_close && all_satisfied && all_counted
+        grant.is_acknowledged && is_close && all_satisfied && nothing_free
     }
 
     fn fair_share(
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -63,15 +63,15 @@
 fn request_that_cannot_meet_its_deadline_is_refused_on_arrival() {
     let now = Instant::now();
     let mut table = table(AdmissionSettings::default(), &[("a", 1)], now);
-    let late = now + Duration::from_secs(60);
+    let distant_deadline = now + Duration::from_secs(60);
     for nth in 0..11 {
         assert_eq!(
-            refusal(&table.admit(request(&format!("r{nth}"), "a", late), now)),
+            refusal(&table.admit(request(&format!("r{nth}"), "a", distant_deadline), now)),
             None
         );
     }
-    let hopeless = request("late", "a", now + Duration::from_millis(500));
-    match table.admit(hopeless, now) {
+    let unreachable = request("late", "a", now + Duration::from_millis(500));
+    match table.admit(unreachable, now) {
         AdmissionDecision::Refuse {
             reason,
             retry_after,
@@ -100,8 +100,8 @@
     let mut table = table(AdmissionSettings::default(), &[("a", 1)], now);
     let mut running: Vec<RequestId> = Vec::new();
     for nth in 0..20 {
-        let patient = request(&format!("s{nth}"), "a", now + Duration::from_secs(3_600));
-        running.extend(started(&[table.admit(patient, now)]));
+        let long_deadline = request(&format!("s{nth}"), "a", now + Duration::from_secs(3_600));
+        running.extend(started(&[table.admit(long_deadline, now)]));
     }
     while let Some(ended) = running.pop() {
         now += Duration::from_secs(5);
@@ -114,8 +114,8 @@
     let mut refused_late = 0;
     for nth in 0..200 {
         for arrival in 0..2 {
-            let brief = request(&format!("b{nth}.{arrival}"), "a", now + 6 * SERVICE);
-            let decision = table.admit(brief, now);
+            let short_deadline = request(&format!("b{nth}.{arrival}"), "a", now + 6 * SERVICE);
+            let decision = table.admit(short_deadline, now);
             refused_late += usize::from(nth >= 100 && refusal(&decision).is_some());
             running.extend(started(&[decision]));
         }
@@ -238,11 +238,11 @@
         // The first organisation fills the host before any other sends requests.
         table.set_capacity(capacity.min(shares[0]));
         let slots = f64::from(capacity.min(shares[0]));
-        let late = now + Duration::from_secs(1_000_000);
+        let distant_deadline = now + Duration::from_secs(1_000_000);
         let mut running = Vec::new();
         for name in &names {
             for nth in 0..450 {
-                running.extend(started(&[table.admit(request(&format!("{name}.{nth}"), name, late), now)]));
+                running.extend(started(&[table.admit(request(&format!("{name}.{nth}"), name, distant_deadline), now)]));
             }
         }
         let mut served: BTreeMap<String, f64> = BTreeMap::new();
--- a/tests/reconcile.rs
+++ b/tests/reconcile.rs
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Advance { ticks: u8 },
-    Desire { masks: [u8; ALL] },
+    ChangeDesired { masks: [u8; ALL] },
     Crash { engine: usize },
     Restart { engine: usize },
     LoseOrder { engine: usize, takes_effect: bool },
@@ -76,7 +76,7 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (1..12u8).prop_map(|ticks| Step::Advance { ticks }),
-        3 => prop::array::uniform5(0..16u8).prop_map(|masks| Step::Desire { masks }),
+        3 => prop::array::uniform5(0..16u8).prop_map(|masks| Step::ChangeDesired { masks }),
         1 => (0..ALL).prop_map(|engine| Step::Crash { engine }),
         2 => (0..ALL).prop_map(|engine| Step::Restart { engine }),
         2 => (0..OWN, any::<bool>())
@@ -189,7 +189,7 @@
     fn apply(&mut self, step: &Step) {
         match step {
             Step::Advance { ticks } => (0..*ticks).for_each(|_| self.tick()),
-            Step::Desire { masks } => {
+            Step::ChangeDesired { masks } => {
                 for (engine, mask) in self.engines.iter_mut().zip(self.masks) {
                     engine.settle(self.now);
                     let served = ranges(mask);
@@ -268,7 +268,7 @@
     fn order(&mut self, target: &TargetId, order: &StateOrder, lease: OrderingLease) {
         let index = (0..OWN).find(|engine| name(*engine) == *target).unwrap();
         self.check_times(index, lease);
-        self.check_drops(index, order);
+        self.check_unloads(index, order);
         self.table.record_order(target, order, self.now);
         let now = self.now;
         let engine = &mut self.engines[index];
@@ -303,7 +303,7 @@
         }
     }
 
-    fn check_drops(&self, index: usize, order: &StateOrder) {
+    fn check_unloads(&self, index: usize, order: &StateOrder) {
         let engine = &self.engines[index];
         for dropped in &engine.loaded {
             if order.loaded.contains(dropped) {
@@ -386,7 +386,7 @@
 #[test]
 fn loads_of_dead_engines_do_not_block_the_others() {
     let mut simulation = Simulation::new([0; ALL]);
-    simulation.apply(&Step::Desire {
+    simulation.apply(&Step::ChangeDesired {
         masks: [1, 1, 1, 1, 0],
     });
     let is_loading = |engine: &Engine| !engine.loading.is_empty();
@@ -424,7 +424,7 @@
 #[test]
 fn only_engine_keeps_serving_while_an_adapter_is_added() {
     let mut simulation = Simulation::new([0, 0, 0, 1, 0]);
-    simulation.apply(&Step::Desire {
+    simulation.apply(&Step::ChangeDesired {
         masks: [6, 6, 6, 8, 0],
     });
     for _ in 0..RECOVERY_TICKS {
