--- a/src/admission/select.rs
+++ b/src/admission/select.rs
@@ -12,7 +12,7 @@
 const MIN_COST_SECONDS: f64 = 1e-3;
 
 /// Number of starts by which an organisation below its fair slots may run ahead of its
-/// start tag.
+/// virtual start.
 const BURST_STARTS: f64 = 2.0;
 
 /// Returns the cost of a request in seconds of service.
@@ -85,9 +85,9 @@
 
     /// Starts a request whose organisation may start one, with the given `start_tag`.
     ///
-    /// Virtual time follows the start tags, not the starts that run ahead of theirs.
-    /// Otherwise it would pass organisations with waiting requests, and the service that
-    /// they are owed would be lost.
+    /// Virtual time advances to `start_tag`, which includes the burst credit, and not to
+    /// the virtual start without it. Otherwise it would pass organisations with waiting
+    /// requests, and the service that they are owed would be lost.
     pub(super) fn start(
         &mut self,
         request: &AdmissionRequest,
--- a/src/shares/grant_reply.rs
+++ b/src/shares/grant_reply.rs
@@ -94,9 +94,9 @@
     }
 
     /// Returns whether a grant may stay as it is although a division from scratch would
-    /// give another. It may if every host has what it wants, all units are in use, and
-    /// the grant is within a factor of two of its fair share. Otherwise each start or end
-    /// of a request would move units between all hosts.
+    /// give another. It may if the host has acknowledged it, every host has what it wants,
+    /// no unit is free, and the grant is within a factor of two of its fair share.
+    /// Without this rule each start or end of a request would move units between hosts.
     fn can_keep(
         &self,
         grant: &GrantEntry,
