--- a/src/shares/grant_answer.rs
+++ b/src/shares/grant_reply.rs
@@ -1,4 +1,4 @@
-//! What the holder of a zone's shares answers a host.
+//! Replies of the lease holder of a zone's shares to reports of hosts.
 
 use std::time::Instant;
 
@@ -11,9 +11,9 @@
 use crate::peer::PeerGrant;
 
 impl GrantTable {
-    /// Grants for a host that has just reported; `None` if this table does
-    /// not divide, so that the host keeps what it holds.
-    pub fn answer(&mut self, holder: &GrantHolder, now: Instant) -> Option<Vec<PeerGrant>> {
+    /// Returns the changed grants for a host that has just reported, or `None` if this
+    /// table does not divide, in which case the host keeps its grants.
+    pub fn reply(&mut self, holder: &GrantHolder, now: Instant) -> Option<Vec<PeerGrant>> {
         if !matches!(
             self.phase(now),
             TablePhase::Collecting | TablePhase::Dividing
@@ -28,9 +28,9 @@
             .into_iter()
             .filter_map(|organisation| self.grant(holder, organisation, now))
             .collect();
-        let lapsed_at = now + self.longest_lapse();
+        let expires_at = now + self.max_expiry();
         if let Some(entry) = self.entries.get_mut(holder) {
-            entry.lapsed_at = lapsed_at;
+            entry.expires_at = expires_at;
         }
         Some(grants)
     }
@@ -41,32 +41,37 @@
         organisation: OrganisationId,
         now: Instant,
     ) -> Option<PeerGrant> {
-        let units = self.due_units(holder, &organisation, now);
-        let lapse = self.settings.lapse;
+        let units = self.units_to_grant(holder, &organisation, now);
+        let expiry = self.settings.expiry;
         let entry = self.entries.get_mut(holder)?;
-        let stays = entry.is_registered;
+        let is_permanent = entry.is_registered;
         let grant = entry.grants.entry(organisation.clone()).or_default();
-        let is_known = match grant.number {
+        let is_current = match grant.number {
             0 => units == ShareUnits::NONE && grant.counted() == ShareUnits::NONE,
-            _ => grant.is_acknowledged && grant.granted == units && grant.stays && stays,
+            _ => {
+                grant.is_acknowledged
+                    && grant.granted == units
+                    && grant.is_permanent
+                    && is_permanent
+            }
         };
-        if is_known {
+        if is_current {
             return None;
         }
-        grant.send(self.next_number, units, stays);
+        grant.send(self.next_number, units, is_permanent);
         self.next_number += 1;
         Some(PeerGrant {
             organisation,
             concurrent_requests: units.concurrent_requests,
             requests_per_minute: units.requests_per_minute,
             number: grant.number,
-            lapse: (!stays).then_some(lapse),
+            lapse: (!is_permanent).then_some(expiry),
         })
     }
 
-    /// What the host is to have: its part of a fair division, as far as the
-    /// others have given it up.
-    fn due_units(&self, holder: &GrantHolder, organisation: &str, now: Instant) -> ShareUnits {
+    /// Returns the units to grant to a host: its part of a fair division, limited by what
+    /// the other hosts have released.
+    fn units_to_grant(&self, holder: &GrantHolder, organisation: &str, now: Instant) -> ShareUnits {
         let limit = self.limit(organisation, now);
         let others: ShareUnits = self
             .entries
@@ -74,68 +79,68 @@
             .filter(|(other, _)| *other != holder)
             .map(|(_, entry)| entry.counted(organisation))
             .sum();
-        let most = limit - others;
-        let target = self.fair_part(holder, organisation, limit, now);
+        let free = limit - others;
+        let fair = self.fair_share(holder, organisation, limit, now);
         let grant = self
             .entries
             .get(holder)
             .and_then(|entry| entry.grants.get(organisation));
         match grant {
-            Some(grant) if self.may_keep(grant, target, organisation, now) => {
-                grant.granted.lower(most)
+            Some(grant) if self.can_keep(grant, fair, organisation, now) => {
+                grant.granted.lower(free)
             }
-            _ => target.lower(most),
+            _ => fair.lower(free),
         }
     }
 
-    /// Whether a grant may stay as it is although a division from scratch
-    /// would give another: nothing lies idle here, nobody is short and it is
-    /// not far off. Without this, each request that starts or ends would move
-    /// units everywhere.
-    fn may_keep(
+    /// Returns whether a grant may stay as it is although a division from scratch would
+    /// give another. It may if the host has acknowledged it, every host has what it wants,
+    /// no unit is free, and the grant is within a factor of two of its fair share.
+    /// Without this rule each start or end of a request would move units between hosts.
+    fn can_keep(
         &self,
         grant: &GrantEntry,
-        target: ShareUnits,
+        fair: ShareUnits,
         organisation: &str,
         now: Instant,
     ) -> bool {
-        let is_near = target.is_within(grant.granted + grant.granted)
-            && target != ShareUnits::NONE
-            && grant.granted.is_within(target + target);
-        // A host that joined after the others had divided everything wants
-        // nothing yet and holds nothing; its first request would wait.
+        let is_close = fair.is_within(grant.granted + grant.granted)
+            && fair != ShareUnits::NONE
+            && grant.granted.is_within(fair + fair);
+        // A host that joined after the others had divided everything wants nothing yet
+        // and holds nothing, and its first request would have to wait.
         let hosts = u32::try_from(self.fresh_entries(now).count()).unwrap_or(u32::MAX);
-        let one_each = ShareUnits {
+        let one_per_host = ShareUnits {
             concurrent_requests: hosts,
             requests_per_minute: hosts,
         };
-        let has_enough = one_each.is_within(self.limit(organisation, now));
-        let nobody_short = self.fresh_entries(now).all(|(_, entry)| {
+        let covers_all_hosts = one_per_host.is_within(self.limit(organisation, now));
+        let all_satisfied = self.fresh_entries(now).all(|(_, entry)| {
             let granted = entry.grants.get(organisation).map(|other| other.granted);
             let granted = granted.unwrap_or_default();
-            let has_some = granted.concurrent_requests > 0 && granted.requests_per_minute > 0;
-            entry.want(organisation).is_within(granted) && (has_some || !has_enough)
+            let has_minimum = granted.concurrent_requests > 0 && granted.requests_per_minute > 0;
+            entry.want(organisation).is_within(granted) && (has_minimum || !covers_all_hosts)
         });
-        let nothing_idle = self
+        let nothing_free = self
             .limit(organisation, now)
             .is_within(self.counted(organisation));
-        grant.is_acknowledged && is_near && nobody_short && nothing_idle
+        grant.is_acknowledged && is_close && all_satisfied && nothing_free
     }
 
-    fn fair_part(
+    fn fair_share(
         &self,
         holder: &GrantHolder,
         organisation: &str,
         limit: ShareUnits,
         now: Instant,
     ) -> ShareUnits {
-        let silent: ShareUnits = self
+        let held_by_silent: ShareUnits = self
             .entries
             .values()
-            .filter(|entry| !entry.is_fresh(self.settings.fresh_report, now))
+            .filter(|entry| !entry.is_fresh(self.settings.max_report_age, now))
             .map(|entry| entry.counted(organisation))
             .sum();
-        let available = limit - silent;
+        let available = limit - held_by_silent;
         let wants: Vec<_> = self
             .fresh_entries(now)
             .map(|(_, entry)| entry.want(organisation))
@@ -155,7 +160,7 @@
     }
 
     fn fresh_entries(&self, now: Instant) -> impl Iterator<Item = (&GrantHolder, &HolderEntry)> {
-        let limit = self.settings.fresh_report;
+        let limit = self.settings.max_report_age;
         self.entries
             .iter()
             .filter(move |(_, entry)| entry.is_fresh(limit, now))
--- a/src/shares/grant_table.rs
+++ b/src/shares/grant_table.rs
@@ -1,4 +1,4 @@
-//! The side of the holder of a zone's shares: what each host holds.
+//! Grants of a zone, as kept by the holder of the lease on its shares.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -10,58 +10,57 @@
 use crate::ids::{LogOffset, OrganisationId, ZoneId};
 use crate::peer::PeerDemand;
 
-/// Times of the division in a zone.
+/// Timing of the division within a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GrantSettings {
-    /// Time after which a grant to a host that the log does not name ends.
-    pub lapse: Duration,
-    /// Added to a lapse that another host counts, for the rates of clocks.
+    /// Lifetime of a grant to a host that is not registered in the log.
+    pub expiry: Duration,
+    /// Added to an expiry that another host's clock measures, to allow for clock drift.
     pub clock_margin: Duration,
-    /// Time after which a pause makes a host ask before it uses its grants.
+    /// Length of a pause after which a host must report before it uses its grants.
     pub pause_limit: Duration,
-    /// Time between a host's end and the use of what it held; longer than
-    /// `pause_limit`.
-    pub gone_margin: Duration,
-    /// Age of a report above which a host gets no part in a new division.
-    pub fresh_report: Duration,
-    /// Time after which a record that does not show up is written again.
-    pub append_retry: Duration,
+    /// Time between a host's end and the reuse of its units; longer than `pause_limit`.
+    pub removal_margin: Duration,
+    /// Maximum age of a report for a host to take part in a new division.
+    pub max_report_age: Duration,
+    /// Time after which a record that has not appeared in the log is appended again.
+    pub append_retry_interval: Duration,
 }
 
 impl Default for GrantSettings {
     fn default() -> Self {
         Self {
-            lapse: Duration::from_secs(5),
+            expiry: Duration::from_secs(5),
             clock_margin: Duration::from_secs(1),
             pause_limit: Duration::from_secs(5),
-            gone_margin: Duration::from_secs(6),
-            fresh_report: Duration::from_secs(5),
-            append_retry: Duration::from_secs(2),
+            removal_margin: Duration::from_secs(6),
+            max_report_age: Duration::from_secs(5),
+            append_retry_interval: Duration::from_secs(2),
         }
     }
 }
 
-/// How far a new holder is.
+/// Progress of a new lease holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TablePhase {
-    /// Its opening record has not shown up in the log.
+    /// Its opening record has not appeared in the log yet.
     Opening,
-    /// It divides what hosts have handed in; others have not reported yet.
+    /// It divides only the units that hosts have reported; others have not reported yet.
     Collecting,
     /// It divides the zone's whole share.
     Dividing,
-    /// A later lease has been seen; it divides nothing any more.
+    /// A later lease has been seen, and it no longer divides.
     Closed,
 }
 
-/// Divides a zone's shares over hosts, under one lease.
+/// Divides a zone's shares over hosts under one lease.
 ///
-/// A new holder does not know what hosts hold. What they report is theirs and
-/// can be moved among them at once. Units that no one reported may still be
-/// used by a host that has not been heard, or be handed out by an earlier
-/// holder that does not know it was replaced. They are free only once every
-/// incarnation that the log names has reported under this lease, after which
-/// it takes no grant of an earlier one, or is known to be gone.
+/// A new lease holder does not know what hosts hold. Reported units belong to the hosts
+/// that report them and can be moved between these at once. Units that no host reported
+/// may still be in use by a host that has not reported, or may be granted by an earlier
+/// lease holder that does not know it was replaced. They become free only once every
+/// incarnation that the log names has reported under this lease, after which it rejects
+/// grants of earlier leases, or is known to have ended.
 #[derive(Debug)]
 pub struct GrantTable {
     pub(super) settings: GrantSettings,
@@ -70,19 +69,19 @@
     holder: GrantHolder,
     is_opened: bool,
     is_closed: bool,
-    opening_asked: Option<Instant>,
+    opening_appended_at: Option<Instant>,
     awaited: BTreeSet<GrantHolder>,
-    seen: BTreeSet<GrantHolder>,
-    whole_from: Option<Instant>,
-    handed_in: BTreeMap<OrganisationId, ShareUnits>,
+    reported_holders: BTreeSet<GrantHolder>,
+    complete_at: Option<Instant>,
+    reported: BTreeMap<OrganisationId, ShareUnits>,
     pub(super) shares: BTreeMap<OrganisationId, ShareUnits>,
     pub(super) entries: BTreeMap<GrantHolder, HolderEntry>,
-    releases_asked: BTreeMap<OrganisationId, (LogOffset, Instant)>,
+    release_appends: BTreeMap<OrganisationId, (LogOffset, Instant)>,
     pub(super) next_number: u64,
 }
 
 impl GrantTable {
-    /// A table for the lease that this incarnation took.
+    /// Creates a table for a lease that this incarnation has acquired.
     pub fn open(
         settings: GrantSettings,
         zone: ZoneId,
@@ -96,37 +95,37 @@
             holder,
             is_opened: false,
             is_closed: false,
-            opening_asked: None,
+            opening_appended_at: None,
             awaited: BTreeSet::new(),
-            seen: BTreeSet::new(),
-            whole_from: None,
-            handed_in: BTreeMap::new(),
+            reported_holders: BTreeSet::new(),
+            complete_at: None,
+            reported: BTreeMap::new(),
             shares: BTreeMap::new(),
             entries: BTreeMap::new(),
-            releases_asked: BTreeMap::new(),
+            release_appends: BTreeMap::new(),
             next_number: 1,
         }
     }
 
-    /// Stops dividing for good.
+    /// Stops dividing permanently.
     pub fn close(&mut self) {
         self.is_closed = true;
     }
 
-    /// The lease under which this table divides.
+    /// Returns the lease under which this table divides.
     pub fn lease(&self) -> LogOffset {
         self.lease
     }
 
-    /// Takes in the ledger after records have been applied.
-    pub fn follow(&mut self, ledger: &AllotmentLedger, now: Instant) {
+    /// Updates the table from the ledger after records have been applied.
+    pub fn observe_ledger(&mut self, ledger: &AllotmentLedger, now: Instant) {
         match ledger.opened(&self.zone) {
             Some(opened) if opened > self.lease => self.close(),
             Some(opened) if opened == self.lease && !self.is_opened => {
                 self.is_opened = true;
                 self.awaited = ledger.holders(&self.zone).cloned().collect();
                 if !ledger.is_reopened(&self.zone) {
-                    self.whole_from = Some(now);
+                    self.complete_at = Some(now);
                 }
             }
             _ => {}
@@ -138,8 +137,8 @@
         }
     }
 
-    /// Takes in what a host holds and wants. The report names every
-    /// organisation of which it holds or wants anything.
+    /// Records what a host holds and wants. The report must name every organisation of
+    /// which it holds or wants anything.
     pub fn observe_report(
         &mut self,
         holder: &GrantHolder,
@@ -155,89 +154,93 @@
             return;
         }
         let was_awaited = self.awaited.remove(holder);
-        let lapsed_at = now + self.longest_lapse();
+        let expires_at = now + self.max_expiry();
         let entry = self
             .entries
             .entry(holder.clone())
-            .or_insert_with(|| HolderEntry::new(was_awaited, lapsed_at, now));
+            .or_insert_with(|| HolderEntry::new(was_awaited, expires_at, now));
         if entry.sequence >= sequence {
             return;
         }
         entry.sequence = sequence;
         entry.last_report = now;
         entry.is_draining = is_draining;
-        // A host that speaks is not gone, whatever the platform says.
-        entry.gone_at = None;
-        entry.take_in(demands, self.lease);
-        // Counted once: a host that was thought gone and comes back brings
-        // units with it that have been given to others meanwhile.
-        if self.seen.insert(holder.clone()) {
+        // A host that reports is alive, whatever the platform says.
+        entry.removed_at = None;
+        entry.apply_report(demands, self.lease);
+        // Counted once: a host that was taken for ended and returns brings units that
+        // have been granted to others meanwhile.
+        if self.reported_holders.insert(holder.clone()) {
             for demand in demands {
                 let held = ShareUnits::new(demand.held_grant, demand.held_rate);
-                let handed_in = self
-                    .handed_in
+                let reported = self
+                    .reported
                     .entry(demand.organisation.clone())
                     .or_default();
-                *handed_in = *handed_in + held;
+                *reported = *reported + held;
             }
         }
-        self.settle(now);
+        self.schedule_completion(now);
     }
 
-    /// Takes in that an incarnation has ended.
-    pub fn observe_gone(&mut self, holder: &GrantHolder, now: Instant) {
+    /// Records that an incarnation has ended.
+    pub fn observe_removed(&mut self, holder: &GrantHolder, now: Instant) {
         match self.entries.get_mut(holder) {
             Some(entry) => {
-                entry.gone_at.get_or_insert(now);
+                entry.removed_at.get_or_insert(now);
             }
-            // Its units were never counted here. It becomes an entry without
-            // any, so that the margin passes before it is no longer awaited.
+            // Its units were never counted here. An entry without units makes the margin
+            // pass before the incarnation is no longer awaited.
             None if self.awaited.contains(holder) => {
                 let mut entry = HolderEntry::new(true, now, now);
-                entry.gone_at = Some(now);
+                entry.removed_at = Some(now);
                 self.entries.insert(holder.clone(), entry);
             }
             None => {}
         }
     }
 
-    /// Incarnations that have not reported yet.
+    /// Returns the incarnations that have not reported yet.
     pub fn awaited(&self) -> impl Iterator<Item = &GrantHolder> {
         self.awaited.iter()
     }
 
-    /// How far the table is.
+    /// Returns the progress of the table.
     pub fn phase(&self, now: Instant) -> TablePhase {
-        match self.whole_from {
+        match self.complete_at {
             _ if self.is_closed => TablePhase::Closed,
             _ if !self.is_opened => TablePhase::Opening,
-            Some(whole_from) if now >= whole_from => TablePhase::Dividing,
+            Some(complete_at) if now >= complete_at => TablePhase::Dividing,
             _ => TablePhase::Collecting,
         }
     }
 
-    /// Lets time pass, and says which records to append.
+    /// Advances time and returns the records to append.
     pub fn tick(&mut self, ledger: &AllotmentLedger, now: Instant) -> Vec<AllotmentBody> {
-        self.follow(ledger, now);
+        self.observe_ledger(ledger, now);
         match self.phase(now) {
             TablePhase::Closed => Vec::new(),
-            TablePhase::Opening => self.ask_opening(now).into_iter().collect(),
+            TablePhase::Opening => self.opening_record(now).into_iter().collect(),
             phase => {
                 let mut bodies = self.remove_ended(now);
-                bodies.extend(self.ask_registrations(now));
+                bodies.extend(self.registration_records(now));
                 if phase == TablePhase::Dividing {
-                    bodies.extend(self.ask_releases(ledger, now));
+                    bodies.extend(self.release_records(ledger, now));
                 }
                 bodies
             }
         }
     }
 
-    fn ask_opening(&mut self, now: Instant) -> Option<AllotmentBody> {
-        if !is_due(self.opening_asked, self.settings.append_retry, now) {
+    fn opening_record(&mut self, now: Instant) -> Option<AllotmentBody> {
+        if !is_due(
+            self.opening_appended_at,
+            self.settings.append_retry_interval,
+            now,
+        ) {
             return None;
         }
-        self.opening_asked = Some(now);
+        self.opening_appended_at = Some(now);
         Some(AllotmentBody::Opened {
             zone: self.zone.clone(),
             lease: self.lease,
@@ -246,7 +249,7 @@
     }
 
     fn remove_ended(&mut self, now: Instant) -> Vec<AllotmentBody> {
-        let margin = self.settings.gone_margin;
+        let margin = self.settings.removal_margin;
         let ended: Vec<_> = self
             .entries
             .iter()
@@ -265,20 +268,20 @@
                 });
             }
         }
-        self.settle(now);
+        self.schedule_completion(now);
         bodies
     }
 
-    fn ask_registrations(&mut self, now: Instant) -> Vec<AllotmentBody> {
-        let retry = self.settings.append_retry;
-        let fresh = self.settings.fresh_report;
+    fn registration_records(&mut self, now: Instant) -> Vec<AllotmentBody> {
+        let retry = self.settings.append_retry_interval;
+        let fresh = self.settings.max_report_age;
         let mut bodies = Vec::new();
         for (holder, entry) in &mut self.entries {
-            let is_due = is_due(entry.registration_asked, retry, now);
+            let is_due = is_due(entry.registration_appended_at, retry, now);
             if entry.is_registered || !entry.is_fresh(fresh, now) || !is_due {
                 continue;
             }
-            entry.registration_asked = Some(now);
+            entry.registration_appended_at = Some(now);
             bodies.push(AllotmentBody::Joined {
                 zone: self.zone.clone(),
                 lease: self.lease,
@@ -288,20 +291,20 @@
         bodies
     }
 
-    fn ask_releases(&mut self, ledger: &AllotmentLedger, now: Instant) -> Vec<AllotmentBody> {
-        let retry = self.settings.append_retry;
+    fn release_records(&mut self, ledger: &AllotmentLedger, now: Instant) -> Vec<AllotmentBody> {
+        let retry = self.settings.append_retry_interval;
         let pending = ledger.pending_releases(&self.zone);
         let mut bodies = Vec::new();
         for release in pending {
-            let asked = self.releases_asked.get(&release.organisation);
-            let asked_at = asked
+            let last_append = self.release_appends.get(&release.organisation);
+            let appended_at = last_append
                 .filter(|(split, _)| *split == release.split)
                 .map(|(_, at)| *at);
             let is_given_up = self.counted(&release.organisation).is_within(release.held);
-            if !is_given_up || !is_due(asked_at, retry, now) {
+            if !is_given_up || !is_due(appended_at, retry, now) {
                 continue;
             }
-            self.note_release(&release, now);
+            self.record_release(&release, now);
             bodies.push(AllotmentBody::Released {
                 zone: self.zone.clone(),
                 lease: self.lease,
@@ -311,27 +314,27 @@
         bodies
     }
 
-    fn note_release(&mut self, release: &ReleaseRecord, now: Instant) {
-        self.releases_asked
+    fn record_release(&mut self, release: &ReleaseRecord, now: Instant) {
+        self.release_appends
             .insert(release.organisation.clone(), (release.split, now));
     }
 
-    /// Notes when the last awaited incarnation is accounted for. Grants that
-    /// lapse may have been given to hosts that the log does not name; they
-    /// have ended once a lapse has passed.
-    fn settle(&mut self, now: Instant) {
+    /// Sets when the division is complete, once no incarnation is awaited any more. Hosts
+    /// that the log does not name may hold expiring grants, which have ended after one
+    /// expiry.
+    fn schedule_completion(&mut self, now: Instant) {
         if self.awaited.is_empty() {
-            let whole_from = now + self.longest_lapse();
-            self.whole_from.get_or_insert(whole_from);
+            let complete_at = now + self.max_expiry();
+            self.complete_at.get_or_insert(complete_at);
         }
     }
 
-    /// Time after which a grant that lapses has ended on any host's clock.
-    pub(super) fn longest_lapse(&self) -> Duration {
-        self.settings.lapse + self.settings.clock_margin
+    /// Returns the time after which an expiring grant has ended on any host's clock.
+    pub(super) fn max_expiry(&self) -> Duration {
+        self.settings.expiry + self.settings.clock_margin
     }
 
-    /// What all hosts together must be thought to use.
+    /// Returns the units to count as used by all hosts together.
     pub fn counted(&self, organisation: &str) -> ShareUnits {
         self.entries
             .values()
@@ -339,20 +342,20 @@
             .sum()
     }
 
-    /// Most that may be handed out of an organisation's share.
+    /// Returns the maximum that may be granted of an organisation's share.
     pub(super) fn limit(&self, organisation: &str, now: Instant) -> ShareUnits {
         let share = self.shares.get(organisation).copied().unwrap_or_default();
         match self.phase(now) {
             TablePhase::Dividing => share,
             TablePhase::Collecting => {
-                let handed_in = self.handed_in.get(organisation).copied();
-                share.lower(handed_in.unwrap_or_default())
+                let reported = self.reported.get(organisation).copied();
+                share.lower(reported.unwrap_or_default())
             }
             TablePhase::Opening | TablePhase::Closed => ShareUnits::NONE,
         }
     }
 }
 
-fn is_due(asked: Option<Instant>, retry: Duration, now: Instant) -> bool {
-    asked.is_none_or(|asked| now.saturating_duration_since(asked) >= retry)
+fn is_due(appended_at: Option<Instant>, retry: Duration, now: Instant) -> bool {
+    appended_at.is_none_or(|appended_at| now.saturating_duration_since(appended_at) >= retry)
 }
--- a/tests/admission_compare.rs
+++ b/tests/admission_compare.rs
@@ -1,10 +1,12 @@
-//! Compares admission with one queue for all on a fake host with its own clock.
+//! Compares admission control with a single FIFO queue on a simulated host with its own
+//! clock.
 //!
-//! Ten organisations share 40 slots; the first two bought most of them. The
-//! figures are those of the fake, not of a machine; equal seeds give equal
-//! figures. `POLICY_SEEDS` and `POLICY_SECONDS` as for the routing policies.
+//! Ten organisations share 40 slots; the first two bought most of them. The figures
+//! describe the simulation, not a machine, and equal seeds give equal figures. The
+//! environment variables `POLICY_SEEDS` and `POLICY_SECONDS` set the seeds and the
+//! length, as for the routing policies.
 
-// The table is what the comparison is run for.
+// The comparison prints its table.
 #![allow(clippy::print_stdout)]
 
 use std::cmp::Reverse;
@@ -25,9 +27,9 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Admission {
-    /// The project's.
+    /// Admission control of this crate.
     Table,
-    /// One queue in order of arrival, without giving up.
+    /// One queue in order of arrival, without load shedding.
     OneQueue,
 }
 
@@ -46,11 +48,11 @@
 
 #[derive(Default)]
 struct Outcome {
-    /// Time to the answer of each request of an organisation in time.
+    /// Response times of the requests served in time, per organisation.
     served: Vec<Vec<Duration>>,
     /// Time to each refusal.
     refused: Vec<Duration>,
-    /// Requests answered after their deadline.
+    /// Number of requests served after their deadlines.
     late: usize,
 }
 
@@ -70,8 +72,8 @@
         let mut table = AdmissionTable::new(AdmissionSettings::default(), seed);
         table.set_capacity(SLOTS as u32);
         for (organisation, share) in SHARES.iter().enumerate() {
-            // Shares may be lent: what is bought adds up to the slots, and
-            // the limit is above it.
+            // Shares may be lent: the bought shares add up to the slots, and the limits
+            // are higher.
             let limit = ShareLimit {
                 concurrent_requests: *share * 3 / 2,
                 requests_per_minute: 60_000,
@@ -99,7 +101,7 @@
         self.events.push(Reverse((at, number, event)));
     }
 
-    fn drawn(&mut self, mean: f64) -> Duration {
+    fn exponential(&mut self, mean: f64) -> Duration {
         Duration::from_secs_f64(-(1.0 - self.rng.random::<f64>()).ln() * mean)
     }
 
@@ -127,7 +129,7 @@
 
     fn arrive(&mut self, organisation: usize, now: Instant) {
         let mean = SERVICE_MS / 1e3;
-        let service = Duration::from_secs_f64(mean / 2.0) + self.drawn(mean / 2.0);
+        let service = Duration::from_secs_f64(mean / 2.0) + self.exponential(mean / 2.0);
         let id = self.requests.len();
         self.requests.push(FakeRequest {
             organisation,
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Runs with each organisation offering `loads` times what it bought.
+    /// Runs the host while each organisation offers `loads` times what it bought.
     fn run(mut self, loads: &[f64; 10], length: Duration, start: Instant) -> Outcome {
         for organisation in 0..SHARES.len() {
             self.push(start, Event::Arrival(organisation));
@@ -189,7 +191,7 @@
                     self.arrive(organisation, now);
                     let rate =
                         f64::from(SHARES[organisation]) * 1e3 / SERVICE_MS * loads[organisation];
-                    let gap = self.drawn(rate.recip());
+                    let gap = self.exponential(rate.recip());
                     self.push(now + gap, Event::Arrival(organisation));
                 }
                 Event::End(request) => self.end(request, now),
@@ -213,12 +215,12 @@
 
 /// Medians over the seeds.
 struct Row {
-    /// Requests answered in time, as a part of what the slots can do.
+    /// Requests served in time, as a fraction of the slots' capacity.
     goodput: f64,
-    /// 95th percentile of the others' answers, in milliseconds.
+    /// 95th percentile of the other organisations' response times, in milliseconds.
     others_p95: f64,
-    /// Part of the refusals that came within 10 ms.
-    at_once: f64,
+    /// Fraction of the refusals that came within 10 ms.
+    immediate: f64,
 }
 
 fn median(values: &mut [f64]) -> (f64, String) {
@@ -248,13 +250,13 @@
         let served: usize = outcome.served.iter().map(Vec::len).sum();
         let mut others = outcome.served[1..].concat();
         let refused = outcome.refused.len();
-        let at_once = outcome.refused.iter().filter(|time| time.as_millis() <= 10);
-        let at_once = at_once.count() as f64 / refused.max(1) as f64;
+        let immediate = outcome.refused.iter().filter(|time| time.as_millis() <= 10);
+        let immediate = immediate.count() as f64 / refused.max(1) as f64;
         let cells = [
             served as f64 / bound,
             percentile(&mut others, 0.95),
             percentile(&mut outcome.refused, 0.99),
-            at_once,
+            immediate,
             outcome.late as f64 / bound,
         ];
         columns
@@ -268,12 +270,12 @@
     Row {
         goodput: medians[0].0,
         others_p95: medians[1].0,
-        at_once: medians[3].0,
+        immediate: medians[3].0,
     }
 }
 
 #[test]
-fn overload_of_one_or_all_leaves_the_others_whole() {
+fn overload_preserves_goodput_and_latency_of_other_organisations() {
     println!(
         "| run | goodput of bound | others' p95 ms | refusal p99 ms | refused within 10 ms | late of bound |"
     );
@@ -282,15 +284,15 @@
     greedy[0] = 10.0;
     row("one queue, all at 2.0", Admission::OneQueue, [2.0; 10]);
     row("one queue, one at 10", Admission::OneQueue, greedy);
-    let calm = row("table, all at 0.8", Admission::Table, [0.8; 10]);
+    let normal = row("table, all at 0.8", Admission::Table, [0.8; 10]);
     let peak = row("table, all at 1.1", Admission::Table, [1.1; 10]);
     let double = row("table, all at 2.0", Admission::Table, [2.0; 10]);
     let one = row("table, one at 10", Admission::Table, greedy);
-    assert!(double.at_once >= 0.99 && one.at_once >= 0.99);
+    assert!(double.immediate >= 0.99 && one.immediate >= 0.99);
     assert!(double.goodput >= 0.95 * peak.goodput);
     assert!(
-        one.others_p95 <= 1.1 * calm.others_p95,
+        one.others_p95 <= 1.1 * normal.others_p95,
         "{}",
-        one.others_p95 / calm.others_p95
+        one.others_p95 / normal.others_p95
     );
 }
--- a/tests/reconcile.rs
+++ b/tests/reconcile.rs
@@ -1,7 +1,7 @@
-//! The reconciler over engines that die, lose orders and come back, under
-//! leases that change hands.
+//! Tests the reconciler on engines that crash, lose orders and restart, while the lease
+//! changes hands.
 
-#![allow(clippy::unwrap_used)] // A test ends at the first thing that is not there.
+#![allow(clippy::unwrap_used)] // A test may panic on a missing value.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -15,23 +15,23 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Engines of the zone, and after them one of another zone.
+/// Engines of the zone; one of another zone follows them.
 const OWN: usize = 4;
 const ALL: usize = OWN + 1;
 const TICK: Duration = Duration::from_millis(250);
 const LOAD_TIME: Duration = Duration::from_secs(2);
-/// Enough for every load, wait and retention after the last fault.
-const HEAL_TICKS: usize = 200;
+/// Enough ticks for every load, wait and retention after the last fault.
+const RECOVERY_TICKS: usize = 200;
 const LIMITS: ReconcileLimits = ReconcileLimits {
     concurrent_loads: 2,
     order_deadline: Duration::from_secs(1),
-    observe_every: Duration::from_secs(1),
-    failure_pause: Duration::from_secs(2),
+    observe_interval: Duration::from_secs(1),
+    failure_backoff: Duration::from_secs(2),
     retain_for: Duration::from_secs(3),
-    load_memory: Duration::from_secs(5),
+    load_timeout: Duration::from_secs(5),
 };
 
-/// Ranges by bit; the last one serves the same as the first.
+/// Returns the range of a bit; the last one serves the same layers as the first.
 fn range(bit: usize) -> LoadedRange {
     let (version, first_layer, adapters) = match bit {
         0 => ("v1", 0, vec![]),
@@ -57,18 +57,18 @@
     format!("engine-{engine}").into()
 }
 
-fn serves_as(one: &LoadedRange, other: &LoadedRange) -> bool {
-    (&one.version, one.first_layer) == (&other.version, other.first_layer)
+fn serves_as(left: &LoadedRange, right: &LoadedRange) -> bool {
+    (&left.version, left.first_layer) == (&right.version, right.first_layer)
 }
 
 #[derive(Debug, Clone)]
 enum Step {
     Advance { ticks: u8 },
-    Desire { masks: [u8; ALL] },
-    Die { engine: usize },
-    Revive { engine: usize },
+    ChangeDesired { masks: [u8; ALL] },
+    Crash { engine: usize },
+    Restart { engine: usize },
     LoseOrder { engine: usize, takes_effect: bool },
-    FarLoads,
+    OtherZoneLoads,
     ChangeLease { gap: u8, other_host: bool },
     LeaseEnding,
 }
@@ -76,12 +76,12 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (1..12u8).prop_map(|ticks| Step::Advance { ticks }),
-        3 => prop::array::uniform5(0..16u8).prop_map(|masks| Step::Desire { masks }),
-        1 => (0..ALL).prop_map(|engine| Step::Die { engine }),
-        2 => (0..ALL).prop_map(|engine| Step::Revive { engine }),
+        3 => prop::array::uniform5(0..16u8).prop_map(|masks| Step::ChangeDesired { masks }),
+        1 => (0..ALL).prop_map(|engine| Step::Crash { engine }),
+        2 => (0..ALL).prop_map(|engine| Step::Restart { engine }),
         2 => (0..OWN, any::<bool>())
             .prop_map(|(engine, takes_effect)| Step::LoseOrder { engine, takes_effect }),
-        1 => Just(Step::FarLoads),
+        1 => Just(Step::OtherZoneLoads),
         1 => (0..6u8, any::<bool>())
             .prop_map(|(gap, other_host)| Step::ChangeLease { gap, other_host }),
         1 => Just(Step::LeaseEnding),
@@ -94,9 +94,9 @@
     loading: BTreeMap<LoadedRange, Instant>,
     is_dead: bool,
     died_at: Option<Instant>,
-    /// Whether the next order, whose answer is lost, takes effect.
+    /// Whether the next order takes effect; its response is lost.
     lost_order: Option<bool>,
-    /// Until when a range was loaded and desired here, so that runs used it.
+    /// When a range was last both loaded and desired here, so that runs may have used it.
     served_until: BTreeMap<LoadedRange, Instant>,
     seen_at: Option<Instant>,
 }
@@ -114,7 +114,7 @@
         }
     }
 
-    fn obey(&mut self, order: &StateOrder, now: Instant) {
+    fn execute(&mut self, order: &StateOrder, now: Instant) {
         self.loaded.retain(|range| order.loaded.contains(range));
         self.loading.retain(|range, _| order.loaded.contains(range));
         for range in &order.loaded {
@@ -136,7 +136,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     now: Instant,
     engines: Vec<Engine>,
     masks: [u8; ALL],
@@ -145,14 +145,14 @@
     is_ending: bool,
 }
 
-impl World {
+impl Simulation {
     fn new(masks: [u8; ALL]) -> Self {
         let now = Instant::now();
         let mut engines: Vec<Engine> = (0..ALL).map(|_| Engine::default()).collect();
         for (engine, mask) in engines.iter_mut().zip(masks) {
             engine.loaded = ranges(mask);
         }
-        let mut world = Self {
+        let mut simulation = Self {
             now,
             engines,
             masks,
@@ -160,9 +160,9 @@
             lease: None,
             is_ending: false,
         };
-        world.tell_desired();
-        world.take_lease();
-        world
+        simulation.update_desired();
+        simulation.take_lease();
+        simulation
     }
 
     fn take_lease(&mut self) {
@@ -174,22 +174,22 @@
         });
     }
 
-    fn tell_desired(&mut self) {
+    fn update_desired(&mut self) {
         let state = |engine: usize| DesiredState {
             loaded: ranges(self.masks[engine]),
             role: EngineRole::Mixed,
             fencing: fencing(engine),
         };
         let own = (0..OWN).map(|engine| (name(engine), state(engine)));
-        let elsewhere = (OWN..ALL).map(|engine| (name(engine), state(engine)));
-        let (own, elsewhere) = (own.collect(), elsewhere.collect());
-        self.table.set_desired(own, elsewhere, self.now);
+        let other_zones = (OWN..ALL).map(|engine| (name(engine), state(engine)));
+        let (own, other_zones) = (own.collect(), other_zones.collect());
+        self.table.set_desired(own, other_zones, self.now);
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Advance { ticks } => (0..*ticks).for_each(|_| self.tick()),
-            Step::Desire { masks } => {
+            Step::ChangeDesired { masks } => {
                 for (engine, mask) in self.engines.iter_mut().zip(self.masks) {
                     engine.settle(self.now);
                     let served = ranges(mask);
@@ -198,18 +198,18 @@
                     }
                 }
                 self.masks = *masks;
-                self.tell_desired();
+                self.update_desired();
             }
-            Step::Die { engine } => {
+            Step::Crash { engine } => {
                 self.engines[*engine].is_dead = true;
                 self.engines[*engine].died_at = Some(self.now);
             }
-            Step::Revive { engine } => self.engines[*engine].is_dead = false,
+            Step::Restart { engine } => self.engines[*engine].is_dead = false,
             Step::LoseOrder {
                 engine,
                 takes_effect,
             } => self.engines[*engine].lost_order = Some(*takes_effect),
-            Step::FarLoads => {
+            Step::OtherZoneLoads => {
                 let desired = ranges(self.masks[OWN]);
                 self.engines[OWN].loaded.extend(desired);
             }
@@ -218,7 +218,7 @@
                 (0..*gap).for_each(|_| self.tick());
                 if *other_host {
                     self.table = ReconcileTable::new(LIMITS);
-                    self.tell_desired();
+                    self.update_desired();
                 }
                 self.lease = lease;
                 self.take_lease();
@@ -259,7 +259,7 @@
         let index = (0..ALL).find(|engine| name(*engine) == *target).unwrap();
         let engine = &mut self.engines[index];
         if engine.is_dead {
-            return self.table.note_failure(target, self.now);
+            return self.table.record_failure(target, self.now);
         }
         engine.seen_at = Some(self.now);
         self.table.observe(target, engine.state(), self.now);
@@ -268,17 +268,17 @@
     fn order(&mut self, target: &TargetId, order: &StateOrder, lease: OrderingLease) {
         let index = (0..OWN).find(|engine| name(*engine) == *target).unwrap();
         self.check_times(index, lease);
-        self.check_drops(index, order);
-        self.table.note_order(target, order, self.now);
+        self.check_unloads(index, order);
+        self.table.record_order(target, order, self.now);
         let now = self.now;
         let engine = &mut self.engines[index];
         let lost = engine.lost_order.take();
         if engine.is_dead || lost == Some(false) {
-            return self.table.note_failure(target, now);
+            return self.table.record_failure(target, now);
         }
-        engine.obey(order, now);
+        engine.execute(order, now);
         match lost {
-            Some(_) => self.table.note_failure(target, now),
+            Some(_) => self.table.record_failure(target, now),
             None => self.observe(target),
         }
         let loading = self
@@ -296,11 +296,14 @@
         );
         if fencing(index) == FencingSupport::Ignores {
             let waited = self.now - lease.held_since;
-            assert!(waited >= LIMITS.order_deadline, "an earlier order may come");
+            assert!(
+                waited >= LIMITS.order_deadline,
+                "an earlier lease holder's order may still arrive"
+            );
         }
     }
 
-    fn check_drops(&self, index: usize, order: &StateOrder) {
+    fn check_unloads(&self, index: usize, order: &StateOrder) {
         let engine = &self.engines[index];
         for dropped in &engine.loaded {
             if order.loaded.contains(dropped) {
@@ -308,7 +311,7 @@
             }
             if let Some(until) = engine.served_until.get(dropped) {
                 let since = self.now - *until;
-                assert!(since >= LIMITS.retain_for, "dropped under its runs");
+                assert!(since >= LIMITS.retain_for, "unloaded while runs may use it");
             }
             let is_wanted = (0..ALL).any(|other| {
                 let desired = ranges(self.masks[other]);
@@ -316,7 +319,7 @@
             });
             let is_held = (0..ALL).any(|other| {
                 let holder = &self.engines[other];
-                let recently = |died: Instant| self.now - died < LIMITS.observe_every;
+                let recently = |died: Instant| self.now - died < LIMITS.observe_interval;
                 let answers = !holder.is_dead || holder.died_at.is_some_and(recently);
                 let mut held = holder.loaded.iter();
                 answers
@@ -325,19 +328,19 @@
                         is_kept && serves_as(held, dropped)
                     })
             });
-            assert!(!is_wanted || is_held, "the last holder drops {dropped:?}");
+            assert!(!is_wanted || is_held, "the last holder unloads {dropped:?}");
         }
     }
 
-    fn heal(&mut self) {
+    fn recover(&mut self) {
         for engine in &mut self.engines {
             engine.is_dead = false;
             engine.lost_order = None;
         }
-        // The other zone only loads: what it unloads within the second in which
-        // it was seen is out of this zone's hands.
-        self.take(&Step::FarLoads);
-        (0..HEAL_TICKS).for_each(|_| self.tick());
+        // The other zone only loads ranges: this zone cannot prevent what that one
+        // unloads within a second after it was observed.
+        self.apply(&Step::OtherZoneLoads);
+        (0..RECOVERY_TICKS).for_each(|_| self.tick());
         for (index, engine) in self.engines[..OWN].iter().enumerate() {
             let desired = ranges(self.masks[index]);
             assert_eq!(engine.loaded, desired, "engine {index} did not converge");
@@ -361,67 +364,72 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: requests are refused because nobody holds a range that is
-    /// declared, the weights store is flooded, or engines never come to hold
-    /// what is declared.
-    /// Events: changes, deaths, orders whose answer is lost, leases that
-    /// change hands, in any order.
-    /// Cause: an order that rests on what is no longer true.
+    /// Guards against orders that rest on outdated observations, under any order of
+    /// changed declarations, crashes, lost responses and changes of the lease. Requests
+    /// would be refused because no engine holds a declared range, the weights store would
+    /// be overloaded, or engines would not converge to the declared state.
     #[test]
-    fn orders_are_safe_and_lead_to_what_is_declared(
+    fn orders_are_safe_and_converge_to_the_declared_state(
         masks in prop::array::uniform5(0..16u8),
         steps in prop::collection::vec(step(), 1..40),
     ) {
-        let mut world = World::new(masks);
+        let mut simulation = Simulation::new(masks);
         for step in &steps {
-            world.take(step);
+            simulation.apply(step);
         }
-        world.heal();
+        simulation.recover();
     }
 }
 
-/// Symptom: no engine loads anything any more.
-/// Events: as many engines as may load at once die while they do, for good.
-/// Cause: their loads count for ever, since nobody sees them end.
+/// Guards against a reconciler that loads nothing any more. As many engines as may load
+/// at once crash while loading and stay down; their loads must not count for ever.
 #[test]
 fn loads_of_dead_engines_do_not_block_the_others() {
-    let mut world = World::new([0; ALL]);
-    world.take(&Step::Desire {
+    let mut simulation = Simulation::new([0; ALL]);
+    simulation.apply(&Step::ChangeDesired {
         masks: [1, 1, 1, 1, 0],
     });
     let is_loading = |engine: &Engine| !engine.loading.is_empty();
-    let loads = |world: &World| world.engines.iter().filter(|one| is_loading(one)).count();
-    for _ in 0..HEAL_TICKS {
-        if loads(&world) < LIMITS.concurrent_loads {
-            world.tick();
+    let loads = |simulation: &Simulation| {
+        simulation
+            .engines
+            .iter()
+            .filter(|engine| is_loading(engine))
+            .count()
+    };
+    for _ in 0..RECOVERY_TICKS {
+        if loads(&simulation) < LIMITS.concurrent_loads {
+            simulation.tick();
         }
     }
-    assert_eq!(loads(&world), LIMITS.concurrent_loads);
+    assert_eq!(loads(&simulation), LIMITS.concurrent_loads);
     for engine in 0..OWN {
-        if is_loading(&world.engines[engine]) {
-            world.take(&Step::Die { engine });
+        if is_loading(&simulation.engines[engine]) {
+            simulation.apply(&Step::Crash { engine });
         }
     }
-    (0..HEAL_TICKS).for_each(|_| world.tick());
-    for engine in world.engines[..OWN].iter().filter(|one| !one.is_dead) {
+    (0..RECOVERY_TICKS).for_each(|_| simulation.tick());
+    for engine in simulation.engines[..OWN]
+        .iter()
+        .filter(|engine| !engine.is_dead)
+    {
         assert_eq!(engine.loaded, ranges(1));
     }
 }
 
-/// Symptom: the only engine of a range refuses everything while it loads, or
-/// keeps what is no longer declared.
-/// Events: an adapter is added to the version that this engine serves; others
-/// load first, so that it is not loaded before runs may have ended.
-/// Cause: the same layers with and without the adapter are told apart.
+/// Guards against the only engine of a range that refuses requests while it loads, or
+/// that keeps what is no longer declared. An adapter is added to the version that it
+/// serves, and the other engines load first, so that runs may not have ended. The same
+/// layers with and without the adapter must count as the same range.
 #[test]
-fn the_only_engine_serves_on_while_an_adapter_is_added() {
-    let mut world = World::new([0, 0, 0, 1, 0]);
-    world.take(&Step::Desire {
+fn only_engine_keeps_serving_while_an_adapter_is_added() {
+    let mut simulation = Simulation::new([0, 0, 0, 1, 0]);
+    simulation.apply(&Step::ChangeDesired {
         masks: [6, 6, 6, 8, 0],
     });
-    for _ in 0..HEAL_TICKS {
-        world.tick();
-        assert!(!world.engines[3].loaded.is_empty());
+    for _ in 0..RECOVERY_TICKS {
+        simulation.tick();
+        assert!(!simulation.engines[3].loaded.is_empty());
     }
-    world.heal();
+    simulation.recover();
 }
--- a/tests/shares_scenarios.rs
+++ b/tests/shares_scenarios.rs
@@ -1,4 +1,4 @@
-//! Single failures of the division of bought capacity, told one by one.
+//! Single failures of the division of bought capacity, one per test.
 
 mod shares_support;
 
@@ -16,15 +16,14 @@
     BOUGHT, HOSTS, HOSTS_PER_ZONE, ORGANISATION, ShareModel, ZONES, organisation, zones,
 };
 
-/// Symptom: a busy host waits for long while its neighbours are idle.
-/// Events: all demand moves from one host to another.
-/// Cause: units move only when something else happens.
+/// Guards against a busy host that waits for long while its neighbours are idle. All
+/// demand moves from one host to another, and units must move without any other event.
 #[test]
-fn demand_that_moves_is_followed_within_four_reports() {
+fn units_follow_demand_within_four_reports() {
     let mut model = ShareModel::new();
     model.settle();
     let share = model
-        .judge
+        .reference
         .usable(ORGANISATION, ZONES[0])
         .concurrent_requests;
     for busy in [1, 2, 0, 1] {
@@ -46,11 +45,10 @@
     }
 }
 
-/// Symptom: a zone that is cut off stops serving.
-/// Events: no log, no holder and no peer for an hour.
-/// Cause: grants that end by themselves.
+/// Guards against a partitioned zone that stops serving. Without log, lease holder and
+/// peers for an hour, grants must not expire by themselves.
 #[test]
-fn a_host_that_is_cut_off_keeps_its_grant() {
+fn partitioned_host_keeps_its_grant() {
     let mut model = ShareModel::new();
     model.settle();
     let before = model.used();
@@ -63,20 +61,19 @@
     assert_eq!(model.used(), before);
 }
 
-/// Symptom: the zone's bought capacity is exceeded after a freeze.
-/// Events: a host is frozen, counted as gone, its units are given to others,
-/// then it wakes up, cut off from all.
-/// Cause: a woken process trusts grants from before its sleep.
+/// Guards against exceeding the bought capacity after a freeze. A frozen host is taken
+/// for dead and its units are granted to others; when it resumes, partitioned, it must
+/// not trust its old grants.
 #[test]
-fn a_woken_host_uses_nothing_until_the_holder_answers() {
+fn resumed_host_uses_nothing_until_the_lease_holder_replies() {
     let mut model = ShareModel::new();
     model.settle();
     let frozen = 1;
     let share = model.hosts[frozen].shares.limit(ORGANISATION, model.now);
     assert_ne!(share, ShareUnits::NONE);
     let holder = model.hosts[frozen].holder.clone();
-    model.hosts[0].shares.observe_gone(&holder, model.now);
-    model.now += GrantSettings::default().gone_margin;
+    model.hosts[0].shares.observe_removed(&holder, model.now);
+    model.now += GrantSettings::default().removal_margin;
     assert_eq!(
         model.hosts[frozen].shares.limit(ORGANISATION, model.now),
         ShareUnits::NONE
@@ -93,11 +90,10 @@
     );
 }
 
-/// Symptom: a draining host keeps capacity that others need.
-/// Events: a host hands back its grants while requests still run.
-/// Cause: grants given again to a host that takes nothing new.
+/// Guards against a draining host that keeps capacity which others need. It returns its
+/// grants while requests still run, and must not get new ones.
 #[test]
-fn a_draining_host_gives_up_what_it_does_not_use() {
+fn draining_host_returns_unused_units() {
     let mut model = ShareModel::new();
     model.settle();
     model.hosts[0].in_flight = 1;
@@ -108,7 +104,7 @@
         ShareUnits::NONE
     );
     let share = model
-        .judge
+        .reference
         .usable(ORGANISATION, ZONES[0])
         .concurrent_requests;
     let others: ShareUnits = model.hosts[1..HOSTS_PER_ZONE]
@@ -125,14 +121,14 @@
     }
 }
 
-/// Symptom: two readers of the stream disagree on a zone's share.
-/// Events: one starts from a checkpoint, one from the first record; late
-/// records of an earlier holder and of a writer that lost a race follow.
-/// Cause: state that is not in the stream, or records judged by arrival.
+/// Guards against two readers of the stream that disagree on a zone's share. One starts
+/// from a checkpoint, one from the first record; late records of an earlier lease holder
+/// and of a writer that lost a race follow. Records must be judged by state in the
+/// stream, not by arrival.
 #[test]
-fn a_reader_from_a_checkpoint_judges_like_one_from_the_start() {
-    let split = |based_on, near: u32| {
-        let near = ShareUnits::new(near, near);
+fn reader_from_a_checkpoint_derives_the_same_ledger() {
+    let split = |based_on, first_units: u32| {
+        let first_units = ShareUnits::new(first_units, first_units);
         AllotmentBody::Split(SplitRecord {
             organisation: organisation(),
             version: 3,
@@ -140,8 +136,8 @@
             bought: BOUGHT,
             assumed: even_split(BOUGHT, &zones()),
             shares: BTreeMap::from([
-                (ZoneId::from(ZONES[0]), near),
-                (ZoneId::from(ZONES[1]), BOUGHT - near),
+                (ZoneId::from(ZONES[0]), first_units),
+                (ZoneId::from(ZONES[1]), BOUGHT - first_units),
             ]),
         })
     };
@@ -161,36 +157,55 @@
     };
     let before = [split(None, 6), opened(5), split(Some(0), 8)];
     let after = [
-        (released(4, 2), AllotmentOutcome::Overtaken),
-        (split(Some(0), 12), AllotmentOutcome::Overtaken),
+        (released(4, 2), AllotmentOutcome::Superseded),
+        (split(Some(0), 12), AllotmentOutcome::Superseded),
         (split(Some(2), 13), AllotmentOutcome::Exceeds),
         (released(5, 2), AllotmentOutcome::Accepted),
-        (opened(4), AllotmentOutcome::Overtaken),
+        (opened(4), AllotmentOutcome::Superseded),
     ];
-    let mut first = AllotmentLedger::default();
+    let mut from_start = AllotmentLedger::default();
     for (offset, body) in (0..).zip(&before) {
-        assert_eq!(first.apply(offset, body), AllotmentOutcome::Accepted);
+        assert_eq!(from_start.apply(offset, body), AllotmentOutcome::Accepted);
     }
-    assert_eq!(first.usable(ORGANISATION, ZONES[0]).concurrent_requests, 6);
-    let text = serde_json::to_string(&first.checkpoint()).expect("text");
+    assert_eq!(
+        from_start
+            .usable(ORGANISATION, ZONES[0])
+            .concurrent_requests,
+        6
+    );
+    let text = serde_json::to_string(&from_start.checkpoint()).expect("text");
     let checkpoint: AllotmentBody = serde_json::from_str(&text).expect("a record");
-    assert_eq!(first.apply(3, &checkpoint), AllotmentOutcome::Known);
+    assert_eq!(
+        from_start.apply(3, &checkpoint),
+        AllotmentOutcome::AlreadyApplied
+    );
 
-    let mut second = AllotmentLedger::default();
-    assert_eq!(second.apply(4, &after[0].0), AllotmentOutcome::Gap);
-    assert_eq!(second.apply(3, &checkpoint), AllotmentOutcome::Accepted);
-    assert_eq!(second.apply(3, &checkpoint), AllotmentOutcome::Known);
+    let mut from_checkpoint = AllotmentLedger::default();
+    assert_eq!(from_checkpoint.apply(4, &after[0].0), AllotmentOutcome::Gap);
+    assert_eq!(
+        from_checkpoint.apply(3, &checkpoint),
+        AllotmentOutcome::Accepted
+    );
+    assert_eq!(
+        from_checkpoint.apply(3, &checkpoint),
+        AllotmentOutcome::AlreadyApplied
+    );
     for (offset, (body, outcome)) in (4..).zip(&after) {
-        assert_eq!(first.apply(offset, body), *outcome);
-        assert_eq!(second.apply(offset, body), *outcome);
-        assert_eq!(first, second);
+        assert_eq!(from_start.apply(offset, body), *outcome);
+        assert_eq!(from_checkpoint.apply(offset, body), *outcome);
+        assert_eq!(from_start, from_checkpoint);
     }
-    assert_eq!(first.usable(ORGANISATION, ZONES[0]).concurrent_requests, 8);
+    assert_eq!(
+        from_start
+            .usable(ORGANISATION, ZONES[0])
+            .concurrent_requests,
+        8
+    );
 }
 
-/// Half a second passes on all hosts. What `online` ones append takes effect,
-/// what the others append is lost.
-fn pass(model: &mut ShareModel, online: &[usize]) {
+/// Advances time by half a second on all hosts. Records that `online` hosts append are
+/// written; those of the others are lost.
+fn advance(model: &mut ShareModel, online: &[usize]) {
     model.now += Duration::from_millis(500);
     for index in 0..HOSTS {
         model.tick(index);
@@ -203,25 +218,25 @@
 }
 
 /// Runs rounds of half a second for some hosts and checks the sum after each.
-fn rounds(model: &mut ShareModel, count: usize, hosts: &[usize]) {
+fn run_rounds(model: &mut ShareModel, count: usize, hosts: &[usize]) {
     for _ in 0..count {
-        pass(model, hosts);
+        advance(model, hosts);
         for index in hosts {
             model.exchange(*index);
-            check(model);
+            assert_within_bought(model);
         }
     }
 }
 
-fn check(model: &ShareModel) {
+fn assert_within_bought(model: &ShareModel) {
     let used = model.used();
     assert!(used.is_within(BOUGHT), "{used:?} in use");
 }
 
-fn want(model: &mut ShareModel, wants: [u32; HOSTS_PER_ZONE]) {
-    for (host, want) in model.hosts.iter_mut().zip(wants) {
-        host.waiting = want;
-        host.wanted_rate = want;
+fn set_wants(model: &mut ShareModel, wants: [u32; HOSTS_PER_ZONE]) {
+    for (host, wanted) in model.hosts.iter_mut().zip(wants) {
+        host.waiting = wanted;
+        host.wanted_rate = wanted;
     }
 }
 
@@ -230,74 +245,71 @@
     units.concurrent_requests
 }
 
-/// Leaves one answer under way that gives host 2 all of the zone's share.
-fn hold_back_a_raise(model: &mut ShareModel) {
-    model.run_quiet(4);
-    want(model, [0, 0, 100]);
-    rounds(model, 1, &[2, 0, 1]);
-    rounds(model, 1, &[0, 1]);
+/// Leaves one reply in transit that grants host 2 all of the zone's share.
+fn delay_a_raised_grant(model: &mut ShareModel) {
+    model.run_without_faults(4);
+    set_wants(model, [0, 0, 100]);
+    run_rounds(model, 1, &[2, 0, 1]);
+    run_rounds(model, 1, &[0, 1]);
     model.report(2);
     model.deliver_report(0);
-    assert_eq!(model.answers.len(), 1);
+    assert_eq!(model.replies.len(), 1);
     assert_eq!(limit(model, 2), 2);
 }
 
-/// Symptom: the sum is exceeded long after a holder was replaced.
-/// Events: an answer of the first holder, which raises a grant, is late; the
-/// host reports to the second holder, which gives the rest to others; then
-/// the late answer arrives.
-/// Cause: grants taken from a holder that no longer counts.
+/// Guards against exceeding the sum long after a lease holder was replaced. A late reply
+/// of the first holder raises a grant; it arrives after the host has reported to the
+/// second holder, which has granted the rest to others.
 #[test]
-fn a_late_answer_of_an_earlier_holder_is_refused() {
+fn late_reply_of_an_earlier_lease_holder_is_rejected() {
     let mut model = ShareModel::new();
-    hold_back_a_raise(&mut model);
+    delay_a_raised_grant(&mut model);
     model.take_lease(1);
     for index in 0..HOSTS_PER_ZONE {
-        model.hear_lease(index);
+        model.observe_last_lease(index);
     }
-    want(&mut model, [0, 100, 0]);
-    rounds(&mut model, 20, &[1, 0, 2]);
+    set_wants(&mut model, [0, 100, 0]);
+    run_rounds(&mut model, 20, &[1, 0, 2]);
     assert_eq!(limit(&model, 1), 6);
-    model.deliver_answer(0);
-    check(&model);
+    model.deliver_reply(0);
+    assert_within_bought(&model);
 }
 
-/// Symptom: as before, under one holder.
-/// Events: a late answer is overtaken by a later one that lowers the grant.
-/// Cause: grants taken in the order of arrival.
+/// Guards against the same excess under a single lease holder: a late reply arrives after
+/// a newer one that lowers the grant.
 #[test]
-fn an_answer_that_was_overtaken_is_refused() {
+fn reply_that_arrives_out_of_order_is_rejected() {
     let mut model = ShareModel::new();
-    hold_back_a_raise(&mut model);
-    want(&mut model, [0, 100, 0]);
-    rounds(&mut model, 4, &[2, 0, 1]);
+    delay_a_raised_grant(&mut model);
+    set_wants(&mut model, [0, 100, 0]);
+    run_rounds(&mut model, 4, &[2, 0, 1]);
     assert_eq!(limit(&model, 1), 6);
-    model.deliver_answer(0);
-    check(&model);
+    model.deliver_reply(0);
+    assert_within_bought(&model);
 }
 
-/// Host 2 is replaced and the new process, not yet named in the log, gets all
-/// of the zone's share from holder 0 by grants that lapse.
-fn lend_to_an_unnamed_host(model: &mut ShareModel) {
-    model.run_quiet(4);
+/// Replaces host 2. The new process is not registered in the log yet and gets all of the
+/// zone's share from lease holder 0 by expiring grants.
+fn grant_to_an_unregistered_host(model: &mut ShareModel) {
+    model.run_without_faults(4);
     model.kill(2);
-    model.hear_gone(0);
-    model.hear_lease(2);
-    rounds(model, 20, &[0, 1]);
-    want(model, [0, 0, 100]);
+    model.observe_removals(0);
+    model.observe_last_lease(2);
+    run_rounds(model, 20, &[0, 1]);
+    set_wants(model, [0, 0, 100]);
     model.read(2, model.log.len());
     for _ in 0..4 {
-        pass(model, &[]);
+        advance(model, &[]);
         for index in [2, 0, 1] {
             model.report(index);
             while !model.reports.is_empty() {
                 model.deliver_report(0);
             }
-            while !model.answers.is_empty() {
-                model.deliver_answer(0);
+            while !model.replies.is_empty() {
+                model.deliver_reply(0);
             }
-            check(model);
-            // What the holder wants to append is lost: the log is down.
+            assert_within_bought(model);
+            // The log is unavailable, so the lease holder's appends are lost.
             model.tick(index);
             model.appending.clear();
         }
@@ -305,39 +317,37 @@
     assert_eq!(limit(model, 2), 6);
 }
 
-/// Symptom: the sum is exceeded after a holder was replaced.
-/// Events: during an outage of the log a new host got grants; after it a new
-/// holder is elected that has never heard of that host.
-/// Cause: units of hosts that the log does not name taken for free at once,
-/// or grants to them that stay.
+/// Guards against exceeding the sum after a lease holder was replaced. A new host got
+/// grants while the log was unavailable, and the next lease holder does not know that
+/// host. Units of unregistered hosts must not be free at once, and their grants must
+/// expire.
 #[test]
-fn an_unnamed_host_loses_its_grant_before_a_new_holder_uses_it() {
+fn grant_of_an_unregistered_host_expires_before_its_units_are_reused() {
     let mut model = ShareModel::new();
-    lend_to_an_unnamed_host(&mut model);
+    grant_to_an_unregistered_host(&mut model);
     model.take_lease(1);
-    model.hear_lease(0);
-    want(&mut model, [100, 100, 0]);
-    rounds(&mut model, 2, &[1]);
+    model.observe_last_lease(0);
+    set_wants(&mut model, [100, 100, 0]);
+    run_rounds(&mut model, 2, &[1]);
     for _ in 0..30 {
-        rounds(&mut model, 1, &[1, 0]);
+        run_rounds(&mut model, 1, &[1, 0]);
         model.tick(2);
     }
     assert_eq!(limit(&model, 0) + limit(&model, 1), 6);
 }
 
-/// Symptom: two holders hand out the same units.
-/// Events: the first holder reports to the second and so counts as heard,
-/// but has not read the log and goes on answering a host that knows only it.
-/// Cause: dividing and reporting to another at the same time.
+/// Guards against two lease holders that grant the same units. The first one reports to
+/// the second, but has not read the log and still replies to a host that knows only it. A
+/// lease holder must not divide while it reports to another.
 #[test]
-fn a_holder_that_reports_to_another_divides_no_more() {
+fn lease_holder_that_reports_to_another_stops_dividing() {
     let mut model = ShareModel::new();
-    lend_to_an_unnamed_host(&mut model);
+    grant_to_an_unregistered_host(&mut model);
     model.take_lease(1);
-    model.hear_lease(0);
-    want(&mut model, [0, 100, 100]);
+    model.observe_last_lease(0);
+    set_wants(&mut model, [0, 100, 100]);
     for _ in 0..30 {
-        rounds(&mut model, 1, &[1]);
+        run_rounds(&mut model, 1, &[1]);
         for index in [0, 2] {
             model.tick(index);
             model.appending.clear();
@@ -345,33 +355,33 @@
             while !model.reports.is_empty() {
                 model.deliver_report(0);
             }
-            while !model.answers.is_empty() {
-                model.deliver_answer(0);
+            while !model.replies.is_empty() {
+                model.deliver_reply(0);
             }
-            check(&model);
+            assert_within_bought(&model);
         }
     }
     assert_eq!(limit(&model, 1), 6);
 }
 
-/// Symptom: as before, while the first holder is cut off from the second.
-/// Events: the first holder opens, no other host is named yet, and it goes on
-/// answering a host on its side of the partition.
-/// Cause: a new holder that awaits only hosts that took grants.
+/// Guards against the same double grant while the first lease holder is partitioned from
+/// the second. The first one has opened its lease, no other host is registered, and it
+/// still replies to a host on its side. A new lease holder must also await earlier
+/// holders, not only hosts with grants.
 #[test]
-fn a_new_holder_awaits_the_earlier_one() {
+fn new_lease_holder_awaits_the_earlier_one() {
     let mut model = ShareModel::new();
     model.take_lease(0);
-    model.hear_lease(2);
+    model.observe_last_lease(2);
     model.tick(0);
     let opening = model.appending.remove(0);
     model.append(opening);
     model.read(0, 1);
-    want(&mut model, [0, 0, 100]);
+    set_wants(&mut model, [0, 0, 100]);
     model.take_lease(1);
-    want(&mut model, [0, 100, 100]);
+    set_wants(&mut model, [0, 100, 100]);
     for _ in 0..40 {
-        rounds(&mut model, 1, &[1]);
+        run_rounds(&mut model, 1, &[1]);
         for index in [0, 2] {
             model.tick(index);
             model.appending.clear();
@@ -379,30 +389,29 @@
             while !model.reports.is_empty() {
                 model.deliver_report(0);
             }
-            while !model.answers.is_empty() {
-                model.deliver_answer(0);
+            while !model.replies.is_empty() {
+                model.deliver_reply(0);
             }
-            check(&model);
+            assert_within_bought(&model);
         }
     }
     assert_eq!((limit(&model, 1), limit(&model, 2)), (0, 6));
     model.kill(0);
-    model.hear_gone(1);
-    rounds(&mut model, 40, &[1]);
+    model.observe_removals(1);
+    run_rounds(&mut model, 40, &[1]);
     assert_eq!(limit(&model, 1), 6);
 }
 
-/// Symptom: two zones use the same units.
-/// Events: a split lowers a zone, its release is late; a second split raises
-/// it again, a third lowers it; then the first release shows up.
-/// Cause: a release taken for a later split.
+/// Guards against two zones that use the same units. A split lowers a zone and its
+/// release is late; a second split raises the zone again and a third lowers it. The late
+/// release must not count for the third split.
 #[test]
-fn a_late_release_frees_nothing_for_a_later_split() {
+fn late_release_frees_nothing_for_a_later_split() {
     let mut model = ShareModel::new();
-    model.run_quiet(4);
+    model.run_without_faults(4);
     let didube = [3, 4, 5];
     model.split(3);
-    pass(&mut model, &[]);
+    advance(&mut model, &[]);
     for index in didube {
         model.read(index, 100);
     }
@@ -412,8 +421,8 @@
             while !model.reports.is_empty() {
                 model.deliver_report(0);
             }
-            while !model.answers.is_empty() {
-                model.deliver_answer(0);
+            while !model.replies.is_empty() {
+                model.deliver_reply(0);
             }
         }
     }
@@ -423,14 +432,14 @@
     let release = model.appending.remove(release.expect("a release"));
     model.split(2);
     for _ in 0..4 {
-        rounds(&mut model, 1, &didube);
+        run_rounds(&mut model, 1, &didube);
     }
     let used: u32 = didube.iter().map(|index| limit(&model, *index)).sum();
     assert_eq!(used, 6);
     model.split(3);
     model.append(release);
-    rounds(&mut model, 8, &[0, 1, 2]);
-    rounds(&mut model, 8, &[0, 1, 2, 3, 4, 5]);
+    run_rounds(&mut model, 8, &[0, 1, 2]);
+    run_rounds(&mut model, 8, &[0, 1, 2, 3, 4, 5]);
     let used: u32 = (0..HOSTS_PER_ZONE).map(|index| limit(&model, index)).sum();
     assert_eq!(used, 9);
 }
