--- a/src/daemon/leases.rs
+++ b/src/daemon/leases.rs
@@ -68,7 +68,7 @@
         for named in &mut self.machines {
             named
                 .machine
-                .take_judgement(&id, record.offset, judged.judgement);
+                .observe_judgement(&id, record.offset, judged.judgement);
         }
     }
 }
@@ -145,12 +145,12 @@
             first_offset,
             ..
         } => {
-            desk.table.note_read(first_offset, now);
+            desk.table.observe_read(first_offset, now);
             for record in &records {
                 desk.apply(record, now);
             }
         }
-        TailEvent::Expired { first_offset, .. } => desk.table.note_read(first_offset, now),
+        TailEvent::Expired { first_offset, .. } => desk.table.observe_read(first_offset, now),
         // Without the log no lease is renewed, and none can be taken.
         TailEvent::Unreachable { .. } => {}
     }
@@ -271,7 +271,9 @@
     if let Ok(Err(error)) = appended.await {
         let mut desk = core.tables.leases.lock();
         for named in &mut desk.machines {
-            named.machine.take_append_failure(&record.id, error.verdict);
+            named
+                .machine
+                .observe_append_failure(&record.id, error.verdict);
         }
     }
 }
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -87,7 +87,7 @@
             MembershipDecision::HostRecovered { host } => {
                 log::info!("host {host} is heard again");
             }
-            MembershipDecision::HostGone {
+            MembershipDecision::HostRemoved {
                 host,
                 incarnation,
                 cause,
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -12,7 +12,7 @@
 use crate::fleet::{UseScope, UseSource};
 use crate::forward::{ServingTables, socket};
 use crate::ids::{HostId, IncarnationId, ZoneId};
-use crate::membership::{GossipTable, host_strength};
+use crate::membership::{GossipTable, host_weight};
 use crate::peer::{
     self, EntryHandlers, FollowAnswer, FollowQuestion, HostView, PeerError, PeerHandle,
     PeerSettings,
@@ -67,10 +67,10 @@
     let address = listener.local_addr()?;
     let (host, zone) = (settings.host.clone(), settings.zone.clone());
     let incarnation = draw_incarnation();
-    let strength = host_strength(settings.cores, settings.link_mbps);
+    let weight = host_weight(settings.cores, settings.link_mbps);
     let gossip = GossipTable::new(host.clone(), zone.clone(), address, settings.seeds.clone());
     let desk = Arc::new(PeerDesk {
-        gossip: Mutex::new(gossip.announced(incarnation, strength)),
+        gossip: Mutex::new(gossip.with_identity(incarnation, weight)),
         host,
         zone,
         address,
@@ -122,12 +122,12 @@
     pub(super) fn places_zone(&self, zone: &str, now: Instant) -> bool {
         let gossip = self.gossip.lock();
         let own = gossip.live_hosts(zone, now).into_iter().next();
-        own.unwrap_or_else(|| gossip.first_of_all(now)) == self.host
+        own.unwrap_or_else(|| gossip.global_leader(now)) == self.host
     }
 
     fn answer(&self, view: &HostView, now: Instant) -> HostView {
         self.hear(view, now);
-        let answer = self.gossip.lock().answer_view(view, now);
+        let answer = self.gossip.lock().reply_view(view, now);
         let answer = self.complete(answer, Some(&view.host), view.zone == self.zone, now);
         let answer = self.add_poison(answer, view.address, now);
         self.add_limits(answer, view.address, now)
@@ -136,7 +136,7 @@
     fn question(&self, address: SocketAddr, now: Instant) -> HostView {
         let mut gossip = self.gossip.lock();
         let is_neighbour = gossip.is_neighbour(address);
-        let question = gossip.open_view(address, now);
+        let question = gossip.request_view(address, now);
         drop(gossip);
         let question = self.complete(question, None, is_neighbour, now);
         let question = self.add_poison(question, address, now);
@@ -218,8 +218,8 @@
 
     /// Hosts that read the log for this zone, the first one where it can;
     /// empty if this one is the first.
-    pub(super) fn leads(&self, now: Instant, most: usize) -> Vec<(HostId, SocketAddr)> {
-        self.gossip.lock().leads(now, most)
+    pub(super) fn leaders(&self, now: Instant, most: usize) -> Vec<(HostId, SocketAddr)> {
+        self.gossip.lock().leaders(now, most)
     }
 
     /// The other live hosts of this zone.
--- a/src/entry/relaying.rs
+++ b/src/entry/relaying.rs
@@ -81,14 +81,14 @@
     }
     loop {
         let now = Instant::now();
-        let leads = desk.leads(now, MOST_READERS);
-        follower.reads_for_others = leads.len() < MOST_READERS;
+        let leaders = desk.leaders(now, MOST_READERS);
+        follower.reads_for_others = leaders.len() < MOST_READERS;
         let speaker = desk.speaker(now);
         let hold = match speaker {
             Some(_) => FOLLOW_HOLD,
             None => RELAY_HOLD,
         };
-        let sources = sources(speaker, leads);
+        let sources = sources(speaker, leaders);
         let asked = sources.len();
         if follower.ask_in_turn(&handle, sources, hold, &duty).await {
             continue;
@@ -108,10 +108,10 @@
 /// those that read it.
 fn sources(
     speaker: Option<(HostId, SocketAddr)>,
-    leads: Vec<(HostId, SocketAddr)>,
+    leaders: Vec<(HostId, SocketAddr)>,
 ) -> Vec<(HostId, SocketAddr)> {
     let first = speaker.clone();
-    let others = leads
+    let others = leaders
         .into_iter()
         .filter(|lead| Some(lead) != first.as_ref());
     speaker.into_iter().chain(others).collect()
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -12,8 +12,8 @@
 /// A daemon's life on a host: a new one is drawn at each start.
 pub type IncarnationId = u64;
 /// What a host has for work besides its callers' requests, in doublings: see
-/// [`crate::membership::host_strength`].
-pub type HostStrength = u32;
+/// [`crate::membership::host_weight`].
+pub type HostWeight = u32;
 /// Name of an availability zone.
 pub type ZoneId = Arc<str>;
 /// Name of a declared organisation.
--- a/src/lease/machine.rs
+++ b/src/lease/machine.rs
@@ -136,7 +136,7 @@
     }
 
     /// Takes in how a record of this daemon was judged at its offset.
-    pub fn take_judgement(
+    pub fn observe_judgement(
         &mut self,
         id: &RecordId,
         offset: FencingNumber,
@@ -175,7 +175,7 @@
 
     /// Takes in that an append failed. One that may have been stored is waited
     /// for until it could not keep the lease any more.
-    pub fn take_append_failure(&mut self, id: &RecordId, verdict: AppendVerdict) {
+    pub fn observe_append_failure(&mut self, id: &RecordId, verdict: AppendVerdict) {
         if verdict == AppendVerdict::NotAppended {
             self.pending.retain(|record| record.id != *id);
         }
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -107,7 +107,7 @@
     ///
     /// If records expired unread, a lease may rest on them. It lapses in time
     /// unless it is renewed by a record that will be read.
-    pub fn note_read(&mut self, first_offset: LogOffset, now: Instant) {
+    pub fn observe_read(&mut self, first_offset: LogOffset, now: Instant) {
         if first_offset > self.next_offset {
             self.next_offset = first_offset;
             self.miss(first_offset, now);
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -7,12 +7,12 @@
 
 mod commands;
 mod decision;
-mod duty;
 mod force_view;
 mod gossip;
 mod gossip_member;
 mod member;
 mod queries;
+mod role;
 mod rotation;
 mod schedule;
 mod settings;
@@ -21,13 +21,13 @@
 mod watch_queries;
 
 pub use crate::rendezvous::{rendezvous_score, top_ranked};
-pub use decision::{GoneCause, MembershipDecision};
-pub use duty::{DutyCandidate, host_strength, rank_hosts, speaker_count};
+pub use decision::{MembershipDecision, RemovalCause};
 pub use force_view::{ForceView, ZoneForce};
 pub use gossip::GossipTable;
 pub use gossip_member::GossipMember;
 pub use member::{HostMember, MemberPhase};
+pub use role::{RoleCandidate, aggregator_count, host_weight, rank_hosts};
 pub use rotation::RotationReason;
 pub use settings::{MembershipSettings, WatchSettings};
 pub use table::MembershipTable;
-pub use target_watch::{DeclaredTarget, TargetSighting, TargetWatch};
+pub use target_watch::{DeclaredTarget, LoadSample, TargetWatch};
--- a/src/membership/commands.rs
+++ b/src/membership/commands.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use super::decision::{GoneCause, MembershipDecision};
+use super::decision::{MembershipDecision, RemovalCause};
 use super::member::{HostMember, MemberPhase};
 use super::schedule::ExchangePlan;
 use super::table::MembershipTable;
@@ -57,7 +57,7 @@
             return Vec::new();
         }
         let mut decisions = Vec::new();
-        let gone_after = self.settings.gone_after;
+        let remove_after = self.settings.remove_after;
         let awake_since = self.awake_since;
         let member = self.members.entry(beat.host.clone()).or_insert_with(|| {
             HostMember::new(
@@ -81,15 +81,15 @@
             // Incarnations grow with the clock of the host. A clock set back
             // gives a lower number, which is believed only after the higher
             // one has been silent for long.
-            Some(current) if beat.incarnation < current && silence < gone_after => {
+            Some(current) if beat.incarnation < current && silence < remove_after => {
                 return decisions;
             }
             before => {
                 member.replace_incarnation(beat.incarnation);
-                decisions.extend(before.map(|incarnation| MembershipDecision::HostGone {
+                decisions.extend(before.map(|incarnation| MembershipDecision::HostRemoved {
                     host: beat.host.clone(),
                     incarnation: Some(incarnation),
-                    cause: GoneCause::Replaced,
+                    cause: RemovalCause::Replaced,
                 }));
                 decisions.push(MembershipDecision::HostJoined {
                     host: beat.host.clone(),
@@ -160,7 +160,7 @@
         self.notice_pause(now);
         let plan = self.exchange_plan();
         let mut decisions = self.judge_silence(&plan, now);
-        decisions.extend(self.remove_gone(now));
+        decisions.extend(self.remove_ended(now));
         decisions.extend(self.due_heartbeats(&plan, now));
         decisions
     }
@@ -204,16 +204,16 @@
         decisions
     }
 
-    fn remove_gone(&mut self, now: Instant) -> Vec<MembershipDecision> {
+    fn remove_ended(&mut self, now: Instant) -> Vec<MembershipDecision> {
         let gone: Vec<_> = self
             .members
             .values()
-            .filter_map(|member| Some((member.host.clone(), self.gone_cause(member, now)?)))
+            .filter_map(|member| Some((member.host.clone(), self.removal_cause(member, now)?)))
             .collect();
         gone.into_iter()
             .filter_map(|(host, cause)| {
                 let member = self.members.remove(&host)?;
-                Some(MembershipDecision::HostGone {
+                Some(MembershipDecision::HostRemoved {
                     host,
                     incarnation: member.incarnation,
                     cause,
@@ -225,15 +225,15 @@
     /// Silence alone never makes a host gone: it may be cut off from here and
     /// serve callers under its last grant. Only the platform's word ends it,
     /// and only a list fetched after the silence had begun.
-    fn gone_cause(&self, member: &HostMember, now: Instant) -> Option<GoneCause> {
+    fn removal_cause(&self, member: &HostMember, now: Instant) -> Option<RemovalCause> {
         let silent_since = member.silent_since(self.awake_since);
         let silence = now.saturating_duration_since(silent_since);
         let list_is_newer = self.last_list.is_some_and(|list| list > silent_since);
         match member.listed {
             Some(_) => None,
-            None if !list_is_newer || silence < self.settings.gone_after => None,
-            None if member.was_listed => Some(GoneCause::Delisted),
-            None if silence >= self.settings.forget_after => Some(GoneCause::Forgotten),
+            None if !list_is_newer || silence < self.settings.remove_after => None,
+            None if member.was_listed => Some(RemovalCause::Delisted),
+            None if silence >= self.settings.forget_after => Some(RemovalCause::Forgotten),
             None => None,
         }
     }
--- a/src/membership/decision.rs
+++ b/src/membership/decision.rs
@@ -6,7 +6,7 @@
 
 /// Why an incarnation counts as ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GoneCause {
+pub enum RemovalCause {
     /// Another incarnation of the same host has been heard.
     Replaced,
     /// The platform no longer lists the host and nothing is heard from it.
@@ -47,12 +47,12 @@
         host: HostId,
     },
     /// An incarnation has ended for good.
-    HostGone {
+    HostRemoved {
         /// The host.
         host: HostId,
         /// The incarnation, if one was ever heard.
         incarnation: Option<IncarnationId>,
         /// Why.
-        cause: GoneCause,
+        cause: RemovalCause,
     },
 }
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -6,7 +6,7 @@
 //! number of hosts.
 
 mod calls;
-mod duties;
+mod roles;
 mod views;
 
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use crate::collections::FastMap;
-use crate::ids::{HostId, HostStrength, IncarnationId, ZoneId};
+use crate::ids::{HostId, HostWeight, IncarnationId, ZoneId};
 use crate::membership::gossip_member::{DEAD_AFTER, GossipMember};
 use crate::peer::{HostView, KnownHost};
 
@@ -36,7 +36,7 @@
     zone: ZoneId,
     own_address: SocketAddr,
     incarnation: IncarnationId,
-    strength: HostStrength,
+    weight: HostWeight,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<HostId, GossipMember>,
     /// Grows with each change of a member that others have to hear of.
@@ -65,7 +65,7 @@
             zone,
             own_address,
             incarnation: 0,
-            strength: 0,
+            weight: 0,
             seeds: others.collect(),
             members: BTreeMap::new(),
             version: 1,
@@ -79,9 +79,9 @@
     }
 
     /// Says who this start of the host is, and what it has for duties.
-    pub fn announced(mut self, incarnation: IncarnationId, strength: HostStrength) -> Self {
+    pub fn with_identity(mut self, incarnation: IncarnationId, weight: HostWeight) -> Self {
         self.incarnation = incarnation;
-        self.strength = strength;
+        self.weight = weight;
         self
     }
 
@@ -110,7 +110,7 @@
             zone: view.zone.clone(),
             address: view.address,
             incarnation: view.incarnation,
-            strength: view.strength,
+            weight: view.weight,
             silent: Duration::ZERO,
         };
         self.observe_listed(&listed, None, now);
@@ -145,7 +145,7 @@
             self.observe_listed(listed, voucher, now);
         }
         for member in self.members.values_mut() {
-            member.renew_voucher(&view.host, now);
+            member.renew_witness(&view.host, now);
         }
         if let Some(member) = self.members.get_mut(&view.host) {
             member.heard_to = listing.to;
@@ -155,7 +155,7 @@
 
     fn drop_vouched(&mut self, voucher: &HostId) {
         for member in self.members.values_mut() {
-            member.drop_voucher(voucher);
+            member.drop_witness(voucher);
         }
     }
 
@@ -180,8 +180,8 @@
         if let Some(member) = self.members.get_mut(&listed.host) {
             member.listed = member.listed.max(heard);
             match voucher {
-                Some(voucher) if listed.silent < DEAD_AFTER => member.add_voucher(voucher, now),
-                Some(voucher) => member.drop_voucher(voucher),
+                Some(voucher) if listed.silent < DEAD_AFTER => member.add_witness(voucher, now),
+                Some(voucher) => member.drop_witness(voucher),
                 None => {}
             }
         }
--- a/src/membership/gossip/calls.rs
+++ b/src/membership/gossip/calls.rs
@@ -50,12 +50,15 @@
     }
 
     fn due_in_zone(&mut self, now: Instant) -> Vec<SocketAddr> {
-        let speakers = self.speakers(now);
-        let place = speakers.iter().position(|host| *host == self.host);
+        let aggregators = self.aggregators(now);
+        let place = aggregators.iter().position(|host| *host == self.host);
         let (callees, pause) = match place {
-            Some(place) => (self.speakers_to_call(&speakers, place, now), SPEAKER_PAUSE),
+            Some(place) => (
+                self.speakers_to_call(&aggregators, place, now),
+                SPEAKER_PAUSE,
+            ),
             None => {
-                let chosen = self.chosen_speaker(&speakers, now);
+                let chosen = self.chosen_speaker(&aggregators, now);
                 (chosen.into_iter().collect(), REPORT_PAUSE)
             }
         };
@@ -67,22 +70,22 @@
     /// The host to which this one reports; `None` if it speaks for its zone
     /// itself, or for want of anybody else.
     pub fn reports_to(&self, now: Instant) -> Option<HostId> {
-        let speakers = self.speakers(now);
-        match speakers.contains(&self.host) {
+        let aggregators = self.aggregators(now);
+        match aggregators.contains(&self.host) {
             true => None,
-            false => self.chosen_speaker(&speakers, now),
+            false => self.chosen_speaker(&aggregators, now),
         }
     }
 
     /// A call informs both sides, so that of two speakers the earlier one
     /// calls, and the other only after it was not called.
-    fn speakers_to_call(&self, speakers: &[HostId], place: usize, now: Instant) -> Vec<HostId> {
+    fn speakers_to_call(&self, aggregators: &[HostId], place: usize, now: Instant) -> Vec<HostId> {
         let is_silent = |host: &HostId| {
             let member = self.members.get(host);
             member.is_some_and(|member| !member.was_heard_within(REPORT_PAUSE * 3, now))
         };
-        let earlier = speakers[..place].iter().filter(|host| is_silent(host));
-        let later = speakers[place + 1..].iter();
+        let earlier = aggregators[..place].iter().filter(|host| is_silent(host));
+        let later = aggregators[place + 1..].iter();
         earlier.chain(later).cloned().collect()
     }
 
@@ -94,13 +97,13 @@
     /// Reports go to hosts that come earlier in that order, never back. Two
     /// hosts that reported to each other would each believe of a lost speaker
     /// what the other still believes, and nobody would take its place.
-    fn chosen_speaker(&self, speakers: &[HostId], now: Instant) -> Option<HostId> {
+    fn chosen_speaker(&self, aggregators: &[HostId], now: Instant) -> Option<HostId> {
         let is_reached = |host: &&HostId| {
             let member = self.members.get(*host);
             member.is_some_and(|member| !member.is_suspect(now))
         };
         let score = |host: &&HostId| rendezvous_score(CHOICE_SEED, &self.host, host);
-        let reached = speakers.iter().filter(is_reached);
+        let reached = aggregators.iter().filter(is_reached);
         if let Some(chosen) = reached.max_by_key(score) {
             return Some(chosen.clone());
         }
@@ -125,7 +128,7 @@
     /// The first host of the zone calls the silent ones, in turn.
     fn due_probe(&mut self, now: Instant) -> Option<SocketAddr> {
         let due = self.last_probe.is_none_or(|last| now >= last + PROBE_PAUSE);
-        if !due || !self.is_lead(now) {
+        if !due || !self.is_leader(now) {
             return None;
         }
         let silent = self.members.iter();
@@ -136,7 +139,7 @@
     }
 
     fn due_remote(&mut self, now: Instant) -> Vec<SocketAddr> {
-        if !self.is_lead(now) {
+        if !self.is_leader(now) {
             return Vec::new();
         }
         let others = self.members.values().map(|member| &member.zone);
--- a/src/membership/gossip/duties.rs
+++ b/src/membership/gossip/roles.rs
@@ -5,8 +5,8 @@
 
 use super::GossipTable;
 use crate::collections::FastMap;
-use crate::ids::{HostId, HostStrength, TargetKey, ZoneId};
-use crate::membership::duty::{DutyCandidate, rank_hosts, speaker_count};
+use crate::ids::{HostId, HostWeight, TargetKey, ZoneId};
+use crate::membership::role::{RoleCandidate, aggregator_count, rank_hosts};
 use crate::permits::{issued_part, issuing_host};
 
 /// Time after its start in which a host hears of the others, and after which one that
@@ -22,33 +22,33 @@
         ranked.map(|candidate| candidate.host).collect()
     }
 
-    pub(super) fn ranked(&self, zone: &str, now: Instant) -> Vec<DutyCandidate> {
+    pub(super) fn ranked(&self, zone: &str, now: Instant) -> Vec<RoleCandidate> {
         let others = self.members.iter();
         let others = others.filter(|(_, member)| *member.zone == *zone && member.is_live(now));
-        let own = (*self.zone == *zone).then_some((&self.host, self.strength));
-        let others = others.map(|(host, member)| (host, member.strength));
+        let own = (*self.zone == *zone).then_some((&self.host, self.weight));
+        let others = others.map(|(host, member)| (host, member.weight));
         rank_all(others.chain(own))
     }
 
     /// The hosts that speak for this zone, in the order of their duties.
-    pub fn speakers(&self, now: Instant) -> Vec<HostId> {
+    pub fn aggregators(&self, now: Instant) -> Vec<HostId> {
         let ranked = self.ranked(&self.zone, now);
-        let count = speaker_count(&ranked);
-        let speakers = ranked.into_iter().take(count);
-        speakers.map(|candidate| candidate.host).collect()
+        let count = aggregator_count(&ranked);
+        let aggregators = ranked.into_iter().take(count);
+        aggregators.map(|candidate| candidate.host).collect()
     }
 
     /// Whether this host is one of those that speak for its zone.
-    pub fn is_speaker(&self, now: Instant) -> bool {
-        self.speakers(now).contains(&self.host)
+    pub fn is_aggregator(&self, now: Instant) -> bool {
+        self.aggregators(now).contains(&self.host)
     }
 
     /// The live host that comes first in the order of duties, over all zones.
-    pub fn first_of_all(&self, now: Instant) -> HostId {
+    pub fn global_leader(&self, now: Instant) -> HostId {
         let live = self.members.iter();
         let live = live.filter(|(_, member)| member.is_live(now));
-        let live = live.map(|(host, member)| (host, member.strength));
-        let ranked = rank_all(live.chain([(&self.host, self.strength)]));
+        let live = live.map(|(host, member)| (host, member.weight));
+        let ranked = rank_all(live.chain([(&self.host, self.weight)]));
         let first = ranked.into_iter().next();
         first.map_or_else(|| self.host.clone(), |first| first.host)
     }
@@ -63,14 +63,14 @@
     /// Whether this host is the first live one of its zone in the order of
     /// duties. It reads the log for the others and exchanges with other zones,
     /// so that both cost the same however many hosts a zone has.
-    pub fn is_lead(&self, now: Instant) -> bool {
-        self.leads(now, 1).is_empty()
+    pub fn is_leader(&self, now: Instant) -> bool {
+        self.leaders(now, 1).is_empty()
     }
 
     /// The first live hosts of this zone in the order of duties, up to this one
     /// and at most `most`: the first reads the log, the next ones where it
     /// cannot.
-    pub fn leads(&self, now: Instant, most: usize) -> Vec<(HostId, SocketAddr)> {
+    pub fn leaders(&self, now: Instant, most: usize) -> Vec<(HostId, SocketAddr)> {
         let hosts = self.live_hosts(&self.zone, now).into_iter();
         let before = hosts.take_while(|host| *host != self.host).take(most);
         self.with_addresses(before)
@@ -84,7 +84,7 @@
             return None;
         }
         let chosen = issuing_host(target, &self.live_hosts(zone, now));
-        Some(chosen.unwrap_or_else(|| self.first_of_all(now)))
+        Some(chosen.unwrap_or_else(|| self.global_leader(now)))
     }
 
     /// The part of a zone's limits that the live hosts of the zone hand out.
@@ -150,13 +150,13 @@
     }
 }
 
-fn rank_all<'a, C>(hosts: C) -> Vec<DutyCandidate>
+fn rank_all<'a, C>(hosts: C) -> Vec<RoleCandidate>
 where
-    C: Iterator<Item = (&'a HostId, HostStrength)>,
+    C: Iterator<Item = (&'a HostId, HostWeight)>,
 {
-    let candidates = hosts.map(|(host, strength)| DutyCandidate {
+    let candidates = hosts.map(|(host, weight)| RoleCandidate {
         host: host.clone(),
-        strength,
+        weight,
     });
     let mut ranked = candidates.collect::<Vec<_>>();
     rank_hosts(&mut ranked);
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -14,7 +14,7 @@
 impl GossipTable {
     /// What to say to the host at an address; the requests, those that targets ended
     /// under and what this host has of the log are left to the caller.
-    pub fn open_view(&mut self, address: SocketAddr, now: Instant) -> HostView {
+    pub fn request_view(&mut self, address: SocketAddr, now: Instant) -> HostView {
         let mut known = self.members.iter();
         let callee = known.find(|(_, member)| member.address == address);
         let callee = callee.map(|(host, member)| (host.clone(), member.clone()));
@@ -38,7 +38,7 @@
     }
 
     /// What to answer to a view that was taken in before.
-    pub fn answer_view(&mut self, view: &HostView, now: Instant) -> HostView {
+    pub fn reply_view(&mut self, view: &HostView, now: Instant) -> HostView {
         let scope = match (view.zone == self.zone, view.scope) {
             (true, UseScope::Host) => UseScope::Neighbours,
             (false, UseScope::Zone) => UseScope::Zone,
@@ -56,11 +56,11 @@
     }
 
     fn scope_to(&self, host: &HostId, member: &GossipMember, now: Instant) -> UseScope {
-        let speakers = self.speakers(now);
-        let speaks = speakers.contains(&self.host);
+        let aggregators = self.aggregators(now);
+        let speaks = aggregators.contains(&self.host);
         match member.zone == self.zone {
-            true if speaks && speakers.contains(host) => UseScope::Group,
-            false if self.is_lead(now) => UseScope::Zone,
+            true if speaks && aggregators.contains(host) => UseScope::Group,
+            false if self.is_leader(now) => UseScope::Zone,
             _ => UseScope::Host,
         }
     }
@@ -78,7 +78,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             configuration_version: 0,
-            strength: self.strength,
+            weight: self.weight,
             scope,
             uses: Vec::new(),
             listing,
@@ -102,7 +102,7 @@
             zone: member.zone.clone(),
             address: member.address,
             incarnation: member.incarnation,
-            strength: member.strength,
+            weight: member.weight,
             silent: silence(member, scope, now),
         });
         HostListing {
--- a/src/membership/gossip_member.rs
+++ b/src/membership/gossip_member.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::fleet::UseScope;
-use crate::ids::{HostId, HostStrength, IncarnationId, ZoneId};
+use crate::ids::{HostId, HostWeight, IncarnationId, ZoneId};
 use crate::peer::{KnownHost, SeenListing};
 
 /// Silence after which a host counts as dead: six pauses between reports, and
@@ -21,7 +21,7 @@
 /// Word of another host that a member lives, which holds for as long as that
 /// host is heard and does not take it back.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct MemberVoucher {
+struct MemberWitness {
     host: HostId,
     at: Instant,
 }
@@ -54,7 +54,7 @@
     /// Its incarnation.
     pub incarnation: IncarnationId,
     /// What it has for duties.
-    pub strength: HostStrength,
+    pub weight: HostWeight,
     /// Sequence number of its last view.
     pub(super) sequence: u64,
     /// When it was last heard by this host itself.
@@ -63,7 +63,7 @@
     pub(super) listed: Instant,
     /// Hosts that say that it lives. Several may at once: with the last one only,
     /// a speaker that takes its word back would undo that of another one.
-    vouchers: Vec<MemberVoucher>,
+    vouchers: Vec<MemberWitness>,
     pub(super) suspicion: Option<MemberSuspicion>,
     /// When it was last called.
     pub(super) called: Option<Instant>,
@@ -85,7 +85,7 @@
             zone: listed.zone.clone(),
             address: listed.address,
             incarnation: listed.incarnation,
-            strength: listed.strength,
+            weight: listed.weight,
             sequence: 0,
             direct: None,
             listed: heard,
@@ -102,8 +102,8 @@
 
     /// Whether the member is the start of the host that is listed.
     pub(super) fn is_start(&self, listed: &KnownHost) -> bool {
-        (self.incarnation, self.address, self.strength)
-            == (listed.incarnation, listed.address, listed.strength)
+        (self.incarnation, self.address, self.weight)
+            == (listed.incarnation, listed.address, listed.weight)
     }
 
     /// When it was last heard, by whomever.
@@ -145,20 +145,20 @@
     }
 
     /// A host says that it lives, and will say when it does no more.
-    pub(super) fn add_voucher(&mut self, host: &HostId, now: Instant) {
-        self.drop_voucher(host);
+    pub(super) fn add_witness(&mut self, host: &HostId, now: Instant) {
+        self.drop_witness(host);
         let at_most = MOST_VOUCHERS - 1;
         let excess = self.vouchers.len().saturating_sub(at_most);
         // In the order in which they were given: the first ones are oldest.
         self.vouchers.drain(..excess);
-        self.vouchers.push(MemberVoucher {
+        self.vouchers.push(MemberWitness {
             host: host.clone(),
             at: now,
         });
     }
 
     /// A host that vouches for it was heard again.
-    pub(super) fn renew_voucher(&mut self, host: &HostId, now: Instant) {
+    pub(super) fn renew_witness(&mut self, host: &HostId, now: Instant) {
         let mut vouchers = self.vouchers.iter_mut();
         if let Some(voucher) = vouchers.find(|voucher| voucher.host == *host) {
             voucher.at = now;
@@ -166,7 +166,7 @@
     }
 
     /// A host no longer vouches for it.
-    pub(super) fn drop_voucher(&mut self, host: &HostId) {
+    pub(super) fn drop_witness(&mut self, host: &HostId) {
         self.vouchers.retain(|voucher| voucher.host != *host);
     }
 
--- a/src/membership/queries.rs
+++ b/src/membership/queries.rs
@@ -39,7 +39,7 @@
     /// This host may be new and never have heard of it. Then the platform's
     /// list decides, if it was fetched late enough for its lag to have passed.
     pub fn has_ended(&self, host: &str, incarnation: IncarnationId) -> bool {
-        let settled = self.started + self.settings.gone_after;
+        let settled = self.started + self.settings.remove_after;
         match self.members.get(host) {
             Some(member) => member
                 .incarnation
--- a/src/membership/duty.rs
+++ b/src/membership/role.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Reverse;
 
-use crate::ids::{HostId, HostStrength};
+use crate::ids::{HostId, HostWeight};
 
 /// Hosts that one speaker serves on average at the most. Each reports to it four
 /// times a second. The busiest speaker of a zone of 80 hosts and 40 engines has
@@ -19,18 +19,18 @@
 
 /// A host that may be given duties.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct DutyCandidate {
+pub struct RoleCandidate {
     /// The host.
     pub host: HostId,
     /// What it has for them.
-    pub strength: HostStrength,
+    pub weight: HostWeight,
 }
 
 /// What a host with so much processor and so fast a link has for duties, in
 /// doublings: hosts that differ by a little count as equal.
-pub fn host_strength(cores: f64, link_mbps: f64) -> HostStrength {
+pub fn host_weight(cores: f64, link_mbps: f64) -> HostWeight {
     let scarcer = (cores * 1000.0).min(link_mbps * MILLICORES_PER_MBPS);
-    scarcer.max(1.0).log2().round() as HostStrength
+    scarcer.max(1.0).log2().round() as HostWeight
 }
 
 /// Puts hosts in the order in which they take duties: the strong ones first,
@@ -39,21 +39,21 @@
 /// With the first by name in charge, whatever it had, a host with an eighth of a
 /// core read the log, planned and spoke for a zone of 39 hosts, next to three
 /// that had four times as much.
-pub fn rank_hosts(candidates: &mut [DutyCandidate]) {
+pub fn rank_hosts(candidates: &mut [RoleCandidate]) {
     candidates.sort_by(|one, other| {
-        let strength = Reverse(one.strength).cmp(&Reverse(other.strength));
-        strength.then_with(|| one.host.cmp(&other.host))
+        let weight = Reverse(one.weight).cmp(&Reverse(other.weight));
+        weight.then_with(|| one.host.cmp(&other.host))
     });
 }
 
 /// How many hosts of a zone, the first ones in the order of duties, speak for
 /// the others. What one of them serves does not grow with the zone.
-pub fn speaker_count(ranked: &[DutyCandidate]) -> usize {
+pub fn aggregator_count(ranked: &[RoleCandidate]) -> usize {
     let Some(first) = ranked.first() else {
         return 0;
     };
     let equal = ranked.iter();
-    let equal = equal.take_while(|candidate| candidate.strength == first.strength);
+    let equal = equal.take_while(|candidate| candidate.weight == first.weight);
     let least = ranked.len().div_ceil(HOSTS_PER_SPEAKER);
     let most = least.max(FEW_SPEAKERS);
     equal.count().clamp(least, most).min(ranked.len())
--- a/src/membership/rotation.rs
+++ b/src/membership/rotation.rs
@@ -16,19 +16,19 @@
     /// It refused work or said itself that it is leaving.
     Refused,
     /// A peer says that it is leaving.
-    Told,
+    Reported,
 }
 
 /// What is known of one target's leaving. Any one reason is enough.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(super) struct LeavingSigns {
+pub(super) struct LeavingSignals {
     pub(super) declared: bool,
     pub(super) listed: bool,
     refused_at: Option<Instant>,
     told_by: BTreeMap<HostId, Instant>,
 }
 
-impl LeavingSigns {
+impl LeavingSignals {
     /// A target that was leaving and is no longer listed has left: only a
     /// list that calls it live again takes the sign back.
     pub(super) fn observe_listed(&mut self, phase: ListedPhase) {
@@ -68,7 +68,7 @@
         };
         match self.first_hand(lapse, now) {
             Some(reason) => Some(reason),
-            None if is_told() => Some(RotationReason::Told),
+            None if is_told() => Some(RotationReason::Reported),
             None => None,
         }
     }
--- a/src/membership/settings.rs
+++ b/src/membership/settings.rs
@@ -28,7 +28,7 @@
     /// stretch the intervals.
     pub suspect_after: Duration,
     /// Silence after which a delisted host counts as gone.
-    pub gone_after: Duration,
+    pub remove_after: Duration,
     /// Silence after which a host that was never listed counts as gone.
     pub forget_after: Duration,
     /// Hosts called in each other zone.
@@ -55,7 +55,7 @@
             zone_pace: Duration::from_millis(100),
             remote_pace: Duration::from_millis(500),
             suspect_after: Duration::from_secs(5),
-            gone_after: Duration::from_secs(30),
+            remove_after: Duration::from_secs(30),
             forget_after: Duration::from_secs(600),
             remote_peers: 2,
             seed: 0,
@@ -76,7 +76,7 @@
     pub remote_loads: usize,
     /// Time after which a peer's or the target's own word that it is leaving
     /// lapses, unless it is repeated.
-    pub told_lapse: Duration,
+    pub leaving_expiry: Duration,
     /// Age above which a load is not passed on.
     pub oldest_load: Duration,
 }
@@ -89,7 +89,7 @@
             zone,
             watchers: 2,
             remote_loads: 8,
-            told_lapse: Duration::from_secs(30),
+            leaving_expiry: Duration::from_secs(30),
             oldest_load: Duration::from_secs(30),
         }
     }
--- a/src/membership/target_watch.rs
+++ b/src/membership/target_watch.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use super::rotation::LeavingSigns;
+use super::rotation::LeavingSignals;
 use super::settings::WatchSettings;
 use crate::ids::{HostId, TargetId, ZoneId};
 use crate::peer::PeerLoad;
@@ -20,7 +20,7 @@
 
 /// Load of a target as last known.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct TargetSighting {
+pub struct LoadSample {
     /// Steps or calls running.
     pub running: u32,
     /// Steps or calls waiting.
@@ -35,8 +35,8 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct WatchedTarget {
     pub(super) zone: ZoneId,
-    pub(super) sighting: Option<TargetSighting>,
-    pub(super) signs: LeavingSigns,
+    pub(super) load_sample: Option<LoadSample>,
+    pub(super) signs: LeavingSignals,
     pub(super) passed_on: u64,
 }
 
@@ -83,8 +83,8 @@
                 .entry(one.target.clone())
                 .or_insert_with(|| WatchedTarget {
                     zone: one.zone.clone(),
-                    sighting: None,
-                    signs: LeavingSigns::default(),
+                    load_sample: None,
+                    signs: LeavingSignals::default(),
                     passed_on: 0,
                 });
             target.zone = one.zone.clone();
@@ -135,7 +135,7 @@
             return;
         };
         let age = std::time::Duration::from_millis(report.age_ms);
-        target.sight(TargetSighting {
+        target.sight(LoadSample {
             running: report.running,
             waiting: report.waiting,
             tokens_per_second: report.tokens_per_second,
@@ -158,7 +158,7 @@
                 continue;
             };
             let measured_at = now.checked_sub(load.age).unwrap_or(now);
-            target.sight(TargetSighting {
+            target.sight(LoadSample {
                 running: load.running,
                 waiting: load.waiting,
                 tokens_per_second: load.tokens_per_second,
@@ -175,12 +175,12 @@
 impl WatchedTarget {
     /// Keeps the newer of two sightings: two watchers report the same target
     /// and their heartbeats cross.
-    fn sight(&mut self, sighting: TargetSighting) {
+    fn sight(&mut self, load_sample: LoadSample) {
         let is_newer = self
-            .sighting
-            .is_none_or(|known| known.measured_at <= sighting.measured_at);
+            .load_sample
+            .is_none_or(|known| known.measured_at <= load_sample.measured_at);
         if is_newer {
-            self.sighting = Some(sighting);
+            self.load_sample = Some(load_sample);
         }
     }
 }
--- a/src/membership/watch_queries.rs
+++ b/src/membership/watch_queries.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::rotation::RotationReason;
-use super::target_watch::{TargetSighting, TargetWatch, WatchedTarget};
+use super::target_watch::{LoadSample, TargetWatch, WatchedTarget};
 use crate::ids::TargetId;
 use crate::peer::PeerLoad;
 
@@ -14,14 +14,14 @@
     }
 
     /// Load of a target as last known; its age is the caller's to judge.
-    pub fn sighting(&self, target: &str) -> Option<TargetSighting> {
-        self.targets.get(target)?.sighting
+    pub fn load_sample(&self, target: &str) -> Option<LoadSample> {
+        self.targets.get(target)?.load_sample
     }
 
     /// Why a target takes no new work; `None` if it does.
     pub fn out_of_rotation(&self, target: &str, now: Instant) -> Option<RotationReason> {
         let target = self.targets.get(target)?;
-        target.signs.reason(self.settings.told_lapse, now)
+        target.signs.reason(self.settings.leaving_expiry, now)
     }
 
     /// Loads for hosts of this zone: targets that this host polls, and any
@@ -30,7 +30,7 @@
         self.targets
             .iter()
             .filter_map(|(name, target)| {
-                let reason = target.signs.first_hand(self.settings.told_lapse, now);
+                let reason = target.signs.first_hand(self.settings.leaving_expiry, now);
                 let is_passed_on = self.watched.contains(name) || reason.is_some();
                 is_passed_on
                     .then(|| self.load(name, target, reason.is_some(), now))
@@ -63,7 +63,10 @@
             let Some(target) = self.targets.get(&name) else {
                 continue;
             };
-            let leaving = target.signs.reason(self.settings.told_lapse, now).is_some();
+            let leaving = target
+                .signs
+                .reason(self.settings.leaving_expiry, now)
+                .is_some();
             loads.extend(self.load(&name, target, leaving, now));
             if let Some(target) = self.targets.get_mut(&name) {
                 target.passed_on = self.remote_rounds;
@@ -78,7 +81,7 @@
     /// it is told, its hosts go on giving work to targets that the platform
     /// takes away; their own zone's are not among this host's.
     fn leaving_elsewhere(&self, now: Instant) -> Vec<PeerLoad> {
-        let lapse = self.settings.told_lapse;
+        let lapse = self.settings.leaving_expiry;
         self.targets
             .iter()
             .filter(|(_, target)| target.zone != self.settings.zone)
@@ -96,20 +99,20 @@
     ) -> Option<PeerLoad> {
         let oldest = self.settings.oldest_load;
         let fresh = target
-            .sighting
-            .map(|sighting| {
+            .load_sample
+            .map(|load_sample| {
                 (
-                    sighting,
-                    now.saturating_duration_since(sighting.measured_at),
+                    load_sample,
+                    now.saturating_duration_since(load_sample.measured_at),
                 )
             })
             .filter(|(_, age)| *age <= oldest);
         match fresh {
-            Some((sighting, age)) => Some(PeerLoad {
+            Some((load_sample, age)) => Some(PeerLoad {
                 target: name.clone(),
-                running: sighting.running,
-                waiting: sighting.waiting,
-                tokens_per_second: sighting.tokens_per_second,
+                running: load_sample.running,
+                waiting: load_sample.waiting,
+                tokens_per_second: load_sample.tokens_per_second,
                 age,
                 leaving,
             }),
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -27,7 +27,7 @@
     builder.set_incarnation(view.incarnation);
     builder.set_sequence(view.sequence);
     builder.set_configuration_version(view.configuration_version);
-    builder.set_strength(view.strength);
+    builder.set_strength(view.weight);
     builder.set_scope(write_scope(view.scope));
     write_uses(builder.reborrow().init_uses(), &view.uses);
     builder.set_listed_from(view.listing.from);
@@ -43,7 +43,7 @@
         entry.set_zone(&*known.zone);
         entry.set_address(known.address.to_string());
         entry.set_incarnation(known.incarnation);
-        entry.set_strength(known.strength);
+        entry.set_strength(known.weight);
         entry.set_silent_ms(milliseconds(known.silent));
     }
     builder.set_log_since_ms(view.log.map_or(0, |log| short_milliseconds(log.since)));
@@ -78,7 +78,7 @@
         incarnation: reader.get_incarnation(),
         sequence: reader.get_sequence(),
         configuration_version: reader.get_configuration_version(),
-        strength: reader.get_strength(),
+        weight: reader.get_strength(),
         scope: read_scope(reader.get_scope()?),
         uses: read_uses(reader.get_uses()?)?,
         listing: read_listing(reader)?,
@@ -108,7 +108,7 @@
             zone: text(entry.get_zone())?,
             address: address(entry.get_address())?,
             incarnation: entry.get_incarnation(),
-            strength: entry.get_strength(),
+            weight: entry.get_strength(),
             silent: Duration::from_millis(entry.get_silent_ms()),
         })
     });
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 
 use crate::fleet::{TargetUse, UseScope, ZoneUses};
-use crate::ids::{HostId, HostStrength, IncarnationId, LogOffset, TargetId, ZoneId};
+use crate::ids::{HostId, HostWeight, IncarnationId, LogOffset, TargetId, ZoneId};
 use crate::permits::LimitListing;
 use crate::poison::PoisonListing;
 
@@ -28,7 +28,7 @@
     /// Version of the configuration in force there; 0 while none is known.
     pub configuration_version: u64,
     /// What it has for duties besides its callers' requests.
-    pub strength: HostStrength,
+    pub weight: HostWeight,
     /// Whose requests `uses` are.
     pub scope: UseScope,
     /// Requests under way on targets.
@@ -100,7 +100,7 @@
     /// Its incarnation.
     pub incarnation: IncarnationId,
     /// What it has for duties besides its callers' requests.
-    pub strength: HostStrength,
+    pub weight: HostWeight,
     /// Time since it was last heard.
     pub silent: Duration,
 }
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -1,13 +1,13 @@
 //! Who takes duties in an availability zone.
 
-use jackdawwick::membership::{DutyCandidate, host_strength, rank_hosts, speaker_count};
+use jackdawwick::membership::{RoleCandidate, aggregator_count, host_weight, rank_hosts};
 use proptest::prelude::*;
 
-fn candidates(strengths: &[u32]) -> Vec<DutyCandidate> {
+fn candidates(strengths: &[u32]) -> Vec<RoleCandidate> {
     let hosts = strengths.iter().enumerate();
-    let hosts = hosts.map(|(number, strength)| DutyCandidate {
+    let hosts = hosts.map(|(number, weight)| RoleCandidate {
         host: format!("host-{number:03}").as_str().into(),
-        strength: *strength,
+        weight: *weight,
     });
     hosts.collect()
 }
@@ -26,18 +26,18 @@
 
 #[test]
 fn a_host_is_as_strong_as_what_it_has_least_of() {
-    let strong = host_strength(0.5, 200.0);
-    assert!(strong > host_strength(0.12, 20.0));
-    assert!(strong > host_strength(0.5, 10.0));
-    assert_eq!(host_strength(0.25, 1000.0), host_strength(0.26, 1000.0));
-    assert_eq!(host_strength(0.0, 0.0), 0);
+    let strong = host_weight(0.5, 200.0);
+    assert!(strong > host_weight(0.12, 20.0));
+    assert!(strong > host_weight(0.5, 10.0));
+    assert_eq!(host_weight(0.25, 1000.0), host_weight(0.26, 1000.0));
+    assert_eq!(host_weight(0.0, 0.0), 0);
 }
 
 #[test]
 fn only_strong_hosts_speak_while_there_are_enough() {
     let zone = |strong: usize, weak: usize| {
         let strengths = [vec![8; strong], vec![6; weak]].concat();
-        speaker_count(&candidates(&strengths))
+        aggregator_count(&candidates(&strengths))
     };
     assert_eq!(zone(0, 0), 0);
     assert_eq!(zone(0, 3), 3);
@@ -56,8 +56,8 @@
     fn what_a_speaker_serves_is_bounded(strengths in prop::collection::vec(5_u32..9, 1..400)) {
         let mut ranked = candidates(&strengths);
         rank_hosts(&mut ranked);
-        let speakers = speaker_count(&ranked);
-        prop_assert!(speakers >= 1);
-        prop_assert!(ranked.len() <= speakers * 24);
+        let aggregators = aggregator_count(&ranked);
+        prop_assert!(aggregators >= 1);
+        prop_assert!(ranked.len() <= aggregators * 24);
     }
 }
--- a/tests/entry_decisions.rs
+++ b/tests/entry_decisions.rs
@@ -174,7 +174,7 @@
         incarnation: 1,
         sequence,
         configuration_version: 0,
-        strength: 0,
+        weight: 0,
         scope: UseScope::Host,
         uses: Vec::new(),
         listing: HostListing::default(),
@@ -220,7 +220,7 @@
             zone: "z".into(),
             address: ([10, 0, 0, 1], 3).into(),
             incarnation: 4,
-            strength: 0,
+            weight: 0,
             silent: Duration::from_millis(100),
         }],
     };
@@ -270,12 +270,14 @@
     table.observe_view(&view("e", "z", 5, 1), now);
     table.observe_view(&view("0", "y", 6, 1), now);
     let names = |most| {
-        let leads = table.leads(now, most).into_iter();
-        leads.map(|(host, _)| host.to_string()).collect::<Vec<_>>()
+        let leaders = table.leaders(now, most).into_iter();
+        leaders
+            .map(|(host, _)| host.to_string())
+            .collect::<Vec<_>>()
     };
     assert_eq!(names(2), ["a", "b"]);
     assert_eq!(names(9), ["a", "b", "c"]);
-    assert!(!table.is_lead(now));
+    assert!(!table.is_leader(now));
 }
 
 /// Symptom: loads of a moment ago come back. Sequence: two views of a host
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -26,7 +26,7 @@
         incarnation: 1 << 50,
         sequence: 7,
         configuration_version: 40,
-        strength: 8,
+        weight: 8,
         scope: UseScope::Neighbours,
         uses: Vec::new(),
         listing: HostListing::default(),
@@ -69,7 +69,7 @@
         zone: "saburtalo".into(),
         address: SocketAddr::from(([10, 101, 102, 103], 8229)),
         incarnation: 1 << 50,
-        strength: 6,
+        weight: 6,
         silent: Duration::from_millis(125),
     }
 }
--- a/tests/fleet_in_memory/mod.rs
+++ b/tests/fleet_in_memory/mod.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use jackdawwick::fleet::{FleetTable, TargetEntry, TargetLoad, UseSource};
-use jackdawwick::ids::{HostId, HostStrength, IncarnationId, ZoneId};
+use jackdawwick::ids::{HostId, HostWeight, IncarnationId, ZoneId};
 use jackdawwick::membership::GossipTable;
 use jackdawwick::peer::HostView;
 use jackdawwick::poison::PoisonTable;
@@ -26,8 +26,8 @@
 pub(crate) const NOTE_BYTES: usize = 20;
 
 /// Strength of the hosts that have half a core, and of the others.
-pub(crate) const STRONG: HostStrength = 8;
-pub(crate) const WEAK: HostStrength = 6;
+pub(crate) const STRONG: HostWeight = 8;
+pub(crate) const WEAK: HostWeight = 6;
 
 pub(crate) struct SimHost {
     pub(crate) name: HostId,
@@ -37,7 +37,7 @@
     pub(crate) fleet: FleetTable,
     pub(crate) poison: PoisonTable,
     incarnation: IncarnationId,
-    strength: HostStrength,
+    weight: HostWeight,
     pub(crate) lives: bool,
     /// Whether it speaks for its zone, as it last found.
     reports: bool,
@@ -87,7 +87,7 @@
             let (zone, number) = (zone_name(place / hosts_each), place % hosts_each);
             // Names tell nothing of strength.
             let name = format!("{zone}-{:03}", (number * 37 + 11) % 997);
-            let strength = if number < 3 { STRONG } else { WEAK };
+            let weight = if number < 3 { STRONG } else { WEAK };
             let mut fleet = FleetTable::default();
             for of in 0..zones {
                 for engine in 0..engines {
@@ -112,11 +112,11 @@
                 name: name.as_str().into(),
                 zone: zone.as_str().into(),
                 address: address(place),
-                gossip: gossip.announced(place as u64 + 1, strength),
+                gossip: gossip.with_identity(place as u64 + 1, weight),
                 fleet,
                 poison: PoisonTable::default(),
                 incarnation: place as u64 + 1,
-                strength,
+                weight,
                 lives: true,
                 reports: true,
                 exchanges: 0,
@@ -136,7 +136,7 @@
     }
 
     /// Plays some time.
-    pub(crate) fn play(&mut self, time: Duration) {
+    pub(crate) fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now += TICK;
@@ -153,13 +153,13 @@
         host.incarnation += 1 << 32;
         let (name, zone, seeds) = (host.name.clone(), host.zone.clone(), self.seeds.clone());
         let gossip = GossipTable::new(name, zone, host.address, seeds);
-        host.gossip = gossip.announced(host.incarnation, host.strength);
+        host.gossip = gossip.with_identity(host.incarnation, host.weight);
         host.poison = PoisonTable::default();
         host.reports = true;
     }
 
     /// Forgets what was counted so far.
-    pub(crate) fn count_anew(&mut self) {
+    pub(crate) fn reset_counters(&mut self) {
         for host in &mut self.hosts {
             host.exchanges = 0;
             host.bytes = 0;
@@ -167,7 +167,7 @@
     }
 
     /// Live hosts of a zone by their places.
-    pub(crate) fn live_in(&self, zone: &str) -> Vec<usize> {
+    pub(crate) fn live_hosts_in(&self, zone: &str) -> Vec<usize> {
         let places = 0..self.hosts.len();
         let live = places.filter(|place| {
             let host = &self.hosts[*place];
@@ -220,10 +220,10 @@
     fn exchange(&mut self, caller: usize, callee: usize) {
         let now = self.now;
         let address = self.hosts[callee].address;
-        let question = self.hosts[caller].gossip.open_view(address, now);
+        let question = self.hosts[caller].gossip.request_view(address, now);
         let question = self.complete(caller, question, None, address);
         self.hear(callee, &question);
-        let answer = self.hosts[callee].gossip.answer_view(&question, now);
+        let answer = self.hosts[callee].gossip.reply_view(&question, now);
         let answer = self.complete(callee, answer, Some(&question.host), question.address);
         self.hear(caller, &answer);
         let bytes = view_bytes(&question) + view_bytes(&answer);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -20,19 +20,19 @@
 
 fn settled(zones: usize, hosts_each: usize, engines: usize) -> SimFleet {
     let mut fleet = SimFleet::new(zones, hosts_each, engines);
-    fleet.play(SETTLED);
+    fleet.run_for(SETTLED);
     fleet
 }
 
 /// Bytes a second of the busiest host that speaks for nobody, and of the
 /// busiest one that does.
 fn busiest(fleet: &mut SimFleet) -> (usize, usize) {
-    fleet.count_anew();
-    fleet.play(COUNTED);
+    fleet.reset_counters();
+    fleet.run_for(COUNTED);
     let now = fleet.now;
     let most = |speaks: bool| {
         let hosts = fleet.hosts.iter();
-        let hosts = hosts.filter(|host| host.gossip.is_speaker(now) == speaks);
+        let hosts = hosts.filter(|host| host.gossip.is_aggregator(now) == speaks);
         let bytes = hosts.map(|host| host.bytes / COUNTED.as_secs() as usize);
         bytes.max().unwrap_or(0)
     };
@@ -67,7 +67,7 @@
 fn requests_of_one_host_are_known_to_all() {
     let mut fleet = settled(5, 80, 4);
     let zone = zone_name(2);
-    let members = fleet.live_in(&zone);
+    let members = fleet.live_hosts_in(&zone);
     let target = format!("i-{zone}-0");
     let before = members.iter().map(|place| fleet.near(*place, &target));
     let before = before.collect::<Vec<_>>();
@@ -78,7 +78,7 @@
         unread: 0.0,
     };
     fleet.hosts[teller].fleet.observe_start(&target, load);
-    fleet.play(Duration::from_millis(625));
+    fleet.run_for(Duration::from_millis(625));
     for (place, before) in members.iter().zip(before) {
         let known = fleet.near(*place, &target);
         let expected = if *place == teller {
@@ -88,10 +88,10 @@
         };
         assert_eq!(known, expected, "{}", fleet.hosts[*place].name);
     }
-    fleet.play(Duration::from_secs(1));
+    fleet.run_for(Duration::from_secs(1));
     let now = fleet.now;
-    let leads = fleet.hosts.iter().filter(|host| host.gossip.is_lead(now));
-    let elsewhere = leads.filter(|host| *host.zone != *zone);
+    let leaders = fleet.hosts.iter().filter(|host| host.gossip.is_leader(now));
+    let elsewhere = leaders.filter(|host| *host.zone != *zone);
     let sums = elsewhere.map(|host| host.fleet.get(&target).expect("known").remote.requests);
     let sums = sums.collect::<Vec<_>>();
     assert_eq!(sums.len(), 4);
@@ -103,7 +103,7 @@
 fn what_is_added_up_is_what_the_hosts_have() {
     let fleet = settled(3, 30, 4);
     let zone = zone_name(0);
-    let members = fleet.live_in(&zone);
+    let members = fleet.live_hosts_in(&zone);
     for target in 0..4 {
         let target = format!("i-{zone}-{target}");
         let own = |place: &usize| {
@@ -125,7 +125,7 @@
 fn beliefs(fleet: &SimFleet, zone: &str) -> (BTreeSet<Vec<String>>, BTreeSet<String>) {
     let mut live = BTreeSet::new();
     let mut first = BTreeSet::new();
-    for place in fleet.live_in(zone) {
+    for place in fleet.live_hosts_in(zone) {
         let hosts = fleet.hosts[place].gossip.live_hosts(zone, fleet.now);
         let hosts = hosts.iter().map(ToString::to_string).collect::<Vec<_>>();
         first.insert(hosts[0].clone());
@@ -144,7 +144,7 @@
         .iter()
         .cloned()
         .collect::<BTreeSet<_>>();
-    let real = fleet.live_in(zone).into_iter();
+    let real = fleet.live_hosts_in(zone).into_iter();
     let real = real.map(|place| fleet.hosts[place].name.to_string());
     assert_eq!(believed, real.collect::<BTreeSet<_>>());
 }
@@ -167,15 +167,15 @@
 fn the_death_of_a_host_is_believed_within_two_and_a_half_seconds() {
     let mut fleet = settled(5, 80, 1);
     let zone = zone_name(1);
-    let dead = fleet.live_in(&zone)[40];
+    let dead = fleet.live_hosts_in(&zone)[40];
     fleet.hosts[dead].lives = false;
-    fleet.play(Duration::from_millis(1250));
+    fleet.run_for(Duration::from_millis(1250));
     let (live, _) = beliefs(&fleet, &zone);
     assert!(
         live.iter().all(|hosts| hosts.len() == 80),
         "believed dead too soon"
     );
-    fleet.play(Duration::from_millis(1250));
+    fleet.run_for(Duration::from_millis(1250));
     all_agree_on_who_lives(&fleet, &zone);
 }
 
@@ -188,14 +188,14 @@
     let mut fleet = settled(5, 80, 1);
     let zone = zone_name(3);
     let now = fleet.now;
-    let speakers = fleet.live_in(&zone).into_iter();
-    let speakers = speakers.filter(|place| fleet.hosts[*place].gossip.is_speaker(now));
-    let speakers = speakers.collect::<Vec<_>>();
-    assert!(speakers.len() >= 3);
-    for place in speakers {
+    let aggregators = fleet.live_hosts_in(&zone).into_iter();
+    let aggregators = aggregators.filter(|place| fleet.hosts[*place].gossip.is_aggregator(now));
+    let aggregators = aggregators.collect::<Vec<_>>();
+    assert!(aggregators.len() >= 3);
+    for place in aggregators {
         fleet.hosts[place].lives = false;
     }
-    fleet.play(Duration::from_secs(5));
+    fleet.run_for(Duration::from_secs(5));
     all_agree_on_who_lives(&fleet, &zone);
     let zone_of_others = zone_name(0);
     all_agree_on_who_lives(&fleet, &zone_of_others);
@@ -207,15 +207,15 @@
     let mut fleet = settled(5, 40, 1);
     let zone = zone_name(4);
     fleet.cut.push(zone.as_str().into());
-    fleet.play(Duration::from_secs(6));
+    fleet.run_for(Duration::from_secs(6));
     all_agree_on_who_lives(&fleet, &zone);
     let now = fleet.now;
-    let inside = fleet.live_in(&zone)[7];
+    let inside = fleet.live_hosts_in(&zone)[7];
     let believed = fleet.hosts[inside].gossip.live_hosts(&zone_name(0), now);
     assert_eq!(believed.len(), 0, "{believed:?}");
     fleet.cut.clear();
-    fleet.play(Duration::from_secs(5));
-    for place in fleet.live_in(&zone) {
+    fleet.run_for(Duration::from_secs(5));
+    for place in fleet.live_hosts_in(&zone) {
         let host = &fleet.hosts[place];
         let believed = host.gossip.live_hosts(&zone_name(0), fleet.now);
         assert!(!believed.is_empty(), "{} knows nobody elsewhere", host.name);
@@ -229,9 +229,9 @@
 fn a_host_that_starts_alone_finds_its_zone() {
     let mut fleet = settled(5, 40, 1);
     let zone = zone_name(2);
-    let late = fleet.live_in(&zone)[20];
+    let late = fleet.live_hosts_in(&zone)[20];
     fleet.hosts[late].lives = false;
-    fleet.play(Duration::from_secs(3));
+    fleet.run_for(Duration::from_secs(3));
     let other = SimFleet::new(5, 40, 1);
     let fresh = other.hosts.into_iter().nth(late).expect("there");
     fleet.hosts[late] = fresh;
@@ -244,9 +244,9 @@
             host.address,
             seeds,
         )
-        .announced(100_000, fleet_in_memory::WEAK)
+        .with_identity(100_000, fleet_in_memory::WEAK)
     };
-    fleet.play(Duration::from_secs(3));
+    fleet.run_for(Duration::from_secs(3));
     all_agree_on_who_lives(&fleet, &zone);
 }
 
@@ -271,13 +271,13 @@
 #[test]
 fn what_three_hosts_saw_is_refused_by_all() {
     let mut fleet = settled(5, 80, 4);
-    let zone = fleet.live_in(&zone_name(1));
-    let elsewhere = fleet.live_in(&zone_name(3));
+    let zone = fleet.live_hosts_in(&zone_name(1));
+    let elsewhere = fleet.live_hosts_in(&zone_name(3));
     for (place, target) in [zone[70], zone[20], elsewhere[50]].into_iter().zip(LOST) {
         let now = fleet.now;
         fleet.hosts[place].poison.observe_end(7, target, now);
     }
-    fleet.play(KNOWN_EVERYWHERE);
+    fleet.run_for(KNOWN_EVERYWHERE);
     assert_eq!(unaware(&fleet, 7), Vec::<String>::new());
     assert_eq!(unaware(&fleet, 8).len(), 400);
 }
@@ -288,17 +288,17 @@
 #[test]
 fn a_host_that_starts_again_hears_what_is_refused() {
     let mut fleet = settled(3, 40, 4);
-    let zone = fleet.live_in(&zone_name(1));
+    let zone = fleet.live_hosts_in(&zone_name(1));
     let now = fleet.now;
     for target in LOST {
         fleet.hosts[zone[5]].poison.observe_end(7, target, now);
     }
     // Speakers start anew too, and then have nothing to tell each other at first.
     for place in [zone[0], zone[1], zone[2], zone[30]] {
-        fleet.play(KNOWN_EVERYWHERE);
+        fleet.run_for(KNOWN_EVERYWHERE);
         fleet.restart(place);
     }
-    fleet.play(KNOWN_EVERYWHERE);
+    fleet.run_for(KNOWN_EVERYWHERE);
     assert_eq!(unaware(&fleet, 7), Vec::<String>::new());
 }
 
@@ -307,15 +307,15 @@
 fn a_zone_that_is_cut_off_refuses_what_it_has_seen() {
     let mut fleet = settled(3, 40, 4);
     let cut = zone_name(2);
-    let inside = fleet.live_in(&cut);
-    let outside = fleet.live_in(&zone_name(0));
+    let inside = fleet.live_hosts_in(&cut);
+    let outside = fleet.live_hosts_in(&zone_name(0));
     fleet.cut.push(cut.as_str().into());
     let now = fleet.now;
     for target in LOST {
         fleet.hosts[inside[9]].poison.observe_end(7, target, now);
         fleet.hosts[outside[9]].poison.observe_end(8, target, now);
     }
-    fleet.play(KNOWN_IN_ZONE);
+    fleet.run_for(KNOWN_IN_ZONE);
     let refused = |fleet: &SimFleet, request| {
         let known = inside.iter().map(|place| &fleet.hosts[*place]);
         known
@@ -324,7 +324,7 @@
     };
     assert_eq!((refused(&fleet, 7), refused(&fleet, 8)), (40, 0));
     fleet.cut.clear();
-    fleet.play(Duration::from_secs(6));
+    fleet.run_for(Duration::from_secs(6));
     assert_eq!(unaware(&fleet, 7), Vec::<String>::new());
     assert_eq!(unaware(&fleet, 8), Vec::<String>::new());
 }
@@ -335,8 +335,8 @@
 fn what_a_host_pays_for_suspects_is_bounded() {
     let pays = |hosts_each: usize| {
         let mut fleet = settled(2, hosts_each, 40);
-        let zone = fleet.live_in(&zone_name(1));
-        fleet.count_anew();
+        let zone = fleet.live_hosts_in(&zone_name(1));
+        fleet.reset_counters();
         for second in 0..COUNTED.as_secs() {
             for number in 0..600 {
                 let now = fleet.now;
@@ -344,11 +344,11 @@
                 let (request, target) = (second * 600 + number as u64, number as u64 / 60);
                 fleet.hosts[place].poison.observe_end(request, target, now);
             }
-            fleet.play(Duration::from_secs(1));
+            fleet.run_for(Duration::from_secs(1));
         }
         let now = fleet.now;
         let hosts = fleet.hosts.iter();
-        let ordinary = hosts.filter(|host| !host.gossip.is_speaker(now));
+        let ordinary = hosts.filter(|host| !host.gossip.is_aggregator(now));
         let bytes = ordinary.map(|host| host.bytes / COUNTED.as_secs() as usize);
         bytes.max().unwrap_or(0)
     };
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -285,20 +285,20 @@
             _ => AppendVerdict::MayBeAppended,
         };
         let machine = &mut self.hosts[host].machine;
-        machine.take_append_failure(&record.id, verdict);
+        machine.observe_append_failure(&record.id, verdict);
     }
 
     fn replay(&mut self, host: usize, count: usize) {
         let now = self.now(host);
         let ModelHost { table, machine, .. } = &mut self.hosts[host];
-        table.note_read(u64::try_from(self.expired).unwrap(), now);
+        table.observe_read(u64::try_from(self.expired).unwrap(), now);
         for _ in 0..count {
             let offset = table.next_offset();
             let Some(body) = self.log.get(usize::try_from(offset).unwrap()) else {
                 return;
             };
             let JudgedLease { id, judgement } = table.apply_raw(offset, body, now);
-            machine.take_judgement(&id.unwrap(), offset, judgement);
+            machine.observe_judgement(&id.unwrap(), offset, judgement);
             if judgement != LeaseJudgement::Unclear {
                 let first = *self.judgements.entry(offset).or_insert(judgement);
                 assert_eq!(first, judgement, "hosts judge offset {offset} differently");
@@ -388,10 +388,10 @@
 fn unclear_acquisition_is_waited_out() {
     let mut table = LeaseTable::new(MARGIN);
     let start = Instant::now();
-    table.note_read(0, start);
+    table.observe_read(0, start);
     let old = acquisition("vake-1", name(), 0);
     assert_eq!(table.apply(0, &old, start), LeaseJudgement::Accepted);
-    table.note_read(50, start);
+    table.observe_read(50, start);
     assert_eq!(table.holder(&name()), None);
 
     let later = start + Duration::from_secs(3600);
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -10,8 +10,8 @@
 
 use jackdawwick::ids::HostId;
 use jackdawwick::membership::{
-    DeclaredTarget, GoneCause, MemberPhase, MembershipDecision, MembershipSettings,
-    MembershipTable, RotationReason, TargetWatch, WatchSettings,
+    DeclaredTarget, MemberPhase, MembershipDecision, MembershipSettings, MembershipTable,
+    RemovalCause, RotationReason, TargetWatch, WatchSettings,
 };
 use jackdawwick::peer::{PeerHeartbeat, PeerLoad};
 use jackdawwick::platform::wire::{HostList, ListedHost, ListedPhase, ListedTarget};
@@ -294,10 +294,10 @@
     let mut table = MembershipTable::new(settings("z0-0", 1), start);
     table.observe_heartbeat(&beat("z0-1", 10, 5, 70), start);
     let replaced = table.observe_heartbeat(&beat("z0-1", 20, 1, 90), start);
-    let gone = MembershipDecision::HostGone {
+    let gone = MembershipDecision::HostRemoved {
         host: "z0-1".into(),
         incarnation: Some(10),
-        cause: GoneCause::Replaced,
+        cause: RemovalCause::Replaced,
     };
     assert!(replaced.contains(&gone), "{replaced:?}");
     assert_eq!(
@@ -344,7 +344,7 @@
             gone.extend(
                 decisions
                     .into_iter()
-                    .filter(|decision| matches!(decision, MembershipDecision::HostGone { .. })),
+                    .filter(|decision| matches!(decision, MembershipDecision::HostRemoved { .. })),
             );
         }
         (gone, now)
@@ -363,10 +363,10 @@
     assert_eq!(gone, vec![]);
     table.observe_host_list(&list(&["z0-0"]), at);
     let (gone, _) = gone_at(&mut table, 1);
-    let expected = MembershipDecision::HostGone {
+    let expected = MembershipDecision::HostRemoved {
         host: "z0-1".into(),
         incarnation: Some(10),
-        cause: GoneCause::Delisted,
+        cause: RemovalCause::Delisted,
     };
     assert_eq!(gone, vec![expected]);
 }
@@ -485,7 +485,7 @@
     };
     watches[0].observe_refusal("engine-0", now);
     tell_all(&mut watches, now);
-    let told = Some(RotationReason::Told);
+    let told = Some(RotationReason::Reported);
     assert_eq!(
         reasons(&watches, now),
         vec![Some(RotationReason::Refused), told, told]
@@ -522,7 +522,7 @@
 fn a_refusal_that_nobody_confirms_lapses() {
     let hosts: Vec<HostId> = vec!["z0-0".into()];
     let mut watch = watch(&hosts[0], &hosts, 1);
-    let lapse = WatchSettings::new("z0-0".into(), "z0".into()).told_lapse;
+    let lapse = WatchSettings::new("z0-0".into(), "z0".into()).leaving_expiry;
     let refused = Instant::now();
     watch.observe_refusal("engine-0", refused);
     let reason_after = |passed| watch.out_of_rotation("engine-0", refused + passed);
@@ -563,11 +563,13 @@
     }
     assert_eq!(
         far.out_of_rotation("engine-7", now),
-        Some(RotationReason::Told)
+        Some(RotationReason::Reported)
     );
     for index in 0..30 {
-        let sighting = far.sighting(&format!("engine-{index}")).expect("passed on");
-        assert_eq!(sighting.running, index);
+        let load_sample = far
+            .load_sample(&format!("engine-{index}"))
+            .expect("passed on");
+        assert_eq!(load_sample.running, index);
     }
 }
 
--- a/tests/permit_duty.rs
+++ b/tests/permit_duty.rs
@@ -45,7 +45,7 @@
 #[test]
 fn all_hosts_agree_on_who_hands_out_permits() {
     let mut fleet = SimFleet::new(ZONES, HOSTS_EACH, 1);
-    fleet.play(Duration::from_secs(5));
+    fleet.run_for(Duration::from_secs(5));
     for zone in (0..ZONES).map(zone_name) {
         for target in 0..TARGETS {
             assert_eq!(issuers(&fleet, &zone, target).len(), 1, "{zone} {target}");
@@ -57,12 +57,12 @@
 #[test]
 fn another_host_hands_out_permits_soon_after_one_has_ended() {
     let mut fleet = SimFleet::new(ZONES, HOSTS_EACH, 1);
-    fleet.play(Duration::from_secs(5));
+    fleet.run_for(Duration::from_secs(5));
     let zone = zone_name(1);
     let ended = issuers(&fleet, &zone, 0).remove(0);
     let place = place_of(&fleet, &ended);
     fleet.hosts[place].lives = false;
-    fleet.play(Duration::from_secs(4));
+    fleet.run_for(Duration::from_secs(4));
     let next = issuers(&fleet, &zone, 0);
     assert_eq!(next.len(), 1, "{next:?}");
     assert_ne!(next[0], ended);
@@ -85,6 +85,6 @@
 #[test]
 fn a_host_that_starts_hands_out_nothing_at_first() {
     let mut fleet = SimFleet::new(ZONES, HOSTS_EACH, 1);
-    fleet.play(Duration::from_millis(500));
+    fleet.run_for(Duration::from_millis(500));
     assert_eq!(issuers(&fleet, &zone_name(0), 0), Vec::<HostId>::new());
 }
