--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -110,7 +110,7 @@
     pub fn observe_read(&mut self, first_offset: LogOffset, now: Instant) {
         if first_offset > self.next_offset {
             self.next_offset = first_offset;
-            self.miss(first_offset, now);
+            self.mark_missed(first_offset, now);
         }
         self.missed_until.get_or_insert(now);
     }
@@ -124,7 +124,7 @@
                 id: Some(record.id),
             },
             unjudged => JudgedLease {
-                judgement: self.pass_over(offset, unjudged == RawRecord::NewerRules, seen_at),
+                judgement: self.skip(offset, unjudged == RawRecord::NewerRules, seen_at),
                 id: None,
             },
         }
@@ -139,7 +139,7 @@
         seen_at: Instant,
     ) -> LeaseJudgement {
         if record.rules > JUDGING_RULES {
-            return self.pass_over(offset, true, seen_at);
+            return self.skip(offset, true, seen_at);
         }
         if !self.advance(offset, seen_at) {
             return LeaseJudgement::Repeated;
@@ -148,16 +148,16 @@
         let margin = self.margin;
         let unclear = body.seen < self.missed_below;
         let known = self.leases.get(&body.name);
-        let outrun = known.is_some_and(|lease| lease.last_record >= body.seen);
+        let is_outdated = known.is_some_and(|lease| lease.last_record >= body.seen);
         let lease = self
             .leases
             .entry(body.name.clone())
             .or_insert_with(|| KnownLease::new(seen_at));
         lease.last_record = offset;
         match () {
-            () if outrun || !body.entry.is_valid() => LeaseJudgement::Void,
+            () if is_outdated || !body.entry.is_valid() => LeaseJudgement::Void,
             () if unclear => {
-                lease.hold_off(&body.entry, margin, seen_at);
+                lease.extend_busy(&body.entry, margin, seen_at);
                 LeaseJudgement::Unclear
             }
             () => {
@@ -200,18 +200,13 @@
             return false;
         }
         if offset > self.next_offset {
-            self.miss(offset, seen_at);
+            self.mark_missed(offset, seen_at);
         }
         self.next_offset = offset + 1;
         true
     }
 
-    fn pass_over(
-        &mut self,
-        offset: LogOffset,
-        newer_rules: bool,
-        seen_at: Instant,
-    ) -> LeaseJudgement {
+    fn skip(&mut self, offset: LogOffset, newer_rules: bool, seen_at: Instant) -> LeaseJudgement {
         if !self.advance(offset, seen_at) {
             return LeaseJudgement::Repeated;
         }
@@ -222,7 +217,7 @@
         }
     }
 
-    fn miss(&mut self, below: LogOffset, now: Instant) {
+    fn mark_missed(&mut self, below: LogOffset, now: Instant) {
         self.missed_below = below;
         self.missed_until = Some(now + self.margin.stretch(MAX_LEASE_DURATION));
         for lease in self.leases.values_mut() {
@@ -271,15 +266,15 @@
             }
         };
         self.holder = Some(LeaseHolder { owner, fencing });
-        self.hold_off(entry, margin, seen_at);
+        self.extend_busy(entry, margin, seen_at);
     }
 
     /// Waits out the time for which a record's writer may act.
-    fn hold_off(&mut self, entry: &LeaseEntry, margin: ClockMargin, seen_at: Instant) {
+    fn extend_busy(&mut self, entry: &LeaseEntry, margin: ClockMargin, seen_at: Instant) {
         match entry {
             LeaseEntry::Acquire { duration } | LeaseEntry::Renew { duration, .. } => {
-                let lapses = seen_at + margin.stretch(*duration);
-                self.busy_until = self.busy_until.max(lapses);
+                let expires = seen_at + margin.stretch(*duration);
+                self.busy_until = self.busy_until.max(expires);
             }
             LeaseEntry::Release { .. } => {}
         }
--- a/src/membership/commands.rs
+++ b/src/membership/commands.rs
@@ -50,60 +50,65 @@
     /// later statement, changes nothing.
     pub fn observe_heartbeat(
         &mut self,
-        beat: &PeerHeartbeat,
+        heartbeat: &PeerHeartbeat,
         now: Instant,
     ) -> Vec<MembershipDecision> {
-        if beat.host == self.settings.host {
+        if heartbeat.host == self.settings.host {
             return Vec::new();
         }
         let mut decisions = Vec::new();
         let remove_after = self.settings.remove_after;
         let awake_since = self.awake_since;
-        let member = self.members.entry(beat.host.clone()).or_insert_with(|| {
-            HostMember::new(
-                &self.settings,
-                beat.host.clone(),
-                beat.zone.clone(),
-                beat.peer_address,
-                now,
-            )
-        });
+        let member = self
+            .members
+            .entry(heartbeat.host.clone())
+            .or_insert_with(|| {
+                HostMember::new(
+                    &self.settings,
+                    heartbeat.host.clone(),
+                    heartbeat.zone.clone(),
+                    heartbeat.peer_address,
+                    now,
+                )
+            });
         let silence = now.saturating_duration_since(member.silent_since(awake_since));
         match member.incarnation {
             // A process that was frozen while its host was replaced wakes up
             // and goes on talking. Its words are dropped, else the newer
             // incarnation's offset and grants would be overwritten by old ones.
-            _ if member.has_ended(beat.incarnation) => return decisions,
-            Some(current) if current == beat.incarnation && beat.sequence <= member.sequence => {
+            _ if member.has_ended(heartbeat.incarnation) => return decisions,
+            Some(current)
+                if current == heartbeat.incarnation && heartbeat.sequence <= member.sequence =>
+            {
                 return decisions;
             }
-            Some(current) if current == beat.incarnation => {}
+            Some(current) if current == heartbeat.incarnation => {}
             // Incarnations grow with the clock of the host. A clock set back
             // gives a lower number, which is believed only after the higher
             // one has been silent for long.
-            Some(current) if beat.incarnation < current && silence < remove_after => {
+            Some(current) if heartbeat.incarnation < current && silence < remove_after => {
                 return decisions;
             }
             before => {
-                member.replace_incarnation(beat.incarnation);
+                member.replace_incarnation(heartbeat.incarnation);
                 decisions.extend(before.map(|incarnation| MembershipDecision::HostRemoved {
-                    host: beat.host.clone(),
+                    host: heartbeat.host.clone(),
                     incarnation: Some(incarnation),
                     cause: RemovalCause::Replaced,
                 }));
                 decisions.push(MembershipDecision::HostJoined {
-                    host: beat.host.clone(),
-                    zone: beat.zone.clone(),
-                    incarnation: beat.incarnation,
+                    host: heartbeat.host.clone(),
+                    zone: heartbeat.zone.clone(),
+                    incarnation: heartbeat.incarnation,
                 });
             }
         }
         if member.phase == MemberPhase::Suspected {
             decisions.push(MembershipDecision::HostRecovered {
-                host: beat.host.clone(),
+                host: heartbeat.host.clone(),
             });
         }
-        take_in(member, beat, now);
+        apply_heartbeat(member, heartbeat, now);
         decisions
     }
 
@@ -157,9 +162,9 @@
 
     /// Lets time pass: judges silence and says whom to call.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipDecision> {
-        self.notice_pause(now);
+        self.detect_pause(now);
         let plan = self.exchange_plan();
-        let mut decisions = self.judge_silence(&plan, now);
+        let mut decisions = self.detect_silence(&plan, now);
         decisions.extend(self.remove_ended(now));
         decisions.extend(self.due_heartbeats(&plan, now));
         decisions
@@ -167,7 +172,7 @@
 
     /// A host that was paused heard nobody because it did not listen. Without
     /// this it would wake and count everyone else as unreachable.
-    fn notice_pause(&mut self, now: Instant) {
+    fn detect_pause(&mut self, now: Instant) {
         let pause = now.saturating_duration_since(self.last_tick);
         if pause >= self.settings.suspect_after / 2 {
             self.awake_since = now;
@@ -175,14 +180,14 @@
         self.last_tick = now;
     }
 
-    fn judge_silence(&mut self, plan: &ExchangePlan, now: Instant) -> Vec<MembershipDecision> {
+    fn detect_silence(&mut self, plan: &ExchangePlan, now: Instant) -> Vec<MembershipDecision> {
         let awake_since = self.awake_since;
         let own_zone = &self.settings.zone;
-        let least = self.settings.suspect_after;
+        let minimum = self.settings.suspect_after;
         let mut decisions = Vec::new();
         for member in self.members.values_mut() {
             let in_zone = member.zone == *own_zone;
-            let suspect_after = plan.suspect_after(least, in_zone);
+            let suspect_after = plan.suspect_after(minimum, in_zone);
             let silent = now.saturating_duration_since(member.silent_since(awake_since));
             let unanswered = member
                 .unanswered_since
@@ -192,7 +197,7 @@
             match member.phase {
                 MemberPhase::Suspected => {}
                 _ if silent < suspect_after => {}
-                _ if !expected => member.phase = MemberPhase::Unheard,
+                _ if !expected => member.phase = MemberPhase::Unknown,
                 _ => {
                     member.phase = MemberPhase::Suspected;
                     decisions.push(MembershipDecision::HostSuspected {
@@ -205,12 +210,13 @@
     }
 
     fn remove_ended(&mut self, now: Instant) -> Vec<MembershipDecision> {
-        let gone: Vec<_> = self
+        let ended: Vec<_> = self
             .members
             .values()
             .filter_map(|member| Some((member.host.clone(), self.removal_cause(member, now)?)))
             .collect();
-        gone.into_iter()
+        ended
+            .into_iter()
             .filter_map(|(host, cause)| {
                 let member = self.members.remove(&host)?;
                 Some(MembershipDecision::HostRemoved {
@@ -239,16 +245,16 @@
     }
 }
 
-fn take_in(member: &mut HostMember, beat: &PeerHeartbeat, now: Instant) {
-    member.sequence = beat.sequence;
-    member.zone = beat.zone.clone();
-    member.peer_address = beat.peer_address;
-    member.applied_offset = beat.applied_offset;
-    member.draining = beat.draining;
+fn apply_heartbeat(member: &mut HostMember, heartbeat: &PeerHeartbeat, now: Instant) {
+    member.sequence = heartbeat.sequence;
+    member.zone = heartbeat.zone.clone();
+    member.peer_address = heartbeat.peer_address;
+    member.applied_offset = heartbeat.applied_offset;
+    member.draining = heartbeat.draining;
     member.phase = MemberPhase::Live;
-    member.last_heard = Some(now);
+    member.last_contact = Some(now);
     member.unanswered_since = None;
-    if let Some(digest) = &beat.digest {
+    if let Some(digest) = &heartbeat.digest {
         member.digest = Some((digest.clone(), now));
     }
 }
--- a/src/membership/force_view.rs
+++ b/src/membership/force_view.rs
@@ -63,7 +63,7 @@
     /// The own zone is heard directly. Of another zone only a few hosts are
     /// heard; their digests speak for the others.
     pub fn force_view(&self, now: Instant) -> ForceView {
-        let oldest = self
+        let max_age = self
             .exchange_plan()
             .suspect_after(self.settings.suspect_after, false);
         let mut by_zone: BTreeMap<ZoneId, Vec<&HostMember>> = BTreeMap::new();
@@ -73,7 +73,7 @@
         by_zone.remove(&self.settings.zone);
         let mut zones: BTreeMap<_, _> = by_zone
             .into_iter()
-            .map(|(zone, members)| (zone, remote_force(&members, oldest, now)))
+            .map(|(zone, members)| (zone, remote_force(&members, max_age, now)))
             .collect();
         let own = zone_force(&[&self.digest()], self.silent_zone_members());
         zones.insert(self.settings.zone.clone(), own);
@@ -88,11 +88,11 @@
     }
 }
 
-fn remote_force(members: &[&HostMember], oldest: Duration, now: Instant) -> ZoneForce {
+fn remote_force(members: &[&HostMember], max_age: Duration, now: Instant) -> ZoneForce {
     let digests: Vec<_> = members
         .iter()
         .filter_map(|member| member.digest.as_ref())
-        .filter(|(_, heard)| now.saturating_duration_since(*heard) <= oldest)
+        .filter(|(_, received)| now.saturating_duration_since(*received) <= max_age)
         .map(|(digest, _)| digest)
         .collect();
     let named = match digests.is_empty() {
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -20,14 +20,14 @@
 
 /// Silence after which a host is forgotten. Hosts are replaced at other
 /// addresses, so that a table that only grows would be called for ever.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
+const FORGET_AFTER: Duration = Duration::from_secs(30);
 /// The same for the hosts of a zone of which none lives: regions lose each
 /// other for an hour now and then, and would not find each other again if the
 /// hosts that a start names have been replaced meanwhile.
-const LOST_ZONE_FORGOTTEN_AFTER: Duration = Duration::from_secs(2 * 3600);
+const LOST_ZONE_FORGET_AFTER: Duration = Duration::from_secs(2 * 3600);
 /// Hosts of a zone that other zones know: the one that speaks to them, and
 /// those that take over one after the other.
-const KNOWN_ELSEWHERE: usize = 4;
+const ADVERTISED_HOSTS: usize = 4;
 
 /// The other entry hosts that are known.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     first_seed_call: Option<Instant>,
     last_seed_call: Option<Instant>,
     last_probe: Option<Instant>,
-    remote_called: FastMap<ZoneId, Instant>,
+    last_remote_calls: FastMap<ZoneId, Instant>,
 }
 
 impl GossipTable {
@@ -74,7 +74,7 @@
             first_seed_call: None,
             last_seed_call: None,
             last_probe: None,
-            remote_called: FastMap::default(),
+            last_remote_calls: FastMap::default(),
         }
     }
 
@@ -98,13 +98,13 @@
         if overtaken {
             return false;
         }
-        self.observe_speaker(view, now);
+        self.observe_sender(view, now);
         self.observe_listing(view, now);
         self.observe_counts(view);
         true
     }
 
-    fn observe_speaker(&mut self, view: &HostView, now: Instant) {
+    fn observe_sender(&mut self, view: &HostView, now: Instant) {
         let listed = KnownHost {
             host: view.host.clone(),
             zone: view.zone.clone(),
@@ -117,10 +117,10 @@
         let own = self.incarnation;
         if let Some(member) = self.members.get_mut(&view.host) {
             member.sequence = view.sequence;
-            member.direct = Some(now);
+            member.direct_contact = Some(now);
             member.suspicion = None;
             if view.seen.incarnation == own {
-                member.told = view.seen;
+                member.acknowledged = view.seen;
             }
         }
     }
@@ -129,59 +129,59 @@
     /// missing in between.
     fn observe_listing(&mut self, view: &HostView, now: Instant) {
         let listing = &view.listing;
-        let known_to = self
+        let received_to = self
             .members
             .get(&view.host)
-            .map_or(0, |member| member.heard_to);
-        if listing.to == 0 || listing.from > known_to {
+            .map_or(0, |member| member.received_to);
+        if listing.to == 0 || listing.from > received_to {
             return;
         }
         if listing.from == 0 {
-            self.drop_vouched(&view.host);
+            self.remove_witness(&view.host);
         }
         for listed in &listing.hosts {
-            let vouches = view.zone == self.zone || listed.zone == view.zone;
-            let voucher = vouches.then_some(&view.host);
-            self.observe_listed(listed, voucher, now);
+            let is_witness = view.zone == self.zone || listed.zone == view.zone;
+            let witness = is_witness.then_some(&view.host);
+            self.observe_listed(listed, witness, now);
         }
         for member in self.members.values_mut() {
             member.renew_witness(&view.host, now);
         }
         if let Some(member) = self.members.get_mut(&view.host) {
-            member.heard_to = listing.to;
-            member.heard_scope = view.scope;
+            member.received_to = listing.to;
+            member.received_scope = view.scope;
         }
     }
 
-    fn drop_vouched(&mut self, voucher: &HostId) {
+    fn remove_witness(&mut self, witness: &HostId) {
         for member in self.members.values_mut() {
-            member.drop_witness(voucher);
+            member.drop_witness(witness);
         }
     }
 
-    fn observe_listed(&mut self, listed: &KnownHost, voucher: Option<&HostId>, now: Instant) {
-        let Some(heard) = now.checked_sub(listed.silent) else {
+    fn observe_listed(&mut self, listed: &KnownHost, witness: Option<&HostId>, now: Instant) {
+        let Some(last_contact) = now.checked_sub(listed.silent) else {
             return;
         };
-        if listed.host == self.host || listed.silent > LOST_ZONE_FORGOTTEN_AFTER {
+        if listed.host == self.host || listed.silent > LOST_ZONE_FORGET_AFTER {
             return;
         }
         let known = self.members.get(&listed.host);
-        let is_news = match known {
+        let is_changed = match known {
             Some(member) if member.incarnation > listed.incarnation => return,
-            Some(member) => !member.is_start(listed),
+            Some(member) => !member.is_same_start(listed),
             None => true,
         };
-        if is_news {
+        if is_changed {
             self.version += 1;
-            let member = GossipMember::new(listed, heard, self.version);
+            let member = GossipMember::new(listed, last_contact, self.version);
             self.members.insert(listed.host.clone(), member);
         }
         if let Some(member) = self.members.get_mut(&listed.host) {
-            member.listed = member.listed.max(heard);
-            match voucher {
-                Some(voucher) if listed.silent < DEAD_AFTER => member.add_witness(voucher, now),
-                Some(voucher) => member.drop_witness(voucher),
+            member.reported_contact = member.reported_contact.max(last_contact);
+            match witness {
+                Some(witness) if listed.silent < DEAD_AFTER => member.add_witness(witness, now),
+                Some(witness) => member.drop_witness(witness),
                 None => {}
             }
         }
@@ -220,39 +220,45 @@
             let live = self.ranked(&zone, now);
             let live = live.into_iter().map(|candidate| candidate.host);
             let live = live.filter(|host| *host != self.host);
-            let mut top = live.take(KNOWN_ELSEWHERE).collect::<Vec<_>>();
+            let mut top = live.take(ADVERTISED_HOSTS).collect::<Vec<_>>();
             let is_lost = top.is_empty();
             if is_lost {
-                top = self.last_heard(hosts.clone());
+                top = self.latest_contacts(hosts.clone());
             }
             for host in hosts {
-                let is_top = top.contains(&host);
-                let kept_for = match is_lost && is_top {
-                    true => LOST_ZONE_FORGOTTEN_AFTER,
-                    false => FORGOTTEN_AFTER,
+                let is_advertised = top.contains(&host);
+                let retention = match is_lost && is_advertised {
+                    true => LOST_ZONE_FORGET_AFTER,
+                    false => FORGET_AFTER,
                 };
-                self.sweep_member(&host, is_top, kept_for, now);
+                self.sweep_member(&host, is_advertised, retention, now);
             }
         }
     }
 
     /// The hosts of a zone without a live one that were heard last.
-    fn last_heard(&self, mut hosts: Vec<HostId>) -> Vec<HostId> {
-        let heard = |host: &HostId| self.members.get(host).map(GossipMember::heard);
-        hosts.sort_by_key(|host| std::cmp::Reverse(heard(host)));
-        hosts.truncate(KNOWN_ELSEWHERE);
+    fn latest_contacts(&self, mut hosts: Vec<HostId>) -> Vec<HostId> {
+        let last_contact = |host: &HostId| self.members.get(host).map(GossipMember::last_contact);
+        hosts.sort_by_key(|host| std::cmp::Reverse(last_contact(host)));
+        hosts.truncate(ADVERTISED_HOSTS);
         hosts
     }
 
-    fn sweep_member(&mut self, host: &HostId, is_top: bool, kept_for: Duration, now: Instant) {
+    fn sweep_member(
+        &mut self,
+        host: &HostId,
+        is_advertised: bool,
+        retention: Duration,
+        now: Instant,
+    ) {
         let Some(member) = self.members.get_mut(host) else {
             return;
         };
-        if now.saturating_duration_since(member.heard()) >= kept_for {
+        if now.saturating_duration_since(member.last_contact()) >= retention {
             self.members.remove(host);
-        } else if member.note_state(is_top, now) {
+        } else if member.record_state(is_advertised, now) {
             self.version += 1;
-            member.changed = self.version;
+            member.changed_version = self.version;
         }
     }
 }
--- a/src/membership/gossip/roles.rs
+++ b/src/membership/gossip/roles.rs
@@ -68,11 +68,11 @@
     }
 
     /// The first live hosts of this zone in the order of duties, up to this one
-    /// and at most `most`: the first reads the log, the next ones where it
+    /// and at most `limit`: the first reads the log, the next ones where it
     /// cannot.
-    pub fn leaders(&self, now: Instant, most: usize) -> Vec<(HostId, SocketAddr)> {
+    pub fn leaders(&self, now: Instant, limit: usize) -> Vec<(HostId, SocketAddr)> {
         let hosts = self.live_hosts(&self.zone, now).into_iter();
-        let before = hosts.take_while(|host| *host != self.host).take(most);
+        let before = hosts.take_while(|host| *host != self.host).take(limit);
         self.with_addresses(before)
     }
 
@@ -100,8 +100,12 @@
 
     /// Whether this host has been up for long enough to have heard of the others.
     fn has_joined(&self, now: Instant) -> bool {
-        let heard = self.members.values().any(|member| member.is_live(now));
-        let time = if heard { JOIN_TIME } else { LONE_JOIN_TIME };
+        let knows_others = self.members.values().any(|member| member.is_live(now));
+        let time = if knows_others {
+            JOIN_TIME
+        } else {
+            LONE_JOIN_TIME
+        };
         self.first_seed_call
             .is_some_and(|first| now >= first + time)
     }
@@ -136,9 +140,9 @@
             *counts.entry(&member.zone).or_default() += 1;
         }
         *counts.entry(&self.zone).or_default() += 1;
-        for (zone, told) in &self.counts {
+        for (zone, reported) in &self.counts {
             let count = counts.entry(zone).or_default();
-            *count = (*count).max(*told as usize);
+            *count = (*count).max(*reported as usize);
         }
         counts.values().sum()
     }
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -25,16 +25,16 @@
                 SeenListing::default(),
             );
         };
-        let scope = self.scope_to(&host, &member, now);
+        let scope = self.scope_for(&host, &member, now);
         let listing = match scope {
             // Whoever reports hears of others, and tells of itself alone.
             UseScope::Host | UseScope::Neighbours => HostListing::default(),
             UseScope::Group | UseScope::Zone => {
-                let from = listed_from(member.told, scope);
+                let from = listed_from(member.acknowledged, scope);
                 self.listing(&member.zone, from, scope, now)
             }
         };
-        self.view(scope, listing, seen_of(&member))
+        self.view(scope, listing, seen_listing(&member))
     }
 
     /// What to answer to a view that was taken in before.
@@ -51,15 +51,15 @@
         };
         let listing = self.listing(&view.zone, from, scope, now);
         let member = self.members.get(&view.host);
-        let seen = member.map_or_else(SeenListing::default, seen_of);
+        let seen = member.map_or_else(SeenListing::default, seen_listing);
         self.view(scope, listing, seen)
     }
 
-    fn scope_to(&self, host: &HostId, member: &GossipMember, now: Instant) -> UseScope {
+    fn scope_for(&self, host: &HostId, member: &GossipMember, now: Instant) -> UseScope {
         let aggregators = self.aggregators(now);
-        let speaks = aggregators.contains(&self.host);
+        let is_aggregator = aggregators.contains(&self.host);
         match member.zone == self.zone {
-            true if speaks && aggregators.contains(host) => UseScope::Group,
+            true if is_aggregator && aggregators.contains(host) => UseScope::Group,
             false if self.is_leader(now) => UseScope::Zone,
             _ => UseScope::Host,
         }
@@ -94,7 +94,7 @@
     /// to know them: all of its own zone, the first ones of each other one.
     fn listing(&self, zone: &str, from: u64, scope: UseScope, now: Instant) -> HostListing {
         let wanted = |member: &GossipMember| {
-            member.changed > from && (*member.zone == *zone || member.is_top())
+            member.changed_version > from && (*member.zone == *zone || member.is_advertised())
         };
         let listed = self.members.iter().filter(|(_, member)| wanted(member));
         let hosts = listed.map(|(host, member)| KnownHost {
@@ -103,7 +103,7 @@
             address: member.address,
             incarnation: member.incarnation,
             weight: member.weight,
-            silent: silence(member, scope, now),
+            silent: reported_silence(member, scope, now),
         });
         HostListing {
             from,
@@ -137,11 +137,11 @@
     }
 }
 
-fn seen_of(member: &GossipMember) -> SeenListing {
+fn seen_listing(member: &GossipMember) -> SeenListing {
     SeenListing {
         incarnation: member.incarnation,
-        to: member.heard_to,
-        scope: member.heard_scope,
+        to: member.received_to,
+        scope: member.received_scope,
     }
 }
 
@@ -156,9 +156,9 @@
 /// it is by now: a member that falls silent and is heard again before the next
 /// note changes nothing there, and a listener that was told of the silence in
 /// between would never hear of the end of it.
-fn silence(member: &GossipMember, scope: UseScope, now: Instant) -> Duration {
-    let silent = now.saturating_duration_since(member.heard());
-    match member.is_told_live(scope == UseScope::Group) {
+fn reported_silence(member: &GossipMember, scope: UseScope, now: Instant) -> Duration {
+    let silent = now.saturating_duration_since(member.last_contact());
+    match member.is_recorded_live(scope == UseScope::Group) {
         true => silent.min(DEAD_AFTER - Duration::from_millis(1)),
         false => silent.max(DEAD_AFTER),
     }
--- a/src/membership/gossip_member.rs
+++ b/src/membership/gossip_member.rs
@@ -16,7 +16,7 @@
 const FIRST_SUSPICION: Duration = Duration::from_secs(2);
 /// Doublings of that time while calls go on failing: a host that hears others
 /// but is not reached by this one would cost a late report each time.
-const MOST_SUSPICION_DOUBLINGS: u32 = 3;
+const MAX_SUSPICION_DOUBLINGS: u32 = 3;
 
 /// Word of another host that a member lives, which holds for as long as that
 /// host is heard and does not take it back.
@@ -34,14 +34,14 @@
 }
 
 /// Hosts whose word on a member is kept: more than a zone has speakers.
-const MOST_VOUCHERS: usize = 16;
+const MAX_WITNESSES: usize = 16;
 
 /// How a member stood when that was last noted; others hear of changes of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-struct NotedState {
+struct RecordedState {
     is_live: bool,
     is_direct: bool,
-    is_top: bool,
+    is_advertised: bool,
 }
 
 /// Another entry host.
@@ -58,74 +58,75 @@
     /// Sequence number of its last view.
     pub(super) sequence: u64,
     /// When it was last heard by this host itself.
-    pub(super) direct: Option<Instant>,
+    pub(super) direct_contact: Option<Instant>,
     /// When it was last heard by anyone, as lists told.
-    pub(super) listed: Instant,
+    pub(super) reported_contact: Instant,
     /// Hosts that say that it lives. Several may at once: with the last one only,
     /// a speaker that takes its word back would undo that of another one.
-    vouchers: Vec<MemberWitness>,
+    witnesses: Vec<MemberWitness>,
     pub(super) suspicion: Option<MemberSuspicion>,
     /// When it was last called.
-    pub(super) called: Option<Instant>,
+    pub(super) last_call: Option<Instant>,
     /// Version of this host's table at its last change.
-    pub(super) changed: u64,
+    pub(super) changed_version: u64,
     /// Version of its own table up to which its lists were taken in.
-    pub(super) heard_to: u64,
+    pub(super) received_to: u64,
     /// Scope of the view that held the last one.
-    pub(super) heard_scope: UseScope,
+    pub(super) received_scope: UseScope,
     /// Up to where it has taken in the lists of this host.
-    pub(super) told: SeenListing,
-    noted: NotedState,
+    pub(super) acknowledged: SeenListing,
+    recorded: RecordedState,
 }
 
 impl GossipMember {
     /// A member as listed, heard of for the first time.
-    pub(super) fn new(listed: &KnownHost, heard: Instant, version: u64) -> Self {
+    pub(super) fn new(listed: &KnownHost, last_contact: Instant, version: u64) -> Self {
         Self {
             zone: listed.zone.clone(),
             address: listed.address,
             incarnation: listed.incarnation,
             weight: listed.weight,
             sequence: 0,
-            direct: None,
-            listed: heard,
-            vouchers: Vec::new(),
+            direct_contact: None,
+            reported_contact: last_contact,
+            witnesses: Vec::new(),
             suspicion: None,
-            called: None,
-            changed: version,
-            heard_to: 0,
-            heard_scope: UseScope::default(),
-            told: SeenListing::default(),
-            noted: NotedState::default(),
+            last_call: None,
+            changed_version: version,
+            received_to: 0,
+            received_scope: UseScope::default(),
+            acknowledged: SeenListing::default(),
+            recorded: RecordedState::default(),
         }
     }
 
     /// Whether the member is the start of the host that is listed.
-    pub(super) fn is_start(&self, listed: &KnownHost) -> bool {
+    pub(super) fn is_same_start(&self, listed: &KnownHost) -> bool {
         (self.incarnation, self.address, self.weight)
             == (listed.incarnation, listed.address, listed.weight)
     }
 
     /// When it was last heard, by whomever.
-    pub fn heard(&self) -> Instant {
-        let vouched = self.vouchers.iter().map(|voucher| voucher.at);
-        let evidence = vouched.chain(self.direct);
-        evidence.fold(self.listed, Instant::max)
+    pub fn last_contact(&self) -> Instant {
+        let witnessed = self.witnesses.iter().map(|witness| witness.at);
+        let contacts = witnessed.chain(self.direct_contact);
+        contacts.fold(self.reported_contact, Instant::max)
     }
 
     /// Whether it counts as live.
     pub fn is_live(&self, now: Instant) -> bool {
-        now < self.heard() + DEAD_AFTER
+        now < self.last_contact() + DEAD_AFTER
     }
 
     /// Whether this host has heard it itself lately.
     pub(super) fn is_direct(&self, now: Instant) -> bool {
-        self.was_heard_within(DEAD_AFTER, now)
+        self.had_contact_within(DEAD_AFTER, now)
     }
 
     /// Whether this host has heard it itself within a time.
-    pub(super) fn was_heard_within(&self, limit: Duration, now: Instant) -> bool {
-        self.direct.is_some_and(|heard| now < heard + limit)
+    pub(super) fn had_contact_within(&self, limit: Duration, now: Instant) -> bool {
+        self.direct_contact
+            .is_some_and(|last_contact| now < last_contact + limit)
     }
 
     /// Whether calls to it failed a moment ago.
@@ -137,7 +138,7 @@
     /// A call to it failed.
     pub(super) fn suspect(&mut self, now: Instant) {
         let failures = self.suspicion.map_or(0, |suspicion| suspicion.failures);
-        let doublings = failures.min(MOST_SUSPICION_DOUBLINGS);
+        let doublings = failures.min(MAX_SUSPICION_DOUBLINGS);
         self.suspicion = Some(MemberSuspicion {
             until: now + FIRST_SUSPICION * 2_u32.pow(doublings),
             failures: failures + 1,
@@ -147,11 +148,11 @@
     /// A host says that it lives, and will say when it does no more.
     pub(super) fn add_witness(&mut self, host: &HostId, now: Instant) {
         self.drop_witness(host);
-        let at_most = MOST_VOUCHERS - 1;
-        let excess = self.vouchers.len().saturating_sub(at_most);
+        let max_kept = MAX_WITNESSES - 1;
+        let excess = self.witnesses.len().saturating_sub(max_kept);
         // In the order in which they were given: the first ones are oldest.
-        self.vouchers.drain(..excess);
-        self.vouchers.push(MemberWitness {
+        self.witnesses.drain(..excess);
+        self.witnesses.push(MemberWitness {
             host: host.clone(),
             at: now,
         });
@@ -159,26 +160,26 @@
 
     /// A host that vouches for it was heard again.
     pub(super) fn renew_witness(&mut self, host: &HostId, now: Instant) {
-        let mut vouchers = self.vouchers.iter_mut();
-        if let Some(voucher) = vouchers.find(|voucher| voucher.host == *host) {
-            voucher.at = now;
+        let mut witnesses = self.witnesses.iter_mut();
+        if let Some(witness) = witnesses.find(|witness| witness.host == *host) {
+            witness.at = now;
         }
     }
 
     /// A host no longer vouches for it.
     pub(super) fn drop_witness(&mut self, host: &HostId) {
-        self.vouchers.retain(|voucher| voucher.host != *host);
+        self.witnesses.retain(|witness| witness.host != *host);
     }
 
     /// Whether it was live when that was last noted, by the word of anybody or as
     /// heard by this host itself.
-    pub(super) fn is_told_live(&self, by_itself: bool) -> bool {
-        self.noted.is_live && (self.noted.is_direct || !by_itself)
+    pub(super) fn is_recorded_live(&self, by_itself: bool) -> bool {
+        self.recorded.is_live && (self.recorded.is_direct || !by_itself)
     }
 
     /// Whether hosts of other zones hear of it.
-    pub(super) fn is_top(&self) -> bool {
-        self.noted.is_top
+    pub(super) fn is_advertised(&self) -> bool {
+        self.recorded.is_advertised
     }
 
     /// Takes down how it stands now; says whether others have to hear of it.
@@ -186,13 +187,13 @@
     /// Who was ever told of elsewhere stays so: hosts of a zone that is lost as a
     /// whole fall out of its first ones as they die, and whoever had heard of
     /// them would not hear of that.
-    pub(super) fn note_state(&mut self, is_top: bool, now: Instant) -> bool {
-        let is_top = is_top || self.noted.is_top;
-        let state = NotedState {
+    pub(super) fn record_state(&mut self, is_advertised: bool, now: Instant) -> bool {
+        let is_advertised = is_advertised || self.recorded.is_advertised;
+        let state = RecordedState {
             is_live: self.is_live(now),
             is_direct: self.is_direct(now),
-            is_top,
+            is_advertised,
         };
-        std::mem::replace(&mut self.noted, state) != state
+        std::mem::replace(&mut self.recorded, state) != state
     }
 }
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberPhase {
     /// Known by name; nothing has been heard from it.
-    Unheard,
+    Unknown,
     /// Heard lately.
     Live,
     /// Silent for too long.
@@ -45,7 +45,7 @@
     pub phase: MemberPhase,
     pub(super) was_listed: bool,
     pub(super) known_since: Instant,
-    pub(super) last_heard: Option<Instant>,
+    pub(super) last_contact: Option<Instant>,
     pub(super) last_sent: Option<Instant>,
     /// First call since the last word from the host.
     pub(super) unanswered_since: Option<Instant>,
@@ -76,10 +76,10 @@
             applied_offset: 0,
             draining: false,
             listed: None,
-            phase: MemberPhase::Unheard,
+            phase: MemberPhase::Unknown,
             was_listed: false,
             known_since: now,
-            last_heard: None,
+            last_contact: None,
             last_sent: None,
             unanswered_since: None,
             sequence: 0,
@@ -90,7 +90,9 @@
 
     /// When the silence of this host began, for a listener awake since `awake_since`.
     pub(super) fn silent_since(&self, awake_since: Instant) -> Instant {
-        self.last_heard.unwrap_or(self.known_since).max(awake_since)
+        self.last_contact
+            .unwrap_or(self.known_since)
+            .max(awake_since)
     }
 
     pub(super) fn has_ended(&self, incarnation: IncarnationId) -> bool {
@@ -117,10 +119,10 @@
 
 /// Which of the two hosts of a pair calls, spread evenly over the pairs.
 fn calls_first(own: &HostId, other: &HostId) -> bool {
-    let (low, high) = match own < other {
+    let (lower, higher) = match own < other {
         true => (own, other),
         false => (other, own),
     };
-    let low_calls = rendezvous_score(0, low, high).is_multiple_of(2);
-    low_calls == (own == low)
+    let lower_calls = rendezvous_score(0, lower, higher).is_multiple_of(2);
+    lower_calls == (own == lower)
 }
--- a/src/membership/queries.rs
+++ b/src/membership/queries.rs
@@ -7,7 +7,7 @@
 use crate::peer::{PeerHeartbeat, PeerLoad, ZoneDigest};
 
 /// Unreachable hosts named in a digest; the others are only counted.
-const NAMED_UNREACHABLE: usize = 8;
+const MAX_NAMED_UNREACHABLE: usize = 8;
 
 impl MembershipTable {
     /// This host's identity and times.
@@ -103,7 +103,10 @@
             lowest_applied_offset,
             slowest_host: slowest_host.clone(),
             unreachable_count: count(unreachable.len()),
-            unreachable: unreachable.into_iter().take(NAMED_UNREACHABLE).collect(),
+            unreachable: unreachable
+                .into_iter()
+                .take(MAX_NAMED_UNREACHABLE)
+                .collect(),
         }
     }
 
--- a/src/membership/role.rs
+++ b/src/membership/role.rs
@@ -8,10 +8,10 @@
 /// times a second. The busiest speaker of a zone of 80 hosts and 40 engines has
 /// 315 KB a second in both directions, an eighth of a link of 20 Mbit/s (400 hosts
 /// played in memory); its processor time was not measured.
-const HOSTS_PER_SPEAKER: usize = 24;
+const HOSTS_PER_AGGREGATOR: usize = 24;
 /// Up to how many hosts speak where fewer could serve all. Speakers tell each
 /// other what they hear in one step, so that a zone of four hosts has no detour.
-const FEW_SPEAKERS: usize = 4;
+const PREFERRED_AGGREGATORS: usize = 4;
 /// Thousandths of a core that count as much as one Mbit/s of a link. Not measured:
 /// chosen so that a host with an eighth of a core and 20 Mbit/s is taken for what
 /// its processor is, and one with half a core and 10 Mbit/s for what its link is.
@@ -40,9 +40,9 @@
 /// core read the log, planned and spoke for a zone of 39 hosts, next to three
 /// that had four times as much.
 pub fn rank_hosts(candidates: &mut [RoleCandidate]) {
-    candidates.sort_by(|one, other| {
-        let weight = Reverse(one.weight).cmp(&Reverse(other.weight));
-        weight.then_with(|| one.host.cmp(&other.host))
+    candidates.sort_by(|left, right| {
+        let weight = Reverse(left.weight).cmp(&Reverse(right.weight));
+        weight.then_with(|| left.host.cmp(&right.host))
     });
 }
 
@@ -52,9 +52,9 @@
     let Some(first) = ranked.first() else {
         return 0;
     };
-    let equal = ranked.iter();
-    let equal = equal.take_while(|candidate| candidate.weight == first.weight);
-    let least = ranked.len().div_ceil(HOSTS_PER_SPEAKER);
-    let most = least.max(FEW_SPEAKERS);
-    equal.count().clamp(least, most).min(ranked.len())
+    let heaviest = ranked.iter();
+    let heaviest = heaviest.take_while(|candidate| candidate.weight == first.weight);
+    let lower = ranked.len().div_ceil(HOSTS_PER_AGGREGATOR);
+    let upper = lower.max(PREFERRED_AGGREGATORS);
+    heaviest.count().clamp(lower, upper).min(ranked.len())
 }
--- a/src/membership/rotation.rs
+++ b/src/membership/rotation.rs
@@ -25,7 +25,7 @@
     pub(super) declared: bool,
     pub(super) listed: bool,
     refused_at: Option<Instant>,
-    told_by: BTreeMap<HostId, Instant>,
+    reported_by: BTreeMap<HostId, Instant>,
 }
 
 impl LeavingSignals {
@@ -50,25 +50,25 @@
         }
     }
 
-    pub(super) fn observe_told(&mut self, by: &HostId, leaving: bool, now: Instant) {
+    pub(super) fn observe_peer_report(&mut self, by: &HostId, leaving: bool, now: Instant) {
         match leaving {
-            true => self.told_by.insert(by.clone(), now),
-            false => self.told_by.remove(by),
+            true => self.reported_by.insert(by.clone(), now),
+            false => self.reported_by.remove(by),
         };
     }
 
     /// The strongest reason, if there is one.
     ///
-    /// A word that is not repeated lapses after `lapse`.
-    pub(super) fn reason(&self, lapse: Duration, now: Instant) -> Option<RotationReason> {
-        let is_told = || {
-            self.told_by
+    /// A word that is not repeated lapses after `expiry`.
+    pub(super) fn reason(&self, expiry: Duration, now: Instant) -> Option<RotationReason> {
+        let is_reported = || {
+            self.reported_by
                 .values()
-                .any(|told| now.saturating_duration_since(*told) < lapse)
+                .any(|reported_at| now.saturating_duration_since(*reported_at) < expiry)
         };
-        match self.first_hand(lapse, now) {
+        match self.direct_reason(expiry, now) {
             Some(reason) => Some(reason),
-            None if is_told() => Some(RotationReason::Reported),
+            None if is_reported() => Some(RotationReason::Reported),
             None => None,
         }
     }
@@ -81,10 +81,10 @@
     /// Where no host polls the target, nothing takes its refusal back, and a
     /// target that has returned would stay idle for ever. So a refusal that
     /// no newer one confirms lapses; the next one brings the sign back.
-    pub(super) fn first_hand(&self, lapse: Duration, now: Instant) -> Option<RotationReason> {
+    pub(super) fn direct_reason(&self, expiry: Duration, now: Instant) -> Option<RotationReason> {
         let refused = self
             .refused_at
-            .filter(|refused| now.saturating_duration_since(*refused) < lapse);
+            .filter(|refused| now.saturating_duration_since(*refused) < expiry);
         match refused {
             _ if self.declared => Some(RotationReason::Declared),
             _ if self.listed => Some(RotationReason::Listed),
--- a/src/membership/schedule.rs
+++ b/src/membership/schedule.rs
@@ -28,12 +28,12 @@
 
 impl ExchangePlan {
     /// Silence after which a host counts as unreachable.
-    pub(super) fn suspect_after(&self, least: Duration, in_zone: bool) -> Duration {
+    pub(super) fn suspect_after(&self, minimum: Duration, in_zone: bool) -> Duration {
         let interval = match in_zone {
             true => self.zone_interval,
             false => self.remote_interval,
         };
-        least.max(interval * SILENT_ROUNDS)
+        minimum.max(interval * SILENT_ROUNDS)
     }
 }
 
@@ -42,8 +42,8 @@
     pub(super) fn exchange_plan(&self) -> ExchangePlan {
         let chosen = self.chosen_remote_hosts();
         let settings = &self.settings;
-        let stretched = |pace: Duration, hosts: usize, least: Duration| {
-            least.max(pace.saturating_mul(u32::try_from(hosts).unwrap_or(u32::MAX)))
+        let stretched = |pace: Duration, hosts: usize, minimum: Duration| {
+            minimum.max(pace.saturating_mul(u32::try_from(hosts).unwrap_or(u32::MAX)))
         };
         let neighbours = self.zone_members().count();
         ExchangePlan {
@@ -95,7 +95,7 @@
             // other calls only if it is not called. That halves the calls.
             true if member.is_called => (member.last_sent, plan.zone_interval),
             true => (
-                member.last_sent.max(member.last_heard),
+                member.last_sent.max(member.last_contact),
                 plan.zone_interval * WAITING_ROUNDS,
             ),
             false if plan.chosen.contains(&member.host) => (member.last_sent, plan.remote_interval),
--- a/src/membership/settings.rs
+++ b/src/membership/settings.rs
@@ -78,7 +78,7 @@
     /// lapses, unless it is repeated.
     pub leaving_expiry: Duration,
     /// Age above which a load is not passed on.
-    pub oldest_load: Duration,
+    pub max_load_age: Duration,
 }
 
 impl WatchSettings {
@@ -90,7 +90,7 @@
             watchers: 2,
             remote_loads: 8,
             leaving_expiry: Duration::from_secs(30),
-            oldest_load: Duration::from_secs(30),
+            max_load_age: Duration::from_secs(30),
         }
     }
 }
--- a/src/membership/target_watch.rs
+++ b/src/membership/target_watch.rs
@@ -36,8 +36,8 @@
 pub(super) struct WatchedTarget {
     pub(super) zone: ZoneId,
     pub(super) load_sample: Option<LoadSample>,
-    pub(super) signs: LeavingSignals,
-    pub(super) passed_on: u64,
+    pub(super) signals: LeavingSignals,
+    pub(super) forwarded_round: u64,
 }
 
 /// The targets of the system, as this host knows them.
@@ -77,18 +77,18 @@
     pub fn set_declared(&mut self, declared: &[DeclaredTarget]) {
         let names: BTreeSet<_> = declared.iter().map(|target| &target.target).collect();
         self.targets.retain(|name, _| names.contains(name));
-        for one in declared {
+        for declaration in declared {
             let target = self
                 .targets
-                .entry(one.target.clone())
+                .entry(declaration.target.clone())
                 .or_insert_with(|| WatchedTarget {
-                    zone: one.zone.clone(),
+                    zone: declaration.zone.clone(),
                     load_sample: None,
-                    signs: LeavingSignals::default(),
-                    passed_on: 0,
+                    signals: LeavingSignals::default(),
+                    forwarded_round: 0,
                 });
-            target.zone = one.zone.clone();
-            target.signs.declared = one.draining;
+            target.zone = declaration.zone.clone();
+            target.signals.declared = declaration.draining;
         }
         self.assign();
     }
@@ -123,7 +123,7 @@
     pub fn observe_host_list(&mut self, list: &HostList) {
         for listed in &list.targets {
             if let Some(target) = self.targets.get_mut(&listed.target) {
-                target.signs.observe_listed(listed.phase);
+                target.signals.observe_listed(listed.phase);
             }
         }
     }
@@ -135,19 +135,19 @@
             return;
         };
         let age = std::time::Duration::from_millis(report.age_ms);
-        target.sight(LoadSample {
+        target.update_sample(LoadSample {
             running: report.running,
             waiting: report.waiting,
             tokens_per_second: report.tokens_per_second,
             measured_at: now.checked_sub(age).unwrap_or(now),
         });
-        target.signs.observe_reading(leaving, now);
+        target.signals.observe_reading(leaving, now);
     }
 
     /// Takes in that a target refused work because it is leaving.
     pub fn observe_refusal(&mut self, target: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.signs.observe_refusal(now);
+            target.signals.observe_refusal(now);
         }
     }
 
@@ -158,15 +158,15 @@
                 continue;
             };
             let measured_at = now.checked_sub(load.age).unwrap_or(now);
-            target.sight(LoadSample {
+            target.update_sample(LoadSample {
                 running: load.running,
                 waiting: load.waiting,
                 tokens_per_second: load.tokens_per_second,
                 measured_at,
             });
-            target.signs.observe_told(by, load.leaving, now);
+            target.signals.observe_peer_report(by, load.leaving, now);
             if !load.leaving {
-                target.signs.observe_reading(false, measured_at);
+                target.signals.observe_reading(false, measured_at);
             }
         }
     }
@@ -175,7 +175,7 @@
 impl WatchedTarget {
     /// Keeps the newer of two sightings: two watchers report the same target
     /// and their heartbeats cross.
-    fn sight(&mut self, load_sample: LoadSample) {
+    fn update_sample(&mut self, load_sample: LoadSample) {
         let is_newer = self
             .load_sample
             .is_none_or(|known| known.measured_at <= load_sample.measured_at);
--- a/src/membership/watch_queries.rs
+++ b/src/membership/watch_queries.rs
@@ -21,7 +21,7 @@
     /// Why a target takes no new work; `None` if it does.
     pub fn out_of_rotation(&self, target: &str, now: Instant) -> Option<RotationReason> {
         let target = self.targets.get(target)?;
-        target.signs.reason(self.settings.leaving_expiry, now)
+        target.signals.reason(self.settings.leaving_expiry, now)
     }
 
     /// Loads for hosts of this zone: targets that this host polls, and any
@@ -30,9 +30,11 @@
         self.targets
             .iter()
             .filter_map(|(name, target)| {
-                let reason = target.signs.first_hand(self.settings.leaving_expiry, now);
-                let is_passed_on = self.watched.contains(name) || reason.is_some();
-                is_passed_on
+                let reason = target
+                    .signals
+                    .direct_reason(self.settings.leaving_expiry, now);
+                let is_forwarded = self.watched.contains(name) || reason.is_some();
+                is_forwarded
                     .then(|| self.load(name, target, reason.is_some(), now))
                     .flatten()
             })
@@ -52,10 +54,10 @@
             .targets
             .iter()
             .filter(|(_, target)| target.zone == self.settings.zone)
-            .map(|(name, target)| (target.passed_on, name.clone()))
+            .map(|(name, target)| (target.forwarded_round, name.clone()))
             .collect();
         waiting.sort_unstable();
-        let mut loads = self.leaving_elsewhere(now);
+        let mut loads = self.remote_leaving_loads(now);
         for (_, name) in waiting {
             if loads.len() >= self.settings.remote_loads {
                 break;
@@ -64,12 +66,12 @@
                 continue;
             };
             let leaving = target
-                .signs
+                .signals
                 .reason(self.settings.leaving_expiry, now)
                 .is_some();
             loads.extend(self.load(&name, target, leaving, now));
             if let Some(target) = self.targets.get_mut(&name) {
-                target.passed_on = self.remote_rounds;
+                target.forwarded_round = self.remote_rounds;
             }
         }
         loads
@@ -80,12 +82,12 @@
     /// A zone cut off from the platform does not see the list any more. Unless
     /// it is told, its hosts go on giving work to targets that the platform
     /// takes away; their own zone's are not among this host's.
-    fn leaving_elsewhere(&self, now: Instant) -> Vec<PeerLoad> {
-        let lapse = self.settings.leaving_expiry;
+    fn remote_leaving_loads(&self, now: Instant) -> Vec<PeerLoad> {
+        let expiry = self.settings.leaving_expiry;
         self.targets
             .iter()
             .filter(|(_, target)| target.zone != self.settings.zone)
-            .filter(|(_, target)| target.signs.first_hand(lapse, now).is_some())
+            .filter(|(_, target)| target.signals.direct_reason(expiry, now).is_some())
             .filter_map(|(name, target)| self.load(name, target, true, now))
             .collect()
     }
@@ -97,7 +99,7 @@
         leaving: bool,
         now: Instant,
     ) -> Option<PeerLoad> {
-        let oldest = self.settings.oldest_load;
+        let max_age = self.settings.max_load_age;
         let fresh = target
             .load_sample
             .map(|load_sample| {
@@ -106,7 +108,7 @@
                     now.saturating_duration_since(load_sample.measured_at),
                 )
             })
-            .filter(|(_, age)| *age <= oldest);
+            .filter(|(_, age)| *age <= max_age);
         match fresh {
             Some((load_sample, age)) => Some(PeerLoad {
                 target: name.clone(),
@@ -123,7 +125,7 @@
                 running: 0,
                 waiting: 0,
                 tokens_per_second: 0.0,
-                age: oldest,
+                age: max_age,
                 leaving,
             }),
             None => None,
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -199,7 +199,7 @@
         for name in names.iter().filter(|name| zone_of(name) == "z0") {
             if table
                 .member(name)
-                .is_some_and(|member| member.phase == MemberPhase::Unheard)
+                .is_some_and(|member| member.phase == MemberPhase::Unknown)
             {
                 table.observe_heartbeat(&beat(name, 1, u64::from(step), 0), now);
             }
