--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,9 +1,8 @@
-//! The hosts of the system and the targets that they watch, as one host knows
-//! them.
+//! Membership of hosts and monitoring of targets, as seen by one host.
 //!
-//! Every host exchanges heartbeats with all others of its availability zone
-//! and with a few of each other zone. The tables here decide whom to call,
-//! whom to count as live and which targets take new work; they do no I/O.
+//! Every host exchanges heartbeats with all other hosts of its availability zone and with
+//! a few hosts of each other zone. The tables of this module decide which hosts to call,
+//! which hosts count as live and which targets take new work. They do no I/O.
 
 mod commands;
 mod decision;
--- a/src/membership/commands.rs
+++ b/src/membership/commands.rs
@@ -12,23 +12,24 @@
 use crate::platform::wire::{HostList, ListedHost};
 
 impl MembershipTable {
-    /// Sets what this host says about itself.
+    /// Sets the applied offset that this host reports in its heartbeats.
     pub fn set_applied_offset(&mut self, applied_offset: LogOffset) {
         self.applied_offset = applied_offset;
     }
 
-    /// Sets whether this host accepts nothing new.
+    /// Sets whether this host reports that it accepts no new work.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Sets which host holds the lease on the zone's shares: demands travel
-    /// in calls to it and grants in its answers, so it is always called.
+    /// Sets which host holds the lease on the zone's shares. That host is always called,
+    /// because calls to it carry demands and its replies carry grants.
     pub fn set_share_holder(&mut self, holder: Option<HostId>) {
         self.share_holder = holder;
     }
 
-    /// Adds a host named in the settings, for a start without the platform.
+    /// Adds a host named in the settings, so that a start does not depend on the
+    /// platform.
     pub fn observe_known_host(
         &mut self,
         host: HostId,
@@ -44,10 +45,10 @@
         });
     }
 
-    /// Takes in what a host says about itself, in a call or in an answer.
+    /// Processes a heartbeat that arrived in a call or in a reply.
     ///
-    /// A statement of an incarnation that has ended, or one overtaken by a
-    /// later statement, changes nothing.
+    /// A heartbeat of an ended incarnation, or one older than the last one received,
+    /// changes nothing.
     pub fn observe_heartbeat(
         &mut self,
         heartbeat: &PeerHeartbeat,
@@ -73,9 +74,9 @@
             });
         let silence = now.saturating_duration_since(member.silent_since(awake_since));
         match member.incarnation {
-            // A process that was frozen while its host was replaced wakes up
-            // and goes on talking. Its words are dropped, else the newer
-            // incarnation's offset and grants would be overwritten by old ones.
+            // A process that was frozen while its host was replaced resumes sending
+            // heartbeats when it wakes. They are dropped, because they would overwrite
+            // the offset and the grants of the newer incarnation with old ones.
             _ if member.has_ended(heartbeat.incarnation) => return decisions,
             Some(current)
                 if current == heartbeat.incarnation && heartbeat.sequence <= member.sequence =>
@@ -83,9 +84,9 @@
                 return decisions;
             }
             Some(current) if current == heartbeat.incarnation => {}
-            // Incarnations grow with the clock of the host. A clock set back
-            // gives a lower number, which is believed only after the higher
-            // one has been silent for long.
+            // Incarnations grow with the clock of the host. After the clock is set back,
+            // the lower incarnation is accepted only once the higher one has been silent
+            // for `remove_after`.
             Some(current) if heartbeat.incarnation < current && silence < remove_after => {
                 return decisions;
             }
@@ -112,10 +113,10 @@
         decisions
     }
 
-    /// Takes in the platform's list.
+    /// Processes the platform's list of hosts.
     ///
-    /// An empty list is taken for a fault of the platform and ignored: it
-    /// would mark every host as delisted at once.
+    /// An empty list is ignored as a fault of the platform, because it would mark every
+    /// host as delisted at once.
     pub fn observe_host_list(&mut self, list: &HostList, now: Instant) {
         if list.hosts.is_empty() {
             return;
@@ -132,7 +133,7 @@
     fn observe_listed_host(&mut self, listed: &ListedHost, now: Instant) {
         let Ok(address) = listed.peer_address.parse() else {
             log::warn!(
-                "the platform lists {} without a usable address",
+                "the platform's list has no usable peer address for host {}",
                 listed.host
             );
             return;
@@ -154,13 +155,13 @@
             });
         member.listed = Some(listed.phase);
         member.was_listed = true;
-        // The host's own word on its address is newer than the list.
+        // The address that a live host reports itself is newer than the list.
         if member.phase != MemberPhase::Live {
             member.peer_address = address;
         }
     }
 
-    /// Lets time pass: judges silence and says whom to call.
+    /// Detects silent hosts, removes ended ones and returns the heartbeats that are due.
     pub fn tick(&mut self, now: Instant) -> Vec<MembershipDecision> {
         self.detect_pause(now);
         let plan = self.exchange_plan();
@@ -170,8 +171,8 @@
         decisions
     }
 
-    /// A host that was paused heard nobody because it did not listen. Without
-    /// this it would wake and count everyone else as unreachable.
+    /// Restarts the silence timeouts after a pause of this process. It received nothing
+    /// while it was paused, and would otherwise count every other host as unreachable.
     fn detect_pause(&mut self, now: Instant) {
         let pause = now.saturating_duration_since(self.last_tick);
         if pause >= self.settings.suspect_after / 2 {
@@ -192,7 +193,7 @@
             let unanswered = member
                 .unanswered_since
                 .is_some_and(|since| now.saturating_duration_since(since) >= suspect_after);
-            // Nothing is expected from a host of another zone that was not called.
+            // A host of another zone is only expected to reply to calls.
             let expected = in_zone || unanswered;
             match member.phase {
                 MemberPhase::Suspected => {}
@@ -228,9 +229,11 @@
             .collect()
     }
 
-    /// Silence alone never makes a host gone: it may be cut off from here and
-    /// serve callers under its last grant. Only the platform's word ends it,
-    /// and only a list fetched after the silence had begun.
+    /// Returns why a member is to be removed, if it is.
+    ///
+    /// Silence alone never removes a host, because it may be partitioned from this host
+    /// and still serve callers under its last grant. Only the platform's list removes it,
+    /// and only a list fetched after the silence began.
     fn removal_cause(&self, member: &HostMember, now: Instant) -> Option<RemovalCause> {
         let silent_since = member.silent_since(self.awake_since);
         let silence = now.saturating_duration_since(silent_since);
--- a/src/membership/decision.rs
+++ b/src/membership/decision.rs
@@ -1,4 +1,4 @@
-//! What membership decides.
+//! Results of membership events.
 
 use std::net::SocketAddr;
 
@@ -7,27 +7,27 @@
 /// Why an incarnation counts as ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RemovalCause {
-    /// Another incarnation of the same host has been heard.
+    /// A heartbeat of another incarnation of the same host was received.
     Replaced,
-    /// The platform no longer lists the host and nothing is heard from it.
+    /// The platform no longer lists the host, and the host is silent.
     Delisted,
-    /// It was never listed and has been silent for very long.
+    /// The host was never listed and has been silent for `forget_after`.
     Forgotten,
 }
 
-/// Something to do, or a change that others should know of.
+/// An action to execute or a change of membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipDecision {
     /// Send a heartbeat.
     SendHeartbeat {
         /// Host to call.
         to: HostId,
-        /// Where it listens.
+        /// Address on which the host listens to peers.
         address: SocketAddr,
-        /// Whether it stands in another zone and is to be told a digest.
+        /// Whether the host is in another zone, so that the heartbeat carries a digest.
         remote: bool,
     },
-    /// An incarnation was heard for the first time.
+    /// The first heartbeat of an incarnation was received.
     HostJoined {
         /// The host.
         host: HostId,
@@ -36,23 +36,23 @@
         /// The incarnation.
         incarnation: IncarnationId,
     },
-    /// A host that should be heard is silent.
+    /// A host whose heartbeats are expected is silent.
     HostSuspected {
         /// The host.
         host: HostId,
     },
-    /// A suspected host is heard again.
+    /// A suspected host sends heartbeats again.
     HostRecovered {
         /// The host.
         host: HostId,
     },
-    /// An incarnation has ended for good.
+    /// An incarnation has ended permanently.
     HostRemoved {
         /// The host.
         host: HostId,
-        /// The incarnation, if one was ever heard.
+        /// The incarnation, if a heartbeat of the host was ever received.
         incarnation: Option<IncarnationId>,
-        /// Why.
+        /// Why it ended.
         cause: RemovalCause,
     },
 }
--- a/src/membership/force_view.rs
+++ b/src/membership/force_view.rs
@@ -1,4 +1,4 @@
-//! From which offset on the configuration is in force everywhere.
+//! Computes up to which offset the configuration is in effect in all zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -8,33 +8,33 @@
 use crate::ids::{HostId, LogOffset, ZoneId};
 use crate::peer::ZoneDigest;
 
-/// What is known of one zone.
+/// Configuration progress of one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneForce {
-    /// Lowest applied offset over the zone's live hosts; `None` if no host of
-    /// the zone can be heard.
+    /// Lowest applied offset over the zone's live hosts; `None` if no host of the zone is
+    /// reachable.
     pub lowest_applied_offset: Option<LogOffset>,
     /// Host with that offset.
     pub slowest_host: Option<HostId>,
-    /// Hosts known to be unreachable, as far as they are named.
+    /// Hosts known to be unreachable by name.
     pub unreachable: BTreeSet<HostId>,
-    /// Further unreachable hosts that nobody has named here.
+    /// Number of further unreachable hosts whose names are not known here.
     pub unnamed_unreachable: u32,
 }
 
-/// What is in force, zone by zone.
+/// Configuration progress by zone.
 ///
-/// Offsets only grow while a host lives, so a late figure is too low and
-/// never too high: the view may say "not yet" for too long, but does not say
-/// "everywhere" too early, except of hosts that nobody has heard of.
+/// Offsets only grow while a host lives, so an outdated value is too low and never too
+/// high. The view may report a change as not yet in effect for too long. It reports a
+/// change as in effect everywhere too early only if a host is unknown to all others.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForceView {
-    /// Zones by name, this host's own among them.
+    /// Progress of each zone, including this host's own.
     pub zones: BTreeMap<ZoneId, ZoneForce>,
 }
 
 impl ForceView {
-    /// Lowest applied offset over the live hosts of all zones that are heard.
+    /// Returns the lowest applied offset over the live hosts of all reachable zones.
     pub fn lowest_applied_offset(&self) -> Option<LogOffset> {
         self.zones
             .values()
@@ -42,12 +42,12 @@
             .min()
     }
 
-    /// All hosts that are named as unreachable.
+    /// Returns the names of all unreachable hosts, as far as they are known.
     pub fn unreachable(&self) -> impl Iterator<Item = &HostId> {
         self.zones.values().flat_map(|zone| &zone.unreachable)
     }
 
-    /// Whether every host that is known can be heard.
+    /// Returns whether every known host is reachable.
     pub fn is_whole(&self) -> bool {
         self.zones.values().all(|zone| {
             zone.lowest_applied_offset.is_some()
@@ -58,10 +58,10 @@
 }
 
 impl MembershipTable {
-    /// Which offset is in force in each zone.
+    /// Returns the configuration progress of each zone.
     ///
-    /// The own zone is heard directly. Of another zone only a few hosts are
-    /// heard; their digests speak for the others.
+    /// The hosts of the own zone report directly. Other zones are covered by the digests
+    /// of the few hosts that exchange heartbeats with this one.
     pub fn force_view(&self, now: Instant) -> ForceView {
         let max_age = self
             .exchange_plan()
@@ -103,8 +103,8 @@
             .collect(),
     };
     let mut force = zone_force(&digests, named);
-    // A host that is known here and that no digest counts is not spoken for:
-    // its zone may not have heard of it yet.
+    // A host that is known here but counted in no digest counts as unreachable, because
+    // its zone may not know it yet.
     let covered = digests
         .iter()
         .map(|digest| digest.live_hosts + digest.unreachable_count)
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -1,9 +1,8 @@
-//! The entry hosts of the users' platform, as one of them knows them.
+//! The gossip table of an entry host on the users' platform.
 //!
-//! The platform lists targets and no entry hosts. A few strong hosts of each
-//! availability zone speak for it: the others report to one of these, and hear
-//! from it what has changed. What a host sends and hears does not grow with the
-//! number of hosts.
+//! The platform lists targets but no entry hosts. The heaviest hosts of each availability
+//! zone are its aggregators: every other host reports to one of them and receives the
+//! changes from it. The traffic of a host does not grow with the number of hosts.
 
 mod calls;
 mod roles;
@@ -18,18 +17,18 @@
 use crate::membership::gossip_member::{DEAD_AFTER, GossipMember};
 use crate::peer::{HostView, KnownHost};
 
-/// Silence after which a host is forgotten. Hosts are replaced at other
-/// addresses, so that a table that only grows would be called for ever.
+/// Silence after which a host is forgotten. Hosts are replaced at new addresses, so that
+/// a table that only grows would call the old addresses forever.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// The same for the hosts of a zone of which none lives: regions lose each
-/// other for an hour now and then, and would not find each other again if the
-/// hosts that a start names have been replaced meanwhile.
+/// Silence after which the last known hosts of a zone without a live host are forgotten.
+/// Regions lose contact with each other for an hour now and then, and would not find each
+/// other again if the seed hosts have been replaced meanwhile.
 const LOST_ZONE_FORGET_AFTER: Duration = Duration::from_secs(2 * 3600);
-/// Hosts of a zone that other zones know: the one that speaks to them, and
-/// those that take over one after the other.
+/// Hosts of a zone that other zones know: its leader and the hosts that take over from it
+/// one after another.
 const ADVERTISED_HOSTS: usize = 4;
 
-/// The other entry hosts that are known.
+/// The other entry hosts that this host knows.
 #[derive(Debug)]
 pub struct GossipTable {
     host: HostId,
@@ -39,11 +38,11 @@
     weight: HostWeight,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<HostId, GossipMember>,
-    /// Grows with each change of a member that others have to hear of.
+    /// Incremented by each change of a member that other hosts have to receive.
     version: u64,
-    /// Sequence number of this host's last view.
+    /// Sequence number of the last view that this host sent.
     sequence: u64,
-    /// Hosts of other zones, as those told that know.
+    /// Number of hosts of each other zone, as reported by hosts of those zones.
     counts: FastMap<ZoneId, u32>,
     first_seed_call: Option<Instant>,
     last_seed_call: Option<Instant>,
@@ -52,7 +51,7 @@
 }
 
 impl GossipTable {
-    /// A table that knows nobody but the seeds' addresses.
+    /// Creates a table that knows only the addresses of the seeds.
     pub fn new(
         host: HostId,
         zone: ZoneId,
@@ -78,15 +77,15 @@
         }
     }
 
-    /// Says who this start of the host is, and what it has for duties.
+    /// Sets the incarnation and the weight of this host.
     pub fn with_identity(mut self, incarnation: IncarnationId, weight: HostWeight) -> Self {
         self.incarnation = incarnation;
         self.weight = weight;
         self
     }
 
-    /// Takes in what a host says of itself and of others. Says whether it is
-    /// news: an earlier statement that arrives late is none.
+    /// Applies the view of another host. Returns whether it is new: a view that is older
+    /// than the last one received changes nothing.
     pub fn observe_view(&mut self, view: &HostView, now: Instant) -> bool {
         if view.host == self.host {
             return false;
@@ -125,8 +124,7 @@
         }
     }
 
-    /// Takes in the hosts that another one lists, if none of its changes is
-    /// missing in between.
+    /// Applies a listing of hosts, unless changes before it are missing.
     fn observe_listing(&mut self, view: &HostView, now: Instant) {
         let listing = &view.listing;
         let received_to = self
@@ -187,8 +185,8 @@
         }
     }
 
-    /// A zone's own hosts know how many they are; a host of this zone passes on
-    /// what it has heard of the others.
+    /// Applies the host counts of zones. The hosts of a zone know its count, and a host
+    /// of this zone relays the counts that it received.
     fn observe_counts(&mut self, view: &HostView) {
         for count in &view.counts {
             let knows = view.zone == self.zone || count.zone == view.zone;
@@ -198,7 +196,8 @@
         }
     }
 
-    /// A call to a host failed: another one is called in its place for a while.
+    /// Marks a host as suspect after a failed call, so that another one is called in its
+    /// place for a while.
     pub fn observe_failed_call(&mut self, address: SocketAddr, now: Instant) {
         let mut members = self.members.values_mut();
         if let Some(member) = members.find(|member| member.address == address) {
@@ -206,8 +205,9 @@
         }
     }
 
-    /// Notes what has changed by time alone: who has fallen silent, and who is
-    /// known elsewhere. Forgets who has been silent for long.
+    /// Applies changes that come with time alone: records which hosts have fallen silent
+    /// and which are advertised to other zones, and forgets hosts that have been silent
+    /// for long.
     fn sweep(&mut self, now: Instant) {
         let mut zones = FastMap::<ZoneId, Vec<HostId>>::default();
         for (host, member) in &self.members {
@@ -236,7 +236,7 @@
         }
     }
 
-    /// The hosts of a zone without a live one that were heard last.
+    /// Returns the hosts with the latest contacts, for a zone without a live host.
     fn latest_contacts(&self, mut hosts: Vec<HostId>) -> Vec<HostId> {
         let last_contact = |host: &HostId| self.members.get(host).map(GossipMember::last_contact);
         hosts.sort_by_key(|host| std::cmp::Reverse(last_contact(host)));
--- a/src/membership/gossip_member.rs
+++ b/src/membership/gossip_member.rs
@@ -1,4 +1,4 @@
-//! What is known of one other entry host.
+//! State of one other entry host.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,36 +7,35 @@
 use crate::ids::{HostId, HostWeight, IncarnationId, ZoneId};
 use crate::peer::{KnownHost, SeenListing};
 
-/// Silence after which a host counts as dead: six pauses between reports, and
-/// longer than the second that a host may be held up when its processor's share
-/// is used up.
+/// Silence after which a host counts as dead. It spans six report intervals, and exceeds
+/// the second for which a host may be throttled when its processor quota is used up.
 pub(super) const DEAD_AFTER: Duration = Duration::from_millis(1500);
-/// How long a host to which a call failed is passed over at first. A host that
-/// restarts is back within a second or two.
+/// Time for which a host is avoided after the first failed call. A host that restarts is
+/// back within a second or two.
 const FIRST_SUSPICION: Duration = Duration::from_secs(2);
-/// Doublings of that time while calls go on failing: a host that hears others
-/// but is not reached by this one would cost a late report each time.
+/// Maximum number of doublings of that time while calls keep failing. A host that others
+/// reach but this one does not would otherwise cost a late report at each attempt.
 const MAX_SUSPICION_DOUBLINGS: u32 = 3;
 
-/// Word of another host that a member lives, which holds for as long as that
-/// host is heard and does not take it back.
+/// A host's evidence that a member lives. It is valid while that host is live and does
+/// not withdraw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct MemberWitness {
     host: HostId,
     at: Instant,
 }
 
-/// Failed calls to a member in a row.
+/// Consecutive failed calls to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct MemberSuspicion {
     until: Instant,
     failures: u32,
 }
 
-/// Hosts whose word on a member is kept: more than a zone has speakers.
+/// Witnesses kept for each member. The limit exceeds the number of aggregators of a zone.
 const MAX_WITNESSES: usize = 16;
 
-/// How a member stood when that was last noted; others hear of changes of it.
+/// Last recorded state of a member. A change of it is sent to other hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct RecordedState {
     is_live: bool,
@@ -53,33 +52,34 @@
     pub address: SocketAddr,
     /// Its incarnation.
     pub incarnation: IncarnationId,
-    /// What it has for duties.
+    /// Its capacity for roles.
     pub weight: HostWeight,
-    /// Sequence number of its last view.
+    /// Sequence number of the last view received from it.
     pub(super) sequence: u64,
-    /// When it was last heard by this host itself.
+    /// Last direct contact with this host.
     pub(super) direct_contact: Option<Instant>,
-    /// When it was last heard by anyone, as lists told.
+    /// Last contact with any host, as listings report it.
     pub(super) reported_contact: Instant,
-    /// Hosts that say that it lives. Several may at once: with the last one only,
-    /// a speaker that takes its word back would undo that of another one.
+    /// Hosts that report the member as live. All of them are kept: with only the last
+    /// one, an aggregator that withdraws its evidence would also cancel that of another
+    /// one.
     witnesses: Vec<MemberWitness>,
     pub(super) suspicion: Option<MemberSuspicion>,
-    /// When it was last called.
+    /// Time of the last call to it.
     pub(super) last_call: Option<Instant>,
-    /// Version of this host's table at its last change.
+    /// Version of this host's table at the last change of the member.
     pub(super) changed_version: u64,
-    /// Version of its own table up to which its lists were taken in.
+    /// Version of the member's table up to which its listings were applied.
     pub(super) received_to: u64,
-    /// Scope of the view that held the last one.
+    /// Scope of the view that carried the last listing.
     pub(super) received_scope: UseScope,
-    /// Up to where it has taken in the lists of this host.
+    /// Version of this host's table up to which the member has applied its listings.
     pub(super) acknowledged: SeenListing,
     recorded: RecordedState,
 }
 
 impl GossipMember {
-    /// A member as listed, heard of for the first time.
+    /// Creates a member from its first listing.
     pub(super) fn new(listed: &KnownHost, last_contact: Instant, version: u64) -> Self {
         Self {
             zone: listed.zone.clone(),
@@ -100,42 +100,43 @@
         }
     }
 
-    /// Whether the member is the start of the host that is listed.
+    /// Returns whether a listing describes the same start of the host.
     pub(super) fn is_same_start(&self, listed: &KnownHost) -> bool {
         (self.incarnation, self.address, self.weight)
             == (listed.incarnation, listed.address, listed.weight)
     }
 
-    /// When it was last heard, by whomever.
+    /// Returns the last contact with any host.
     pub fn last_contact(&self) -> Instant {
         let witnessed = self.witnesses.iter().map(|witness| witness.at);
         let contacts = witnessed.chain(self.direct_contact);
         contacts.fold(self.reported_contact, Instant::max)
     }
 
-    /// Whether it counts as live.
+    /// Returns whether the host counts as live.
     pub fn is_live(&self, now: Instant) -> bool {
         now < self.last_contact() + DEAD_AFTER
     }
 
-    /// Whether this host has heard it itself lately.
+    /// Returns whether this host has had direct contact with the member within
+    /// `DEAD_AFTER`.
     pub(super) fn is_direct(&self, now: Instant) -> bool {
         self.had_contact_within(DEAD_AFTER, now)
     }
 
-    /// Whether this host has heard it itself within a time.
+    /// Returns whether this host has had direct contact with the member within `limit`.
     pub(super) fn had_contact_within(&self, limit: Duration, now: Instant) -> bool {
         self.direct_contact
             .is_some_and(|last_contact| now < last_contact + limit)
     }
 
-    /// Whether calls to it failed a moment ago.
+    /// Returns whether the member is avoided because calls to it failed.
     pub(super) fn is_suspect(&self, now: Instant) -> bool {
         self.suspicion
             .is_some_and(|suspicion| now < suspicion.until)
     }
 
-    /// A call to it failed.
+    /// Records a failed call.
     pub(super) fn suspect(&mut self, now: Instant) {
         let failures = self.suspicion.map_or(0, |suspicion| suspicion.failures);
         let doublings = failures.min(MAX_SUSPICION_DOUBLINGS);
@@ -145,12 +146,14 @@
         });
     }
 
-    /// A host says that it lives, and will say when it does no more.
+    /// Adds a host as a witness. It will withdraw its evidence when the member falls
+    /// silent.
     pub(super) fn add_witness(&mut self, host: &HostId, now: Instant) {
         self.drop_witness(host);
         let max_kept = MAX_WITNESSES - 1;
         let excess = self.witnesses.len().saturating_sub(max_kept);
-        // In the order in which they were given: the first ones are oldest.
+        // Witnesses are kept in the order of their evidence, so that the first ones are
+        // the oldest.
         self.witnesses.drain(..excess);
         self.witnesses.push(MemberWitness {
             host: host.clone(),
@@ -158,7 +161,7 @@
         });
     }
 
-    /// A host that vouches for it was heard again.
+    /// Renews the evidence of a witness that sent another view.
     pub(super) fn renew_witness(&mut self, host: &HostId, now: Instant) {
         let mut witnesses = self.witnesses.iter_mut();
         if let Some(witness) = witnesses.find(|witness| witness.host == *host) {
@@ -166,27 +169,28 @@
         }
     }
 
-    /// A host no longer vouches for it.
+    /// Removes a witness.
     pub(super) fn drop_witness(&mut self, host: &HostId) {
         self.witnesses.retain(|witness| witness.host != *host);
     }
 
-    /// Whether it was live when that was last noted, by the word of anybody or as
-    /// heard by this host itself.
+    /// Returns whether the member is recorded as live, on any evidence or by direct
+    /// contact alone.
     pub(super) fn is_recorded_live(&self, by_itself: bool) -> bool {
         self.recorded.is_live && (self.recorded.is_direct || !by_itself)
     }
 
-    /// Whether hosts of other zones hear of it.
+    /// Returns whether the member is advertised to other zones.
     pub(super) fn is_advertised(&self) -> bool {
         self.recorded.is_advertised
     }
 
-    /// Takes down how it stands now; says whether others have to hear of it.
+    /// Records the current state and returns whether it changed, so that other hosts have
+    /// to receive it.
     ///
-    /// Who was ever told of elsewhere stays so: hosts of a zone that is lost as a
-    /// whole fall out of its first ones as they die, and whoever had heard of
-    /// them would not hear of that.
+    /// A member that was once advertised stays advertised. When a whole zone is lost, its
+    /// hosts leave the first ranks as they die, and hosts of other zones that know them
+    /// would not learn of their deaths.
     pub(super) fn record_state(&mut self, is_advertised: bool, now: Instant) -> bool {
         let is_advertised = is_advertised || self.recorded.is_advertised;
         let state = RecordedState {
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What is known of one other host.
+//! State of one other host.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,47 +13,48 @@
 /// Ended incarnations that are remembered for each host.
 const ENDED_INCARNATIONS: usize = 8;
 
-/// Whether a host can be counted on.
+/// Reachability of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberPhase {
-    /// Known by name; nothing has been heard from it.
+    /// The host is known by name, and no heartbeat is expected or has been received from
+    /// it.
     Unknown,
-    /// Heard lately.
+    /// Heartbeats of the host arrive.
     Live,
-    /// Silent for too long.
+    /// The host has been silent for too long.
     Suspected,
 }
 
-/// One other host.
+/// Another host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostMember {
     /// Its name.
     pub host: HostId,
-    /// Its zone.
+    /// Its availability zone.
     pub zone: ZoneId,
-    /// Where it listens to peers.
+    /// Address on which it listens to peers.
     pub peer_address: SocketAddr,
-    /// Incarnation last heard.
+    /// Incarnation of the last accepted heartbeat.
     pub incarnation: Option<IncarnationId>,
-    /// Offset after its last applied declaration record.
+    /// Offset after the last declaration record that it has applied.
     pub applied_offset: LogOffset,
-    /// Whether it accepts nothing new.
+    /// Whether it accepts no new work.
     pub draining: bool,
-    /// Its phase in the platform's list, if it stands there.
+    /// Its phase in the platform's list, if it is listed.
     pub listed: Option<ListedPhase>,
-    /// Whether it can be counted on.
+    /// Its reachability.
     pub phase: MemberPhase,
     pub(super) was_listed: bool,
     pub(super) known_since: Instant,
     pub(super) last_contact: Option<Instant>,
     pub(super) last_sent: Option<Instant>,
-    /// First call since the last word from the host.
+    /// Time of the first call since the host's last heartbeat.
     pub(super) unanswered_since: Option<Instant>,
     pub(super) sequence: u64,
     pub(super) digest: Option<(ZoneDigest, Instant)>,
-    /// Rank among the hosts of its zone for being called from another zone.
+    /// Rank among the hosts of its zone for calls from other zones.
     pub(super) remote_rank: u64,
-    /// Whether this host, and not the other, calls in a pair of one zone.
+    /// Whether this host is the caller in a pair of hosts of one zone.
     pub(super) is_called: bool,
     ended: VecDeque<IncarnationId>,
 }
@@ -88,7 +89,8 @@
         }
     }
 
-    /// When the silence of this host began, for a listener awake since `awake_since`.
+    /// Returns when the silence of the host began, as observed by a process without a
+    /// pause since `awake_since`.
     pub(super) fn silent_since(&self, awake_since: Instant) -> Instant {
         self.last_contact
             .unwrap_or(self.known_since)
@@ -99,7 +101,7 @@
         self.ended.contains(&incarnation)
     }
 
-    /// Takes a new incarnation in place of the current one.
+    /// Replaces the current incarnation and returns it.
     pub(super) fn replace_incarnation(
         &mut self,
         incarnation: IncarnationId,
@@ -117,7 +119,8 @@
     }
 }
 
-/// Which of the two hosts of a pair calls, spread evenly over the pairs.
+/// Returns whether `own` is the caller of a pair. The choice is spread evenly over the
+/// pairs.
 fn calls_first(own: &HostId, other: &HostId) -> bool {
     let (lower, higher) = match own < other {
         true => (own, other),
--- a/src/membership/queries.rs
+++ b/src/membership/queries.rs
@@ -1,4 +1,4 @@
-//! What can be asked of the table of hosts.
+//! Queries of the table of hosts.
 
 use super::member::{HostMember, MemberPhase};
 use super::settings::MembershipSettings;
@@ -6,26 +6,26 @@
 use crate::ids::{HostId, IncarnationId};
 use crate::peer::{PeerHeartbeat, PeerLoad, ZoneDigest};
 
-/// Unreachable hosts named in a digest; the others are only counted.
+/// Unreachable hosts named in a digest; further ones are only counted.
 const MAX_NAMED_UNREACHABLE: usize = 8;
 
 impl MembershipTable {
-    /// This host's identity and times.
+    /// Returns the identity and the timeouts of this host.
     pub fn settings(&self) -> &MembershipSettings {
         &self.settings
     }
 
-    /// All other hosts known, by name.
+    /// Iterates over all other known hosts in the order of their names.
     pub fn members(&self) -> impl Iterator<Item = &HostMember> {
         self.members.values()
     }
 
-    /// What is known of one other host.
+    /// Returns the state of one other host.
     pub fn member(&self, host: &str) -> Option<&HostMember> {
         self.members.get(host)
     }
 
-    /// Whether this is the incarnation of the host that counts.
+    /// Returns whether this is the current incarnation of a host.
     pub fn is_current(&self, host: &str, incarnation: IncarnationId) -> bool {
         match self.members.get(host) {
             Some(member) => member.incarnation == Some(incarnation),
@@ -33,11 +33,12 @@
         }
     }
 
-    /// Whether an incarnation that the log names has ended, as far as this
-    /// host can tell.
+    /// Returns whether an incarnation named in the log has ended, as far as this host can
+    /// tell.
     ///
-    /// This host may be new and never have heard of it. Then the platform's
-    /// list decides, if it was fetched late enough for its lag to have passed.
+    /// A host that was never in the table counts as ended if the platform's list lacks
+    /// it. The list must have been fetched at least `remove_after` after the start of
+    /// this process, because it lags.
     pub fn has_ended(&self, host: &str, incarnation: IncarnationId) -> bool {
         let settled = self.started + self.settings.remove_after;
         match self.members.get(host) {
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Hosts of this zone that are live and not draining, this one among
-    /// them, by name: those that divide the zone's work.
+    /// Returns the hosts of this zone that are live and not draining, including this one,
+    /// sorted by name. They divide the work of the zone.
     pub fn working_hosts(&self) -> Vec<HostId> {
         let own = Some(&self.settings.host).filter(|_| !self.draining);
         let mut hosts: Vec<_> = self
@@ -64,7 +65,7 @@
         hosts
     }
 
-    /// The next heartbeat of this host.
+    /// Creates the next heartbeat of this host.
     pub fn next_heartbeat(&mut self, remote: bool, loads: Vec<PeerLoad>) -> PeerHeartbeat {
         self.sequence += 1;
         PeerHeartbeat {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// A summary of this zone for hosts of other zones.
+    /// Returns a summary of this zone for hosts of other zones.
     pub fn digest(&self) -> ZoneDigest {
         let own = (self.applied_offset, &self.settings.host);
         let live = || {
--- a/src/membership/role.rs
+++ b/src/membership/role.rs
@@ -1,44 +1,43 @@
-//! Which hosts of an availability zone work for the others, by what they have.
+//! Selects by capacity the hosts of an availability zone that work for the others.
 
 use std::cmp::Reverse;
 
 use crate::ids::{HostId, HostWeight};
 
-/// Hosts that one speaker serves on average at the most. Each reports to it four
-/// times a second. The busiest speaker of a zone of 80 hosts and 40 engines has
-/// 315 KB a second in both directions, an eighth of a link of 20 Mbit/s (400 hosts
-/// played in memory); its processor time was not measured.
+/// Mean number of hosts per aggregator at the most. Each host reports to its aggregator
+/// four times a second. In a zone of 80 hosts and 40 engines the busiest aggregator
+/// transfers 315 KB/s in both directions together, an eighth of a link of 20 Mbit/s.
 const HOSTS_PER_AGGREGATOR: usize = 24;
-/// Up to how many hosts speak where fewer could serve all. Speakers tell each
-/// other what they hear in one step, so that a zone of four hosts has no detour.
+/// Number of aggregators that a zone has if enough hosts of equal weight exist, even
+/// where fewer could serve all. Aggregators exchange what they receive in one step, so
+/// that a zone of four hosts needs no second step.
 const PREFERRED_AGGREGATORS: usize = 4;
-/// Thousandths of a core that count as much as one Mbit/s of a link. Not measured:
-/// chosen so that a host with an eighth of a core and 20 Mbit/s is taken for what
-/// its processor is, and one with half a core and 10 Mbit/s for what its link is.
+/// Thousandths of a core that weigh as much as one Mbit/s of a link. With this ratio the
+/// processor limits a host with an eighth of a core and 20 Mbit/s, and the link limits a
+/// host with half a core and 10 Mbit/s.
 const MILLICORES_PER_MBPS: f64 = 8.0;
 
-/// A host that may be given duties.
+/// A host that may take a role.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoleCandidate {
     /// The host.
     pub host: HostId,
-    /// What it has for them.
+    /// Its capacity for roles.
     pub weight: HostWeight,
 }
 
-/// What a host with so much processor and so fast a link has for duties, in
-/// doublings: hosts that differ by a little count as equal.
+/// Returns the weight of a host with so many cores and so fast a link. Weights count
+/// doublings, so that hosts of almost the same capacity weigh the same.
 pub fn host_weight(cores: f64, link_mbps: f64) -> HostWeight {
     let scarcer = (cores * 1000.0).min(link_mbps * MILLICORES_PER_MBPS);
     scarcer.max(1.0).log2().round() as HostWeight
 }
 
-/// Puts hosts in the order in which they take duties: the strong ones first,
-/// equal ones by name, so that all hosts agree without asking.
+/// Sorts hosts by rank: the heaviest first, hosts of equal weight by name. All hosts
+/// compute the same ranking without an agreement.
 ///
-/// With the first by name in charge, whatever it had, a host with an eighth of a
-/// core read the log, planned and spoke for a zone of 39 hosts, next to three
-/// that had four times as much.
+/// Ranking by name alone would let a host with an eighth of a core read the log, plan and
+/// aggregate for a zone of 39 hosts, even if three others have four times its capacity.
 pub fn rank_hosts(candidates: &mut [RoleCandidate]) {
     candidates.sort_by(|left, right| {
         let weight = Reverse(left.weight).cmp(&Reverse(right.weight));
@@ -46,8 +45,8 @@
     });
 }
 
-/// How many hosts of a zone, the first ones in the order of duties, speak for
-/// the others. What one of them serves does not grow with the zone.
+/// Returns how many hosts of a zone, taken from the head of the ranking, are aggregators.
+/// The load on each does not grow with the zone.
 pub fn aggregator_count(ranked: &[RoleCandidate]) -> usize {
     let Some(first) = ranked.first() else {
         return 0;
--- a/src/membership/rotation.rs
+++ b/src/membership/rotation.rs
@@ -1,4 +1,4 @@
-//! Why a target takes no new work.
+//! Reasons for which a target takes no new work.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,17 +9,17 @@
 /// Why a target is out of rotation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RotationReason {
-    /// It is declared as draining.
+    /// The target is declared as draining.
     Declared,
-    /// The platform lists it as leaving.
+    /// The platform lists the target as leaving.
     Listed,
-    /// It refused work or said itself that it is leaving.
+    /// The target refused work or reported itself as leaving.
     Refused,
-    /// A peer says that it is leaving.
+    /// A peer reports the target as leaving.
     Reported,
 }
 
-/// What is known of one target's leaving. Any one reason is enough.
+/// Signals that a target is leaving. Any one is enough.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct LeavingSignals {
     pub(super) declared: bool,
@@ -29,8 +29,9 @@
 }
 
 impl LeavingSignals {
-    /// A target that was leaving and is no longer listed has left: only a
-    /// list that calls it live again takes the sign back.
+    /// Applies the target's phase in the platform's list. A target that was leaving and
+    /// is no longer listed has left, so that only a list with another phase clears the
+    /// signal.
     pub(super) fn observe_listed(&mut self, phase: ListedPhase) {
         self.listed = phase == ListedPhase::Leaving;
     }
@@ -39,9 +40,9 @@
         self.refused_at = Some(now);
     }
 
-    /// Takes in a target's own word, read at `measured_at` by this host or a
-    /// watcher. An older reading does not take back a newer refusal: the
-    /// reading may have been under way when the target began to leave.
+    /// Applies a target's own report, read at `measured_at` by this host or another
+    /// watcher. A reading older than the last refusal does not clear it, because the
+    /// target may have begun to leave after the reading.
     pub(super) fn observe_reading(&mut self, leaving: bool, measured_at: Instant) {
         match self.refused_at {
             _ if leaving => self.refused_at = self.refused_at.max(Some(measured_at)),
@@ -57,9 +58,9 @@
         };
     }
 
-    /// The strongest reason, if there is one.
+    /// Returns the strongest reason, if there is one.
     ///
-    /// A word that is not repeated lapses after `expiry`.
+    /// A peer's report that is not repeated expires after `expiry`.
     pub(super) fn reason(&self, expiry: Duration, now: Instant) -> Option<RotationReason> {
         let is_reported = || {
             self.reported_by
@@ -73,14 +74,14 @@
         }
     }
 
-    /// The strongest reason that does not rest on a peer's word.
+    /// Returns the strongest reason that does not depend on a peer's report.
     ///
-    /// Only this is told to the own zone. Were hearsay passed on too, two
-    /// hosts would go on telling each other after the target's return.
+    /// Only this one is reported to the own zone. If peers' reports were relayed, two
+    /// hosts would keep repeating them to each other after the target's return.
     ///
-    /// Where no host polls the target, nothing takes its refusal back, and a
-    /// target that has returned would stay idle for ever. So a refusal that
-    /// no newer one confirms lapses; the next one brings the sign back.
+    /// A refusal that is not repeated expires. Where no host polls the target, nothing
+    /// else clears the refusal, and a target that has returned would stay idle forever.
+    /// The next refusal sets the signal again.
     pub(super) fn direct_reason(&self, expiry: Duration, now: Instant) -> Option<RotationReason> {
         let refused = self
             .refused_at
