--- a/src/membership/gossip/calls.rs
+++ b/src/membership/gossip/calls.rs
@@ -1,4 +1,4 @@
-//! Whom an entry host calls, and when.
+//! Schedules the calls of an entry host to other hosts.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,35 +8,35 @@
 use crate::ids::{HostId, ZoneId};
 use crate::rendezvous::rendezvous_score;
 
-/// Pause between two reports to a speaker. Requests take about a second on an
-/// engine, so that a quarter of that keeps the loads fresh.
+/// Interval between reports to an aggregator. Requests take about a second on an engine,
+/// so that a quarter of that keeps the loads current.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between two exchanges of speakers: what a host has is known to one that
-/// reports to another speaker after two reports and this, 0.6 s at the most.
+/// Interval between exchanges of aggregators. The state of a host reaches a host with
+/// another aggregator after two reports and this interval, within 0.6 s.
 const AGGREGATOR_INTERVAL: Duration = Duration::from_millis(125);
-/// Pause between two exchanges with another zone, whose engines are used for
-/// what the own zone cannot take.
+/// Interval between exchanges with another zone, whose engines take only what the own
+/// zone cannot.
 const REMOTE_INTERVAL: Duration = Duration::from_millis(500);
-/// Exchanges a second with other zones at the most; with more zones each is
+/// Maximum number of exchanges per second with other zones. With more zones each is
 /// called less often.
 const MAX_REMOTE_CALLS_PER_S: f64 = 16.0;
-/// Pause between two rounds over the seeds.
+/// Interval between rounds of calls to unknown seeds.
 const SEED_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the seeds are asked after a start although they are known. The
-/// hosts that start first hear of nobody at their first question, and those
-/// that start later do not know that they have to call them.
+/// Time after the start in which known seeds are called too. The hosts that start first
+/// receive no hosts in their first replies, and hosts that start later do not know that
+/// they have to call them.
 const STARTUP_SEED_PERIOD: Duration = Duration::from_secs(3);
-/// Pause between two rounds over the seeds in that time: 195 hosts make 400
-/// short calls a second to each.
+/// Interval between rounds of calls to seeds in that time: 195 hosts make 400 short calls
+/// per second to each seed.
 const STARTUP_SEED_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause between two calls to hosts of the zone that have fallen silent. One
-/// that lives and reports to nobody is found by it.
+/// Interval between calls to silent hosts of the zone. They find a live host that reports
+/// to no other host.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Seed of the hash by which hosts choose among speakers.
+/// Seed of the hash by which hosts choose among aggregators.
 const AGGREGATOR_SEED: u64 = 0x7370_6b72;
 
 impl GossipTable {
-    /// Addresses to call now; they count as called.
+    /// Returns the addresses to call now and records the calls.
     pub fn due_calls(&mut self, now: Instant) -> Vec<SocketAddr> {
         self.sweep(now);
         let mut due = self.due_in_zone(now);
@@ -67,8 +67,8 @@
         due.collect()
     }
 
-    /// The host to which this one reports; `None` if it speaks for its zone
-    /// itself, or for want of anybody else.
+    /// Returns the host to which this one reports; `None` if this host is an aggregator
+    /// or no other host is available.
     pub fn reports_to(&self, now: Instant) -> Option<HostId> {
         let aggregators = self.aggregators(now);
         match aggregators.contains(&self.host) {
@@ -77,8 +77,9 @@
         }
     }
 
-    /// A call informs both sides, so that of two speakers the earlier one
-    /// calls, and the other only after it was not called.
+    /// Returns the aggregators that an aggregator calls. A call informs both sides, so
+    /// that of two aggregators the one of higher rank calls, and the other calls only if
+    /// no call arrives.
     fn aggregators_to_call(
         &self,
         aggregators: &[HostId],
@@ -94,14 +95,13 @@
         earlier.chain(later).cloned().collect()
     }
 
-    /// The speaker to which this host reports: spread by hash, and one to which
-    /// no call failed a moment ago. If none is left, the next host in the order
-    /// of duties, for all speakers may be lost at once; `None` if that is this
-    /// one.
+    /// Returns the aggregator to which this host reports, chosen by hash among those that
+    /// are not suspect. If all are suspect, returns the next host of the ranking, because
+    /// all aggregators may be lost at once; `None` if that is this host.
     ///
-    /// Reports go to hosts that come earlier in that order, never back. Two
-    /// hosts that reported to each other would each believe of a lost speaker
-    /// what the other still believes, and nobody would take its place.
+    /// Reports go only to hosts of higher rank. Two hosts that reported to each other
+    /// would keep confirming a lost aggregator to each other, and no host would take its
+    /// place.
     fn chosen_aggregator(&self, aggregators: &[HostId], now: Instant) -> Option<HostId> {
         let is_reachable = |host: &&HostId| {
             let member = self.members.get(*host);
@@ -118,8 +118,8 @@
         next.filter(|host| *host != self.host)
     }
 
-    /// The address of a host, if its last call is long enough ago; it then
-    /// counts as called.
+    /// Returns the address of a host if its last call is at least `interval` ago, and
+    /// records the call.
     fn call_if_due(
         &mut self,
         host: &HostId,
@@ -137,7 +137,8 @@
         Some(member.address)
     }
 
-    /// The first host of the zone calls the silent ones, in turn.
+    /// Returns the silent host to probe. The leader of the zone calls silent hosts in
+    /// turn.
     fn due_probe(&mut self, now: Instant) -> Option<SocketAddr> {
         let due = self
             .last_probe
@@ -166,8 +167,8 @@
         calls.collect()
     }
 
-    /// Of two zones the one that comes first by name calls, and the other only
-    /// after it was not called.
+    /// Returns the address to call in another zone. Of two zones the first by name calls,
+    /// and the other calls only if no call arrives.
     fn call_zone(&mut self, zone: &ZoneId, interval: Duration, now: Instant) -> Option<SocketAddr> {
         let last_call = self.last_remote_calls.get(zone);
         if last_call.is_some_and(|last_call| now < *last_call + interval) {
@@ -183,8 +184,8 @@
         self.call_if_due(&callee, Duration::ZERO, now)
     }
 
-    /// The first live host of a zone that is reached; else the one that was not
-    /// called for longest.
+    /// Returns the first live host of a zone that is not suspect, or the host whose last
+    /// call is longest ago if there is none.
     fn remote_callee(&self, zone: &ZoneId, now: Instant) -> Option<HostId> {
         let live = self.live_hosts(zone, now).into_iter();
         let mut reachable = live.filter(|host| {
@@ -199,8 +200,8 @@
         })
     }
 
-    /// Seeds are asked while they are not known, and for a while after a start:
-    /// they may be stale or down.
+    /// Returns the seeds to call. Unknown seeds are called always and known ones for a
+    /// while after the start, because seeds may be outdated or down.
     fn due_seeds(&mut self, now: Instant) -> Vec<SocketAddr> {
         let first = *self.first_seed_call.get_or_insert(now);
         let is_new = now < first + STARTUP_SEED_PERIOD;
--- a/src/membership/gossip/roles.rs
+++ b/src/membership/gossip/roles.rs
@@ -1,4 +1,4 @@
-//! Who lives, as one host sees it, and which duties the hosts have for others.
+//! Live hosts, as one host sees them, and the roles that hosts have for others.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,14 +9,14 @@
 use crate::membership::role::{RoleCandidate, aggregator_count, rank_hosts};
 use crate::permits::{issued_part, issuing_host};
 
-/// Time after its start in which a host hears of the others, and after which one that
-/// hears of nobody is taken to be alone.
+/// Time after the start within which a host learns of the others, and time after which a
+/// host that knows no other is considered alone.
 const JOIN_TIME: Duration = Duration::from_secs(1);
 const LONE_JOIN_TIME: Duration = Duration::from_secs(3);
 
 impl GossipTable {
-    /// Live hosts of a zone in the order of their duties, this one among them
-    /// if it is its zone.
+    /// Returns the live hosts of a zone by rank, including this one if it is its own
+    /// zone.
     pub fn live_hosts(&self, zone: &str, now: Instant) -> Vec<HostId> {
         let ranked = self.ranked(zone, now).into_iter();
         ranked.map(|candidate| candidate.host).collect()
@@ -30,7 +30,7 @@
         rank_all(others.chain(own))
     }
 
-    /// The hosts that speak for this zone, in the order of their duties.
+    /// Returns the aggregators of this zone by rank.
     pub fn aggregators(&self, now: Instant) -> Vec<HostId> {
         let ranked = self.ranked(&self.zone, now);
         let count = aggregator_count(&ranked);
@@ -38,12 +38,12 @@
         aggregators.map(|candidate| candidate.host).collect()
     }
 
-    /// Whether this host is one of those that speak for its zone.
+    /// Returns whether this host is an aggregator of its zone.
     pub fn is_aggregator(&self, now: Instant) -> bool {
         self.aggregators(now).contains(&self.host)
     }
 
-    /// The live host that comes first in the order of duties, over all zones.
+    /// Returns the live host of the highest rank over all zones.
     pub fn global_leader(&self, now: Instant) -> HostId {
         let live = self.members.iter();
         let live = live.filter(|(_, member)| member.is_live(now));
@@ -53,32 +53,31 @@
         first.map_or_else(|| self.host.clone(), |first| first.host)
     }
 
-    /// Live hosts of all zones that this host knows, this one among them.
+    /// Returns the number of live hosts of all zones, including this one.
     pub fn live_count(&self, now: Instant) -> usize {
         let live = self.members.values();
         let live = live.filter(|member| member.is_live(now));
         live.count() + 1
     }
 
-    /// Whether this host is the first live one of its zone in the order of
-    /// duties. It reads the log for the others and exchanges with other zones,
-    /// so that both cost the same however many hosts a zone has.
+    /// Returns whether this host is the leader of its zone, the live host of the highest
+    /// rank. The leader reads the log for the others and exchanges views with other
+    /// zones, so that the cost of both does not grow with the number of hosts in a zone.
     pub fn is_leader(&self, now: Instant) -> bool {
         self.leaders(now, 1).is_empty()
     }
 
-    /// The first live hosts of this zone in the order of duties, up to this one
-    /// and at most `limit`: the first reads the log, the next ones where it
-    /// cannot.
+    /// Returns the live hosts of this zone that rank above this host, at most `limit` of
+    /// them. The first one reads the log, and the next ones take over where it cannot.
     pub fn leaders(&self, now: Instant, limit: usize) -> Vec<(HostId, SocketAddr)> {
         let hosts = self.live_hosts(&self.zone, now).into_iter();
         let before = hosts.take_while(|host| *host != self.host).take(limit);
         self.with_addresses(before)
     }
 
-    /// The host that hands out the permits for a target of a zone, this one or another;
-    /// where the zone has no live host, the first of all zones. `None` while this host
-    /// may not know the others.
+    /// Returns the host that issues the permits for a target of a zone, which may be this
+    /// one. If the zone has no live host, returns the host of the highest rank over all
+    /// zones; `None` while this host may not know the others.
     pub fn permit_host(&self, zone: &str, target: TargetKey, now: Instant) -> Option<HostId> {
         if !self.has_joined(now) {
             return None;
@@ -87,7 +86,7 @@
         Some(chosen.unwrap_or_else(|| self.global_leader(now)))
     }
 
-    /// The part of a zone's limits that the live hosts of the zone hand out.
+    /// Returns the part of a zone's limits that the live hosts of the zone issue.
     pub fn permit_part(&self, zone: &str, now: Instant) -> f64 {
         let is_own = usize::from(*self.zone == *zone);
         let members = self.members.values();
@@ -98,7 +97,7 @@
         }
     }
 
-    /// Whether this host has been up for long enough to have heard of the others.
+    /// Returns whether this host has been up long enough to know the others.
     fn has_joined(&self, now: Instant) -> bool {
         let knows_others = self.members.values().any(|member| member.is_live(now));
         let time = if knows_others {
@@ -110,7 +109,7 @@
             .is_some_and(|first| now >= first + time)
     }
 
-    /// The other live hosts of this zone, in the order of their duties.
+    /// Returns the other live hosts of this zone by rank.
     pub fn neighbours(&self, now: Instant) -> Vec<(HostId, SocketAddr)> {
         let hosts = self.live_hosts(&self.zone, now).into_iter();
         self.with_addresses(hosts.filter(|host| *host != self.host))
@@ -127,13 +126,13 @@
         known.collect()
     }
 
-    /// Where another host listens to peers.
+    /// Returns the address on which another host listens to peers.
     pub fn address_of(&self, host: &HostId) -> Option<SocketAddr> {
         Some(self.members.get(host)?.address)
     }
 
-    /// Hosts of all zones that were heard of lately, live or not, this one
-    /// among them.
+    /// Returns the number of hosts of all zones that are not forgotten yet, live or not,
+    /// including this one.
     pub fn known_count(&self) -> usize {
         let mut counts = FastMap::<&ZoneId, usize>::default();
         for member in self.members.values() {
@@ -147,7 +146,7 @@
         counts.values().sum()
     }
 
-    /// Whether an address is that of a host of this zone.
+    /// Returns whether an address belongs to another host of this zone.
     pub fn is_neighbour(&self, address: SocketAddr) -> bool {
         let mut members = self.members.values();
         members.any(|member| member.address == address && member.zone == self.zone)
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -1,4 +1,4 @@
-//! What an entry host says to another one.
+//! Views that an entry host sends to another one.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,8 +12,8 @@
 use crate::poison::PoisonListing;
 
 impl GossipTable {
-    /// What to say to the host at an address; the requests, those that targets ended
-    /// under and what this host has of the log are left to the caller.
+    /// Creates the view to send to the host at an address. The caller adds the requests,
+    /// the suspected requests and the state of the log.
     pub fn request_view(&mut self, address: SocketAddr, now: Instant) -> HostView {
         let mut known = self.members.iter();
         let callee = known.find(|(_, member)| member.address == address);
@@ -27,7 +27,8 @@
         };
         let scope = self.scope_for(&host, &member, now);
         let listing = match scope {
-            // Whoever reports hears of others, and tells of itself alone.
+            // A host that reports sends only its own state and receives the listings of
+            // others.
             UseScope::Host | UseScope::Neighbours => HostListing::default(),
             UseScope::Group | UseScope::Zone => {
                 let from = listed_from(member.acknowledged, scope);
@@ -37,7 +38,7 @@
         self.view(scope, listing, seen_listing(&member))
     }
 
-    /// What to answer to a view that was taken in before.
+    /// Creates the reply to a view that was applied before.
     pub fn reply_view(&mut self, view: &HostView, now: Instant) -> HostView {
         let scope = match (view.zone == self.zone, view.scope) {
             (true, UseScope::Host) => UseScope::Neighbours,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Hosts that changed after version `from`, as far as a host of `zone` has
-    /// to know them: all of its own zone, the first ones of each other one.
+    /// Returns the hosts that changed after version `from` and that a host of `zone`
+    /// needs: all hosts of its own zone and the advertised ones of every other zone.
     fn listing(&self, zone: &str, from: u64, scope: UseScope, now: Instant) -> HostListing {
         let wanted = |member: &GossipMember| {
             member.changed_version > from && (*member.zone == *zone || member.is_advertised())
@@ -127,9 +128,9 @@
     }
 }
 
-/// The version from which on changes are listed to a host that has seen so much.
-/// One that became a speaker, or is one no longer, hears everything again:
-/// speakers are told of fewer live hosts than the others.
+/// Returns the version after which changes are listed to a host. A host that became an
+/// aggregator, or is one no longer, receives the complete listing again, because
+/// aggregators report fewer hosts as live to each other than to the other hosts.
 fn listed_from(seen: SeenListing, scope: UseScope) -> u64 {
     match seen.scope == scope {
         true => seen.to,
@@ -145,17 +146,14 @@
     }
 }
 
-/// Since when a member has been silent, as told to a host that hears the sums
-/// of `scope`.
+/// Returns the silence of a member as reported in a listing of `scope`.
 ///
-/// Speakers vouch to each other only for hosts that they hear themselves. Two
-/// that each took the other's word for a third host would keep it alive for
-/// each other for ever.
+/// Aggregators report hosts to each other as live only if they have direct contact with
+/// them. Otherwise two aggregators could keep a third host alive for each other forever.
 ///
-/// Whether the member counts as live is told as it was last noted, and not as
-/// it is by now: a member that falls silent and is heard again before the next
-/// note changes nothing there, and a listener that was told of the silence in
-/// between would never hear of the end of it.
+/// The value reflects the recorded state of the member and not its current one. A member
+/// that falls silent and sends again before its state is recorded next does not change its
+/// version, so a receiver of the silence would never receive its end.
 fn reported_silence(member: &GossipMember, scope: UseScope, now: Instant) -> Duration {
     let silent = now.saturating_duration_since(member.last_contact());
     match member.is_recorded_live(scope == UseScope::Group) {
--- a/src/membership/queries.rs
+++ b/src/membership/queries.rs
@@ -36,7 +36,7 @@
     /// Returns whether an incarnation named in the log has ended, as far as this host can
     /// tell.
     ///
-    /// A host that was never in the table counts as ended if the platform's list lacks
+    /// A host that is not in the table counts as ended if the platform's list lacks
     /// it. The list must have been fetched at least `remove_after` after the start of
     /// this process, because it lags.
     pub fn has_ended(&self, host: &str, incarnation: IncarnationId) -> bool {
--- a/src/membership/schedule.rs
+++ b/src/membership/schedule.rs
@@ -1,4 +1,4 @@
-//! Whom to send a heartbeat, and when.
+//! Schedules heartbeats to other hosts.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,17 +9,18 @@
 use super::table::MembershipTable;
 use crate::ids::{HostId, ZoneId};
 
-/// Rounds that the host which waits to be called lets pass before it calls.
+/// Intervals that the callee of a pair waits for a call before it calls itself.
 const WAITING_ROUNDS: u32 = 2;
-/// Rounds between calls to a silent host that another has taken the place of.
+/// Intervals between calls to a silent remote host that another host has replaced as
+/// callee.
 const PROBE_ROUNDS: u32 = 10;
-/// Rounds without a word after which a host counts as unreachable.
+/// Intervals without a heartbeat after which a host counts as unreachable.
 const SILENT_ROUNDS: u32 = 3;
 
-/// How the calls of this moment are paced.
+/// Callees and intervals of the exchanges at one moment.
 ///
-/// With more hosts the intervals grow and the calls a second stay: what the
-/// daemon spends on heartbeats is bounded, and only news travel more slowly.
+/// With more hosts the intervals grow while the rate of calls stays constant. This bounds
+/// the cost of heartbeats and delays only the propagation of updates.
 pub(super) struct ExchangePlan {
     chosen: BTreeSet<HostId>,
     zone_interval: Duration,
@@ -27,7 +28,7 @@
 }
 
 impl ExchangePlan {
-    /// Silence after which a host counts as unreachable.
+    /// Returns the silence after which a host counts as unreachable.
     pub(super) fn suspect_after(&self, minimum: Duration, in_zone: bool) -> Duration {
         let interval = match in_zone {
             true => self.zone_interval,
@@ -38,7 +39,7 @@
 }
 
 impl MembershipTable {
-    /// The plan for the hosts known now.
+    /// Computes the plan for the hosts that are known now.
     pub(super) fn exchange_plan(&self) -> ExchangePlan {
         let chosen = self.chosen_remote_hosts();
         let settings = &self.settings;
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Heartbeats that are due; they count as sent.
+    /// Returns the heartbeats that are due and records them as sent.
     pub(super) fn due_heartbeats(
         &mut self,
         plan: &ExchangePlan,
@@ -87,12 +88,13 @@
         let in_zone = member.zone == self.settings.zone;
         let is_holder = self.share_holder.as_ref() == Some(&member.host);
         let (reference, interval) = match in_zone {
-            // Called whichever side waits, since only its answer brings grants;
-            // no oftener than others, because reports name every organisation
-            // and the holder gets those of the whole zone.
+            // The share holder is called from either side of a pair, because only its
+            // reply carries grants. It is not called more often than others, because
+            // reports name every organisation and the holder receives those of the whole
+            // zone.
             true if is_holder => (member.last_sent, plan.zone_interval),
-            // An exchange informs both sides, so one of the two calls and the
-            // other calls only if it is not called. That halves the calls.
+            // An exchange informs both sides, so that one host of a pair calls and the
+            // other calls only if no call arrives. This halves the number of calls.
             true if member.is_called => (member.last_sent, plan.zone_interval),
             true => (
                 member.last_sent.max(member.last_contact),
@@ -107,8 +109,8 @@
         reference.is_none_or(|last| now.saturating_duration_since(last) >= interval)
     }
 
-    /// The few hosts called in each other zone: the best ranked that answer;
-    /// if none answers, the best ranked.
+    /// Returns the hosts called in each other zone: the highest ranked that are not
+    /// suspected, or the highest ranked if all are.
     pub fn chosen_remote_hosts(&self) -> BTreeSet<HostId> {
         let mut zones: BTreeMap<&ZoneId, Vec<&HostMember>> = BTreeMap::new();
         for member in self.members.values() {
--- a/src/membership/settings.rs
+++ b/src/membership/settings.rs
@@ -1,11 +1,11 @@
-//! Who this host is and how long it waits for others.
+//! Settings of membership and of target monitoring.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::ids::{HostId, IncarnationId, ZoneId};
 
-/// Identity of this host and the times of membership.
+/// Identity of this host and the timeouts of membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MembershipSettings {
     /// This host.
@@ -16,29 +16,29 @@
     pub incarnation: IncarnationId,
     /// Address on which it listens to peers.
     pub peer_address: SocketAddr,
-    /// Time between two exchanges with a host of the same zone.
+    /// Minimum interval between exchanges with one host of the same zone.
     pub zone_interval: Duration,
-    /// Time between two exchanges with a chosen host of another zone.
+    /// Minimum interval between exchanges with one chosen host of another zone.
     pub remote_interval: Duration,
-    /// Least time between two exchanges with whichever hosts of the same zone.
+    /// Minimum interval between exchanges with any two hosts of the same zone.
     pub zone_pace: Duration,
-    /// Least time between two calls to whichever hosts of other zones.
+    /// Minimum interval between calls to any two hosts of other zones.
     pub remote_pace: Duration,
-    /// Silence after which a host counts as unreachable; longer if paces
-    /// stretch the intervals.
+    /// Silence after which a host counts as unreachable, longer if paces stretch the
+    /// intervals.
     pub suspect_after: Duration,
-    /// Silence after which a delisted host counts as gone.
+    /// Silence after which a delisted host is removed.
     pub remove_after: Duration,
-    /// Silence after which a host that was never listed counts as gone.
+    /// Silence after which a host that was never listed is removed.
     pub forget_after: Duration,
     /// Hosts called in each other zone.
     pub remote_peers: usize,
-    /// Seed of the choice of remote hosts.
+    /// Seed of the hash that ranks remote hosts.
     pub seed: u64,
 }
 
 impl MembershipSettings {
-    /// Usual times for a host.
+    /// Creates settings with the default timeouts.
     pub fn new(
         host: HostId,
         zone: ZoneId,
@@ -63,26 +63,26 @@
     }
 }
 
-/// How targets are watched and how their loads are passed on.
+/// Settings of target monitoring and of the relay of loads.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchSettings {
     /// This host.
     pub host: HostId,
     /// Its availability zone.
     pub zone: ZoneId,
-    /// Hosts of the zone that watch one target.
+    /// Hosts of the zone that watch each target.
     pub watchers: usize,
-    /// Most loads in one heartbeat to another zone.
+    /// Maximum number of loads in one heartbeat to another zone.
     pub remote_loads: usize,
-    /// Time after which a peer's or the target's own word that it is leaving
-    /// lapses, unless it is repeated.
+    /// Time after which a report that a target is leaving expires, whether a peer's or
+    /// the target's own, unless it is repeated.
     pub leaving_expiry: Duration,
-    /// Age above which a load is not passed on.
+    /// Age above which a load is not relayed.
     pub max_load_age: Duration,
 }
 
 impl WatchSettings {
-    /// Usual limits.
+    /// Creates settings with the default limits.
     pub fn new(host: HostId, zone: ZoneId) -> Self {
         Self {
             host,
--- a/src/membership/table.rs
+++ b/src/membership/table.rs
@@ -7,7 +7,7 @@
 use super::settings::MembershipSettings;
 use crate::ids::{HostId, LogOffset};
 
-/// All other hosts that this one knows, and what it says about itself.
+/// The other hosts that this host knows, and what it reports about itself.
 #[derive(Debug)]
 pub struct MembershipTable {
     pub(super) settings: MembershipSettings,
@@ -16,7 +16,7 @@
     pub(super) draining: bool,
     pub(super) share_holder: Option<HostId>,
     pub(super) sequence: u64,
-    /// Since when this host has been awake without a pause.
+    /// Time since which this process has run without a pause.
     pub(super) awake_since: Instant,
     pub(super) last_tick: Instant,
     pub(super) last_list: Option<Instant>,
@@ -24,7 +24,7 @@
 }
 
 impl MembershipTable {
-    /// A table that knows nobody yet.
+    /// Creates a table without other hosts.
     pub fn new(settings: MembershipSettings, now: Instant) -> Self {
         Self {
             settings,
--- a/src/membership/target_watch.rs
+++ b/src/membership/target_watch.rs
@@ -1,8 +1,8 @@
-//! Which hosts watch which targets, and what is known of the targets' load.
+//! Assignment of targets to the hosts that watch them, and the last known loads of
+//! targets.
 //!
-//! A few hosts of a zone poll each of its targets and pass the figures on by
-//! heartbeat. If all hosts polled all targets, calls would grow with the
-//! product of both.
+//! A few hosts of a zone poll each of its targets and relay the loads in heartbeats. If
+//! all hosts polled all targets, the number of calls would grow with the product of both.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -15,23 +15,23 @@
 use crate::rendezvous::top_ranked;
 use crate::target::wire::LoadReport;
 
-/// Seed of the choice of watchers: the same on all hosts.
+/// Seed of the hash that assigns watchers, which is the same on all hosts.
 const WATCHER_SEED: u64 = 0x7761_7463;
 
-/// Load of a target as last known.
+/// Last known load of a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadSample {
-    /// Steps or calls running.
+    /// Steps or calls that are running.
     pub running: u32,
-    /// Steps or calls waiting.
+    /// Steps or calls that are waiting.
     pub waiting: u32,
-    /// Tokens a second over the last seconds.
+    /// Tokens per second over the last seconds.
     pub tokens_per_second: f64,
-    /// When the target measured this, as far as ages tell.
+    /// Time of the measurement by the target, derived from reported ages.
     pub measured_at: Instant,
 }
 
-/// One declared target.
+/// State of one declared target.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct WatchedTarget {
     pub(super) zone: ZoneId,
@@ -50,19 +50,19 @@
     pub(super) remote_rounds: u64,
 }
 
-/// One target as declared.
+/// Declaration of one target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DeclaredTarget {
     /// Its name.
     pub target: TargetId,
     /// Its zone.
     pub zone: ZoneId,
-    /// Whether it is declared as draining.
+    /// Whether the target is declared as draining.
     pub draining: bool,
 }
 
 impl TargetWatch {
-    /// A watch over no targets.
+    /// Creates a watch without targets.
     pub fn new(settings: WatchSettings) -> Self {
         Self {
             settings,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes in the declared targets; others are forgotten.
+    /// Replaces the declared targets and forgets all others.
     pub fn set_declared(&mut self, declared: &[DeclaredTarget]) {
         let names: BTreeSet<_> = declared.iter().map(|target| &target.target).collect();
         self.targets.retain(|name, _| names.contains(name));
@@ -93,8 +93,8 @@
         self.assign();
     }
 
-    /// Takes in the working hosts of this zone, sorted by name, and divides
-    /// the zone's targets among them anew if they changed.
+    /// Sets the working hosts of this zone, sorted by name. If they changed, the targets
+    /// of the zone are assigned anew.
     pub fn set_working_hosts(&mut self, hosts: &[HostId]) {
         if self.working_hosts == hosts {
             return;
@@ -119,7 +119,7 @@
             .collect();
     }
 
-    /// Takes in the platform's list.
+    /// Processes the platform's list.
     pub fn observe_host_list(&mut self, list: &HostList) {
         for listed in &list.targets {
             if let Some(target) = self.targets.get_mut(&listed.target) {
@@ -128,8 +128,8 @@
         }
     }
 
-    /// Takes in a load that this host read itself, and whether the target
-    /// said then that it is leaving.
+    /// Processes a load that this host polled, and whether the target reported itself as
+    /// leaving.
     pub fn observe_poll(&mut self, target: &str, report: &LoadReport, leaving: bool, now: Instant) {
         let Some(target) = self.targets.get_mut(target) else {
             return;
@@ -144,14 +144,14 @@
         target.signals.observe_reading(leaving, now);
     }
 
-    /// Takes in that a target refused work because it is leaving.
+    /// Processes a refusal of work by a target that is leaving.
     pub fn observe_refusal(&mut self, target: &str, now: Instant) {
         if let Some(target) = self.targets.get_mut(target) {
             target.signals.observe_refusal(now);
         }
     }
 
-    /// Takes in loads from a heartbeat.
+    /// Processes the loads in a peer's heartbeat.
     pub fn observe_peer_loads(&mut self, by: &HostId, loads: &[PeerLoad], now: Instant) {
         for load in loads {
             let Some(target) = self.targets.get_mut(&load.target) else {
@@ -173,8 +173,8 @@
 }
 
 impl WatchedTarget {
-    /// Keeps the newer of two sightings: two watchers report the same target
-    /// and their heartbeats cross.
+    /// Keeps the newer of two samples. Two watchers report the same target, and their
+    /// heartbeats can arrive out of order.
     fn update_sample(&mut self, load_sample: LoadSample) {
         let is_newer = self
             .load_sample
--- a/src/membership/watch_queries.rs
+++ b/src/membership/watch_queries.rs
@@ -1,4 +1,4 @@
-//! What can be asked of the watch over targets.
+//! Queries of the watch over targets.
 
 use std::time::Instant;
 
@@ -8,24 +8,24 @@
 use crate::peer::PeerLoad;
 
 impl TargetWatch {
-    /// Targets that this host polls.
+    /// Iterates over the targets that this host polls.
     pub fn watched(&self) -> impl Iterator<Item = &TargetId> {
         self.watched.iter()
     }
 
-    /// Load of a target as last known; its age is the caller's to judge.
+    /// Returns the last known load of a target, however old it is.
     pub fn load_sample(&self, target: &str) -> Option<LoadSample> {
         self.targets.get(target)?.load_sample
     }
 
-    /// Why a target takes no new work; `None` if it does.
+    /// Returns why a target takes no new work; `None` if it takes work.
     pub fn out_of_rotation(&self, target: &str, now: Instant) -> Option<RotationReason> {
         let target = self.targets.get(target)?;
         target.signals.reason(self.settings.leaving_expiry, now)
     }
 
-    /// Loads for hosts of this zone: targets that this host polls, and any
-    /// other that it knows at first hand to be leaving.
+    /// Returns the loads for hosts of this zone: targets that this host polls, and any
+    /// others for which it has a direct reason to count them as leaving.
     pub fn zone_loads(&self, now: Instant) -> Vec<PeerLoad> {
         self.targets
             .iter()
@@ -41,13 +41,13 @@
             .collect()
     }
 
-    /// Loads for a host of another zone: a bounded part of this zone's
-    /// targets, those that wait longest to be passed on first, and targets of
-    /// any zone that this host knows at first hand to be leaving.
+    /// Returns the loads for a host of another zone: a bounded number of this zone's
+    /// targets, least recently relayed first, and targets of other zones for which this
+    /// host has a direct reason to count them as leaving.
     ///
-    /// What peers of this zone said about its own targets is passed on too. It
-    /// cannot come back as their own word, because hosts elsewhere pass on
-    /// only targets of theirs and what they know at first hand.
+    /// Peers' reports about this zone's own targets are included. They cannot come back
+    /// as reports of other zones, because hosts there relay only their own zone's targets
+    /// and direct reasons.
     pub fn remote_loads(&mut self, now: Instant) -> Vec<PeerLoad> {
         self.remote_rounds += 1;
         let mut waiting: Vec<_> = self
@@ -77,11 +77,11 @@
         loads
     }
 
-    /// Targets of other zones that this host knows to be leaving.
+    /// Returns the targets of other zones that are leaving for a direct reason.
     ///
-    /// A zone cut off from the platform does not see the list any more. Unless
-    /// it is told, its hosts go on giving work to targets that the platform
-    /// takes away; their own zone's are not among this host's.
+    /// A zone that is cut off from the platform no longer receives its list. Without
+    /// these reports its hosts would keep sending work to targets that the platform
+    /// removes, and the targets of that zone are not among this zone's.
     fn remote_leaving_loads(&self, now: Instant) -> Vec<PeerLoad> {
         let expiry = self.settings.leaving_expiry;
         self.targets
@@ -118,8 +118,8 @@
                 age,
                 leaving,
             }),
-            // A target that is leaving may not answer polls any more; that it
-            // is leaving is still worth saying, with figures too old to count.
+            // A target that is leaving may no longer answer polls. It is still reported
+            // as leaving, with a load too old to be used.
             None if leaving => Some(PeerLoad {
                 target: name.clone(),
                 running: 0,
