--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,15 +1,16 @@
-//! Leases kept in the log: one daemon at a time may do a named piece of work.
+//! Leases kept in the log, each of which lets one daemon at a time do a named piece of
+//! work.
 //!
-//! The offset of the accepted acquisition is the fencing number. The holder
-//! counts its time from before it sent the record; all others count from when
-//! they saw it and add a margin for the rates of clocks. So the holder stops
-//! before anyone else may begin, however long either was frozen.
+//! The fencing number is the offset of the accepted acquisition. The holder counts the
+//! duration from before it sent the record. All others count from when they read it and
+//! add a margin for different clock rates. So the holder stops before another daemon may
+//! begin, however long either was frozen.
 //!
-//! - [`record`]: what is written to the log;
-//! - [`table`]: judges records, alike on every host;
-//! - [`machine`]: what one daemon does about one lease.
+//! - [`record`]: records written to the log;
+//! - [`table`]: judgement of records, with the same result on every host;
+//! - [`machine`]: state of one daemon about one lease.
 //!
-//! `docs/design/leases.md` tells what was weighed, and the proof.
+//! `docs/design/leases.md` has the alternatives that were considered, and the proof.
 
 pub mod machine;
 pub mod record;
--- a/src/lease/machine.rs
+++ b/src/lease/machine.rs
@@ -1,4 +1,4 @@
-//! What one daemon does about one lease.
+//! State machine of one daemon for one lease.
 
 use std::time::{Duration, Instant};
 
@@ -8,47 +8,47 @@
 use crate::platform::error::AppendVerdict;
 use crate::records::{JUDGING_RULES, LogRecord};
 
-/// Times of a lease. Of `duration`, a third or so is a good `renew_after`.
+/// Timing of a lease. A third of `duration` is a good value for `renew_after`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// For how long each record keeps the lease.
+    /// Time for which each record keeps the lease.
     pub duration: Duration,
-    /// How long after a record was sent the next renewal is sent.
+    /// Time from sending a record to sending the next renewal.
     pub renew_after: Duration,
-    /// How long after a failed or unconfirmed record another is sent. Differs
-    /// between hosts, so that they do not all try at the same moment.
+    /// Time from a failed or unconfirmed record to the next one. It differs between
+    /// hosts, so that they do not all try at the same moment.
     pub retry_after: Duration,
 }
 
-/// What is to be done.
+/// Action to take.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaseDecision {
     /// Append this acquisition.
     TryAcquire(LogRecord<LeaseBody>),
     /// Append this renewal.
     Renew(LogRecord<LeaseBody>),
-    /// The lease is lost: give up what is done under it. Given once.
+    /// The lease is lost: stop the work done under it. Returned once.
     StepDown,
-    /// The lease is held; nothing to do before the given time.
+    /// The lease is held, and nothing is to be done before `until`.
     Hold {
-        /// When to decide again.
+        /// Time of the next decision.
         until: Instant,
     },
-    /// The lease is not held; nothing to do before the given time.
+    /// The lease is not held, and nothing is to be done before `until`.
     Wait {
-        /// When to decide again.
+        /// Time of the next decision.
         until: Instant,
     },
 }
 
-/// The daemon's state about one lease.
+/// The daemon's state for one lease.
 #[derive(Debug)]
 pub struct LeaseMachine {
     name: LeaseName,
     owner: LeaseOwner,
     terms: LeaseTerms,
     state: LeaseState,
-    /// Records that were sent and have not been replayed.
+    /// Records that were sent and are not replayed yet.
     pending: Vec<PendingRecord>,
 }
 
@@ -69,12 +69,12 @@
 #[derive(Debug)]
 struct PendingRecord {
     id: RecordId,
-    /// Before the append was sent.
+    /// Time before the append was sent.
     sent_at: Instant,
 }
 
 impl LeaseMachine {
-    /// A machine that tries to hold the lease from `now` on.
+    /// Creates a machine that tries to hold the lease from `now` on.
     pub fn new(name: LeaseName, owner: LeaseOwner, terms: LeaseTerms, now: Instant) -> Self {
         Self {
             name,
@@ -85,12 +85,12 @@
         }
     }
 
-    /// Under which number this daemon may give an order that takes at most
-    /// `longest_order`, if it holds the lease for so long.
+    /// Returns the fencing number for an order that takes at most `longest_order`, if
+    /// this daemon holds the lease for that long.
     ///
-    /// To be asked right before each order. A daemon that was frozen does not
-    /// notice; an order given without asking would show as two daemons that
-    /// order different things.
+    /// Call this immediately before each order. A daemon does not notice that it was
+    /// frozen, and without this check it could give an order that conflicts with one of
+    /// the next holder.
     pub fn may_act(&self, now: Instant, longest_order: Duration) -> Option<FencingNumber> {
         match self.state {
             LeaseState::Holding(term) if now + longest_order < term.until => Some(term.fencing),
@@ -98,21 +98,21 @@
         }
     }
 
-    /// Whether a record of this daemon may still be judged.
+    /// Returns whether a record of this daemon may still be judged.
     pub fn awaits_judgement(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Decides what to do now. `id` is a fresh record id, used if a record is
-    /// to be appended; that must be sent after `now`.
+    /// Decides what to do now. `id` is a new record id, used if a record is to be
+    /// appended. The record must be sent after `now`.
     pub fn decide(&mut self, table: &LeaseTable, id: RecordId, now: Instant) -> LeaseDecision {
         self.pending
             .retain(|record| now < record.sent_at + self.terms.duration);
         match self.state {
             LeaseState::Holding(term) if now >= term.until || self.is_replaced(term, table) => {
                 self.state = LeaseState::Idle { try_at: now };
-                // A renewal still under way must not bring the lease back:
-                // what was done under it has been given up.
+                // A renewal still in flight must not restore the lease, because the work
+                // done under it has been stopped.
                 self.pending.clear();
                 LeaseDecision::StepDown
             }
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Takes in how a record of this daemon was judged at its offset.
+    /// Applies the judgement of a record of this daemon at its offset.
     pub fn observe_judgement(
         &mut self,
         id: &RecordId,
@@ -149,8 +149,8 @@
         if judgement != LeaseJudgement::Accepted {
             return;
         }
-        // Counted from before the append was sent, since others may count
-        // from any moment after that.
+        // The duration counts from before the append was sent, because other hosts may
+        // count from any moment after that.
         let until = record.sent_at + self.terms.duration;
         let renew_at = record.sent_at + self.terms.renew_after;
         match self.state {
@@ -173,18 +173,18 @@
         }
     }
 
-    /// Takes in that an append failed. One that may have been stored is waited
-    /// for until it could not keep the lease any more.
+    /// Processes a failed append. A record that may have been stored stays pending until
+    /// it could no longer keep the lease.
     pub fn observe_append_failure(&mut self, id: &RecordId, verdict: AppendVerdict) {
         if verdict == AppendVerdict::NotAppended {
             self.pending.retain(|record| record.id != *id);
         }
     }
 
-    /// Stops acting, and gives the record that lets another begin at once.
+    /// Stops acting and returns the record that lets another daemon begin at once.
     ///
-    /// Call it when no order is under way any more. Without a lease held there
-    /// is nothing to append.
+    /// Call this once no order is in flight. If the lease is not held, there is nothing
+    /// to append.
     pub fn release(
         &mut self,
         table: &LeaseTable,
@@ -225,8 +225,8 @@
         LeaseDecision::TryAcquire(self.send(id, LeaseEntry::Acquire { duration }, table, now))
     }
 
-    /// Whether the log shows another holder. With clocks within the margin
-    /// this comes after the lease has lapsed here.
+    /// Returns whether the log shows another holder. With clock rates within the margin
+    /// this happens only after the lease has expired here.
     fn is_replaced(&self, term: HeldTerm, table: &LeaseTable) -> bool {
         let holder = table.holder(&self.name);
         !table.is_judgeable() || holder.is_some_and(|holder| holder.fencing > term.fencing)
--- a/src/lease/record.rs
+++ b/src/lease/record.rs
@@ -9,14 +9,13 @@
 use crate::ids::{HostId, IncarnationId, LogOffset};
 use crate::records::LogRecord;
 
-/// Name of a piece of work that one daemon at a time may do.
+/// Name of a piece of work that only one daemon at a time may do.
 pub type LeaseName = Arc<str>;
 
-/// Offset of the acquisition under which a lease is held. Grows from holder
-/// to holder.
+/// Offset of the acquisition under which a lease is held. It grows from holder to holder.
 pub type FencingNumber = LogOffset;
 
-/// Longest duration that is accepted. Part of the judging rules. The log keeps
+/// Maximum duration that is accepted. It is part of the judging rules. The log keeps
 /// records for far longer than this.
 pub const MAX_LEASE_DURATION: Duration = Duration::from_secs(60);
 
@@ -25,42 +24,40 @@
 pub struct LeaseBody {
     /// The lease.
     pub name: LeaseName,
-    /// Offset after the last record of the stream that the writer had applied.
-    /// The record is void if the log holds another one of the same name from
-    /// there on.
+    /// Offset after the last record of the stream that the writer had applied. The record
+    /// is void if the log contains another one of the same name at or after this offset.
     pub seen: LogOffset,
-    /// What it says.
+    /// Change of the lease.
     pub entry: LeaseEntry,
 }
 
-/// What a record of the lease stream says.
+/// Change of a lease by its record's writer.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseEntry {
-    /// The writer takes a lease that, by its own clock, has lapsed or was
-    /// released.
+    /// The writer acquires a lease that is released or, by the writer's clock, expired.
     Acquire {
-        /// For how long, in milliseconds.
+        /// Duration in milliseconds.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         duration: Duration,
     },
-    /// The writer holds the lease and goes on holding it.
+    /// The writer holds the lease and extends it.
     Renew {
-        /// Its fencing number.
+        /// Fencing number of the lease.
         fencing: FencingNumber,
-        /// For how long from now, in milliseconds.
+        /// Duration from now on, in milliseconds.
         #[serde_as(as = "DurationMilliSeconds<u64>")]
         duration: Duration,
     },
-    /// The writer held the lease and does not act under it any more.
+    /// The writer held the lease and no longer acts under it.
     Release {
-        /// Its fencing number.
+        /// Fencing number of the lease.
         fencing: FencingNumber,
     },
 }
 
-/// The daemon's life that holds a lease.
+/// Incarnation of a daemon that holds a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseOwner {
     /// Its host.
@@ -70,7 +67,7 @@
 }
 
 impl LeaseOwner {
-    /// Who wrote a record.
+    /// Returns the writer of a record.
     pub fn of<B>(record: &LogRecord<B>) -> Self {
         Self {
             host: record.writer.clone(),
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -1,9 +1,9 @@
-//! Judges the records of the lease stream, alike on every host.
+//! Judges the records of the lease stream with the same result on every host.
 //!
-//! A record is void if any record of the same name lies between what its
-//! writer had seen and itself. That needs nothing but this stretch of the log,
-//! so a host that starts after older records have expired judges like those
-//! that have read them.
+//! A record is void if any record of the same name lies between the offset that its
+//! writer had seen and the record itself. The judgement depends only on this range of the
+//! log, so a host that starts after older records have expired judges like hosts that
+//! have read them.
 
 use std::time::{Duration, Instant};
 
@@ -14,11 +14,11 @@
 };
 use crate::records::{JUDGING_RULES, LogRecord, RawRecord};
 
-/// By how much clocks may run at different rates.
+/// Margin for clocks that run at different rates.
 ///
-/// With rates within `1 - r` and `1 + r` of true time, the margin must be at
-/// least `2r / (1 - r)`, because the holder's clock may be the slowest and the
-/// observer's the fastest.
+/// With rates within `1 - r` and `1 + r` of true time, the margin must be at least `2r /
+/// (1 - r)`, because the holder's clock may be the slowest and the observer's the
+/// fastest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockMargin {
     /// Added to every duration that is waited out, in percent.
@@ -26,7 +26,7 @@
 }
 
 impl ClockMargin {
-    /// How long to wait out a lease of another.
+    /// Returns how long to wait for another host's lease to expire.
     pub fn stretch(self, duration: Duration) -> Duration {
         duration + duration * self.percent / 100
     }
@@ -37,51 +37,52 @@
 pub struct LeaseTable {
     margin: ClockMargin,
     next_offset: LogOffset,
-    /// Records below this were missed, because they had expired.
+    /// Offset below which records were missed, because they had expired.
     missed_below: LogOffset,
-    /// Until when missed records may still keep a lease; `None` until the
-    /// first read.
+    /// Time until which missed records may still keep a lease; `None` until the first
+    /// read.
     missed_until: Option<Instant>,
-    /// Set once a record has come that this program cannot judge.
+    /// Whether a record was read that this program cannot judge.
     unjudgeable: bool,
     leases: FastMap<LeaseName, KnownLease>,
 }
 
 #[derive(Debug, Clone)]
 struct KnownLease {
-    /// Offset of the last record of this name, void ones included.
+    /// Offset of the last record of this name, including void ones.
     last_record: LogOffset,
     holder: Option<LeaseHolder>,
-    /// Until when a holder may act, by this host's clock.
+    /// Time until which a holder may act, by this host's clock.
     busy_until: Instant,
 }
 
-/// Who holds a lease.
+/// Holder of a lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseHolder {
-    /// The holder.
+    /// The daemon that holds the lease.
     pub owner: LeaseOwner,
-    /// Its fencing number.
+    /// Fencing number of the lease.
     pub fencing: FencingNumber,
 }
 
-/// How a record was judged.
+/// Judgement of a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseJudgement {
-    /// It took effect.
+    /// The record took effect.
     Accepted,
-    /// It took no effect: its writer had not seen the latest record, or asks
-    /// for too long a duration; or the text is no record.
+    /// The record took no effect: its writer had not seen the latest record, the duration
+    /// is too long, or the text is not a record.
     Void,
-    /// What its writer had seen was missed here, so it may have taken effect.
+    /// Records that the writer had seen were missed here, so that the record may have
+    /// taken effect.
     Unclear,
-    /// The record was seen before.
+    /// The record was already judged.
     Repeated,
-    /// It is to be judged by rules that this program does not know.
+    /// The record requires rules that this program does not know.
     UnknownRules,
 }
 
-/// A record's id, as far as it could be read, and how it was judged.
+/// A record's id, as far as it could be read, and its judgement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JudgedLease {
     /// The record's id.
@@ -91,7 +92,7 @@
 }
 
 impl LeaseTable {
-    /// An empty table, to be filled from offset zero on.
+    /// Creates an empty table, to be filled from offset zero on.
     pub fn new(margin: ClockMargin) -> Self {
         Self {
             margin,
@@ -103,10 +104,10 @@
         }
     }
 
-    /// Notes a read that succeeded, before its records are applied.
+    /// Processes a successful read before its records are applied.
     ///
-    /// If records expired unread, a lease may rest on them. It lapses in time
-    /// unless it is renewed by a record that will be read.
+    /// If records expired before they were read, they may still keep a lease. Such a
+    /// lease expires in time unless a record renews it, which will be read.
     pub fn observe_read(&mut self, first_offset: LogOffset, now: Instant) {
         if first_offset > self.next_offset {
             self.next_offset = first_offset;
@@ -115,8 +116,8 @@
         self.missed_until.get_or_insert(now);
     }
 
-    /// Judges the text of the record at an offset, which was read at
-    /// `seen_at`. Text that is no record is void for all readers alike.
+    /// Judges the text of the record at `offset`, which was read at `seen_at`. Text that
+    /// is not a record is void for all readers.
     pub fn apply_raw(&mut self, offset: LogOffset, text: &str, seen_at: Instant) -> JudgedLease {
         match RawRecord::read(text) {
             RawRecord::Known(record) => JudgedLease {
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Judges the record at an offset, which was read at `seen_at`. Records
-    /// come in the log's order.
+    /// Judges the record at `offset`, which was read at `seen_at`. Records are applied in
+    /// the order of the log.
     pub fn apply(
         &mut self,
         offset: LogOffset,
@@ -168,23 +169,24 @@
         }
     }
 
-    /// The offset that is to be applied next.
+    /// Returns the offset to apply next.
     pub fn next_offset(&self) -> LogOffset {
         self.next_offset
     }
 
-    /// Who holds a lease, as far as the log was read. It may have lapsed.
+    /// Returns the holder of a lease, as far as the log was read. The lease may have
+    /// expired.
     pub fn holder(&self, name: &LeaseName) -> Option<&LeaseHolder> {
         self.leases.get(name)?.holder.as_ref()
     }
 
-    /// Whether every record so far could be judged.
+    /// Returns whether every record so far could be judged.
     pub fn is_judgeable(&self) -> bool {
         !self.unjudgeable
     }
 
-    /// From when on a lease may be acquired, by this host's clock; `None` if
-    /// that cannot be known.
+    /// Returns the time from which a lease may be acquired, by this host's clock; `None`
+    /// if that is unknown.
     pub fn free_at(&self, name: &LeaseName) -> Option<Instant> {
         if self.unjudgeable {
             return None;
@@ -194,7 +196,7 @@
         Some(busy_until.map_or(missed_until, |time| time.max(missed_until)))
     }
 
-    /// Moves on to the record at an offset, unless it was seen before.
+    /// Advances to the record at `offset`. Returns false if that was applied before.
     fn advance(&mut self, offset: LogOffset, seen_at: Instant) -> bool {
         if offset < self.next_offset {
             return false;
@@ -246,8 +248,8 @@
         }
     }
 
-    /// Carries out a record that is not void. Its writer had seen all records
-    /// of the name, so it knew who held the lease, even if that was missed here.
+    /// Executes a record that is not void. Its writer had seen all earlier records of the
+    /// name, so it knew the holder even if this host missed those records.
     fn accept(
         &mut self,
         offset: LogOffset,
@@ -269,7 +271,7 @@
         self.extend_busy(entry, margin, seen_at);
     }
 
-    /// Waits out the time for which a record's writer may act.
+    /// Extends the time for which the writer of a record may act.
     fn extend_busy(&mut self, entry: &LeaseEntry, margin: ClockMargin, seen_at: Instant) {
         match entry {
             LeaseEntry::Acquire { duration } | LeaseEntry::Renew { duration, .. } => {
