--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -3,8 +3,8 @@
 use jackdawwick::membership::{RoleCandidate, aggregator_count, host_weight, rank_hosts};
 use proptest::prelude::*;
 
-fn candidates(strengths: &[u32]) -> Vec<RoleCandidate> {
-    let hosts = strengths.iter().enumerate();
+fn candidates(weights: &[u32]) -> Vec<RoleCandidate> {
+    let hosts = weights.iter().enumerate();
     let hosts = hosts.map(|(number, weight)| RoleCandidate {
         host: format!("host-{number:03}").as_str().into(),
         weight: *weight,
@@ -15,7 +15,7 @@
 /// Symptom: a zone of 39 hosts waits for one with an eighth of a core. Sequence:
 /// that host comes first by name. Cause: duties went by name alone.
 #[test]
-fn the_strong_come_first_and_equal_ones_by_name() {
+fn hosts_are_ranked_by_weight_and_then_by_name() {
     let mut ranked = candidates(&[6, 8, 6, 8]);
     ranked.reverse();
     rank_hosts(&mut ranked);
@@ -25,19 +25,19 @@
 }
 
 #[test]
-fn a_host_is_as_strong_as_what_it_has_least_of() {
-    let strong = host_weight(0.5, 200.0);
-    assert!(strong > host_weight(0.12, 20.0));
-    assert!(strong > host_weight(0.5, 10.0));
+fn host_weight_is_limited_by_the_scarcer_resource() {
+    let heavy = host_weight(0.5, 200.0);
+    assert!(heavy > host_weight(0.12, 20.0));
+    assert!(heavy > host_weight(0.5, 10.0));
     assert_eq!(host_weight(0.25, 1000.0), host_weight(0.26, 1000.0));
     assert_eq!(host_weight(0.0, 0.0), 0);
 }
 
 #[test]
-fn only_strong_hosts_speak_while_there_are_enough() {
-    let zone = |strong: usize, weak: usize| {
-        let strengths = [vec![8; strong], vec![6; weak]].concat();
-        aggregator_count(&candidates(&strengths))
+fn the_heaviest_hosts_are_aggregators_while_there_are_enough() {
+    let zone = |heavy: usize, light: usize| {
+        let weights = [vec![8; heavy], vec![6; light]].concat();
+        aggregator_count(&candidates(&weights))
     };
     assert_eq!(zone(0, 0), 0);
     assert_eq!(zone(0, 3), 3);
@@ -53,8 +53,8 @@
 
     /// No speaker serves more hosts than it can, however many there are.
     #[test]
-    fn what_a_speaker_serves_is_bounded(strengths in prop::collection::vec(5_u32..9, 1..400)) {
-        let mut ranked = candidates(&strengths);
+    fn hosts_per_aggregator_are_bounded(weights in prop::collection::vec(5_u32..9, 1..400)) {
+        let mut ranked = candidates(&weights);
         rank_hosts(&mut ranked);
         let aggregators = aggregator_count(&ranked);
         prop_assert!(aggregators >= 1);
--- a/tests/fleet_in_memory/mod.rs
+++ b/tests/fleet_in_memory/mod.rs
@@ -16,18 +16,18 @@
 /// Pause between two looks at whom to call.
 const TICK: Duration = Duration::from_millis(125);
 /// Time until a call to a host that does not answer fails.
-const CALL_LIMIT: Duration = Duration::from_millis(600);
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Bytes of a view, of each use, listed host, count and note in it: upper bounds on
 /// what the encoding takes, which `tests/peer_rpc.rs` measures.
 pub(crate) const VIEW_BYTES: usize = 420;
-pub(crate) const USE_BYTES: usize = 22;
+pub(crate) const USAGE_BYTES: usize = 22;
 pub(crate) const LISTED_BYTES: usize = 120;
 pub(crate) const COUNT_BYTES: usize = 40;
-pub(crate) const NOTE_BYTES: usize = 20;
+pub(crate) const EVIDENCE_BYTES: usize = 20;
 
 /// Strength of the hosts that have half a core, and of the others.
-pub(crate) const STRONG: HostWeight = 8;
-pub(crate) const WEAK: HostWeight = 6;
+pub(crate) const HEAVY: HostWeight = 8;
+pub(crate) const LIGHT: HostWeight = 6;
 
 pub(crate) struct SimHost {
     pub(crate) name: HostId,
@@ -38,7 +38,7 @@
     pub(crate) poison: PoisonTable,
     incarnation: IncarnationId,
     weight: HostWeight,
-    pub(crate) lives: bool,
+    pub(crate) alive: bool,
     /// Whether it speaks for its zone, as it last found.
     reports: bool,
     /// Exchanges that it took part in, and their bytes both ways.
@@ -49,11 +49,11 @@
 pub(crate) struct SimFleet {
     pub(crate) now: Instant,
     pub(crate) hosts: Vec<SimHost>,
-    places: HashMap<SocketAddr, usize>,
+    indices: HashMap<SocketAddr, usize>,
     seeds: Vec<SocketAddr>,
-    failing: Vec<(Instant, usize, SocketAddr)>,
+    failing_calls: Vec<(Instant, usize, SocketAddr)>,
     /// Zones that reach no other one.
-    pub(crate) cut: Vec<ZoneId>,
+    pub(crate) partitioned: Vec<ZoneId>,
 }
 
 fn target(zone: &str, number: usize) -> TargetEntry {
@@ -78,20 +78,20 @@
     /// a zone. Each host has a request on every other engine of its zone.
     pub(crate) fn new(zones: usize, hosts_each: usize, engines: usize) -> Self {
         let mut hosts = Vec::new();
-        let address = |place: usize| -> SocketAddr {
-            let [.., high, low] = (place as u32).to_be_bytes();
+        let address = |index: usize| -> SocketAddr {
+            let [.., high, low] = (index as u32).to_be_bytes();
             ([10, 0, high, low], 9000).into()
         };
         let seeds = vec![address(0), address(hosts_each), address(2 * hosts_each - 1)];
-        for place in 0..zones * hosts_each {
-            let (zone, number) = (zone_name(place / hosts_each), place % hosts_each);
+        for index in 0..zones * hosts_each {
+            let (zone, number) = (zone_name(index / hosts_each), index % hosts_each);
             // Names tell nothing of strength.
             let name = format!("{zone}-{:03}", (number * 37 + 11) % 997);
-            let weight = if number < 3 { STRONG } else { WEAK };
+            let weight = if number < 3 { HEAVY } else { LIGHT };
             let mut fleet = FleetTable::default();
-            for of in 0..zones {
+            for target_zone in 0..zones {
                 for engine in 0..engines {
-                    fleet.observe_entry(target(&zone_name(of), engine));
+                    fleet.observe_entry(target(&zone_name(target_zone), engine));
                 }
             }
             for engine in (number % 2..engines).step_by(2) {
@@ -105,33 +105,33 @@
             let gossip = GossipTable::new(
                 name.as_str().into(),
                 zone.as_str().into(),
-                address(place),
+                address(index),
                 seeds.clone(),
             );
             hosts.push(SimHost {
                 name: name.as_str().into(),
                 zone: zone.as_str().into(),
-                address: address(place),
-                gossip: gossip.with_identity(place as u64 + 1, weight),
+                address: address(index),
+                gossip: gossip.with_identity(index as u64 + 1, weight),
                 fleet,
                 poison: PoisonTable::default(),
-                incarnation: place as u64 + 1,
+                incarnation: index as u64 + 1,
                 weight,
-                lives: true,
+                alive: true,
                 reports: true,
                 exchanges: 0,
                 bytes: 0,
             });
         }
-        let places = hosts.iter().enumerate();
-        let places = places.map(|(place, host)| (host.address, place));
+        let indices = hosts.iter().enumerate();
+        let indices = indices.map(|(index, host)| (host.address, index));
         Self {
             now: Instant::now(),
-            places: places.collect(),
+            indices: indices.collect(),
             seeds,
             hosts,
-            failing: Vec::new(),
-            cut: Vec::new(),
+            failing_calls: Vec::new(),
+            partitioned: Vec::new(),
         }
     }
 
@@ -141,15 +141,15 @@
         while self.now < end {
             self.now += TICK;
             self.fail_calls();
-            for place in 0..self.hosts.len() {
-                self.call_from(place);
+            for index in 0..self.hosts.len() {
+                self.call_from(index);
             }
         }
     }
 
     /// Starts a host again: it knows nothing but the seeds.
-    pub(crate) fn restart(&mut self, place: usize) {
-        let host = &mut self.hosts[place];
+    pub(crate) fn restart(&mut self, index: usize) {
+        let host = &mut self.hosts[index];
         host.incarnation += 1 << 32;
         let (name, zone, seeds) = (host.name.clone(), host.zone.clone(), self.seeds.clone());
         let gossip = GossipTable::new(name, zone, host.address, seeds);
@@ -168,79 +168,81 @@
 
     /// Live hosts of a zone by their places.
     pub(crate) fn live_hosts_in(&self, zone: &str) -> Vec<usize> {
-        let places = 0..self.hosts.len();
-        let live = places.filter(|place| {
-            let host = &self.hosts[*place];
-            host.lives && *host.zone == *zone
+        let indices = 0..self.hosts.len();
+        let live = indices.filter(|index| {
+            let host = &self.hosts[*index];
+            host.alive && *host.zone == *zone
         });
         live.collect()
     }
 
     /// Requests that a host believes the others of its zone to have on a target.
-    pub(crate) fn near(&self, place: usize, target: &str) -> u32 {
-        let state = self.hosts[place].fleet.get(target);
+    pub(crate) fn near(&self, index: usize, target: &str) -> u32 {
+        let state = self.hosts[index].fleet.get(target);
         state.expect("known").near.requests
     }
 
     fn fail_calls(&mut self) {
         let now = self.now;
-        let due = self.failing.iter().filter(|(at, ..)| *at <= now);
-        for (_, place, address) in due.cloned().collect::<Vec<_>>() {
-            self.hosts[place].gossip.observe_failed_call(address, now);
+        let due = self.failing_calls.iter().filter(|(at, ..)| *at <= now);
+        for (_, index, address) in due.cloned().collect::<Vec<_>>() {
+            self.hosts[index].gossip.observe_failed_call(address, now);
         }
-        self.failing.retain(|(at, ..)| *at > now);
+        self.failing_calls.retain(|(at, ..)| *at > now);
     }
 
-    fn call_from(&mut self, place: usize) {
-        if !self.hosts[place].lives {
+    fn call_from(&mut self, index: usize) {
+        if !self.hosts[index].alive {
             return;
         }
         let now = self.now;
-        let due = self.hosts[place].gossip.due_calls(now);
-        let reports = self.hosts[place].gossip.reports_to(now).is_some();
-        if self.hosts[place].reports && !reports {
-            self.hosts[place].fleet.forget_neighbours();
+        let due = self.hosts[index].gossip.due_calls(now);
+        let reports = self.hosts[index].gossip.reports_to(now).is_some();
+        if self.hosts[index].reports && !reports {
+            self.hosts[index].fleet.forget_neighbours();
         }
-        self.hosts[place].reports = reports;
+        self.hosts[index].reports = reports;
         for address in due {
-            match self.places.get(&address).copied() {
-                Some(callee) if self.reaches(place, callee) => self.exchange(place, callee),
-                _ => self.failing.push((now + CALL_LIMIT, place, address)),
+            match self.indices.get(&address).copied() {
+                Some(callee) if self.reaches(index, callee) => self.exchange(index, callee),
+                _ => self
+                    .failing_calls
+                    .push((now + CALL_TIMEOUT, index, address)),
             }
         }
     }
 
     fn reaches(&self, caller: usize, callee: usize) -> bool {
         let (from, to) = (&self.hosts[caller], &self.hosts[callee]);
-        let cut =
-            from.zone != to.zone && (self.cut.contains(&from.zone) || self.cut.contains(&to.zone));
-        to.lives && !cut
+        let partitioned = from.zone != to.zone
+            && (self.partitioned.contains(&from.zone) || self.partitioned.contains(&to.zone));
+        to.alive && !partitioned
     }
 
     fn exchange(&mut self, caller: usize, callee: usize) {
         let now = self.now;
         let address = self.hosts[callee].address;
-        let question = self.hosts[caller].gossip.request_view(address, now);
-        let question = self.complete(caller, question, None, address);
-        self.hear(callee, &question);
-        let answer = self.hosts[callee].gossip.reply_view(&question, now);
-        let answer = self.complete(callee, answer, Some(&question.host), question.address);
-        self.hear(caller, &answer);
-        let bytes = view_bytes(&question) + view_bytes(&answer);
-        for place in [caller, callee] {
-            self.hosts[place].exchanges += 1;
-            self.hosts[place].bytes += bytes;
+        let request = self.hosts[caller].gossip.request_view(address, now);
+        let request = self.complete(caller, request, None, address);
+        self.receive(callee, &request);
+        let reply = self.hosts[callee].gossip.reply_view(&request, now);
+        let reply = self.complete(callee, reply, Some(&request.host), request.address);
+        self.receive(caller, &reply);
+        let bytes = view_bytes(&request) + view_bytes(&reply);
+        for index in [caller, callee] {
+            self.hosts[index].exchanges += 1;
+            self.hosts[index].bytes += bytes;
         }
     }
 
     fn complete(
         &self,
-        place: usize,
+        index: usize,
         view: HostView,
         listener: Option<&HostId>,
         address: SocketAddr,
     ) -> HostView {
-        let host = &self.hosts[place];
+        let host = &self.hosts[index];
         let uses = host.fleet.uses(view.scope, listener);
         let poison = host.poison.listing_for(address, self.now);
         HostView {
@@ -250,9 +252,9 @@
         }
     }
 
-    fn hear(&mut self, place: usize, view: &HostView) {
+    fn receive(&mut self, index: usize, view: &HostView) {
         let now = self.now;
-        let host = &mut self.hosts[place];
+        let host = &mut self.hosts[index];
         if !host.gossip.observe_view(view, now) {
             return;
         }
@@ -268,8 +270,8 @@
 /// Bytes of a view on the wire.
 fn view_bytes(view: &HostView) -> usize {
     VIEW_BYTES
-        + USE_BYTES * view.uses.len()
+        + USAGE_BYTES * view.uses.len()
         + LISTED_BYTES * view.listing.hosts.len()
         + COUNT_BYTES * view.counts.len()
-        + NOTE_BYTES * view.poison.notes.len()
+        + EVIDENCE_BYTES * view.poison.notes.len()
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -25,15 +25,15 @@
     retry_after: Duration::from_secs(1),
 };
 /// How finely the invariant is looked at, in milliseconds of true time.
-const LOOK_EVERY: u64 = 20;
+const CHECK_INTERVAL_MS: u64 = 20;
 
 #[derive(Debug, Clone, Copy)]
-enum AppendFate {
+enum AppendOutcome {
     Stored,
-    AnswerLost,
-    Vanishes,
+    ReplyLost,
+    Lost,
     Delayed,
-    Doubled,
+    Duplicated,
     Refused,
 }
 
@@ -49,10 +49,10 @@
     Advance {
         millis: u64,
     },
-    Fate {
-        fate: AppendFate,
+    Outcome {
+        outcome: AppendOutcome,
     },
-    Land,
+    Deliver,
     Restart {
         host: usize,
     },
@@ -73,21 +73,21 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let host = 0..HOSTS;
-    let fate = prop_oneof![
-        5 => Just(AppendFate::Stored),
-        1 => Just(AppendFate::AnswerLost),
-        1 => Just(AppendFate::Vanishes),
-        2 => Just(AppendFate::Delayed),
-        1 => Just(AppendFate::Doubled),
-        1 => Just(AppendFate::Refused),
+    let outcome = prop_oneof![
+        5 => Just(AppendOutcome::Stored),
+        1 => Just(AppendOutcome::ReplyLost),
+        1 => Just(AppendOutcome::Lost),
+        2 => Just(AppendOutcome::Delayed),
+        1 => Just(AppendOutcome::Duplicated),
+        1 => Just(AppendOutcome::Refused),
     ];
     prop_oneof![
         10 => (host.clone(), 1..5_usize).prop_map(|(host, count)| Step::Replay { host, count }),
         10 => host.clone().prop_map(|host| Step::Decide { host }),
         10 => prop_oneof![10 => 20..2_500_u64, 4 => 2_500..12_000_u64, 1 => 60_000..75_000_u64]
             .prop_map(|millis| Step::Advance { millis }),
-        3 => fate.prop_map(|fate| Step::Fate { fate }),
-        3 => Just(Step::Land),
+        3 => outcome.prop_map(|outcome| Step::Outcome { outcome }),
+        3 => Just(Step::Deliver),
         1 => host.clone().prop_map(|host| Step::Restart { host }),
         1 => host.prop_map(|host| Step::Release { host }),
         1 => (0..3_usize).prop_map(|kept| Step::ExpireEarly { kept }),
@@ -110,7 +110,7 @@
     log: Vec<String>,
     expired: usize,
     delayed: Vec<String>,
-    fate: AppendFate,
+    outcome: AppendOutcome,
     hosts: Vec<ModelHost>,
     records: u64,
     highest: u64,
@@ -142,7 +142,7 @@
             log: Vec::new(),
             expired: 0,
             delayed: Vec::new(),
-            fate: AppendFate::Stored,
+            outcome: AppendOutcome::Stored,
             hosts: (0..HOSTS).map(|index| new_host(index, 1, base)).collect(),
             records: 0,
             highest: 0,
@@ -159,9 +159,9 @@
             Step::Replay { host, count } => self.replay(host, count),
             Step::Decide { host } => self.decide(host),
             Step::Advance { millis } => self.advance(millis),
-            Step::Fate { fate } => self.fate = fate,
-            Step::Land if self.delayed.is_empty() => {}
-            Step::Land => self.log.push(self.delayed.remove(0)),
+            Step::Outcome { outcome } => self.outcome = outcome,
+            Step::Deliver if self.delayed.is_empty() => {}
+            Step::Deliver => self.log.push(self.delayed.remove(0)),
             Step::Restart { host } => self.restart(host),
             Step::Release { host } => self.release(host),
             Step::ExpireEarly { kept } => {
@@ -203,7 +203,7 @@
     fn advance(&mut self, millis: u64) {
         let end = self.elapsed + millis;
         while self.elapsed < end {
-            self.elapsed = end.min(self.elapsed + LOOK_EVERY);
+            self.elapsed = end.min(self.elapsed + CHECK_INTERVAL_MS);
             self.check_holders();
         }
     }
@@ -270,18 +270,18 @@
 
     fn append(&mut self, host: usize, record: &LogRecord<LeaseBody>) {
         let body = serde_json::to_string(record).unwrap();
-        match self.fate {
-            AppendFate::Stored | AppendFate::AnswerLost => self.log.push(body),
-            AppendFate::Vanishes | AppendFate::Refused => {}
-            AppendFate::Delayed => self.delayed.push(body),
-            AppendFate::Doubled => {
+        match self.outcome {
+            AppendOutcome::Stored | AppendOutcome::ReplyLost => self.log.push(body),
+            AppendOutcome::Lost | AppendOutcome::Refused => {}
+            AppendOutcome::Delayed => self.delayed.push(body),
+            AppendOutcome::Duplicated => {
                 self.log.push(body.clone());
                 self.delayed.push(body);
             }
         }
-        let verdict = match self.fate {
-            AppendFate::Stored => return,
-            AppendFate::Refused => AppendVerdict::NotAppended,
+        let verdict = match self.outcome {
+            AppendOutcome::Stored => return,
+            AppendOutcome::Refused => AppendVerdict::NotAppended,
             _ => AppendVerdict::MayBeAppended,
         };
         let machine = &mut self.hosts[host].machine;
@@ -308,9 +308,9 @@
 
     /// With a working log and nobody frozen, someone holds the lease.
     fn heal(&mut self) {
-        self.fate = AppendFate::Stored;
+        self.outcome = AppendOutcome::Stored;
         while !self.delayed.is_empty() {
-            self.run(Step::Land);
+            self.run(Step::Deliver);
         }
         self.work((1 << HOSTS) - 1, 900);
         let holders = (0..HOSTS).filter(|&host| {
@@ -337,7 +337,7 @@
     /// the wrong moment, a margin too small, or records judged differently by
     /// hosts that have read different parts of the log.
     #[test]
-    fn never_two_holders(steps in prop::collection::vec(step(), 1..150)) {
+    fn at_most_one_holder_may_act(steps in prop::collection::vec(step(), 1..150)) {
         let mut model = Model::new();
         for step in &steps {
             model.run(*step);
@@ -351,7 +351,7 @@
 /// look at the clock between waking and the order, or an order begun that
 /// outlasts the lease.
 #[test]
-fn woken_holder_may_not_act() {
+fn a_holder_that_wakes_after_expiry_may_not_act() {
     let mut model = Model::new();
     model.replay(0, 1);
     model.decide(0);
@@ -397,12 +397,15 @@
     let later = start + Duration::from_secs(3600);
     let unclear = acquisition("didube-1", name(), 49);
     assert_eq!(table.apply(50, &unclear, later), LeaseJudgement::Unclear);
-    let lapsed = later + MARGIN.stretch(TERMS.duration);
-    assert_eq!(table.free_at(&name()), Some(lapsed));
+    let expired_at = later + MARGIN.stretch(TERMS.duration);
+    assert_eq!(table.free_at(&name()), Some(expired_at));
     let clear = acquisition("vake-1", name(), 51);
-    assert_eq!(table.apply(51, &clear, lapsed), LeaseJudgement::Accepted);
+    assert_eq!(
+        table.apply(51, &clear, expired_at),
+        LeaseJudgement::Accepted
+    );
 
-    let newer = table.apply_raw(52, "{\"rules\":99}", lapsed);
+    let newer = table.apply_raw(52, "{\"rules\":99}", expired_at);
     assert_eq!(newer.judgement, LeaseJudgement::UnknownRules);
     assert_eq!(table.free_at(&name()), None);
 }
@@ -421,8 +424,8 @@
             .may_act(now, Duration::ZERO)
             .is_some()
     );
-    let taken = acquisition("didube-1", name(), 1);
-    model.log.push(serde_json::to_string(&taken).unwrap());
+    let replacement = acquisition("didube-1", name(), 1);
+    model.log.push(serde_json::to_string(&replacement).unwrap());
     model.replay(0, 1);
     model.decide(0);
     assert_eq!(model.hosts[0].machine.may_act(now, Duration::ZERO), None);
--- a/tests/leaving_fleet/faults.rs
+++ b/tests/leaving_fleet/faults.rs
@@ -13,7 +13,7 @@
     /// A host has neither the log nor other hosts.
     HostCut(usize),
     /// The log serves a host not.
-    TurnedAway(usize),
+    LogRefused(usize),
     /// The log serves nobody, and no target can write.
     LogDown,
     /// The log forgets its history.
@@ -40,7 +40,7 @@
         let kind = match random.random_range(0..6) {
             0 => FaultKind::ZoneCut(host % ZONES),
             1 => FaultKind::HostCut(host),
-            2 => FaultKind::TurnedAway(host),
+            2 => FaultKind::LogRefused(host),
             3 => FaultKind::LogDown,
             4 => FaultKind::Trim,
             _ => FaultKind::Restart(host),
--- a/tests/leaving_fleet/promises.rs
+++ b/tests/leaving_fleet/invariants.rs
@@ -8,24 +8,24 @@
 
 impl World {
     /// What is wrong now.
-    pub(crate) fn broken(&self) -> Vec<String> {
-        let mut broken = Vec::new();
+    pub(crate) fn violations(&self) -> Vec<String> {
+        let mut violations = Vec::new();
         for host in 0..HOSTS {
             for target in &self.targets {
                 let known = self.hosts[host].knows(&target.name);
-                let story = format!("{} ms: host {host}, {}", self.now_ms, target.name);
-                if known && self.must_be_gone(host, target) {
-                    broken.push(format!("{story} left at {:?}", target.left_ms));
+                let context = format!("{} ms: host {host}, {}", self.now_ms, target.name);
+                if known && self.must_be_removed(host, target) {
+                    violations.push(format!("{context} left at {:?}", target.left_ms));
                 }
                 if !known && self.must_be_known(host, target) {
-                    broken.push(format!("{story} lives"));
+                    violations.push(format!("{context} lives"));
                 }
             }
         }
-        broken
+        violations
     }
 
-    fn must_be_gone(&self, host: usize, target: &SimTarget) -> bool {
+    fn must_be_removed(&self, host: usize, target: &SimTarget) -> bool {
         let Some(left_ms) = target.left_ms else {
             return false;
         };
@@ -39,7 +39,7 @@
         match kind {
             FaultKind::LogDown => true,
             FaultKind::ZoneCut(cut) => cut == self.hosts[host].zone,
-            FaultKind::HostCut(cut) | FaultKind::TurnedAway(cut) | FaultKind::Restart(cut) => {
+            FaultKind::HostCut(cut) | FaultKind::LogRefused(cut) | FaultKind::Restart(cut) => {
                 cut == host
             }
             FaultKind::Trim => false,
@@ -47,7 +47,7 @@
     }
 
     /// When a fault of a kind lasted last; 0 if none did.
-    fn last_trouble_ms<F>(&self, wanted: F) -> u64
+    fn last_fault_ms<F>(&self, wanted: F) -> u64
     where
         F: Fn(FaultKind) -> bool,
     {
@@ -66,16 +66,16 @@
         let zone = self.hosts[host].zone;
         // A host drops the entries of another zone that is cut off, and has them back a
         // while after it can read again and they are there.
-        let zone_trouble_ms = self.last_trouble_ms(|kind| match kind {
+        let zone_fault_ms = self.last_fault_ms(|kind| match kind {
             FaultKind::ZoneCut(cut) => cut == target.zone && zone != target.zone,
             _ => false,
         });
-        let own_trouble_ms = self.last_trouble_ms(|kind| self.disturbs(kind, host));
-        let back_ms = zone_trouble_ms.max(own_trouble_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
-        let away = zone_trouble_ms > 0 && self.now_ms < back_ms;
+        let own_fault_ms = self.last_fault_ms(|kind| self.disturbs(kind, host));
+        let back_ms = zone_fault_ms.max(own_fault_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
+        let away = zone_fault_ms > 0 && self.now_ms < back_ms;
         // A host that starts again finds what the log, or another host, lists.
-        let restart_ms = self.last_trouble_ms(|kind| kind == FaultKind::Restart(host));
-        let log_ms = restart_ms.max(own_trouble_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
+        let restart_ms = self.last_fault_ms(|kind| kind == FaultKind::Restart(host));
+        let log_ms = restart_ms.max(own_fault_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
         let started = restart_ms > 0 && self.now_ms < log_ms;
         settled && target.left_ms.is_none() && !away && !started
     }
--- a/tests/leaving_fleet/log.rs
+++ b/tests/leaving_fleet/log.rs
@@ -18,7 +18,7 @@
     }
 
     /// Whether a target has an entry.
-    pub(crate) fn lists(&self, key: &str) -> bool {
+    pub(crate) fn has_entry(&self, key: &str) -> bool {
         self.newest.contains_key(key)
     }
 
--- a/tests/leaving_fleet/main.rs
+++ b/tests/leaving_fleet/main.rs
@@ -3,8 +3,8 @@
 
 mod faults;
 mod host;
+mod invariants;
 mod log;
-mod promises;
 mod world;
 
 use rand::SeedableRng;
@@ -23,17 +23,17 @@
 /// outage read after a neighbour had told of its end (373).
 const FAILED_SEEDS: [u64; 5] = [120, 165, 204, 217, 373];
 
-fn play(seed: u64, faults: Vec<Fault>) -> Vec<String> {
+fn run_simulation(seed: u64, faults: Vec<Fault>) -> Vec<String> {
     let mut world = World::open(seed, faults);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     while world.now_ms < LENGTH_MS {
         world.step();
-        broken.extend(world.broken());
-        if broken.len() > 3 {
+        violations.extend(world.violations());
+        if violations.len() > 3 {
             break;
         }
     }
-    broken
+    violations
 }
 
 fn fault(kind: FaultKind, from_ms: u64, until_ms: u64) -> Fault {
@@ -46,48 +46,57 @@
 
 /// The days of the incident, one by one, with targets that leave all the while.
 #[test]
-fn each_way_of_losing_the_log_keeps_both_promises() {
+fn both_invariants_hold_under_each_loss_of_the_log() {
     let kinds = [
         FaultKind::ZoneCut(0),
         FaultKind::HostCut(0),
         FaultKind::HostCut(1),
-        FaultKind::TurnedAway(0),
-        FaultKind::TurnedAway(1),
+        FaultKind::LogRefused(0),
+        FaultKind::LogRefused(1),
         FaultKind::LogDown,
     ];
     for kind in kinds {
         for length_ms in (300..8000).step_by(700) {
             let faults = vec![fault(kind, 12_000, 12_000 + length_ms)];
-            let broken = play(length_ms, faults);
-            assert!(broken.is_empty(), "{kind:?} for {length_ms} ms: {broken:?}");
+            let violations = run_simulation(length_ms, faults);
+            assert!(
+                violations.is_empty(),
+                "{kind:?} for {length_ms} ms: {violations:?}"
+            );
         }
     }
 }
 
 /// Two in a row, with every pause between them.
 #[test]
-fn an_outage_before_the_last_one_is_over_drops_nobody_that_lives() {
+fn consecutive_outages_drop_no_live_target() {
     for pause_ms in (100..3000).step_by(300) {
         let second = 17_000 + pause_ms;
         let faults = vec![
             fault(FaultKind::LogDown, 12_000, 17_000),
             fault(FaultKind::LogDown, second, second + 5000),
         ];
-        let broken = play(pause_ms, faults);
-        assert!(broken.is_empty(), "pause of {pause_ms} ms: {broken:?}");
+        let violations = run_simulation(pause_ms, faults);
+        assert!(
+            violations.is_empty(),
+            "pause of {pause_ms} ms: {violations:?}"
+        );
     }
 }
 
 /// Cuts, outages, trims and restarts that overlap as they like.
 #[test]
-fn random_faults_break_neither_promise() {
-    let asked = std::env::var("LEAVING_SEEDS").ok();
-    let asked = asked.and_then(|text| text.parse().ok());
-    let seeds = 0..asked.unwrap_or(SEEDS);
+fn both_invariants_hold_under_random_faults() {
+    let requested = std::env::var("LEAVING_SEEDS").ok();
+    let requested = requested.and_then(|text| text.parse().ok());
+    let seeds = 0..requested.unwrap_or(SEEDS);
     for seed in seeds.chain(FAILED_SEEDS) {
         let mut random = StdRng::seed_from_u64(seed);
         let faults = draw_faults(&mut random);
-        let broken = play(seed, faults.clone());
-        assert!(broken.is_empty(), "seed {seed}, {faults:?}: {broken:?}");
+        let violations = run_simulation(seed, faults.clone());
+        assert!(
+            violations.is_empty(),
+            "seed {seed}, {faults:?}: {violations:?}"
+        );
     }
 }
--- a/tests/leaving_fleet/world.rs
+++ b/tests/leaving_fleet/world.rs
@@ -18,15 +18,15 @@
 pub(super) const HEARTBEAT_MS: u64 = 1200;
 /// Silence after which an entry lapses: three heartbeats, and a moment for the last one
 /// to arrive.
-const LAPSE_MS: u64 = 3 * HEARTBEAT_MS + 100;
+const EXPIRY_MS: u64 = 3 * HEARTBEAT_MS + 100;
 /// Entries that lapsed are back within this time of the log's return.
 pub(super) const RETURN_MS: u64 = 1900;
 pub(super) const READ_PAUSE_MS: u64 = 600;
 const FOLLOW_PAUSE_MS: u64 = 200;
-const NEIGHBOUR_WORD_MS: u64 = 200;
-const FAR_WORD_MS: u64 = 500;
+const NEIGHBOUR_REPORT_MS: u64 = 200;
+const REMOTE_REPORT_MS: u64 = 500;
 /// Time without the log after which a host that follows reads for itself.
-const PATIENCE_MS: u64 = 600;
+const MAX_WAIT_MS: u64 = 600;
 /// A target that left may be used for so long.
 pub(super) const DRAIN_MS: u64 = 2000;
 
@@ -110,7 +110,7 @@
         !self.is_on(|kind| match kind {
             FaultKind::LogDown => true,
             FaultKind::ZoneCut(cut) => cut == zone,
-            FaultKind::HostCut(cut) | FaultKind::TurnedAway(cut) => cut == host,
+            FaultKind::HostCut(cut) | FaultKind::LogRefused(cut) => cut == host,
             FaultKind::Trim | FaultKind::Restart(_) => false,
         })
     }
@@ -127,15 +127,15 @@
     /// One step of everybody.
     pub(crate) fn step(&mut self) {
         self.now_ms += STEP_MS;
-        self.make_instant_faults();
+        self.apply_instant_faults();
         self.step_targets();
         for host in 0..HOSTS {
             self.step_host(host);
         }
-        self.exchange_words();
+        self.exchange_log_ages();
     }
 
-    fn make_instant_faults(&mut self) {
+    fn apply_instant_faults(&mut self) {
         let due = self
             .faults
             .iter()
@@ -168,26 +168,26 @@
                 true => target.can_write_ms.or(Some(now_ms)),
                 false => None,
             };
-            let lists = self.log.lists(&target.name);
+            let has_entry = self.log.has_entry(&target.name);
             if target.left_ms.is_some() {
                 continue;
             }
             if can_write && now_ms >= target.leaves_ms {
                 target.left_ms = Some(now_ms);
-                if lists {
+                if has_entry {
                     self.log.append(&target.name, None);
                 }
                 continue;
             }
-            if lists && now_ms >= target.wrote_ms + LAPSE_MS {
+            if has_entry && now_ms >= target.wrote_ms + EXPIRY_MS {
                 self.log.append(&target.name, None);
             }
-            let beats = now_ms % HEARTBEAT_MS == target.phase_ms;
+            let is_heartbeat_due = now_ms % HEARTBEAT_MS == target.phase_ms;
             let back_ms = target.can_write_ms.unwrap_or(now_ms);
             // What lapsed is back late, whatever did not lapse with its next heartbeat.
-            let waits = !lists && back_ms > 0 && now_ms < back_ms + RETURN_MS;
-            let returns = !lists && now_ms == back_ms + RETURN_MS;
-            if can_write && (returns || beats && !waits) {
+            let waits = !has_entry && back_ms > 0 && now_ms < back_ms + RETURN_MS;
+            let returns = !has_entry && now_ms == back_ms + RETURN_MS;
+            if can_write && (returns || is_heartbeat_due && !waits) {
                 target.wrote_ms = now_ms;
                 self.log
                     .append(&target.name, Some(heartbeat(index, target.zone)));
@@ -196,13 +196,13 @@
     }
 
     fn step_host(&mut self, host: usize) {
-        let lead = host % ZONES;
+        let leader = host % ZONES;
         let now_ms = self.now_ms;
         if now_ms >= self.hosts[host].next_ask_ms {
             self.hosts[host].next_ask_ms = now_ms + FOLLOW_PAUSE_MS;
-            match host == lead {
-                true => self.listen(host, host + ZONES),
-                false => self.follow(host, lead),
+            match host == leader {
+                true => self.follow_neighbour(host, host + ZONES),
+                false => self.follow(host, leader),
             }
         }
         let next = self.hosts[host].copy.next_due();
@@ -232,13 +232,13 @@
     }
 
     /// A host that follows asks the first one of its zone.
-    fn follow(&mut self, host: usize, lead: usize) {
-        let answer = self.ask(host, lead).filter(|answer| answer.fresh);
+    fn follow(&mut self, host: usize, leader: usize) {
+        let answer = self.ask(host, leader).filter(|answer| answer.fresh);
         let now_ms = self.now_ms;
         match answer {
             Some(answer) => {
                 let age = u64::try_from(answer.age.as_millis()).unwrap_or(u64::MAX);
-                self.take(host, lead, answer);
+                self.take(host, leader, answer);
                 let state = &mut self.hosts[host];
                 state.read_ms = state.read_ms.max(now_ms.checked_sub(age));
                 state.follows = true;
@@ -246,14 +246,14 @@
             }
             None => {
                 let state = &mut self.hosts[host];
-                let lost = state.read_ms.is_none_or(|read| now_ms > read + PATIENCE_MS);
+                let lost = state.read_ms.is_none_or(|read| now_ms > read + MAX_WAIT_MS);
                 state.follows = state.follows && !lost;
             }
         }
     }
 
     /// The first host of a zone hears from the other one while it cannot read.
-    fn listen(&mut self, host: usize, neighbour: usize) {
+    fn follow_neighbour(&mut self, host: usize, neighbour: usize) {
         if self.hosts[host].is_fresh(self.now_ms) {
             return;
         }
@@ -279,26 +279,30 @@
         self.hosts[host].relayed.take(&name, answer, now);
     }
 
-    fn exchange_words(&mut self) {
+    fn exchange_log_ages(&mut self) {
         for first in 0..HOSTS {
             for second in 0..HOSTS {
                 let near = first % ZONES == second % ZONES;
-                let pause = if near { NEIGHBOUR_WORD_MS } else { FAR_WORD_MS };
+                let pause = if near {
+                    NEIGHBOUR_REPORT_MS
+                } else {
+                    REMOTE_REPORT_MS
+                };
                 // Of another zone only the first hosts are heard.
-                let heard = near || (first < ZONES && second < ZONES);
-                let due = self.now_ms.is_multiple_of(pause) && first != second && heard;
+                let exchanges = near || (first < ZONES && second < ZONES);
+                let due = self.now_ms.is_multiple_of(pause) && first != second && exchanges;
                 if due && self.reach_each_other(first, second) {
-                    self.tell(first, second);
+                    self.send_log_ages(first, second);
                 }
             }
         }
     }
 
-    fn tell(&self, host: usize, listener: usize) {
+    fn send_log_ages(&self, host: usize, receiver: usize) {
         let now = self.now();
         let zone = zone_name(self.hosts[host].zone).into();
         if let Some(ages) = self.hosts[host].copy.log_ages(now) {
-            self.hosts[listener].copy.observe_word(&zone, ages, now);
+            self.hosts[receiver].copy.observe_word(&zone, ages, now);
         }
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -47,7 +47,7 @@
     }
 }
 
-fn beat(host: &str, incarnation: u64, sequence: u64, applied_offset: u64) -> PeerHeartbeat {
+fn heartbeat(host: &str, incarnation: u64, sequence: u64, applied_offset: u64) -> PeerHeartbeat {
     PeerHeartbeat {
         host: host.into(),
         zone: zone_of(host).into(),
@@ -93,11 +93,11 @@
         }
     }
 
-    fn is_cut(&self, one: &str, other: &str) -> bool {
-        let parted = |zone: &str| (zone_of(one) == zone) != (zone_of(other) == zone);
-        self.silent.contains(one)
-            || self.silent.contains(other)
-            || self.cut_zone.is_some_and(parted)
+    fn is_cut(&self, left: &str, right: &str) -> bool {
+        let is_separated = |zone: &str| (zone_of(left) == zone) != (zone_of(right) == zone);
+        self.silent.contains(left)
+            || self.silent.contains(right)
+            || self.cut_zone.is_some_and(is_separated)
     }
 
     fn run(&mut self, time: Duration) {
@@ -144,7 +144,7 @@
 /// Events: six zones of ten hosts run for ten seconds.
 /// Cause: everyone calls everyone, in one zone even in both directions.
 #[test]
-fn calls_stay_few_across_zones_and_single_within() {
+fn one_call_per_pair_within_a_zone_and_few_across_zones() {
     let mut mesh = TableMesh::new(&hosts(6, 10));
     mesh.run(Duration::from_secs(5));
     mesh.calls.clear();
@@ -180,7 +180,7 @@
 /// Events: one host knows 19 others of its zone and 19 zones of 20.
 /// Cause: intervals that do not grow with the number of hosts.
 #[test]
-fn calls_a_second_stay_bounded_at_many_hosts() {
+fn call_rate_is_bounded_with_many_hosts() {
     let names = hosts(20, 20);
     let names: Vec<_> = names.iter().map(String::as_str).collect();
     let start = Instant::now();
@@ -192,7 +192,7 @@
         for decision in table.tick(now) {
             if let MembershipDecision::SendHeartbeat { to, remote, .. } = decision {
                 *calls.entry(remote).or_default() += 1;
-                table.observe_heartbeat(&beat(&to, 1, u64::from(step), 0), now);
+                table.observe_heartbeat(&heartbeat(&to, 1, u64::from(step), 0), now);
             }
         }
         // Those who are not called by this host call it.
@@ -201,7 +201,7 @@
                 .member(name)
                 .is_some_and(|member| member.phase == MemberPhase::Unknown)
             {
-                table.observe_heartbeat(&beat(name, 1, u64::from(step), 0), now);
+                table.observe_heartbeat(&heartbeat(name, 1, u64::from(step), 0), now);
             }
         }
     }
@@ -215,7 +215,7 @@
 /// hears the laggard itself.
 /// Cause: offsets taken only from hosts that are heard directly.
 #[test]
-fn a_laggard_that_nobody_here_hears_holds_the_view_back() {
+fn a_lagging_host_without_direct_contact_lowers_the_reported_offset() {
     let mut mesh = TableMesh::new(&hosts(3, 8));
     for (index, table) in mesh.tables.values_mut().enumerate() {
         table.set_applied_offset(100 + index as u64);
@@ -223,17 +223,17 @@
     mesh.table("z2-5").set_applied_offset(42);
     mesh.run(Duration::from_secs(6));
     let now = mesh.now;
-    let mut deaf = 0;
+    let mut indirect = 0;
     for (host, table) in &mesh.tables {
         let view = table.force_view(now);
         assert_eq!(view.lowest_applied_offset(), Some(42), "{host}");
         assert_eq!(view.zones["z2"].slowest_host.as_deref(), Some("z2-5"));
-        let hears = table
+        let has_direct_contact = table
             .member("z2-5")
             .is_some_and(|member| member.applied_offset == 42);
-        deaf += usize::from(!hears && **host != *"z2-5");
+        indirect += usize::from(!has_direct_contact && **host != *"z2-5");
     }
-    assert!(deaf > 0, "somebody must depend on the digests");
+    assert!(indirect > 0, "somebody must depend on the digests");
 }
 
 /// Symptom: the view says "everywhere" while a zone is cut off.
@@ -270,7 +270,7 @@
 /// have not read the list yet, and their digests do not count the new host.
 /// Cause: a digest without unreachable hosts taken for the word of all.
 #[test]
-fn a_host_that_its_zone_does_not_know_yet_is_not_spoken_for() {
+fn a_host_missing_from_the_digests_of_its_zone_counts_as_unreachable() {
     let mut mesh = TableMesh::new(&hosts(2, 3));
     mesh.run(Duration::from_secs(6));
     let now = mesh.now;
@@ -289,36 +289,36 @@
 /// up and speaks; later a clock set back gives a lower incarnation.
 /// Cause: statements judged by time of arrival alone.
 #[test]
-fn an_ended_incarnation_is_not_heard_again() {
+fn heartbeats_of_an_ended_incarnation_are_ignored() {
     let start = Instant::now();
     let mut table = MembershipTable::new(settings("z0-0", 1), start);
-    table.observe_heartbeat(&beat("z0-1", 10, 5, 70), start);
-    let replaced = table.observe_heartbeat(&beat("z0-1", 20, 1, 90), start);
-    let gone = MembershipDecision::HostRemoved {
+    table.observe_heartbeat(&heartbeat("z0-1", 10, 5, 70), start);
+    let replaced = table.observe_heartbeat(&heartbeat("z0-1", 20, 1, 90), start);
+    let removed = MembershipDecision::HostRemoved {
         host: "z0-1".into(),
         incarnation: Some(10),
         cause: RemovalCause::Replaced,
     };
-    assert!(replaced.contains(&gone), "{replaced:?}");
+    assert!(replaced.contains(&removed), "{replaced:?}");
     assert_eq!(
-        table.observe_heartbeat(&beat("z0-1", 10, 6, 71), start),
+        table.observe_heartbeat(&heartbeat("z0-1", 10, 6, 71), start),
         vec![]
     );
     assert_eq!(
-        table.observe_heartbeat(&beat("z0-1", 15, 1, 72), start),
+        table.observe_heartbeat(&heartbeat("z0-1", 15, 1, 72), start),
         vec![]
     );
     assert_eq!(
-        table.observe_heartbeat(&beat("z0-1", 20, 1, 73), start),
+        table.observe_heartbeat(&heartbeat("z0-1", 20, 1, 73), start),
         vec![]
     );
     assert_eq!(table.member("z0-1").expect("a member").applied_offset, 90);
 
     let much_later = start + Duration::from_secs(40);
-    let replaced = table.observe_heartbeat(&beat("z0-1", 15, 2, 95), much_later);
+    let replaced = table.observe_heartbeat(&heartbeat("z0-1", 15, 2, 95), much_later);
     assert_eq!(replaced.len(), 2, "{replaced:?}");
     assert_eq!(
-        table.observe_heartbeat(&beat("z0-1", 20, 9, 91), much_later),
+        table.observe_heartbeat(&heartbeat("z0-1", 20, 9, 91), much_later),
         vec![]
     );
     assert!(table.is_current("z0-1", 15));
@@ -329,46 +329,46 @@
 /// comes back empty, then whole, then without the host.
 /// Cause: silence, or a faulty list, taken for the host's end.
 #[test]
-fn a_silent_host_is_gone_only_once_the_platform_drops_it() {
+fn a_silent_host_is_removed_only_once_delisted() {
     let start = Instant::now();
     let mut table = MembershipTable::new(settings("z0-0", 1), start);
     table.observe_host_list(&list(&["z0-0", "z0-1"]), start);
-    table.observe_heartbeat(&beat("z0-1", 10, 1, 7), start);
+    table.observe_heartbeat(&heartbeat("z0-1", 10, 1, 7), start);
     let mut now = start;
-    let mut gone_at = |table: &mut MembershipTable, seconds: u64| {
+    let mut removals_during = |table: &mut MembershipTable, seconds: u64| {
         let end = now + Duration::from_secs(seconds);
-        let mut gone = Vec::new();
+        let mut removed = Vec::new();
         while now < end {
             now += STEP;
             let decisions = table.tick(now);
-            gone.extend(
+            removed.extend(
                 decisions
                     .into_iter()
                     .filter(|decision| matches!(decision, MembershipDecision::HostRemoved { .. })),
             );
         }
-        (gone, now)
+        (removed, now)
     };
-    let (gone, at) = gone_at(&mut table, 100);
-    assert_eq!(gone, vec![]);
+    let (removed, at) = removals_during(&mut table, 100);
+    assert_eq!(removed, vec![]);
     assert_eq!(
         table.member("z0-1").expect("a member").phase,
         MemberPhase::Suspected
     );
     table.observe_host_list(&HostList::default(), at);
-    let (gone, at) = gone_at(&mut table, 100);
-    assert_eq!(gone, vec![]);
+    let (removed, at) = removals_during(&mut table, 100);
+    assert_eq!(removed, vec![]);
     table.observe_host_list(&list(&["z0-0", "z0-1"]), at);
-    let (gone, at) = gone_at(&mut table, 100);
-    assert_eq!(gone, vec![]);
+    let (removed, at) = removals_during(&mut table, 100);
+    assert_eq!(removed, vec![]);
     table.observe_host_list(&list(&["z0-0"]), at);
-    let (gone, _) = gone_at(&mut table, 1);
+    let (removed, _) = removals_during(&mut table, 1);
     let expected = MembershipDecision::HostRemoved {
         host: "z0-1".into(),
         incarnation: Some(10),
         cause: RemovalCause::Delisted,
     };
-    assert_eq!(gone, vec![expected]);
+    assert_eq!(removed, vec![expected]);
 }
 
 /// Symptom: a new holder of shares waits for ever for a host that died before
@@ -376,13 +376,13 @@
 /// Events: the log names incarnations that this host never heard.
 /// Cause: no judgement, or a hasty one, on hosts that are not in the table.
 #[test]
-fn an_incarnation_never_heard_has_ended_once_a_late_list_lacks_it() {
+fn an_unknown_incarnation_has_ended_once_a_late_list_lacks_it() {
     let start = Instant::now();
     let mut table = MembershipTable::new(settings("z0-0", 4), start);
     table.observe_host_list(&list(&["z0-0", "z0-1"]), start);
     assert!(!table.has_ended("z0-1", 7), "listed, not heard");
     assert!(!table.has_ended("z0-2", 7), "the list may lag");
-    table.observe_heartbeat(&beat("z0-1", 8, 1, 0), start);
+    table.observe_heartbeat(&heartbeat("z0-1", 8, 1, 0), start);
     assert!(table.has_ended("z0-1", 7), "replaced");
     assert!(!table.has_ended("z0-1", 8));
     assert!(table.has_ended("z0-0", 3), "an earlier process here");
@@ -394,7 +394,7 @@
 /// Events: no tick for a minute, then one.
 /// Cause: its own pause taken for the others' silence.
 #[test]
-fn a_paused_host_suspects_nobody_when_it_wakes() {
+fn a_paused_host_suspects_no_host_when_it_wakes() {
     let mut mesh = TableMesh::new(&hosts(1, 4));
     mesh.run(Duration::from_secs(5));
     let woken = mesh.now + Duration::from_secs(60);
@@ -435,7 +435,7 @@
 /// Events: a zone of six hosts loses one.
 /// Cause: watchers fixed once, or chosen differently by different hosts.
 #[test]
-fn each_target_has_two_watchers_whoever_is_live() {
+fn each_target_keeps_two_watchers_after_the_loss_of_a_host() {
     let all: Vec<HostId> = (0..6).map(|index| format!("z0-{index}").into()).collect();
     let watchers = |working: &[HostId]| {
         let mut watchers: BTreeMap<Arc<str>, BTreeSet<HostId>> = BTreeMap::new();
@@ -465,11 +465,11 @@
 /// before the refusal arrives; the target returns and is read again.
 /// Cause: hearsay passed on as knowledge, or readings not ordered by time.
 #[test]
-fn leaving_is_told_to_all_and_taken_back_after_the_return() {
+fn leaving_is_reported_to_all_hosts_and_cleared_after_the_return() {
     let hosts: Vec<HostId> = (0..3).map(|index| format!("z0-{index}").into()).collect();
     let mut watches: Vec<_> = hosts.iter().map(|host| watch(host, &hosts, 1)).collect();
     let mut now = Instant::now() + Duration::from_secs(60);
-    let tell_all = |watches: &mut Vec<TargetWatch>, now: Instant| {
+    let report_all = |watches: &mut Vec<TargetWatch>, now: Instant| {
         for from in 0..watches.len() {
             let loads = watches[from].zone_loads(now);
             for to in (0..watches.len()).filter(|to| *to != from) {
@@ -484,11 +484,11 @@
             .collect::<Vec<_>>()
     };
     watches[0].observe_refusal("engine-0", now);
-    tell_all(&mut watches, now);
-    let told = Some(RotationReason::Reported);
+    report_all(&mut watches, now);
+    let reported = Some(RotationReason::Reported);
     assert_eq!(
         reasons(&watches, now),
-        vec![Some(RotationReason::Refused), told, told]
+        vec![Some(RotationReason::Refused), reported, reported]
     );
 
     let late = PeerLoad {
@@ -509,7 +509,7 @@
                 watch.observe_poll("engine-0", &report(0), false, now);
             }
         }
-        tell_all(&mut watches, now);
+        report_all(&mut watches, now);
     }
     now += Duration::from_secs(31);
     assert_eq!(reasons(&watches, now), vec![None; 3]);
@@ -519,16 +519,16 @@
 /// Events: it refuses a host of a zone whose own hosts are gone, and returns.
 /// Cause: nobody reads it there, so nothing takes the refusal back.
 #[test]
-fn a_refusal_that_nobody_confirms_lapses() {
+fn an_unconfirmed_refusal_expires() {
     let hosts: Vec<HostId> = vec!["z0-0".into()];
     let mut watch = watch(&hosts[0], &hosts, 1);
-    let lapse = WatchSettings::new("z0-0".into(), "z0".into()).leaving_expiry;
+    let expiry = WatchSettings::new("z0-0".into(), "z0".into()).leaving_expiry;
     let refused = Instant::now();
     watch.observe_refusal("engine-0", refused);
     let reason_after = |passed| watch.out_of_rotation("engine-0", refused + passed);
-    let just_before = lapse - Duration::from_millis(1);
+    let just_before = expiry - Duration::from_millis(1);
     assert_eq!(reason_after(just_before), Some(RotationReason::Refused));
-    assert_eq!(reason_after(lapse), None);
+    assert_eq!(reason_after(expiry), None);
 }
 
 /// Symptom: new work goes to a target that the platform or an operator has
@@ -536,7 +536,7 @@
 /// Events: only a host of another zone sees the list; it tells by heartbeat.
 /// Cause: the sign is kept by those who read it.
 #[test]
-fn a_listed_target_is_out_of_rotation_where_the_list_is_not_seen() {
+fn a_listed_target_is_out_of_rotation_in_a_zone_without_the_list() {
     let now = Instant::now();
     let mut near = watch("z0-0", &["z0-0".into()], 30);
     let mut far = watch("z1-0", &["z1-0".into()], 30);
@@ -576,17 +576,17 @@
 /// One step of a random history of another host.
 #[derive(Debug, Clone)]
 enum HistoryStep {
-    Heard { incarnation: u64, sequence: u64 },
+    Received { incarnation: u64, sequence: u64 },
     Listed(bool),
-    Passed(u64),
+    Elapsed(u64),
 }
 
 fn history_step() -> impl Strategy<Value = HistoryStep> {
     prop_oneof![
         3 => (1_u64..4, 1_u64..30)
-            .prop_map(|(incarnation, sequence)| HistoryStep::Heard { incarnation, sequence }),
+            .prop_map(|(incarnation, sequence)| HistoryStep::Received { incarnation, sequence }),
         1 => any::<bool>().prop_map(HistoryStep::Listed),
-        3 => (1_u64..40).prop_map(HistoryStep::Passed),
+        3 => (1_u64..40).prop_map(HistoryStep::Elapsed),
     ]
 }
 
@@ -611,7 +611,7 @@
         self.accepted.last().map(|(at, _, _)| *at).or(self.known)
     }
 
-    fn hear(&mut self, at: Duration, incarnation: u64, sequence: u64) {
+    fn receive(&mut self, at: Duration, incarnation: u64, sequence: u64) {
         let silence = self
             .silent_since()
             .map_or(Duration::ZERO, |since| at - since);
@@ -634,7 +634,7 @@
         self.accepted.push((at, incarnation, sequence));
     }
 
-    fn is_gone(&self, at: Duration) -> bool {
+    fn is_removed(&self, at: Duration) -> bool {
         let Some(since) = self.silent_since() else {
             return false;
         };
@@ -656,7 +656,7 @@
     })]
 
     #[test]
-    fn any_history_of_a_host_is_judged_like_by_the_naive_reader(
+    fn the_table_matches_a_naive_model_for_any_history(
         steps in prop::collection::vec(history_step(), 1..60),
     ) {
         let start = Instant::now();
@@ -665,9 +665,9 @@
         let mut naive = NaiveHost::default();
         for step in steps {
             match step {
-                HistoryStep::Heard { incarnation, sequence } => {
-                    table.observe_heartbeat(&beat("z0-1", incarnation, sequence, 0), start + at);
-                    naive.hear(at, incarnation, sequence);
+                HistoryStep::Received { incarnation, sequence } => {
+                    table.observe_heartbeat(&heartbeat("z0-1", incarnation, sequence, 0), start + at);
+                    naive.receive(at, incarnation, sequence);
                 }
                 HistoryStep::Listed(listed) => {
                     let names: &[&str] = if listed { &["z0-0", "z0-1"] } else { &["z0-0"] };
@@ -679,11 +679,11 @@
                         naive.listed.push((at, listed));
                     }
                 }
-                HistoryStep::Passed(seconds) => {
+                HistoryStep::Elapsed(seconds) => {
                     for _ in 0..seconds {
                         at += Duration::from_secs(1);
                         table.tick(start + at);
-                        if naive.is_gone(at) {
+                        if naive.is_removed(at) {
                             naive = NaiveHost::default();
                         }
                     }
--- a/tests/permit_duty.rs
+++ b/tests/permit_duty.rs
@@ -22,7 +22,7 @@
 /// Hosts that answer for a target of a zone, whichever live host asks. A host of another
 /// zone may be sent on once.
 fn issuers(fleet: &SimFleet, zone: &str, target: u64) -> Vec<HostId> {
-    let live = (0..fleet.hosts.len()).filter(|place| fleet.hosts[*place].lives);
+    let live = (0..fleet.hosts.len()).filter(|place| fleet.hosts[*place].alive);
     let named = live.filter_map(|place| {
         let asked = place_of(fleet, &believed(fleet, place, zone, target)?);
         let passed_on = believed(fleet, asked, zone, target)?;
@@ -61,7 +61,7 @@
     let zone = zone_name(1);
     let ended = issuers(&fleet, &zone, 0).remove(0);
     let place = place_of(&fleet, &ended);
-    fleet.hosts[place].lives = false;
+    fleet.hosts[place].alive = false;
     fleet.run_for(Duration::from_secs(4));
     let next = issuers(&fleet, &zone, 0);
     assert_eq!(next.len(), 1, "{next:?}");
