--- a/src/membership/gossip/calls.rs
+++ b/src/membership/gossip/calls.rs
@@ -175,8 +175,8 @@
             return None;
         }
         let mut hosts = self.members.values().filter(|member| member.zone == *zone);
-        let is_heard = hosts.any(|member| member.had_contact_within(interval * 3, now));
-        if *zone < self.zone && is_heard {
+        let has_contact = hosts.any(|member| member.had_contact_within(interval * 3, now));
+        if *zone < self.zone && has_contact {
             return None;
         }
         let callee = self.remote_callee(zone, now)?;
