--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -1,4 +1,4 @@
-//! Who takes duties in an availability zone.
+//! Ranking of the hosts of an availability zone for roles.
 
 use jackdawwick::membership::{RoleCandidate, aggregator_count, host_weight, rank_hosts};
 use proptest::prelude::*;
@@ -12,8 +12,8 @@
     hosts.collect()
 }
 
-/// Symptom: a zone of 39 hosts waits for one with an eighth of a core. Sequence:
-/// that host comes first by name. Cause: duties went by name alone.
+/// Guards against a ranking by name alone, with which a zone of 39 hosts waits for a
+/// leader with an eighth of a core.
 #[test]
 fn hosts_are_ranked_by_weight_and_then_by_name() {
     let mut ranked = candidates(&[6, 8, 6, 8]);
@@ -51,7 +51,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// No speaker serves more hosts than it can, however many there are.
+    /// No aggregator serves more hosts than it can, however many hosts there are.
     #[test]
     fn hosts_per_aggregator_are_bounded(weights in prop::collection::vec(5_u32..9, 1..400)) {
         let mut ranked = candidates(&weights);
--- a/tests/fleet_in_memory/mod.rs
+++ b/tests/fleet_in_memory/mod.rs
@@ -1,5 +1,6 @@
-//! Entry hosts in memory, with a simulated clock and without a network: each is
-//! its table of hosts and its table of targets, and a call is a function call.
+//! Entry hosts in memory with a simulated clock and without a network. Each host consists
+//! of its table of hosts and its tables of targets and of poison requests, and a call is
+//! a function call.
 
 #![allow(dead_code, reason = "each test uses a part of it")]
 
@@ -13,19 +14,19 @@
 use jackdawwick::peer::HostView;
 use jackdawwick::poison::PoisonTable;
 
-/// Pause between two looks at whom to call.
+/// Interval between checks for due calls.
 const TICK: Duration = Duration::from_millis(125);
-/// Time until a call to a host that does not answer fails.
+/// Time after which a call without a reply fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Bytes of a view, of each use, listed host, count and note in it: upper bounds on
-/// what the encoding takes, which `tests/peer_rpc.rs` measures.
+/// Bytes of a view, and of each usage, listed host, count and poison evidence in it. They
+/// are upper bounds of the encoded sizes, which `tests/peer_rpc.rs` measures.
 pub(crate) const VIEW_BYTES: usize = 420;
 pub(crate) const USAGE_BYTES: usize = 22;
 pub(crate) const LISTED_BYTES: usize = 120;
 pub(crate) const COUNT_BYTES: usize = 40;
 pub(crate) const EVIDENCE_BYTES: usize = 20;
 
-/// Strength of the hosts that have half a core, and of the others.
+/// Weights of the hosts with half a core, and of the others.
 pub(crate) const HEAVY: HostWeight = 8;
 pub(crate) const LIGHT: HostWeight = 6;
 
@@ -39,9 +40,10 @@
     incarnation: IncarnationId,
     weight: HostWeight,
     pub(crate) alive: bool,
-    /// Whether it speaks for its zone, as it last found.
+    /// Whether the host reported to another one at its last check, so that it is no
+    /// aggregator.
     reports: bool,
-    /// Exchanges that it took part in, and their bytes both ways.
+    /// Exchanges of the host, and their bytes in both directions.
     pub(crate) exchanges: usize,
     pub(crate) bytes: usize,
 }
@@ -52,7 +54,7 @@
     indices: HashMap<SocketAddr, usize>,
     seeds: Vec<SocketAddr>,
     failing_calls: Vec<(Instant, usize, SocketAddr)>,
-    /// Zones that reach no other one.
+    /// Zones that are cut off from all others.
     pub(crate) partitioned: Vec<ZoneId>,
 }
 
@@ -74,8 +76,9 @@
 }
 
 impl SimFleet {
-    /// Zones of hosts, the first three of each strong, before `engines` engines
-    /// a zone. Each host has a request on every other engine of its zone.
+    /// Creates zones of `hosts_each` hosts, of which the first three are heavy, and
+    /// `engines` engines in each zone. Each host has a request on every other engine of
+    /// its zone.
     pub(crate) fn new(zones: usize, hosts_each: usize, engines: usize) -> Self {
         let mut hosts = Vec::new();
         let address = |index: usize| -> SocketAddr {
@@ -85,7 +88,7 @@
         let seeds = vec![address(0), address(hosts_each), address(2 * hosts_each - 1)];
         for index in 0..zones * hosts_each {
             let (zone, number) = (zone_name(index / hosts_each), index % hosts_each);
-            // Names tell nothing of strength.
+            // Names do not depend on weights.
             let name = format!("{zone}-{:03}", (number * 37 + 11) % 997);
             let weight = if number < 3 { HEAVY } else { LIGHT };
             let mut fleet = FleetTable::default();
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Plays some time.
+    /// Simulates the given time.
     pub(crate) fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Starts a host again: it knows nothing but the seeds.
+    /// Restarts a host, which then knows only the seeds.
     pub(crate) fn restart(&mut self, index: usize) {
         let host = &mut self.hosts[index];
         host.incarnation += 1 << 32;
@@ -158,7 +161,7 @@
         host.reports = true;
     }
 
-    /// Forgets what was counted so far.
+    /// Resets the counters of exchanges and bytes.
     pub(crate) fn reset_counters(&mut self) {
         for host in &mut self.hosts {
             host.exchanges = 0;
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Live hosts of a zone by their places.
+    /// Returns the indices of the live hosts of a zone.
     pub(crate) fn live_hosts_in(&self, zone: &str) -> Vec<usize> {
         let indices = 0..self.hosts.len();
         let live = indices.filter(|index| {
@@ -176,7 +179,8 @@
         live.collect()
     }
 
-    /// Requests that a host believes the others of its zone to have on a target.
+    /// Returns the requests on a target that a host attributes to the other hosts of its
+    /// zone.
     pub(crate) fn near(&self, index: usize, target: &str) -> u32 {
         let state = self.hosts[index].fleet.get(target);
         state.expect("known").near.requests
@@ -267,7 +271,7 @@
     }
 }
 
-/// Bytes of a view on the wire.
+/// Returns the size of a view on the wire in bytes.
 fn view_bytes(view: &HostView) -> usize {
     VIEW_BYTES
         + USAGE_BYTES * view.uses.len()
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! Hundreds of entry hosts, played in memory: what each pays for control, how
-//! old its beliefs are, and what it believes after losses.
+//! Simulates hundreds of entry hosts in memory: the control traffic of each, the age of
+//! its state, and its membership view after losses.
 
 mod fleet_in_memory;
 
@@ -9,13 +9,14 @@
 use fleet_in_memory::{SimFleet, zone_name};
 use jackdawwick::fleet::TargetLoad;
 
-/// What a host may spend on control, in bytes a second.
+/// Maximum control traffic of a host, in bytes per second.
 const MAX_HOST_BYTES_PER_S: usize = 22_000;
-/// The same for a host that speaks for a zone of 80, in times of that.
+/// Maximum control traffic of an aggregator of a zone of 80 hosts, in multiples of that
+/// of other hosts.
 const AGGREGATOR_FACTOR: usize = 16;
-/// Time until every host has found its place.
+/// Time until the membership of a new fleet has converged.
 const SETTLE_TIME: Duration = Duration::from_secs(6);
-/// Time over which is counted.
+/// Time over which traffic is counted.
 const COUNT_TIME: Duration = Duration::from_secs(4);
 
 fn settled(zones: usize, hosts_each: usize, engines: usize) -> SimFleet {
@@ -24,8 +25,8 @@
     fleet
 }
 
-/// Bytes a second of the busiest host that speaks for nobody, and of the
-/// busiest one that does.
+/// Returns the bytes per second of the busiest host that is no aggregator and of the
+/// busiest aggregator.
 fn busiest(fleet: &mut SimFleet) -> (usize, usize) {
     fleet.reset_counters();
     fleet.run_for(COUNT_TIME);
@@ -39,30 +40,34 @@
     (most(false), most(true))
 }
 
-/// Symptom: with 195 hosts one request in four came late on a calm day, and no
-/// host's own lines showed anything. Sequence: each host exchanges with each
-/// other one of its zone, and each message names all hosts of all zones. Cause:
-/// what a host sends and hears grew with the number of hosts, and packets of
-/// callers waited behind it on links of 20 Mbit/s.
+/// Guards against control traffic that grows with the number of hosts: with 195 hosts
+/// that exchanged views pairwise, packets of callers queued behind control traffic on
+/// links of 20 Mbit/s, and one request in four was late.
 #[test]
 fn control_traffic_of_a_host_does_not_grow_with_the_fleet() {
     let (small, small_aggregator) = busiest(&mut settled(5, 20, 40));
     let (large, large_aggregator) = busiest(&mut settled(5, 80, 40));
-    assert!(large <= MAX_HOST_BYTES_PER_S, "a host pays {large} B/s");
-    assert!(large <= small + small / 10, "{small} B/s grow to {large}");
+    assert!(
+        large <= MAX_HOST_BYTES_PER_S,
+        "control traffic of a host: {large} B/s"
+    );
+    assert!(
+        large <= small + small / 10,
+        "control traffic of a host grows from {small} to {large} B/s"
+    );
     let budget = AGGREGATOR_FACTOR * MAX_HOST_BYTES_PER_S;
     assert!(
         small_aggregator <= budget,
-        "a speaker pays {small_aggregator} B/s"
+        "control traffic of an aggregator: {small_aggregator} B/s"
     );
     assert!(
         large_aggregator <= budget,
-        "a speaker pays {large_aggregator} B/s"
+        "control traffic of an aggregator: {large_aggregator} B/s"
     );
 }
 
-/// The sums of a zone reach each of its hosts within five eighths of a second,
-/// those that speak for other zones within a second and a half.
+/// The sums of a zone reach each of its hosts within 625 ms, and the leaders of other
+/// zones within 1.5 s.
 #[test]
 fn requests_of_one_host_reach_all_hosts() {
     let mut fleet = settled(5, 80, 4);
@@ -98,7 +103,7 @@
     assert!(sums.iter().all(|sum| *sum > 1000), "{sums:?}");
 }
 
-/// No request is counted twice, and none left out, once nothing changes.
+/// No request is counted twice or left out once nothing changes.
 #[test]
 fn zone_sums_equal_the_requests_of_the_hosts() {
     let fleet = settled(3, 30, 4);
@@ -121,7 +126,8 @@
     }
 }
 
-/// What the hosts of a zone believe: who lives, and who comes first.
+/// Returns the distinct lists of live hosts that the hosts of a zone have, and their
+/// distinct leaders.
 fn live_views(fleet: &SimFleet, zone: &str) -> (BTreeSet<Vec<String>>, BTreeSet<String>) {
     let mut live = BTreeSet::new();
     let mut first = BTreeSet::new();
@@ -136,8 +142,8 @@
 
 fn assert_converged(fleet: &SimFleet, zone: &str) {
     let (live, first) = live_views(fleet, zone);
-    assert_eq!(first.len(), 1, "first: {first:?}");
-    assert_eq!(live.len(), 1, "{} views", live.len());
+    assert_eq!(first.len(), 1, "leaders differ: {first:?}");
+    assert_eq!(live.len(), 1, "{} different views", live.len());
     let live_view = live
         .first()
         .expect("one")
@@ -149,8 +155,8 @@
     assert_eq!(live_view, real.collect::<BTreeSet<_>>());
 }
 
-/// All hosts of a zone know each other a few seconds after they started at the
-/// same moment, with three seeds.
+/// All hosts of a zone know each other a few seconds after a simultaneous start with
+/// three seeds.
 #[test]
 fn membership_converges_when_all_hosts_start_at_once() {
     let fleet = settled(5, 80, 1);
@@ -162,7 +168,7 @@
     assert_eq!(counts, BTreeSet::from([400]));
 }
 
-/// The death of a host that reports is believed by all others of its zone.
+/// All other hosts of the zone detect the death of a host that is no aggregator.
 #[test]
 fn a_dead_host_is_detected_within_two_and_a_half_seconds() {
     let mut fleet = settled(5, 80, 1);
@@ -173,16 +179,15 @@
     let (live, _) = live_views(&fleet, &zone);
     assert!(
         live.iter().all(|hosts| hosts.len() == 80),
-        "believed dead too soon"
+        "detected as dead too early"
     );
     fleet.run_for(Duration::from_millis(1250));
     assert_converged(&fleet, &zone);
 }
 
-/// Symptom: nobody reads the log, plans or speaks for a zone for as long as its
-/// hosts live. Sequence: all strong hosts of a zone are lost at once; each other
-/// host reports to the next one that it knows. Cause: two hosts that report to
-/// each other keep a lost speaker alive, since each takes the other's word.
+/// Guards against a zone without a leader for as long as its hosts live. If all heavy
+/// hosts are lost at once and two hosts report to each other, each keeps the lost
+/// aggregators alive on the evidence of the other.
 #[test]
 fn a_zone_that_loses_all_aggregators_selects_others() {
     let mut fleet = settled(5, 80, 1);
@@ -201,7 +206,7 @@
     assert_converged(&fleet, &zone_of_others);
 }
 
-/// A zone that is cut off goes on as it is, and finds the others again.
+/// A partitioned zone keeps its membership and finds the other zones again.
 #[test]
 fn a_partitioned_zone_stays_whole_and_rejoins() {
     let mut fleet = settled(5, 40, 1);
@@ -220,15 +225,15 @@
         let live_view = host.gossip.live_hosts(&zone_name(0), fleet.now);
         assert!(
             !live_view.is_empty(),
-            "{} knows nobody elsewhere",
+            "{} knows no host of another zone",
             host.name
         );
         assert_eq!(host.gossip.known_count(), 200);
     }
 }
 
-/// A host that comes under the same name at another time is found, and the
-/// calls that it gets are those of a host like any other.
+/// A host that restarts under its old name at another time finds its zone with a single
+/// seed.
 #[test]
 fn a_host_that_starts_alone_joins_its_zone() {
     let mut fleet = settled(5, 40, 1);
@@ -254,15 +259,15 @@
     assert_converged(&fleet, &zone);
 }
 
-/// Time until something that one host knows has reached every other one of its zone,
-/// and every host of the other zones: two reports, an exchange of speakers, one
-/// between zones, and the same again there.
+/// Times within which a change known to one host reaches every other host of its zone,
+/// and every host of the other zones. The change takes two reports, an exchange of
+/// aggregators and one between zones, and the same steps again there.
 const ZONE_PROPAGATION: Duration = Duration::from_millis(750);
 const GLOBAL_PROPAGATION: Duration = Duration::from_millis(2000);
-/// Target that ended first, second and third.
+/// Targets that end under a request.
 const LOST_TARGETS: [u64; 3] = [11, 12, 13];
 
-/// Live hosts that do not refuse a request.
+/// Returns the live hosts that do not refuse a request.
 fn hosts_without_poison(fleet: &SimFleet, request: u64) -> Vec<String> {
     let hosts = fleet.hosts.iter().filter(|host| host.alive);
     let hosts_without_poison = hosts.filter(|host| !host.poison.is_poison(request, fleet.now));
@@ -271,9 +276,9 @@
         .collect()
 }
 
-/// Symptom: a request under which three engines ended goes on to crash others.
-/// Sequence: its caller comes back at another host each time; each host sees one
-/// engine end. Cause: what a host had seen of a request stayed with it.
+/// Guards against a request that ended three engines and goes on to end others, if each
+/// host knows only what it has seen itself. The caller retries at another host each time,
+/// and each host sees one engine end.
 #[test]
 fn poison_seen_by_three_hosts_is_refused_by_all() {
     let mut fleet = settled(5, 80, 4);
@@ -291,9 +296,8 @@
     assert_eq!(hosts_without_poison(&fleet, 8).len(), 400);
 }
 
-/// Symptom: a request that is refused everywhere crashes engines again. Sequence: a
-/// host starts again and remembers nothing; the request comes to it. Cause: what a
-/// host had told another one counted as known to its next start.
+/// Guards against a restarted host that accepts a request refused everywhere else, if a
+/// listing sent to a host counts as known to its next start.
 #[test]
 fn a_restarted_host_receives_the_poison_requests() {
     let mut fleet = settled(3, 40, 4);
@@ -302,7 +306,7 @@
     for target in LOST_TARGETS {
         fleet.hosts[zone[5]].poison.observe_end(7, target, now);
     }
-    // Speakers start anew too, and then have nothing to tell each other at first.
+    // Aggregators restart too, and have nothing to send to each other at first.
     for index in [zone[0], zone[1], zone[2], zone[30]] {
         fleet.run_for(GLOBAL_PROPAGATION);
         fleet.restart(index);
@@ -311,7 +315,8 @@
     assert_eq!(hosts_without_poison(&fleet, 7), Vec::<String>::new());
 }
 
-/// A zone that is cut off refuses what it knows of, and hears the rest afterwards.
+/// A partitioned zone refuses the poison requests that it has seen, and receives the
+/// others afterwards.
 #[test]
 fn a_partitioned_zone_refuses_the_poison_that_it_has_seen() {
     let mut fleet = settled(3, 40, 4);
@@ -338,7 +343,7 @@
     assert_eq!(hosts_without_poison(&fleet, 8), Vec::<String>::new());
 }
 
-/// Everything that ran on crashed engines is a suspect: ten engines a second with
+/// Every request that ran on a crashed engine is suspected: ten engines per second with
 /// 60 requests each, seen by all hosts of a zone.
 #[test]
 fn control_traffic_for_suspected_requests_is_bounded() {
@@ -362,6 +367,12 @@
         bytes.max().unwrap_or(0)
     };
     let (small, large) = (control_traffic(20), control_traffic(80));
-    assert!(large <= MAX_HOST_BYTES_PER_S, "a host pays {large} B/s");
-    assert!(large <= small + small / 10, "{small} B/s grow to {large}");
+    assert!(
+        large <= MAX_HOST_BYTES_PER_S,
+        "control traffic of a host: {large} B/s"
+    );
+    assert!(
+        large <= small + small / 10,
+        "control traffic of a host grows from {small} to {large} B/s"
+    );
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,5 +1,5 @@
-//! Several daemons contend for a lease over a faulty log, with pauses and
-//! clocks of different rates.
+//! Several daemons contend for a lease over a faulty log, with pauses and clocks of
+//! different rates.
 
 #![allow(clippy::unwrap_used)] // A test ends at the first thing that is not there.
 
@@ -17,14 +17,14 @@
 const HOSTS: usize = 3;
 /// Rates of the hosts' clocks, in thousandths of true time.
 const RATES: [u64; HOSTS] = [950, 1000, 1050];
-/// Least margin that covers these rates: `1050 / 950 - 1`.
+/// Smallest margin that covers these rates: `1050 / 950 - 1`.
 const MARGIN: ClockMargin = ClockMargin { percent: 11 };
 const TERMS: LeaseTerms = LeaseTerms {
     duration: Duration::from_secs(10),
     renew_after: Duration::from_secs(3),
     retry_after: Duration::from_secs(1),
 };
-/// How finely the invariant is looked at, in milliseconds of true time.
+/// Interval between checks of the invariant, in milliseconds of true time.
 const CHECK_INTERVAL_MS: u64 = 20;
 
 #[derive(Debug, Clone, Copy)]
@@ -62,7 +62,7 @@
     ExpireEarly {
         kept: usize,
     },
-    /// Hosts whose bit is set read and decide for a while; others are frozen.
+    /// Hosts whose bit is set read and decide for some rounds. The others are frozen.
     Work {
         awake: usize,
         rounds: usize,
@@ -105,7 +105,7 @@
 
 struct Model {
     base: Instant,
-    /// True time, in milliseconds.
+    /// True time in milliseconds.
     elapsed: u64,
     log: Vec<String>,
     expired: usize,
@@ -221,7 +221,7 @@
             return;
         };
         if fencing != self.highest {
-            assert!(fencing > self.highest, "fencing numbers went back");
+            assert!(fencing > self.highest, "fencing numbers decreased");
             let record: LogRecord<LeaseBody> =
                 serde_json::from_str(&self.log[usize::try_from(fencing).unwrap()]).unwrap();
             assert_eq!(*record.writer, *format!("host-{host}"));
@@ -246,7 +246,7 @@
         if let Some(record) = record {
             self.append(host, &record);
         }
-        // It comes back at once as a contender, as after a drain called off.
+        // The host contends again at once, as after a cancelled drain.
         let incarnation = self.hosts[host].incarnation;
         self.hosts[host].machine = new_host(host, incarnation, now).machine;
     }
@@ -306,7 +306,7 @@
         }
     }
 
-    /// With a working log and nobody frozen, someone holds the lease.
+    /// With a working log and no frozen host, one host holds the lease.
     fn heal(&mut self) {
         self.outcome = AppendOutcome::Stored;
         while !self.delayed.is_empty() {
@@ -317,7 +317,11 @@
             let machine = &self.hosts[host].machine;
             machine.may_act(self.now(host), Duration::ZERO).is_some()
         });
-        assert_eq!(holders.count(), 1, "nobody holds the lease");
+        assert_eq!(
+            holders.count(),
+            1,
+            "the lease does not have exactly one holder"
+        );
     }
 }
 
@@ -330,12 +334,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: two daemons order a target different things, each sure that it
-    /// alone may. Sequence: the holder is frozen or its renewals are lost,
-    /// late or doubled; another takes over; clocks run at different rates;
-    /// hosts restart with part of the log expired. Cause: a lease counted from
-    /// the wrong moment, a margin too small, or records judged differently by
-    /// hosts that have read different parts of the log.
+    /// Guards against two daemons that each act as the only holder. Holders are frozen,
+    /// renewals are lost, late or duplicated, clocks run at different rates, and hosts
+    /// restart after part of the log has expired. Possible causes are a lease counted
+    /// from the wrong moment, a margin too small, or records that hosts judge differently
+    /// because they have read different parts of the log.
     #[test]
     fn at_most_one_holder_may_act(steps in prop::collection::vec(step(), 1..150)) {
         let mut model = Model::new();
@@ -346,10 +349,9 @@
     }
 }
 
-/// Symptom: a holder that woke from a pause gives one more order. Sequence:
-/// it holds the lease, is frozen past its end, wakes and orders. Cause: no
-/// look at the clock between waking and the order, or an order begun that
-/// outlasts the lease.
+/// Guards against a holder that gives an order after it was frozen past the end of its
+/// lease. It must check the clock between waking and the order, and the order must not
+/// outlast the lease.
 #[test]
 fn a_holder_that_wakes_after_expiry_may_not_act() {
     let mut model = Model::new();
@@ -379,11 +381,9 @@
     }
 }
 
-/// Symptom: a host that missed records takes a lease which another has just
-/// been granted. Sequence: records expire unread; long after, an acquisition
-/// arrives whose writer had read less than this host missed. Cause: a record
-/// that cannot be judged here taken for one without effect, or a holder known
-/// from before the gap taken for the present one.
+/// Guards against a host that missed records and takes a lease granted to another. The
+/// writer of an acquisition had read less than this host missed, so the record may have
+/// taken effect. A holder known from before the gap no longer counts.
 #[test]
 fn unclear_acquisition_is_waited_out() {
     let mut table = LeaseTable::new(MARGIN);
@@ -410,9 +410,8 @@
     assert_eq!(table.free_at(&name()), None);
 }
 
-/// Symptom: a holder goes on though the log names another. Sequence: a clock
-/// runs at a rate outside the margin, so another's acquisition is accepted
-/// before the lease has lapsed here. Cause: the holder trusts its clock alone.
+/// Guards against a holder that relies on its clock alone. A clock rate outside the
+/// margin lets another acquisition be accepted before the lease expires here.
 #[test]
 fn holder_replaced_in_the_log_steps_down() {
     let mut model = Model::new();
--- a/tests/leaving_fleet/faults.rs
+++ b/tests/leaving_fleet/faults.rs
@@ -1,28 +1,28 @@
-//! What goes wrong in a run.
+//! Faults of a run.
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 
 use super::world::{HOSTS, STEP_MS, ZONES};
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FaultKind {
-    /// A zone has neither the log nor the other zone; its targets cannot write.
+    /// A zone reaches neither the log nor the other zone, and its targets cannot write.
     ZoneCut(usize),
-    /// A host has neither the log nor other hosts.
+    /// A host reaches neither the log nor other hosts.
     HostCut(usize),
-    /// The log serves a host not.
+    /// The log refuses calls of one host.
     LogRefused(usize),
-    /// The log serves nobody, and no target can write.
+    /// No host can read the log, and no target can write to it.
     LogDown,
-    /// The log forgets its history.
+    /// The log drops its history.
     Trim,
-    /// A host starts again and knows nothing.
+    /// A host restarts without any state.
     Restart(usize),
 }
 
-/// A fault and its time.
+/// A fault with its start and end.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Fault {
     pub(crate) kind: FaultKind,
@@ -30,7 +30,7 @@
     pub(crate) until_ms: u64,
 }
 
-/// Up to five faults, some of them at the same time.
+/// Draws up to five faults, which may overlap.
 pub(crate) fn draw_faults(random: &mut StdRng) -> Vec<Fault> {
     let count = random.random_range(1..6);
     let mut faults = Vec::new();
--- a/tests/leaving_fleet/host.rs
+++ b/tests/leaving_fleet/host.rs
@@ -1,4 +1,4 @@
-//! An entry host, as far as it learns of targets.
+//! An entry host, reduced to the parts that track targets.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,7 +11,7 @@
 
 use super::world::{DRAIN_MS, HEARTBEAT_MS, ZONES};
 
-/// Age up to which a host counts as having the log.
+/// Age of the last read up to which a host counts as having the log.
 const FRESH_MS: u64 = 1100;
 
 /// An entry host without a network.
@@ -22,7 +22,7 @@
     pub(super) copy: Arc<LogCopy>,
     pub(super) follower: TargetFollower,
     pub(super) relayed: RelayedLog,
-    /// Whom it follows: the first host of its zone.
+    /// Whether it follows the leader of its zone.
     pub(super) follows: bool,
     pub(super) read_ms: Option<u64>,
     pub(super) next_read_ms: u64,
--- a/tests/leaving_fleet/invariants.rs
+++ b/tests/leaving_fleet/invariants.rs
@@ -1,13 +1,13 @@
-//! The two promises: who left is gone, and who lives is known.
+//! The two invariants: a target that left is dropped, and a live target is known.
 
 use super::faults::FaultKind;
 use super::world::{DRAIN_MS, HEARTBEAT_MS, HOSTS, READ_PAUSE_MS, RETURN_MS, SimTarget, World};
 
-/// A host has to have been undisturbed for so long to be held to the first promise.
+/// Time without a fault after which the first invariant applies to a host.
 const CONTACT_MS: u64 = 3000;
 
 impl World {
-    /// What is wrong now.
+    /// Returns the current violations.
     pub(crate) fn violations(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for host in 0..HOSTS {
@@ -15,10 +15,13 @@
                 let known = self.hosts[host].knows(&target.name);
                 let context = format!("{} ms: host {host}, {}", self.now_ms, target.name);
                 if known && self.must_be_removed(host, target) {
-                    violations.push(format!("{context} left at {:?}", target.left_ms));
+                    violations.push(format!(
+                        "{context} is known but left at {:?}",
+                        target.left_ms
+                    ));
                 }
                 if !known && self.must_be_known(host, target) {
-                    violations.push(format!("{context} lives"));
+                    violations.push(format!("{context} is live but not known"));
                 }
             }
         }
@@ -34,7 +37,7 @@
         !disturbed && self.now_ms > left_ms + DRAIN_MS
     }
 
-    /// Whether a fault keeps a host from the log, or ends it.
+    /// Returns whether a fault cuts a host off from the log or restarts it.
     fn disturbs(&self, kind: FaultKind, host: usize) -> bool {
         match kind {
             FaultKind::LogDown => true,
@@ -46,7 +49,8 @@
         }
     }
 
-    /// When a fault of a kind lasted last; 0 if none did.
+    /// Returns when the last fault that matches ended, or now if it lasts; 0 if there was
+    /// none.
     fn last_fault_ms<F>(&self, wanted: F) -> u64
     where
         F: Fn(FaultKind) -> bool,
@@ -61,11 +65,11 @@
     }
 
     fn must_be_known(&self, host: usize, target: &SimTarget) -> bool {
-        // Before the first heartbeats are in nobody is known.
+        // Targets are known only after their first heartbeats.
         let settled = self.now_ms > 2 * HEARTBEAT_MS;
         let zone = self.hosts[host].zone;
-        // A host drops the entries of another zone that is cut off, and has them back a
-        // while after it can read again and they are there.
+        // A host drops the entries of another zone that is cut off. It has them again a
+        // while after it can read the log and the entries are back there.
         let zone_fault_ms = self.last_fault_ms(|kind| match kind {
             FaultKind::ZoneCut(cut) => cut == target.zone && zone != target.zone,
             _ => false,
@@ -73,7 +77,7 @@
         let own_fault_ms = self.last_fault_ms(|kind| self.disturbs(kind, host));
         let back_ms = zone_fault_ms.max(own_fault_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
         let away = zone_fault_ms > 0 && self.now_ms < back_ms;
-        // A host that starts again finds what the log, or another host, lists.
+        // A restarted host learns the entries from the log or from another host.
         let restart_ms = self.last_fault_ms(|kind| kind == FaultKind::Restart(host));
         let log_ms = restart_ms.max(own_fault_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
         let started = restart_ms > 0 && self.now_ms < log_ms;
--- a/tests/leaving_fleet/log.rs
+++ b/tests/leaving_fleet/log.rs
@@ -4,7 +4,7 @@
 
 use jackdawwick::platform::log_calls::{KeyedRead, KeyedRecord, LogError};
 
-/// Records of targets by their offsets.
+/// Records of targets by offset.
 #[derive(Debug, Default)]
 pub(crate) struct MemoryLog {
     first: u64,
@@ -17,12 +17,12 @@
         self.first + self.records.len() as u64
     }
 
-    /// Whether a target has an entry.
+    /// Returns whether a target has an entry.
     pub(crate) fn has_entry(&self, key: &str) -> bool {
         self.newest.contains_key(key)
     }
 
-    /// Appends a record; without a value the entry is dropped.
+    /// Appends a record. Without a value it drops the entry.
     pub(crate) fn append(&mut self, key: &str, value: Option<Vec<u8>>) {
         match &value {
             Some(value) => {
@@ -36,13 +36,13 @@
         self.records.push((key.to_owned(), value));
     }
 
-    /// Forgets every record but the newest of each key.
+    /// Drops all records except the newest of each key.
     pub(crate) fn trim(&mut self) {
         self.first = self.end();
         self.records.clear();
     }
 
-    /// The newest record of each key, or the records from an offset on.
+    /// Returns the newest record of each key, or the records from an offset on.
     pub(crate) fn read(&self, from: Option<u64>) -> Result<KeyedRead, LogError> {
         let records = match from {
             None => self.newest_records(),
--- a/tests/leaving_fleet/main.rs
+++ b/tests/leaving_fleet/main.rs
@@ -1,5 +1,6 @@
-//! Entry hosts, targets and a log in memory, under random cuts, outages and restarts: who
-//! left gets nothing more, and who lives is kept.
+//! Entry hosts, targets and a log in memory, under random partitions, outages and
+//! restarts. Two invariants hold: a target that left is dropped, and a live target is
+//! kept.
 
 mod faults;
 mod host;
@@ -15,12 +16,12 @@
 
 /// Length of a run, in milliseconds.
 const LENGTH_MS: u64 = 40_000;
-/// Drawn runs; the variable `LEAVING_SEEDS` asks for more by hand.
+/// Number of random runs. The variable `LEAVING_SEEDS` overrides it.
 const SEEDS: u64 = 100;
-/// Drawn runs that broke a promise once: entries that lapsed over two outages (165), a second
-/// outage while entries came back (204), an entry that lapsed when the log was back already
-/// (217), a host that dropped what its neighbour had not read yet (120), and records of an
-/// outage read after a neighbour had told of its end (373).
+/// Seeds of runs that once violated an invariant: entries that expired over two outages
+/// (165), a second outage while entries returned (204), an entry that expired after the
+/// log had returned (217), a host that dropped what its neighbour had not read yet (120),
+/// and records of an outage read after a neighbour had reported its end (373).
 const FAILED_SEEDS: [u64; 5] = [120, 165, 204, 217, 373];
 
 fn run_simulation(seed: u64, faults: Vec<Fault>) -> Vec<String> {
@@ -44,7 +45,7 @@
     }
 }
 
-/// The days of the incident, one by one, with targets that leave all the while.
+/// Runs each fault that takes the log away, while targets leave.
 #[test]
 fn both_invariants_hold_under_each_loss_of_the_log() {
     let kinds = [
@@ -67,7 +68,7 @@
     }
 }
 
-/// Two in a row, with every pause between them.
+/// Runs two outages in a row, with pauses of different lengths between them.
 #[test]
 fn consecutive_outages_drop_no_live_target() {
     for pause_ms in (100..3000).step_by(300) {
@@ -84,7 +85,7 @@
     }
 }
 
-/// Cuts, outages, trims and restarts that overlap as they like.
+/// Runs random partitions, outages, trims and restarts, which may overlap.
 #[test]
 fn both_invariants_hold_under_random_faults() {
     let requested = std::env::var("LEAVING_SEEDS").ok();
--- a/tests/leaving_fleet/world.rs
+++ b/tests/leaving_fleet/world.rs
@@ -1,4 +1,4 @@
-//! Two zones of two hosts and some targets each, step by step.
+//! Simulates two zones of two hosts each, and their targets, in steps.
 
 use std::time::{Duration, Instant};
 
@@ -16,34 +16,34 @@
 const TARGETS: usize = 8;
 pub(super) const STEP_MS: u64 = 20;
 pub(super) const HEARTBEAT_MS: u64 = 1200;
-/// Silence after which an entry lapses: three heartbeats, and a moment for the last one
-/// to arrive.
+/// Silence after which an entry expires: three heartbeats and the delay of the last one.
 const EXPIRY_MS: u64 = 3 * HEARTBEAT_MS + 100;
-/// Entries that lapsed are back within this time of the log's return.
+/// Time within which expired entries are back after the log returns.
 pub(super) const RETURN_MS: u64 = 1900;
 pub(super) const READ_PAUSE_MS: u64 = 600;
 const FOLLOW_PAUSE_MS: u64 = 200;
 const NEIGHBOUR_REPORT_MS: u64 = 200;
 const REMOTE_REPORT_MS: u64 = 500;
-/// Time without the log after which a host that follows reads for itself.
+/// Time without the log after which a following host reads it itself.
 const MAX_WAIT_MS: u64 = 600;
-/// A target that left may be used for so long.
+/// Time for which a target that left may still be used.
 pub(super) const DRAIN_MS: u64 = 2000;
 
-/// A target, and when it leaves.
+/// A target and the time at which it leaves.
 pub(super) struct SimTarget {
     pub(super) name: String,
     pub(super) zone: usize,
     phase_ms: u64,
     wrote_ms: u64,
-    /// Since when it can write; it takes a while to do so again.
+    /// Time since which it can write. After an interruption it waits before it writes
+    /// again.
     can_write_ms: Option<u64>,
     leaves_ms: u64,
-    /// When the log acknowledged that it left.
+    /// Time at which the log acknowledged that it left.
     pub(super) left_ms: Option<u64>,
 }
 
-/// Everything, at one moment.
+/// State of the simulation.
 pub(crate) struct World {
     start: Instant,
     pub(crate) now_ms: u64,
@@ -63,7 +63,7 @@
             phase_ms: random.random_range(0..HEARTBEAT_MS / STEP_MS) * STEP_MS,
             wrote_ms: 0,
             can_write_ms: Some(0),
-            // Half of them leave, at times over the whole run.
+            // Half of the targets leave, at times spread over the run.
             leaves_ms: match index < TARGETS / 2 {
                 true => random.random_range(8_000..32_000),
                 false => u64::MAX,
@@ -72,7 +72,7 @@
         });
         let targets = targets.collect();
         Self {
-            // Ages of words and answers reach back before the first step.
+            // Ages in reports and replies reach back before the first step.
             start: Instant::now() + Duration::from_secs(3600),
             now_ms: 0,
             faults,
@@ -94,7 +94,7 @@
         self.was_on_since(self.now_ms, wanted)
     }
 
-    /// Whether a fault lasted at any time from a moment until now.
+    /// Returns whether a matching fault was active at any time since `since_ms`.
     pub(super) fn was_on_since<F>(&self, since_ms: u64, wanted: F) -> bool
     where
         F: Fn(FaultKind) -> bool,
@@ -124,7 +124,7 @@
         })
     }
 
-    /// One step of everybody.
+    /// Executes one step of the log, the targets and the hosts.
     pub(crate) fn step(&mut self) {
         self.now_ms += STEP_MS;
         self.apply_instant_faults();
@@ -184,7 +184,8 @@
             }
             let is_heartbeat_due = now_ms % HEARTBEAT_MS == target.phase_ms;
             let back_ms = target.can_write_ms.unwrap_or(now_ms);
-            // What lapsed is back late, whatever did not lapse with its next heartbeat.
+            // Expired entries return after `RETURN_MS`, and others with their next
+            // heartbeat.
             let waits = !has_entry && back_ms > 0 && now_ms < back_ms + RETURN_MS;
             let returns = !has_entry && now_ms == back_ms + RETURN_MS;
             if can_write && (returns || is_heartbeat_due && !waits) {
@@ -231,7 +232,7 @@
         self.hosts[host].follower.take(read, now);
     }
 
-    /// A host that follows asks the first one of its zone.
+    /// A following host requests updates from the leader of its zone.
     fn follow(&mut self, host: usize, leader: usize) {
         let answer = self.ask(host, leader).filter(|answer| answer.fresh);
         let now_ms = self.now_ms;
@@ -252,7 +253,7 @@
         }
     }
 
-    /// The first host of a zone hears from the other one while it cannot read.
+    /// The leader of a zone requests updates from its neighbour while it cannot read.
     fn follow_neighbour(&mut self, host: usize, neighbour: usize) {
         if self.hosts[host].is_fresh(self.now_ms) {
             return;
@@ -288,7 +289,7 @@
                 } else {
                     REMOTE_REPORT_MS
                 };
-                // Of another zone only the first hosts are heard.
+                // Only the leaders of different zones exchange reports.
                 let exchanges = near || (first < ZONES && second < ZONES);
                 let due = self.now_ms.is_multiple_of(pause) && first != second && exchanges;
                 if due && self.reach_each_other(first, second) {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership and the watch over targets, on many tables without a network.
+//! Membership and target monitoring on many tables in memory, without a network.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -140,9 +140,8 @@
         .collect()
 }
 
-/// Symptom: control traffic grows with the square of all hosts.
-/// Events: six zones of ten hosts run for ten seconds.
-/// Cause: everyone calls everyone, in one zone even in both directions.
+/// Guards against control traffic that grows with the square of the number of hosts, if
+/// every host calls every other one and both hosts of a pair call.
 #[test]
 fn one_call_per_pair_within_a_zone_and_few_across_zones() {
     let mut mesh = TableMesh::new(&hosts(6, 10));
@@ -176,9 +175,9 @@
     }
 }
 
-/// Symptom: at many hosts a daemon spends all its budget on heartbeats.
-/// Events: one host knows 19 others of its zone and 19 zones of 20.
-/// Cause: intervals that do not grow with the number of hosts.
+/// Guards against a daemon that spends its whole budget on heartbeats, if the intervals
+/// do not grow with the number of hosts. One host knows 19 others of its zone and 19
+/// zones of 20 hosts.
 #[test]
 fn call_rate_is_bounded_with_many_hosts() {
     let names = hosts(20, 20);
@@ -195,7 +194,7 @@
                 table.observe_heartbeat(&heartbeat(&to, 1, u64::from(step), 0), now);
             }
         }
-        // Those who are not called by this host call it.
+        // Hosts of the zone that this host does not call call it instead.
         for name in names.iter().filter(|name| zone_of(name) == "z0") {
             if table
                 .member(name)
@@ -210,10 +209,9 @@
     assert!(calls[&true] <= 2 * seconds + 2 * 19, "{calls:?}");
 }
 
-/// Symptom: a change is reported in force while one host has not applied it.
-/// Events: one host lags; the asked host stands in another zone and never
-/// hears the laggard itself.
-/// Cause: offsets taken only from hosts that are heard directly.
+/// Guards against a change reported as in effect while one host has not applied it, if
+/// offsets are taken only from hosts in direct contact. The lagging host is in another
+/// zone and exchanges no heartbeats with the queried host.
 #[test]
 fn a_lagging_host_without_direct_contact_lowers_the_reported_offset() {
     let mut mesh = TableMesh::new(&hosts(3, 8));
@@ -233,12 +231,11 @@
             .is_some_and(|member| member.applied_offset == 42);
         indirect += usize::from(!has_direct_contact && **host != *"z2-5");
     }
-    assert!(indirect > 0, "somebody must depend on the digests");
+    assert!(indirect > 0, "no host depends on the digests");
 }
 
-/// Symptom: the view says "everywhere" while a zone is cut off.
-/// Events: one zone is cut off; one host of another zone dies; both return.
-/// Cause: silence taken for agreement.
+/// Guards against a change reported as in effect everywhere while one zone is cut off and
+/// a host of another zone is down, if silent hosts are left out.
 #[test]
 fn unreachable_hosts_and_zones_are_named_until_they_return() {
     let mut mesh = TableMesh::new(&hosts(3, 4));
@@ -265,10 +262,10 @@
     }
 }
 
-/// Symptom: a change is reported in force while a host has not applied it.
-/// Events: the platform lists a new host of another zone; that zone's hosts
-/// have not read the list yet, and their digests do not count the new host.
-/// Cause: a digest without unreachable hosts taken for the word of all.
+/// Guards against a change reported as in effect while a host has not applied it, if a
+/// digest without unreachable hosts is taken to cover all hosts. The platform lists a new
+/// host before the hosts of its zone have read the list, so that their digests do not
+/// count it.
 #[test]
 fn a_host_missing_from_the_digests_of_its_zone_counts_as_unreachable() {
     let mut mesh = TableMesh::new(&hosts(2, 3));
@@ -284,10 +281,9 @@
     assert!(!view.is_whole());
 }
 
-/// Symptom: a restarted host is shown with old figures, or vanishes.
-/// Events: a process is frozen, its host starts a new one, the old one wakes
-/// up and speaks; later a clock set back gives a lower incarnation.
-/// Cause: statements judged by time of arrival alone.
+/// Guards against a restarted host that shows old values or vanishes, if heartbeats are
+/// ordered by arrival. A frozen process wakes after its host has started a new one, and
+/// later a clock set back gives a lower incarnation.
 #[test]
 fn heartbeats_of_an_ended_incarnation_are_ignored() {
     let start = Instant::now();
@@ -324,10 +320,9 @@
     assert!(table.is_current("z0-1", 15));
 }
 
-/// Symptom: the shares of a host that is only cut off are given to others.
-/// Events: a host falls silent during an outage of the platform; the list
-/// comes back empty, then whole, then without the host.
-/// Cause: silence, or a faulty list, taken for the host's end.
+/// Guards against giving the shares of a partitioned host to others, if silence or a
+/// faulty list removes the host. The host falls silent during an outage of the platform.
+/// Then the list comes back empty, complete, and without the host.
 #[test]
 fn a_silent_host_is_removed_only_once_delisted() {
     let start = Instant::now();
@@ -371,16 +366,15 @@
     assert_eq!(removed, vec![expected]);
 }
 
-/// Symptom: a new holder of shares waits for ever for a host that died before
-/// it started, or frees the grants of one that it merely has not heard yet.
-/// Events: the log names incarnations that this host never heard.
-/// Cause: no judgement, or a hasty one, on hosts that are not in the table.
+/// Guards against a new share holder that waits forever for a host that died before it
+/// started, or frees the grants of a live host that it has not received heartbeats from.
+/// The log names incarnations that are not in the table.
 #[test]
 fn an_unknown_incarnation_has_ended_once_a_late_list_lacks_it() {
     let start = Instant::now();
     let mut table = MembershipTable::new(settings("z0-0", 4), start);
     table.observe_host_list(&list(&["z0-0", "z0-1"]), start);
-    assert!(!table.has_ended("z0-1", 7), "listed, not heard");
+    assert!(!table.has_ended("z0-1", 7), "listed, without a heartbeat");
     assert!(!table.has_ended("z0-2", 7), "the list may lag");
     table.observe_heartbeat(&heartbeat("z0-1", 8, 1, 0), start);
     assert!(table.has_ended("z0-1", 7), "replaced");
@@ -390,9 +384,8 @@
     assert!(table.has_ended("z0-2", 7));
 }
 
-/// Symptom: a host that was paused counts everyone else as unreachable.
-/// Events: no tick for a minute, then one.
-/// Cause: its own pause taken for the others' silence.
+/// Guards against a paused host that counts all others as unreachable, if its own pause
+/// is taken for their silence.
 #[test]
 fn a_paused_host_suspects_no_host_when_it_wakes() {
     let mut mesh = TableMesh::new(&hosts(1, 4));
@@ -431,9 +424,8 @@
     }
 }
 
-/// Symptom: after a host's death some targets are watched by nobody.
-/// Events: a zone of six hosts loses one.
-/// Cause: watchers fixed once, or chosen differently by different hosts.
+/// Guards against targets without a watcher after a host's death, if watchers are fixed
+/// or hosts choose them differently. A zone of six hosts loses one.
 #[test]
 fn each_target_keeps_two_watchers_after_the_loss_of_a_host() {
     let all: Vec<HostId> = (0..6).map(|index| format!("z0-{index}").into()).collect();
@@ -459,11 +451,9 @@
     }
 }
 
-/// Symptom: a target that returned stays out of rotation for ever, or one
-/// that leaves gets work because a late reading calls it well.
-/// Events: a target refuses host 0; hosts tell each other; a reading from
-/// before the refusal arrives; the target returns and is read again.
-/// Cause: hearsay passed on as knowledge, or readings not ordered by time.
+/// Guards against a target that stays out of rotation after its return, if peers' reports
+/// are relayed. Also guards against a leaving target that gets work because a reading
+/// from before its refusal arrives late.
 #[test]
 fn leaving_is_reported_to_all_hosts_and_cleared_after_the_return() {
     let hosts: Vec<HostId> = (0..3).map(|index| format!("z0-{index}").into()).collect();
@@ -515,9 +505,8 @@
     assert_eq!(reasons(&watches, now), vec![None; 3]);
 }
 
-/// Symptom: a target that has returned stays idle for ever.
-/// Events: it refuses a host of a zone whose own hosts are gone, and returns.
-/// Cause: nobody reads it there, so nothing takes the refusal back.
+/// Guards against a target that stays idle after its return. It refused a host of a zone
+/// where no host polls it, so that no reading clears the refusal.
 #[test]
 fn an_unconfirmed_refusal_expires() {
     let hosts: Vec<HostId> = vec!["z0-0".into()];
@@ -531,10 +520,8 @@
     assert_eq!(reason_after(expiry), None);
 }
 
-/// Symptom: new work goes to a target that the platform or an operator has
-/// already marked, in a zone that is cut off from the platform.
-/// Events: only a host of another zone sees the list; it tells by heartbeat.
-/// Cause: the sign is kept by those who read it.
+/// Guards against new work for a target that the platform lists as leaving, in a zone
+/// that is cut off from the platform and learns of it only by heartbeats of another zone.
 #[test]
 fn a_listed_target_is_out_of_rotation_in_a_zone_without_the_list() {
     let now = Instant::now();
@@ -590,8 +577,8 @@
     ]
 }
 
-/// What a naive reader makes of the whole history: it keeps every event and
-/// judges the last state from scratch.
+/// Reference model that keeps every event and computes the current state from the whole
+/// history.
 #[derive(Default)]
 struct NaiveHost {
     accepted: Vec<(Duration, u64, u64)>,
