--- a/src/membership/gossip/calls.rs
+++ b/src/membership/gossip/calls.rs
@@ -90,9 +90,9 @@
             let member = self.members.get(host);
             member.is_some_and(|member| !member.had_contact_within(REPORT_INTERVAL * 3, now))
         };
-        let earlier = aggregators[..rank].iter().filter(|host| is_silent(host));
-        let later = aggregators[rank + 1..].iter();
-        earlier.chain(later).cloned().collect()
+        let higher = aggregators[..rank].iter().filter(|host| is_silent(host));
+        let lower = aggregators[rank + 1..].iter();
+        higher.chain(lower).cloned().collect()
     }
 
     /// Returns the aggregator to which this host reports, chosen by hash among those that
--- a/src/membership/gossip/roles.rs
+++ b/src/membership/gossip/roles.rs
@@ -71,8 +71,8 @@
     /// them. The first one reads the log, and the next ones take over where it cannot.
     pub fn leaders(&self, now: Instant, limit: usize) -> Vec<(HostId, SocketAddr)> {
         let hosts = self.live_hosts(&self.zone, now).into_iter();
-        let before = hosts.take_while(|host| *host != self.host).take(limit);
-        self.with_addresses(before)
+        let higher = hosts.take_while(|host| *host != self.host).take(limit);
+        self.with_addresses(higher)
     }
 
     /// Returns the host that issues the permits for a target of a zone, which may be this
--- a/src/membership/gossip_member.rs
+++ b/src/membership/gossip_member.rs
@@ -176,8 +176,8 @@
 
     /// Returns whether the member is recorded as live, on any evidence or by direct
     /// contact alone.
-    pub(super) fn is_recorded_live(&self, by_itself: bool) -> bool {
-        self.recorded.is_live && (self.recorded.is_direct || !by_itself)
+    pub(super) fn is_recorded_live(&self, direct_only: bool) -> bool {
+        self.recorded.is_live && (self.recorded.is_direct || !direct_only)
     }
 
     /// Returns whether the member is advertised to other zones.
