--- a/src/membership/role.rs
+++ b/src/membership/role.rs
@@ -8,9 +8,9 @@
 /// four times a second. In a zone of 80 hosts and 40 engines the busiest aggregator
 /// transfers 315 KB/s in both directions together, an eighth of a link of 20 Mbit/s.
 const HOSTS_PER_AGGREGATOR: usize = 24;
-/// Number of aggregators that a zone has if enough hosts of equal weight exist, even
-/// where fewer could serve all. Aggregators exchange what they receive in one step, so
-/// that a zone of four hosts needs no second step.
+/// Up to this many of the heaviest hosts are aggregators even where fewer could serve the
+/// zone. Aggregators exchange what they receive in one step, so that a zone of four hosts
+/// needs no second step.
 const PREFERRED_AGGREGATORS: usize = 4;
 /// Thousandths of a core that weigh as much as one Mbit/s of a link. With this ratio the
 /// processor limits a host with an eighth of a core and 20 Mbit/s, and the link limits a
--- a/src/membership/schedule.rs
+++ b/src/membership/schedule.rs
@@ -109,8 +109,8 @@
         reference.is_none_or(|last| now.saturating_duration_since(last) >= interval)
     }
 
-    /// Returns the hosts called in each other zone: the highest ranked that are not
-    /// suspected, or the highest ranked if all are.
+    /// Returns the hosts called in each other zone: the highest ranked, those that are
+    /// not suspected first.
     pub fn chosen_remote_hosts(&self) -> BTreeSet<HostId> {
         let mut zones: BTreeMap<&ZoneId, Vec<&HostMember>> = BTreeMap::new();
         for member in self.members.values() {
