--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,18 +1,17 @@
-//! The hosts of the system and the targets that they watch, as one host knows
-//! them.
+//! Membership of hosts and monitoring of targets, as seen by one host.
 //!
-//! Every host exchanges heartbeats with all others of its availability zone
-//! and with a few of each other zone. The tables here decide whom to call,
-//! whom to count as live and which targets take new work; they do no I/O.
+//! Every host exchanges heartbeats with all other hosts of its availability zone and with
+//! a few hosts of each other zone. The tables of this module decide which hosts to call,
+//! which hosts count as live and which targets take new work. They do no I/O.
 
 mod commands;
 mod decision;
-mod duty;
 mod force_view;
 mod gossip;
 mod gossip_member;
 mod member;
 mod queries;
+mod role;
 mod rotation;
 mod schedule;
 mod settings;
@@ -21,13 +20,13 @@
 mod watch_queries;
 
 pub use crate::rendezvous::{rendezvous_score, top_ranked};
-pub use decision::{GoneCause, MembershipDecision};
-pub use duty::{DutyCandidate, host_strength, rank_hosts, speaker_count};
+pub use decision::{MembershipDecision, RemovalCause};
 pub use force_view::{ForceView, ZoneForce};
 pub use gossip::GossipTable;
 pub use gossip_member::GossipMember;
 pub use member::{HostMember, MemberPhase};
+pub use role::{RoleCandidate, aggregator_count, host_weight, rank_hosts};
 pub use rotation::RotationReason;
 pub use settings::{MembershipSettings, WatchSettings};
 pub use table::MembershipTable;
-pub use target_watch::{DeclaredTarget, TargetSighting, TargetWatch};
+pub use target_watch::{DeclaredTarget, LoadSample, TargetWatch};
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -1,12 +1,11 @@
-//! The entry hosts of the users' platform, as one of them knows them.
+//! The gossip table of an entry host on the users' platform.
 //!
-//! The platform lists targets and no entry hosts. A few strong hosts of each
-//! availability zone speak for it: the others report to one of these, and hear
-//! from it what has changed. What a host sends and hears does not grow with the
-//! number of hosts.
+//! The platform lists targets but no entry hosts. The heaviest hosts of each availability
+//! zone are its aggregators: every other host reports to one of them and receives the
+//! changes from it. The traffic of a host does not grow with the number of hosts.
 
 mod calls;
-mod duties;
+mod roles;
 mod views;
 
 use std::collections::BTreeMap;
@@ -14,45 +13,45 @@
 use std::time::{Duration, Instant};
 
 use crate::collections::FastMap;
-use crate::ids::{HostId, HostStrength, IncarnationId, ZoneId};
+use crate::ids::{HostId, HostWeight, IncarnationId, ZoneId};
 use crate::membership::gossip_member::{DEAD_AFTER, GossipMember};
 use crate::peer::{HostView, KnownHost};
 
-/// Silence after which a host is forgotten. Hosts are replaced at other
-/// addresses, so that a table that only grows would be called for ever.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
-/// The same for the hosts of a zone of which none lives: regions lose each
-/// other for an hour now and then, and would not find each other again if the
-/// hosts that a start names have been replaced meanwhile.
-const LOST_ZONE_FORGOTTEN_AFTER: Duration = Duration::from_secs(2 * 3600);
-/// Hosts of a zone that other zones know: the one that speaks to them, and
-/// those that take over one after the other.
-const KNOWN_ELSEWHERE: usize = 4;
+/// Silence after which a host is forgotten. Hosts are replaced at new addresses, so that
+/// a table that only grows would call the old addresses forever.
+const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// Silence after which the last known hosts of a zone without a live host are forgotten.
+/// Regions lose contact with each other for an hour now and then, and would not find each
+/// other again if the seed hosts have been replaced meanwhile.
+const LOST_ZONE_FORGET_AFTER: Duration = Duration::from_secs(2 * 3600);
+/// Hosts of a zone that other zones know: its leader and the hosts that take over from it
+/// one after another.
+const ADVERTISED_HOSTS: usize = 4;
 
-/// The other entry hosts that are known.
+/// The other entry hosts that this host knows.
 #[derive(Debug)]
 pub struct GossipTable {
     host: HostId,
     zone: ZoneId,
     own_address: SocketAddr,
     incarnation: IncarnationId,
-    strength: HostStrength,
+    weight: HostWeight,
     seeds: Vec<SocketAddr>,
     members: BTreeMap<HostId, GossipMember>,
-    /// Grows with each change of a member that others have to hear of.
+    /// Incremented by each change of a member that other hosts have to receive.
     version: u64,
-    /// Sequence number of this host's last view.
+    /// Sequence number of the last view that this host sent.
     sequence: u64,
-    /// Hosts of other zones, as those told that know.
+    /// Number of hosts of each other zone, as reported by hosts of those zones.
     counts: FastMap<ZoneId, u32>,
     first_seed_call: Option<Instant>,
     last_seed_call: Option<Instant>,
     last_probe: Option<Instant>,
-    remote_called: FastMap<ZoneId, Instant>,
+    last_remote_calls: FastMap<ZoneId, Instant>,
 }
 
 impl GossipTable {
-    /// A table that knows nobody but the seeds' addresses.
+    /// Creates a table that knows only the addresses of the seeds.
     pub fn new(
         host: HostId,
         zone: ZoneId,
@@ -65,7 +64,7 @@
             zone,
             own_address,
             incarnation: 0,
-            strength: 0,
+            weight: 0,
             seeds: others.collect(),
             members: BTreeMap::new(),
             version: 1,
@@ -74,19 +73,19 @@
             first_seed_call: None,
             last_seed_call: None,
             last_probe: None,
-            remote_called: FastMap::default(),
+            last_remote_calls: FastMap::default(),
         }
     }
 
-    /// Says who this start of the host is, and what it has for duties.
-    pub fn announced(mut self, incarnation: IncarnationId, strength: HostStrength) -> Self {
+    /// Sets the incarnation and the weight of this host.
+    pub fn with_identity(mut self, incarnation: IncarnationId, weight: HostWeight) -> Self {
         self.incarnation = incarnation;
-        self.strength = strength;
+        self.weight = weight;
         self
     }
 
-    /// Takes in what a host says of itself and of others. Says whether it is
-    /// news: an earlier statement that arrives late is none.
+    /// Applies the view of another host. Returns whether it is new: a view that is older
+    /// than the last one received changes nothing.
     pub fn observe_view(&mut self, view: &HostView, now: Instant) -> bool {
         if view.host == self.host {
             return false;
@@ -98,97 +97,96 @@
         if overtaken {
             return false;
         }
-        self.observe_speaker(view, now);
+        self.observe_sender(view, now);
         self.observe_listing(view, now);
         self.observe_counts(view);
         true
     }
 
-    fn observe_speaker(&mut self, view: &HostView, now: Instant) {
+    fn observe_sender(&mut self, view: &HostView, now: Instant) {
         let listed = KnownHost {
             host: view.host.clone(),
             zone: view.zone.clone(),
             address: view.address,
             incarnation: view.incarnation,
-            strength: view.strength,
+            weight: view.weight,
             silent: Duration::ZERO,
         };
         self.observe_listed(&listed, None, now);
         let own = self.incarnation;
         if let Some(member) = self.members.get_mut(&view.host) {
             member.sequence = view.sequence;
-            member.direct = Some(now);
+            member.direct_contact = Some(now);
             member.suspicion = None;
             if view.seen.incarnation == own {
-                member.told = view.seen;
+                member.acknowledged = view.seen;
             }
         }
     }
 
-    /// Takes in the hosts that another one lists, if none of its changes is
-    /// missing in between.
+    /// Applies a listing of hosts, unless changes before it are missing.
     fn observe_listing(&mut self, view: &HostView, now: Instant) {
         let listing = &view.listing;
-        let known_to = self
+        let received_to = self
             .members
             .get(&view.host)
-            .map_or(0, |member| member.heard_to);
-        if listing.to == 0 || listing.from > known_to {
+            .map_or(0, |member| member.received_to);
+        if listing.to == 0 || listing.from > received_to {
             return;
         }
         if listing.from == 0 {
-            self.drop_vouched(&view.host);
+            self.remove_witness(&view.host);
         }
         for listed in &listing.hosts {
-            let vouches = view.zone == self.zone || listed.zone == view.zone;
-            let voucher = vouches.then_some(&view.host);
-            self.observe_listed(listed, voucher, now);
+            let is_witness = view.zone == self.zone || listed.zone == view.zone;
+            let witness = is_witness.then_some(&view.host);
+            self.observe_listed(listed, witness, now);
         }
         for member in self.members.values_mut() {
-            member.renew_voucher(&view.host, now);
+            member.renew_witness(&view.host, now);
         }
         if let Some(member) = self.members.get_mut(&view.host) {
-            member.heard_to = listing.to;
-            member.heard_scope = view.scope;
+            member.received_to = listing.to;
+            member.received_scope = view.scope;
         }
     }
 
-    fn drop_vouched(&mut self, voucher: &HostId) {
+    fn remove_witness(&mut self, witness: &HostId) {
         for member in self.members.values_mut() {
-            member.drop_voucher(voucher);
+            member.drop_witness(witness);
         }
     }
 
-    fn observe_listed(&mut self, listed: &KnownHost, voucher: Option<&HostId>, now: Instant) {
-        let Some(heard) = now.checked_sub(listed.silent) else {
+    fn observe_listed(&mut self, listed: &KnownHost, witness: Option<&HostId>, now: Instant) {
+        let Some(last_contact) = now.checked_sub(listed.silent) else {
             return;
         };
-        if listed.host == self.host || listed.silent > LOST_ZONE_FORGOTTEN_AFTER {
+        if listed.host == self.host || listed.silent > LOST_ZONE_FORGET_AFTER {
             return;
         }
         let known = self.members.get(&listed.host);
-        let is_news = match known {
+        let is_changed = match known {
             Some(member) if member.incarnation > listed.incarnation => return,
-            Some(member) => !member.is_start(listed),
+            Some(member) => !member.is_same_start(listed),
             None => true,
         };
-        if is_news {
+        if is_changed {
             self.version += 1;
-            let member = GossipMember::new(listed, heard, self.version);
+            let member = GossipMember::new(listed, last_contact, self.version);
             self.members.insert(listed.host.clone(), member);
         }
         if let Some(member) = self.members.get_mut(&listed.host) {
-            member.listed = member.listed.max(heard);
-            match voucher {
-                Some(voucher) if listed.silent < DEAD_AFTER => member.add_voucher(voucher, now),
-                Some(voucher) => member.drop_voucher(voucher),
+            member.reported_contact = member.reported_contact.max(last_contact);
+            match witness {
+                Some(witness) if listed.silent < DEAD_AFTER => member.add_witness(witness, now),
+                Some(witness) => member.drop_witness(witness),
                 None => {}
             }
         }
     }
 
-    /// A zone's own hosts know how many they are; a host of this zone passes on
-    /// what it has heard of the others.
+    /// Applies the host counts of zones. The hosts of a zone know its count, and a host
+    /// of this zone relays the counts that it received.
     fn observe_counts(&mut self, view: &HostView) {
         for count in &view.counts {
             let knows = view.zone == self.zone || count.zone == view.zone;
@@ -198,7 +196,8 @@
         }
     }
 
-    /// A call to a host failed: another one is called in its place for a while.
+    /// Marks a host as suspect after a failed call, so that another one is called in its
+    /// place for a while.
     pub fn observe_failed_call(&mut self, address: SocketAddr, now: Instant) {
         let mut members = self.members.values_mut();
         if let Some(member) = members.find(|member| member.address == address) {
@@ -206,8 +205,9 @@
         }
     }
 
-    /// Notes what has changed by time alone: who has fallen silent, and who is
-    /// known elsewhere. Forgets who has been silent for long.
+    /// Applies changes that come with time alone: records which hosts have fallen silent
+    /// and which are advertised to other zones, and forgets hosts that have been silent
+    /// for long.
     fn sweep(&mut self, now: Instant) {
         let mut zones = FastMap::<ZoneId, Vec<HostId>>::default();
         for (host, member) in &self.members {
@@ -220,39 +220,45 @@
             let live = self.ranked(&zone, now);
             let live = live.into_iter().map(|candidate| candidate.host);
             let live = live.filter(|host| *host != self.host);
-            let mut top = live.take(KNOWN_ELSEWHERE).collect::<Vec<_>>();
+            let mut top = live.take(ADVERTISED_HOSTS).collect::<Vec<_>>();
             let is_lost = top.is_empty();
             if is_lost {
-                top = self.last_heard(hosts.clone());
+                top = self.latest_contacts(hosts.clone());
             }
             for host in hosts {
-                let is_top = top.contains(&host);
-                let kept_for = match is_lost && is_top {
-                    true => LOST_ZONE_FORGOTTEN_AFTER,
-                    false => FORGOTTEN_AFTER,
+                let is_advertised = top.contains(&host);
+                let retention = match is_lost && is_advertised {
+                    true => LOST_ZONE_FORGET_AFTER,
+                    false => FORGET_AFTER,
                 };
-                self.sweep_member(&host, is_top, kept_for, now);
+                self.sweep_member(&host, is_advertised, retention, now);
             }
         }
     }
 
-    /// The hosts of a zone without a live one that were heard last.
-    fn last_heard(&self, mut hosts: Vec<HostId>) -> Vec<HostId> {
-        let heard = |host: &HostId| self.members.get(host).map(GossipMember::heard);
-        hosts.sort_by_key(|host| std::cmp::Reverse(heard(host)));
-        hosts.truncate(KNOWN_ELSEWHERE);
+    /// Returns the hosts with the latest contacts, for a zone without a live host.
+    fn latest_contacts(&self, mut hosts: Vec<HostId>) -> Vec<HostId> {
+        let last_contact = |host: &HostId| self.members.get(host).map(GossipMember::last_contact);
+        hosts.sort_by_key(|host| std::cmp::Reverse(last_contact(host)));
+        hosts.truncate(ADVERTISED_HOSTS);
         hosts
     }
 
-    fn sweep_member(&mut self, host: &HostId, is_top: bool, kept_for: Duration, now: Instant) {
+    fn sweep_member(
+        &mut self,
+        host: &HostId,
+        is_advertised: bool,
+        retention: Duration,
+        now: Instant,
+    ) {
         let Some(member) = self.members.get_mut(host) else {
             return;
         };
-        if now.saturating_duration_since(member.heard()) >= kept_for {
+        if now.saturating_duration_since(member.last_contact()) >= retention {
             self.members.remove(host);
-        } else if member.note_state(is_top, now) {
+        } else if member.record_state(is_advertised, now) {
             self.version += 1;
-            member.changed = self.version;
+            member.changed_version = self.version;
         }
     }
 }
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -1,4 +1,4 @@
-//! What an entry host says to another one.
+//! Views that an entry host sends to another one.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,9 +12,9 @@
 use crate::poison::PoisonListing;
 
 impl GossipTable {
-    /// What to say to the host at an address; the requests, those that targets ended
-    /// under and what this host has of the log are left to the caller.
-    pub fn open_view(&mut self, address: SocketAddr, now: Instant) -> HostView {
+    /// Creates the view to send to the host at an address. The caller adds the requests,
+    /// the suspected requests and the state of the log.
+    pub fn request_view(&mut self, address: SocketAddr, now: Instant) -> HostView {
         let mut known = self.members.iter();
         let callee = known.find(|(_, member)| member.address == address);
         let callee = callee.map(|(host, member)| (host.clone(), member.clone()));
@@ -25,20 +25,21 @@
                 SeenListing::default(),
             );
         };
-        let scope = self.scope_to(&host, &member, now);
+        let scope = self.scope_for(&host, &member, now);
         let listing = match scope {
-            // Whoever reports hears of others, and tells of itself alone.
+            // A host that reports sends only its own state and receives the listings of
+            // others.
             UsageScope::Host | UsageScope::Neighbours => HostListing::default(),
             UsageScope::Group | UsageScope::Zone => {
-                let from = listed_from(member.told, scope);
+                let from = listed_from(member.acknowledged, scope);
                 self.listing(&member.zone, from, scope, now)
             }
         };
-        self.view(scope, listing, seen_of(&member))
+        self.view(scope, listing, seen_listing(&member))
     }
 
-    /// What to answer to a view that was taken in before.
-    pub fn answer_view(&mut self, view: &HostView, now: Instant) -> HostView {
+    /// Creates the reply to a view that was applied before.
+    pub fn reply_view(&mut self, view: &HostView, now: Instant) -> HostView {
         let scope = match (view.zone == self.zone, view.scope) {
             (true, UsageScope::Host) => UsageScope::Neighbours,
             (false, UsageScope::Zone) => UsageScope::Zone,
@@ -51,16 +52,16 @@
         };
         let listing = self.listing(&view.zone, from, scope, now);
         let member = self.members.get(&view.host);
-        let seen = member.map_or_else(SeenListing::default, seen_of);
+        let seen = member.map_or_else(SeenListing::default, seen_listing);
         self.view(scope, listing, seen)
     }
 
-    fn scope_to(&self, host: &HostId, member: &GossipMember, now: Instant) -> UsageScope {
-        let speakers = self.speakers(now);
-        let speaks = speakers.contains(&self.host);
+    fn scope_for(&self, host: &HostId, member: &GossipMember, now: Instant) -> UsageScope {
+        let aggregators = self.aggregators(now);
+        let is_aggregator = aggregators.contains(&self.host);
         match member.zone == self.zone {
-            true if speaks && speakers.contains(host) => UsageScope::Group,
-            false if self.is_lead(now) => UsageScope::Zone,
+            true if is_aggregator && aggregators.contains(host) => UsageScope::Group,
+            false if self.is_leader(now) => UsageScope::Zone,
             _ => UsageScope::Host,
         }
     }
@@ -78,7 +79,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             configuration_version: 0,
-            strength: self.strength,
+            weight: self.weight,
             scope,
             uses: Vec::new(),
             listing,
@@ -90,11 +91,11 @@
         }
     }
 
-    /// Hosts that changed after version `from`, as far as a host of `zone` has
-    /// to know them: all of its own zone, the first ones of each other one.
+    /// Returns the hosts that changed after version `from` and that a host of `zone`
+    /// needs: all hosts of its own zone and the advertised ones of every other zone.
     fn listing(&self, zone: &str, from: u64, scope: UsageScope, now: Instant) -> HostListing {
         let wanted = |member: &GossipMember| {
-            member.changed > from && (*member.zone == *zone || member.is_top())
+            member.changed_version > from && (*member.zone == *zone || member.is_advertised())
         };
         let listed = self.members.iter().filter(|(_, member)| wanted(member));
         let hosts = listed.map(|(host, member)| KnownHost {
@@ -102,8 +103,8 @@
             zone: member.zone.clone(),
             address: member.address,
             incarnation: member.incarnation,
-            strength: member.strength,
-            silent: silence(member, scope, now),
+            weight: member.weight,
+            silent: reported_silence(member, scope, now),
         });
         HostListing {
             from,
@@ -127,9 +128,9 @@
     }
 }
 
-/// The version from which on changes are listed to a host that has seen so much.
-/// One that became a speaker, or is one no longer, hears everything again:
-/// speakers are told of fewer live hosts than the others.
+/// Returns the version after which changes are listed to a host. A host that became an
+/// aggregator, or is one no longer, receives the complete listing again, because
+/// aggregators report fewer hosts as live to each other than to the other hosts.
 fn listed_from(seen: SeenListing, scope: UsageScope) -> u64 {
     match seen.scope == scope {
         true => seen.to,
@@ -137,28 +138,25 @@
     }
 }
 
-fn seen_of(member: &GossipMember) -> SeenListing {
+fn seen_listing(member: &GossipMember) -> SeenListing {
     SeenListing {
         incarnation: member.incarnation,
-        to: member.heard_to,
-        scope: member.heard_scope,
+        to: member.received_to,
+        scope: member.received_scope,
     }
 }
 
-/// Since when a member has been silent, as told to a host that hears the sums
-/// of `scope`.
+/// Returns the silence of a member as reported in a listing of `scope`.
 ///
-/// Speakers vouch to each other only for hosts that they hear themselves. Two
-/// that each took the other's word for a third host would keep it alive for
-/// each other for ever.
+/// Aggregators report hosts to each other as live only if they have direct contact with
+/// them. Otherwise two aggregators could keep a third host alive for each other forever.
 ///
-/// Whether the member counts as live is told as it was last noted, and not as
-/// it is by now: a member that falls silent and is heard again before the next
-/// note changes nothing there, and a listener that was told of the silence in
-/// between would never hear of the end of it.
-fn silence(member: &GossipMember, scope: UsageScope, now: Instant) -> Duration {
-    let silent = now.saturating_duration_since(member.heard());
-    match member.is_told_live(scope == UsageScope::Group) {
+/// The value reflects the recorded state of the member and not its current one. A member
+/// that falls silent and sends again before its state is recorded next does not change its
+/// version, so a receiver of the silence would never receive its end.
+fn reported_silence(member: &GossipMember, scope: UsageScope, now: Instant) -> Duration {
+    let silent = now.saturating_duration_since(member.last_contact());
+    match member.is_recorded_live(scope == UsageScope::Group) {
         true => silent.min(DEAD_AFTER - Duration::from_millis(1)),
         false => silent.max(DEAD_AFTER),
     }
--- a/src/membership/watch_queries.rs
+++ b/src/membership/watch_queries.rs
@@ -1,61 +1,63 @@
-//! What can be asked of the watch over targets.
+//! Queries of the watch over targets.
 
 use std::time::Instant;
 
 use super::rotation::RotationReason;
-use super::target_watch::{TargetSighting, TargetWatch, WatchedTarget};
+use super::target_watch::{LoadSample, TargetWatch, WatchedTarget};
 use crate::ids::TargetId;
 use crate::peer::PeerLoad;
 
 impl TargetWatch {
-    /// Targets that this host polls.
+    /// Iterates over the targets that this host polls.
     pub fn watched(&self) -> impl Iterator<Item = &TargetId> {
         self.watched.iter()
     }
 
-    /// Load of a target as last known; its age is the caller's to judge.
-    pub fn sighting(&self, target: &str) -> Option<TargetSighting> {
-        self.targets.get(target)?.sighting
+    /// Returns the last known load of a target, however old it is.
+    pub fn load_sample(&self, target: &str) -> Option<LoadSample> {
+        self.targets.get(target)?.load_sample
     }
 
-    /// Why a target takes no new work; `None` if it does.
+    /// Returns why a target takes no new work; `None` if it takes work.
     pub fn out_of_rotation(&self, target: &str, now: Instant) -> Option<RotationReason> {
         let target = self.targets.get(target)?;
-        target.signs.reason(self.settings.told_lapse, now)
+        target.signals.reason(self.settings.leaving_expiry, now)
     }
 
-    /// Loads for hosts of this zone: targets that this host polls, and any
-    /// other that it knows at first hand to be leaving.
+    /// Returns the loads for hosts of this zone: targets that this host polls, and any
+    /// others for which it has a direct reason to count them as leaving.
     pub fn zone_loads(&self, now: Instant) -> Vec<PeerLoad> {
         self.targets
             .iter()
             .filter_map(|(name, target)| {
-                let reason = target.signs.first_hand(self.settings.told_lapse, now);
-                let is_passed_on = self.watched.contains(name) || reason.is_some();
-                is_passed_on
+                let reason = target
+                    .signals
+                    .direct_reason(self.settings.leaving_expiry, now);
+                let is_forwarded = self.watched.contains(name) || reason.is_some();
+                is_forwarded
                     .then(|| self.load(name, target, reason.is_some(), now))
                     .flatten()
             })
             .collect()
     }
 
-    /// Loads for a host of another zone: a bounded part of this zone's
-    /// targets, those that wait longest to be passed on first, and targets of
-    /// any zone that this host knows at first hand to be leaving.
+    /// Returns the loads for a host of another zone: a bounded number of this zone's
+    /// targets, least recently relayed first, and targets of other zones for which this
+    /// host has a direct reason to count them as leaving.
     ///
-    /// What peers of this zone said about its own targets is passed on too. It
-    /// cannot come back as their own word, because hosts elsewhere pass on
-    /// only targets of theirs and what they know at first hand.
+    /// Peers' reports about this zone's own targets are included. They cannot come back
+    /// as reports of other zones, because hosts there relay only their own zone's targets
+    /// and direct reasons.
     pub fn remote_loads(&mut self, now: Instant) -> Vec<PeerLoad> {
         self.remote_rounds += 1;
         let mut waiting: Vec<_> = self
             .targets
             .iter()
             .filter(|(_, target)| target.zone == self.settings.zone)
-            .map(|(name, target)| (target.passed_on, name.clone()))
+            .map(|(name, target)| (target.forwarded_round, name.clone()))
             .collect();
         waiting.sort_unstable();
-        let mut loads = self.leaving_elsewhere(now);
+        let mut loads = self.remote_leaving_loads(now);
         for (_, name) in waiting {
             if loads.len() >= self.settings.remote_loads {
                 break;
@@ -63,26 +65,29 @@
             let Some(target) = self.targets.get(&name) else {
                 continue;
             };
-            let leaving = target.signs.reason(self.settings.told_lapse, now).is_some();
+            let leaving = target
+                .signals
+                .reason(self.settings.leaving_expiry, now)
+                .is_some();
             loads.extend(self.load(&name, target, leaving, now));
             if let Some(target) = self.targets.get_mut(&name) {
-                target.passed_on = self.remote_rounds;
+                target.forwarded_round = self.remote_rounds;
             }
         }
         loads
     }
 
-    /// Targets of other zones that this host knows to be leaving.
+    /// Returns the targets of other zones that are leaving for a direct reason.
     ///
-    /// A zone cut off from the platform does not see the list any more. Unless
-    /// it is told, its hosts go on giving work to targets that the platform
-    /// takes away; their own zone's are not among this host's.
-    fn leaving_elsewhere(&self, now: Instant) -> Vec<PeerLoad> {
-        let lapse = self.settings.told_lapse;
+    /// A zone that is cut off from the platform no longer receives its list. Without
+    /// these reports its hosts would keep sending work to targets that the platform
+    /// removes, and the targets of that zone are not among this zone's.
+    fn remote_leaving_loads(&self, now: Instant) -> Vec<PeerLoad> {
+        let expiry = self.settings.leaving_expiry;
         self.targets
             .iter()
             .filter(|(_, target)| target.zone != self.settings.zone)
-            .filter(|(_, target)| target.signs.first_hand(lapse, now).is_some())
+            .filter(|(_, target)| target.signals.direct_reason(expiry, now).is_some())
             .filter_map(|(name, target)| self.load(name, target, true, now))
             .collect()
     }
@@ -94,33 +99,33 @@
         leaving: bool,
         now: Instant,
     ) -> Option<PeerLoad> {
-        let oldest = self.settings.oldest_load;
+        let max_age = self.settings.max_load_age;
         let fresh = target
-            .sighting
-            .map(|sighting| {
+            .load_sample
+            .map(|load_sample| {
                 (
-                    sighting,
-                    now.saturating_duration_since(sighting.measured_at),
+                    load_sample,
+                    now.saturating_duration_since(load_sample.measured_at),
                 )
             })
-            .filter(|(_, age)| *age <= oldest);
+            .filter(|(_, age)| *age <= max_age);
         match fresh {
-            Some((sighting, age)) => Some(PeerLoad {
+            Some((load_sample, age)) => Some(PeerLoad {
                 target: name.clone(),
-                running: sighting.running,
-                waiting: sighting.waiting,
-                tokens_per_second: sighting.tokens_per_second,
+                running: load_sample.running,
+                waiting: load_sample.waiting,
+                tokens_per_second: load_sample.tokens_per_second,
                 age,
                 leaving,
             }),
-            // A target that is leaving may not answer polls any more; that it
-            // is leaving is still worth saying, with figures too old to count.
+            // A target that is leaving may no longer answer polls. It is still reported
+            // as leaving, with a load too old to be used.
             None if leaving => Some(PeerLoad {
                 target: name.clone(),
                 running: 0,
                 waiting: 0,
                 tokens_per_second: 0.0,
-                age: oldest,
+                age: max_age,
                 leaving,
             }),
             None => None,
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,5 +1,5 @@
-//! Several daemons contend for a lease over a faulty log, with pauses and
-//! clocks of different rates.
+//! Several daemons contend for a lease over a faulty log, with pauses and clocks of
+//! different rates.
 
 #![allow(clippy::unwrap_used)] // A test ends at the first thing that is not there.
 
@@ -17,23 +17,23 @@
 const HOSTS: usize = 3;
 /// Rates of the hosts' clocks, in thousandths of true time.
 const RATES: [u64; HOSTS] = [950, 1000, 1050];
-/// Least margin that covers these rates: `1050 / 950 - 1`.
+/// Smallest margin that covers these rates: `1050 / 950 - 1`.
 const MARGIN: ClockMargin = ClockMargin { percent: 11 };
 const TERMS: LeaseTerms = LeaseTerms {
     duration: Duration::from_secs(10),
     renew_after: Duration::from_secs(3),
     retry_after: Duration::from_secs(1),
 };
-/// How finely the invariant is looked at, in milliseconds of true time.
-const LOOK_EVERY: u64 = 20;
+/// Interval between checks of the invariant, in milliseconds of true time.
+const CHECK_INTERVAL_MS: u64 = 20;
 
 #[derive(Debug, Clone, Copy)]
-enum AppendFate {
+enum AppendOutcome {
     Stored,
-    AnswerLost,
-    Vanishes,
+    ReplyLost,
+    Lost,
     Delayed,
-    Doubled,
+    Duplicated,
     Refused,
 }
 
@@ -49,10 +49,10 @@
     Advance {
         millis: u64,
     },
-    Fate {
-        fate: AppendFate,
+    Outcome {
+        outcome: AppendOutcome,
     },
-    Land,
+    Deliver,
     Restart {
         host: usize,
     },
@@ -62,7 +62,7 @@
     ExpireEarly {
         kept: usize,
     },
-    /// Hosts whose bit is set read and decide for a while; others are frozen.
+    /// Hosts whose bit is set read and decide for some rounds. The others are frozen.
     Work {
         awake: usize,
         rounds: usize,
@@ -73,21 +73,21 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let host = 0..HOSTS;
-    let fate = prop_oneof![
-        5 => Just(AppendFate::Stored),
-        1 => Just(AppendFate::AnswerLost),
-        1 => Just(AppendFate::Vanishes),
-        2 => Just(AppendFate::Delayed),
-        1 => Just(AppendFate::Doubled),
-        1 => Just(AppendFate::Refused),
+    let outcome = prop_oneof![
+        5 => Just(AppendOutcome::Stored),
+        1 => Just(AppendOutcome::ReplyLost),
+        1 => Just(AppendOutcome::Lost),
+        2 => Just(AppendOutcome::Delayed),
+        1 => Just(AppendOutcome::Duplicated),
+        1 => Just(AppendOutcome::Refused),
     ];
     prop_oneof![
         10 => (host.clone(), 1..5_usize).prop_map(|(host, count)| Step::Replay { host, count }),
         10 => host.clone().prop_map(|host| Step::Decide { host }),
         10 => prop_oneof![10 => 20..2_500_u64, 4 => 2_500..12_000_u64, 1 => 60_000..75_000_u64]
             .prop_map(|millis| Step::Advance { millis }),
-        3 => fate.prop_map(|fate| Step::Fate { fate }),
-        3 => Just(Step::Land),
+        3 => outcome.prop_map(|outcome| Step::Outcome { outcome }),
+        3 => Just(Step::Deliver),
         1 => host.clone().prop_map(|host| Step::Restart { host }),
         1 => host.prop_map(|host| Step::Release { host }),
         1 => (0..3_usize).prop_map(|kept| Step::ExpireEarly { kept }),
@@ -105,12 +105,12 @@
 
 struct Model {
     base: Instant,
-    /// True time, in milliseconds.
+    /// True time in milliseconds.
     elapsed: u64,
     log: Vec<String>,
     expired: usize,
     delayed: Vec<String>,
-    fate: AppendFate,
+    outcome: AppendOutcome,
     hosts: Vec<ModelHost>,
     records: u64,
     highest: u64,
@@ -142,7 +142,7 @@
             log: Vec::new(),
             expired: 0,
             delayed: Vec::new(),
-            fate: AppendFate::Stored,
+            outcome: AppendOutcome::Stored,
             hosts: (0..HOSTS).map(|index| new_host(index, 1, base)).collect(),
             records: 0,
             highest: 0,
@@ -159,9 +159,9 @@
             Step::Replay { host, count } => self.replay(host, count),
             Step::Decide { host } => self.decide(host),
             Step::Advance { millis } => self.advance(millis),
-            Step::Fate { fate } => self.fate = fate,
-            Step::Land if self.delayed.is_empty() => {}
-            Step::Land => self.log.push(self.delayed.remove(0)),
+            Step::Outcome { outcome } => self.outcome = outcome,
+            Step::Deliver if self.delayed.is_empty() => {}
+            Step::Deliver => self.log.push(self.delayed.remove(0)),
             Step::Restart { host } => self.restart(host),
             Step::Release { host } => self.release(host),
             Step::ExpireEarly { kept } => {
@@ -203,7 +203,7 @@
     fn advance(&mut self, millis: u64) {
         let end = self.elapsed + millis;
         while self.elapsed < end {
-            self.elapsed = end.min(self.elapsed + LOOK_EVERY);
+            self.elapsed = end.min(self.elapsed + CHECK_INTERVAL_MS);
             self.check_holders();
         }
     }
@@ -221,7 +221,7 @@
             return;
         };
         if fencing != self.highest {
-            assert!(fencing > self.highest, "fencing numbers went back");
+            assert!(fencing > self.highest, "fencing numbers decreased");
             let record: LogRecord<LeaseBody> =
                 serde_json::from_str(&self.log[usize::try_from(fencing).unwrap()]).unwrap();
             assert_eq!(*record.writer, *format!("host-{host}"));
@@ -246,7 +246,7 @@
         if let Some(record) = record {
             self.append(host, &record);
         }
-        // It comes back at once as a contender, as after a drain called off.
+        // The host contends again at once, as after a cancelled drain.
         let incarnation = self.hosts[host].incarnation;
         self.hosts[host].machine = new_host(host, incarnation, now).machine;
     }
@@ -270,35 +270,35 @@
 
     fn append(&mut self, host: usize, record: &LogRecord<LeaseBody>) {
         let body = serde_json::to_string(record).unwrap();
-        match self.fate {
-            AppendFate::Stored | AppendFate::AnswerLost => self.log.push(body),
-            AppendFate::Vanishes | AppendFate::Refused => {}
-            AppendFate::Delayed => self.delayed.push(body),
-            AppendFate::Doubled => {
+        match self.outcome {
+            AppendOutcome::Stored | AppendOutcome::ReplyLost => self.log.push(body),
+            AppendOutcome::Lost | AppendOutcome::Refused => {}
+            AppendOutcome::Delayed => self.delayed.push(body),
+            AppendOutcome::Duplicated => {
                 self.log.push(body.clone());
                 self.delayed.push(body);
             }
         }
-        let verdict = match self.fate {
-            AppendFate::Stored => return,
-            AppendFate::Refused => AppendVerdict::NotAppended,
+        let verdict = match self.outcome {
+            AppendOutcome::Stored => return,
+            AppendOutcome::Refused => AppendVerdict::NotAppended,
             _ => AppendVerdict::MayBeAppended,
         };
         let machine = &mut self.hosts[host].machine;
-        machine.take_append_failure(&record.id, verdict);
+        machine.observe_append_failure(&record.id, verdict);
     }
 
     fn replay(&mut self, host: usize, count: usize) {
         let now = self.now(host);
         let ModelHost { table, machine, .. } = &mut self.hosts[host];
-        table.note_read(u64::try_from(self.expired).unwrap(), now);
+        table.observe_read(u64::try_from(self.expired).unwrap(), now);
         for _ in 0..count {
             let offset = table.next_offset();
             let Some(body) = self.log.get(usize::try_from(offset).unwrap()) else {
                 return;
             };
             let JudgedLease { id, judgement } = table.apply_raw(offset, body, now);
-            machine.take_judgement(&id.unwrap(), offset, judgement);
+            machine.observe_judgement(&id.unwrap(), offset, judgement);
             if judgement != LeaseJudgement::Unclear {
                 let first = *self.judgements.entry(offset).or_insert(judgement);
                 assert_eq!(first, judgement, "hosts judge offset {offset} differently");
@@ -306,18 +306,22 @@
         }
     }
 
-    /// With a working log and nobody frozen, someone holds the lease.
+    /// With a working log and no frozen host, one host holds the lease.
     fn heal(&mut self) {
-        self.fate = AppendFate::Stored;
+        self.outcome = AppendOutcome::Stored;
         while !self.delayed.is_empty() {
-            self.run(Step::Land);
+            self.run(Step::Deliver);
         }
         self.work((1 << HOSTS) - 1, 900);
         let holders = (0..HOSTS).filter(|&host| {
             let machine = &self.hosts[host].machine;
             machine.may_act(self.now(host), Duration::ZERO).is_some()
         });
-        assert_eq!(holders.count(), 1, "nobody holds the lease");
+        assert_eq!(
+            holders.count(),
+            1,
+            "the lease does not have exactly one holder"
+        );
     }
 }
 
@@ -330,14 +334,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: two daemons order a target different things, each sure that it
-    /// alone may. Sequence: the holder is frozen or its renewals are lost,
-    /// late or doubled; another takes over; clocks run at different rates;
-    /// hosts restart with part of the log expired. Cause: a lease counted from
-    /// the wrong moment, a margin too small, or records judged differently by
-    /// hosts that have read different parts of the log.
+    /// Guards against two daemons that each act as the only holder. Holders are frozen,
+    /// renewals are lost, late or duplicated, clocks run at different rates, and hosts
+    /// restart after part of the log has expired. Possible causes are a lease counted
+    /// from the wrong moment, a margin too small, or records that hosts judge differently
+    /// because they have read different parts of the log.
     #[test]
-    fn never_two_holders(steps in prop::collection::vec(step(), 1..150)) {
+    fn at_most_one_holder_may_act(steps in prop::collection::vec(step(), 1..150)) {
         let mut model = Model::new();
         for step in &steps {
             model.run(*step);
@@ -346,12 +349,11 @@
     }
 }
 
-/// Symptom: a holder that woke from a pause gives one more order. Sequence:
-/// it holds the lease, is frozen past its end, wakes and orders. Cause: no
-/// look at the clock between waking and the order, or an order begun that
-/// outlasts the lease.
+/// Guards against a holder that gives an order after it was frozen past the end of its
+/// lease. It must check the clock between waking and the order, and the order must not
+/// outlast the lease.
 #[test]
-fn woken_holder_may_not_act() {
+fn a_holder_that_wakes_after_expiry_may_not_act() {
     let mut model = Model::new();
     model.replay(0, 1);
     model.decide(0);
@@ -379,37 +381,37 @@
     }
 }
 
-/// Symptom: a host that missed records takes a lease which another has just
-/// been granted. Sequence: records expire unread; long after, an acquisition
-/// arrives whose writer had read less than this host missed. Cause: a record
-/// that cannot be judged here taken for one without effect, or a holder known
-/// from before the gap taken for the present one.
+/// Guards against a host that missed records and takes a lease granted to another. The
+/// writer of an acquisition had read less than this host missed, so the record may have
+/// taken effect. A holder known from before the gap no longer counts.
 #[test]
 fn unclear_acquisition_is_waited_out() {
     let mut table = LeaseTable::new(MARGIN);
     let start = Instant::now();
-    table.note_read(0, start);
+    table.observe_read(0, start);
     let old = acquisition("vake-1", name(), 0);
     assert_eq!(table.apply(0, &old, start), LeaseJudgement::Accepted);
-    table.note_read(50, start);
+    table.observe_read(50, start);
     assert_eq!(table.holder(&name()), None);
 
     let later = start + Duration::from_secs(3600);
     let unclear = acquisition("didube-1", name(), 49);
     assert_eq!(table.apply(50, &unclear, later), LeaseJudgement::Unclear);
-    let lapsed = later + MARGIN.stretch(TERMS.duration);
-    assert_eq!(table.free_at(&name()), Some(lapsed));
+    let expired_at = later + MARGIN.stretch(TERMS.duration);
+    assert_eq!(table.free_at(&name()), Some(expired_at));
     let clear = acquisition("vake-1", name(), 51);
-    assert_eq!(table.apply(51, &clear, lapsed), LeaseJudgement::Accepted);
+    assert_eq!(
+        table.apply(51, &clear, expired_at),
+        LeaseJudgement::Accepted
+    );
 
-    let newer = table.apply_raw(52, "{\"rules\":99}", lapsed);
+    let newer = table.apply_raw(52, "{\"rules\":99}", expired_at);
     assert_eq!(newer.judgement, LeaseJudgement::UnknownRules);
     assert_eq!(table.free_at(&name()), None);
 }
 
-/// Symptom: a holder goes on though the log names another. Sequence: a clock
-/// runs at a rate outside the margin, so another's acquisition is accepted
-/// before the lease has lapsed here. Cause: the holder trusts its clock alone.
+/// Guards against a holder that relies on its clock alone. A clock rate outside the
+/// margin lets another acquisition be accepted before the lease expires here.
 #[test]
 fn holder_replaced_in_the_log_steps_down() {
     let mut model = Model::new();
@@ -421,8 +423,8 @@
             .may_act(now, Duration::ZERO)
             .is_some()
     );
-    let taken = acquisition("didube-1", name(), 1);
-    model.log.push(serde_json::to_string(&taken).unwrap());
+    let replacement = acquisition("didube-1", name(), 1);
+    model.log.push(serde_json::to_string(&replacement).unwrap());
     model.replay(0, 1);
     model.decide(0);
     assert_eq!(model.hosts[0].machine.may_act(now, Duration::ZERO), None);
--- a/tests/leaving_fleet/promises.rs
+++ b/tests/leaving_fleet/invariants.rs
@@ -1,31 +1,34 @@
-//! The two promises: who left is gone, and who lives is known.
+//! The two invariants: a target that left is dropped, and a live target is known.
 
 use super::faults::FaultKind;
 use super::world::{DRAIN_MS, HEARTBEAT_MS, HOSTS, READ_PAUSE_MS, RETURN_MS, SimTarget, World};
 
-/// A host has to have been undisturbed for so long to be held to the first promise.
+/// Time without a fault after which the first invariant applies to a host.
 const CONTACT_MS: u64 = 3000;
 
 impl World {
-    /// What is wrong now.
-    pub(crate) fn broken(&self) -> Vec<String> {
-        let mut broken = Vec::new();
+    /// Returns the current violations.
+    pub(crate) fn violations(&self) -> Vec<String> {
+        let mut violations = Vec::new();
         for host in 0..HOSTS {
             for target in &self.targets {
                 let known = self.hosts[host].knows(&target.name);
-                let story = format!("{} ms: host {host}, {}", self.now_ms, target.name);
-                if known && self.must_be_gone(host, target) {
-                    broken.push(format!("{story} left at {:?}", target.left_ms));
+                let context = format!("{} ms: host {host}, {}", self.now_ms, target.name);
+                if known && self.must_be_removed(host, target) {
+                    violations.push(format!(
+                        "{context} is known but left at {:?}",
+                        target.left_ms
+                    ));
                 }
                 if !known && self.must_be_known(host, target) {
-                    broken.push(format!("{story} lives"));
+                    violations.push(format!("{context} is live but not known"));
                 }
             }
         }
-        broken
+        violations
     }
 
-    fn must_be_gone(&self, host: usize, target: &SimTarget) -> bool {
+    fn must_be_removed(&self, host: usize, target: &SimTarget) -> bool {
         let Some(left_ms) = target.left_ms else {
             return false;
         };
@@ -34,20 +37,21 @@
         !disturbed && self.now_ms > left_ms + DRAIN_MS
     }
 
-    /// Whether a fault keeps a host from the log, or ends it.
+    /// Returns whether a fault cuts a host off from the log or restarts it.
     fn disturbs(&self, kind: FaultKind, host: usize) -> bool {
         match kind {
             FaultKind::LogDown => true,
             FaultKind::ZoneCut(cut) => cut == self.hosts[host].zone,
-            FaultKind::HostCut(cut) | FaultKind::TurnedAway(cut) | FaultKind::Restart(cut) => {
+            FaultKind::HostCut(cut) | FaultKind::LogRefused(cut) | FaultKind::Restart(cut) => {
                 cut == host
             }
             FaultKind::Trim => false,
         }
     }
 
-    /// When a fault of a kind lasted last; 0 if none did.
-    fn last_trouble_ms<F>(&self, wanted: F) -> u64
+    /// Returns when the last fault that matches ended, or now if it lasts; 0 if there was
+    /// none.
+    fn last_fault_ms<F>(&self, wanted: F) -> u64
     where
         F: Fn(FaultKind) -> bool,
     {
@@ -61,21 +65,21 @@
     }
 
     fn must_be_known(&self, host: usize, target: &SimTarget) -> bool {
-        // Before the first heartbeats are in nobody is known.
+        // Targets are known only after their first heartbeats.
         let settled = self.now_ms > 2 * HEARTBEAT_MS;
         let zone = self.hosts[host].zone;
-        // A host drops the entries of another zone that is cut off, and has them back a
-        // while after it can read again and they are there.
-        let zone_trouble_ms = self.last_trouble_ms(|kind| match kind {
+        // A host drops the entries of another zone that is cut off. It has them again a
+        // while after it can read the log and the entries are back there.
+        let zone_fault_ms = self.last_fault_ms(|kind| match kind {
             FaultKind::ZoneCut(cut) => cut == target.zone && zone != target.zone,
             _ => false,
         });
-        let own_trouble_ms = self.last_trouble_ms(|kind| self.disturbs(kind, host));
-        let back_ms = zone_trouble_ms.max(own_trouble_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
-        let away = zone_trouble_ms > 0 && self.now_ms < back_ms;
-        // A host that starts again finds what the log, or another host, lists.
-        let restart_ms = self.last_trouble_ms(|kind| kind == FaultKind::Restart(host));
-        let log_ms = restart_ms.max(own_trouble_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
+        let own_fault_ms = self.last_fault_ms(|kind| self.disturbs(kind, host));
+        let back_ms = zone_fault_ms.max(own_fault_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
+        let away = zone_fault_ms > 0 && self.now_ms < back_ms;
+        // A restarted host learns the entries from the log or from another host.
+        let restart_ms = self.last_fault_ms(|kind| kind == FaultKind::Restart(host));
+        let log_ms = restart_ms.max(own_fault_ms) + RETURN_MS + 2 * READ_PAUSE_MS;
         let started = restart_ms > 0 && self.now_ms < log_ms;
         settled && target.left_ms.is_none() && !away && !started
     }
--- a/tests/permit_assignment.rs
+++ b/tests/permit_assignment.rs
@@ -22,7 +22,7 @@
 /// Returns the hosts that issue permits for a target of a zone, whichever live host
 /// requests. A request from a host of another zone may be relayed once.
 fn issuers(fleet: &SimFleet, zone: &str, target: u64) -> Vec<HostId> {
-    let live = (0..fleet.hosts.len()).filter(|index| fleet.hosts[*index].lives);
+    let live = (0..fleet.hosts.len()).filter(|index| fleet.hosts[*index].alive);
     let named = live.filter_map(|index| {
         let requested = index_of(fleet, &expected_issuer(fleet, index, zone, target)?);
         let relayed_to = expected_issuer(fleet, requested, zone, target)?;
@@ -45,7 +45,7 @@
 #[test]
 fn all_hosts_agree_on_the_issuing_host() {
     let mut fleet = SimFleet::new(ZONES, HOSTS_EACH, 1);
-    fleet.play(Duration::from_secs(5));
+    fleet.run_for(Duration::from_secs(5));
     for zone in (0..ZONES).map(zone_name) {
         for target in 0..TARGETS {
             assert_eq!(issuers(&fleet, &zone, target).len(), 1, "{zone} {target}");
@@ -57,12 +57,12 @@
 #[test]
 fn another_host_issues_permits_after_the_issuing_host_ends() {
     let mut fleet = SimFleet::new(ZONES, HOSTS_EACH, 1);
-    fleet.play(Duration::from_secs(5));
+    fleet.run_for(Duration::from_secs(5));
     let zone = zone_name(1);
     let ended = issuers(&fleet, &zone, 0).remove(0);
     let index = index_of(&fleet, &ended);
-    fleet.hosts[index].lives = false;
-    fleet.play(Duration::from_secs(4));
+    fleet.hosts[index].alive = false;
+    fleet.run_for(Duration::from_secs(4));
     let next = issuers(&fleet, &zone, 0);
     assert_eq!(next.len(), 1, "{next:?}");
     assert_ne!(next[0], ended);
@@ -85,6 +85,6 @@
 #[test]
 fn a_starting_host_issues_no_permits() {
     let mut fleet = SimFleet::new(ZONES, HOSTS_EACH, 1);
-    fleet.play(Duration::from_millis(500));
+    fleet.run_for(Duration::from_millis(500));
     assert_eq!(issuers(&fleet, &zone_name(0), 0), Vec::<HostId>::new());
 }
