--- a/src/spread.rs
+++ b/src/delta_sync.rs
@@ -12,11 +12,11 @@
 
 /// How long a host that says nothing is remembered. One that comes back later is
 /// told everything again.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+const PEER_EXPIRY: Duration = Duration::from_secs(60);
 
 /// The versions that a listing covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct ListingBounds {
+pub struct DeltaBounds {
     /// Version of the speaker's table from which on changes are listed.
     pub from: u64,
     /// Version up to which they are.
@@ -31,28 +31,28 @@
     /// Its start; another one has another table.
     incarnation: IncarnationId,
     /// Version of its table up to which its listings were taken in.
-    heard_to: u64,
+    received_to: u64,
     /// Version of this host's table up to which it has taken listings in.
-    told_to: u64,
+    acknowledged_to: u64,
     /// When it was last heard.
     at: Instant,
 }
 
 /// How far the hosts that this one exchanges views with have heard of its listings.
 #[derive(Debug, Default)]
-pub struct SpreadProgress {
+pub struct DeltaProgress {
     peers: FastMap<SocketAddr, PeerProgress>,
 }
 
-impl SpreadProgress {
+impl DeltaProgress {
     /// Bounds of a listing of everything up to `version` that the host at an address
     /// has not heard.
-    pub fn bounds_for(&self, address: SocketAddr, version: u64) -> ListingBounds {
+    pub fn bounds_for(&self, address: SocketAddr, version: u64) -> DeltaBounds {
         let peer = self.peers.get(&address);
-        ListingBounds {
-            from: peer.map_or(0, |peer| peer.told_to),
+        DeltaBounds {
+            from: peer.map_or(0, |peer| peer.acknowledged_to),
             to: version,
-            seen_to: peer.map_or(0, |peer| peer.heard_to),
+            seen_to: peer.map_or(0, |peer| peer.received_to),
         }
     }
 
@@ -66,14 +66,14 @@
         &mut self,
         address: SocketAddr,
         incarnation: IncarnationId,
-        bounds: ListingBounds,
+        bounds: DeltaBounds,
         now: Instant,
     ) {
-        self.peers.retain(|_, peer| now < peer.at + FORGOTTEN_AFTER);
+        self.peers.retain(|_, peer| now < peer.at + PEER_EXPIRY);
         let fresh = PeerProgress {
             incarnation,
-            heard_to: 0,
-            told_to: 0,
+            received_to: 0,
+            acknowledged_to: 0,
             at: now,
         };
         let peer = self.peers.entry(address).or_insert(fresh);
@@ -81,9 +81,9 @@
             *peer = fresh;
         }
         peer.at = now;
-        peer.told_to = bounds.seen_to;
-        if bounds.from <= peer.heard_to {
-            peer.heard_to = peer.heard_to.max(bounds.to);
+        peer.acknowledged_to = bounds.seen_to;
+        if bounds.from <= peer.received_to {
+            peer.received_to = peer.received_to.max(bounds.to);
         }
     }
 }
--- a/src/entry/configuring.rs
+++ b/src/entry/configuring.rs
@@ -5,9 +5,9 @@
 
 use tokio::sync::watch;
 
-use crate::entry::LogDuty;
+use crate::entry::LogRole;
 use crate::entry::log_copy::{LogCopy, LogTopic};
-use crate::entry::log_duty::wait_to_read;
+use crate::entry::log_role::wait_for_reader_role;
 use crate::ids::LogOffset;
 use crate::platform::log_calls::{KeyedRead, LogClient, LogError};
 use crate::platform::names;
@@ -29,25 +29,29 @@
 pub(super) async fn follow_configuration(
     copy: Arc<LogCopy>,
     mut reader: LogClient,
-    mut duty: watch::Receiver<LogDuty>,
+    mut role: watch::Receiver<LogRole>,
 ) {
     let mut next: Option<LogOffset> = None;
     let mut failures = 0;
     loop {
-        if !duty.borrow().is_reader() {
+        if !role.borrow().is_reader() {
             next = None;
         }
-        let Some(current) = wait_to_read(&mut duty).await else {
+        let Some(current) = wait_for_reader_role(&mut role).await else {
             return;
         };
         let started = Instant::now();
-        let read = read_on(&mut reader, next).await;
+        let read = read_next(&mut reader, next).await;
         // A read that waits for a change says nothing about the store's time.
         let answered = matches!(read, Ok(_) | Err(LogError::Deleted));
         let now = Instant::now();
-        let took = now.saturating_duration_since(started);
-        let took = if next.is_none() { took } else { Duration::ZERO };
-        copy.note_call(LogTopic::Configuration, took, answered, now);
+        let elapsed = now.saturating_duration_since(started);
+        let elapsed = if next.is_none() {
+            elapsed
+        } else {
+            Duration::ZERO
+        };
+        copy.record_call(LogTopic::Configuration, elapsed, answered, now);
         match read {
             Ok(read) => {
                 if std::mem::take(&mut failures) > 0 {
@@ -73,7 +77,7 @@
     }
 }
 
-async fn read_on(reader: &mut LogClient, next: Option<LogOffset>) -> Result<KeyedRead, LogError> {
+async fn read_next(reader: &mut LogClient, next: Option<LogOffset>) -> Result<KeyedRead, LogError> {
     match next {
         None => reader.newest(names::CONFIGURATION_TOPIC).await,
         Some(next) => {
--- a/src/entry/follow_cursor.rs
+++ b/src/entry/follow_cursor.rs
@@ -11,11 +11,11 @@
 
 /// Hosts whose numbers are kept; all are forgotten when there are more. A host
 /// follows its speaker, or the host that reads the log.
-const MOST_HOSTS: usize = 16;
+const MAX_HOSTS: usize = 16;
 
 /// Number of the next change of a start of a host.
 #[derive(Debug, Clone, Copy)]
-struct ChangePlace {
+struct ChangePosition {
     incarnation: IncarnationId,
     from: u64,
 }
@@ -28,15 +28,15 @@
 /// target that left is used until the next whole list.
 #[derive(Debug, Default)]
 pub struct FollowCursor {
-    places: FastMap<HostId, ChangePlace>,
+    positions: FastMap<HostId, ChangePosition>,
 }
 
 impl FollowCursor {
     /// What to ask a host that may know of configurations after `version`.
-    pub fn question(&self, host: &HostId, version: u64) -> FollowQuestion {
-        let (incarnation, from) = match self.places.get(host) {
-            Some(place) => (place.incarnation, place.from),
-            None if !self.places.is_empty() => (FOREIGN_INCARNATION, 0),
+    pub fn request(&self, host: &HostId, version: u64) -> FollowQuestion {
+        let (incarnation, from) = match self.positions.get(host) {
+            Some(position) => (position.incarnation, position.from),
+            None if !self.positions.is_empty() => (FOREIGN_INCARNATION, 0),
             None => (0, 0),
         };
         FollowQuestion {
@@ -50,13 +50,13 @@
     /// The changes of a host were taken in up to number `next`, this one
     /// excluded.
     pub fn advance(&mut self, host: &HostId, incarnation: IncarnationId, next: u64) {
-        if self.places.len() >= MOST_HOSTS && !self.places.contains_key(host) {
-            self.places.clear();
+        if self.positions.len() >= MAX_HOSTS && !self.positions.contains_key(host) {
+            self.positions.clear();
         }
-        let place = ChangePlace {
+        let position = ChangePosition {
             incarnation,
             from: next,
         };
-        self.places.insert(host.clone(), place);
+        self.positions.insert(host.clone(), position);
     }
 }
--- a/src/entry/following.rs
+++ b/src/entry/following.rs
@@ -5,10 +5,10 @@
 
 use tokio::sync::watch;
 
-use crate::entry::LogDuty;
+use crate::entry::LogRole;
 use crate::entry::log_continuity::LogGap;
 use crate::entry::log_copy::{LogCopy, LogTopic};
-use crate::entry::log_duty::wait_to_read;
+use crate::entry::log_role::wait_for_reader_role;
 use crate::ids::LogOffset;
 use crate::platform::log_calls::{KeyedRead, LogClient, LogError};
 use crate::platform::names;
@@ -16,22 +16,22 @@
 /// Pause between two reads, in parts of the time within which a leaving
 /// target must be known. Every heartbeat is a record, so a read that waits
 /// for the next one would return 30 times a second with 36 engines.
-const READS_PER_DRAIN: u32 = 3;
+const READS_PER_DRAIN_TIME: u32 = 3;
 /// Longest pause between two reads: others rely on this host, and have to
 /// notice within a second that it has lost the log.
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
+const MAX_PAUSE: Duration = Duration::from_millis(600);
 
 /// Shortest pause between two reads.
-const LEAST_PAUSE: Duration = Duration::from_millis(20);
+const MIN_PAUSE: Duration = Duration::from_millis(20);
 
 /// Heartbeats for which the log has to be out of reach before entries can have
 /// lapsed for that alone: they lapse after three without a word, and the last
 /// one may have been written just before.
-const LAPSING_HEARTBEATS: u32 = 2;
+const EXPIRY_HEARTBEATS: u32 = 2;
 
 /// How fast targets and their entries change.
 #[derive(Debug, Clone, Copy)]
-pub struct TargetPace {
+pub struct TargetTiming {
     /// Time within which a leaving target has to be known.
     pub drain: Duration,
     /// Time between two heartbeats of a target.
@@ -53,16 +53,16 @@
 pub async fn follow_targets(
     copy: Arc<LogCopy>,
     mut reader: LogClient,
-    pace: TargetPace,
-    mut duty: watch::Receiver<LogDuty>,
+    pace: TargetTiming,
+    mut role: watch::Receiver<LogRole>,
 ) {
-    let pause = (pace.drain / READS_PER_DRAIN).min(LONGEST_PAUSE);
+    let pause = (pace.drain / READS_PER_DRAIN_TIME).min(MAX_PAUSE);
     let mut follower = TargetFollower::open(copy, pace);
     loop {
-        if !duty.borrow().is_reader() {
-            follower.forget_place();
+        if !role.borrow().is_reader() {
+            follower.reset_position();
         }
-        let Some(current) = wait_to_read(&mut duty).await else {
+        let Some(current) = wait_for_reader_role(&mut role).await else {
             return;
         };
         let started = Instant::now();
@@ -72,16 +72,16 @@
         };
         let now = Instant::now();
         let answered = matches!(read, Ok(_) | Err(LogError::Deleted));
-        let took = now.saturating_duration_since(started);
+        let elapsed = now.saturating_duration_since(started);
         follower
             .copy
-            .note_call(LogTopic::Targets, took, answered, now);
+            .record_call(LogTopic::Targets, elapsed, answered, now);
         let is_trimmed = matches!(read, Err(LogError::Deleted));
-        follower.take(read, now);
+        follower.apply_read(read, now);
         let paused = match is_trimmed {
             // The newest records are there, and a target may have left unseen.
             true => Duration::ZERO,
-            false => follower.pause(current.retry_pause(pause, follower.failures), took, now),
+            false => follower.pause(current.retry_pause(pause, follower.failures), elapsed, now),
         };
         tokio::time::sleep(paused).await;
     }
@@ -89,8 +89,8 @@
 
 impl TargetFollower {
     /// A follower that has read nothing yet; what it reads goes into the copy.
-    pub fn open(copy: Arc<LogCopy>, pace: TargetPace) -> Self {
-        copy.set_lapse(pace.heartbeat * LAPSING_HEARTBEATS);
+    pub fn open(copy: Arc<LogCopy>, pace: TargetTiming) -> Self {
+        copy.set_expiry(pace.heartbeat * EXPIRY_HEARTBEATS);
         Self {
             copy,
             next: None,
@@ -105,16 +105,16 @@
     }
 
     /// Another host is followed: what was read before is old by the time it is needed again.
-    pub fn forget_place(&mut self) {
+    pub fn reset_position(&mut self) {
         self.next = None;
         self.read_at = None;
         self.failures = 0;
     }
 
     /// Takes in what a read gave.
-    pub fn take(&mut self, read: Result<KeyedRead, LogError>, now: Instant) {
+    pub fn apply_read(&mut self, read: Result<KeyedRead, LogError>, now: Instant) {
         match read {
-            Ok(read) => self.take_records(&read, now),
+            Ok(read) => self.apply_records(&read, now),
             // The log was there all the while: whatever the newest records lack has left.
             Err(LogError::Deleted) => {
                 log::info!("targets: history lost, reading the newest records");
@@ -135,18 +135,18 @@
     /// followed by a whole pause, and the end of an outage seen that much later. A doubt
     /// ends with a read of its own, so that it neither lasts longer nor rests on what was
     /// true half a second before.
-    fn pause(&self, usual: Duration, took: Duration, now: Instant) -> Duration {
-        let paced = usual.saturating_sub(took).max(LEAST_PAUSE);
+    fn pause(&self, usual: Duration, elapsed: Duration, now: Instant) -> Duration {
+        let paced = usual.saturating_sub(elapsed).max(MIN_PAUSE);
         // Without the log no doubt ends.
         let due = match self.failures {
             0 => self.copy.next_due(),
             _ => None,
         };
-        let due = due.map(|due| due.saturating_duration_since(now).max(LEAST_PAUSE));
+        let due = due.map(|due| due.saturating_duration_since(now).max(MIN_PAUSE));
         due.map_or(paced, |due| due.min(paced))
     }
 
-    fn take_records(&mut self, read: &KeyedRead, now: Instant) {
+    fn apply_records(&mut self, read: &KeyedRead, now: Instant) {
         // What the first read after a gap says is gone may have lapsed only because
         // nobody could write. Whoever goes after that is gone at once.
         let regained = std::mem::take(&mut self.failures) > 0;
@@ -158,17 +158,17 @@
         }
         if self.next.is_none() {
             let listed = read.records.iter().map(|record| record.key.as_str());
-            self.copy.take_list(listed, read.next, gap);
+            self.copy.apply_list(listed, read.next, gap);
         }
         // The records since the last own read cover a gap also where a neighbour told of the
         // log in between.
         let before = self.read_at.replace(now);
-        let is_covered = |gap: &LogGap| before.is_some_and(|before| gap.until > before);
-        let gap = gap.or_else(|| self.copy.last_gap().filter(is_covered));
+        let is_after_last_read = |gap: &LogGap| before.is_some_and(|before| gap.until > before);
+        let gap = gap.or_else(|| self.copy.last_gap().filter(is_after_last_read));
         self.next = Some(read.next);
         for record in &read.records {
             match &record.value {
-                None => self.copy.take_drop(&record.key, record.offset, gap),
+                None => self.copy.apply_drop(&record.key, record.offset, gap),
                 Some(value) => self.copy.observe_target(&record.key, record.offset, value),
             }
         }
--- a/src/entry/kept_records.rs
+++ b/src/entry/kept_records.rs
@@ -10,10 +10,10 @@
 
 /// Changes of targets that are kept for hosts that follow. A host asks twice a
 /// second; 100 targets that all change layers make 200 changes in a few.
-const KEPT_CHANGES: usize = 2048;
+const MAX_CHANGES: usize = 2048;
 /// Targets that have left and are remembered, oldest forgotten first. Each
 /// start of a target draws a new id: with 90 restarts a day this is weeks.
-const KEPT_LEFT: usize = 2048;
+const MAX_LEFT: usize = 2048;
 
 /// A record and where it stands in the log.
 #[derive(Debug, Clone)]
@@ -52,7 +52,7 @@
 
 impl KeptRecords {
     /// Whether a record at `offset` says more of a target than is known.
-    pub fn is_news(&self, id: &str, offset: LogOffset) -> bool {
+    pub fn is_newer(&self, id: &str, offset: LogOffset) -> bool {
         let left = self.left.get(id).copied();
         let kept = self.targets.get(id).map(KeptRecord::last);
         left.max(kept).is_none_or(|known| offset > known)
@@ -61,7 +61,7 @@
     /// Takes in a target's record. `changed` says whether it differs from the
     /// one before, so that hosts that follow are told.
     pub fn observe(&mut self, id: &TargetId, offset: LogOffset, value: Bytes, changed: bool) {
-        if !self.is_news(id, offset) {
+        if !self.is_newer(id, offset) {
             return;
         }
         self.left.remove(id);
@@ -116,7 +116,7 @@
         if known.is_none() {
             self.left_order.push_back(id.clone());
         }
-        if self.left_order.len() > KEPT_LEFT
+        if self.left_order.len() > MAX_LEFT
             && let Some(oldest) = self.left_order.pop_front()
         {
             self.left.remove(&oldest);
@@ -193,7 +193,7 @@
 
     fn push_change(&mut self, change: TargetChange) {
         self.changes.push_back(change);
-        if self.changes.len() > KEPT_CHANGES {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
             self.first_change += 1;
         }
--- a/src/entry/log_continuity.rs
+++ b/src/entry/log_continuity.rs
@@ -17,7 +17,7 @@
 
 /// Distance of two moments at which the log was read, as another host tells them, from which
 /// on it was lost in between. Readers read every 0.6 s, and one read may be passed over.
-const TOLD_DISTANCE: Duration = Duration::from_millis(1500);
+const MIN_RELAYED_GAP: Duration = Duration::from_millis(1500);
 
 /// A time through which the log was read without a gap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -51,15 +51,15 @@
 #[derive(Debug, Default)]
 pub struct LogContinuity {
     /// Time without the log after which entries may have lapsed.
-    lapse: Duration,
+    expiry: Duration,
     own: Option<OwnReads>,
     zones: FastMap<ZoneId, LogSpan>,
 }
 
 impl LogContinuity {
     /// Sets the time without the log after which entries may have lapsed.
-    pub fn set_lapse(&mut self, lapse: Duration) {
-        self.lapse = lapse;
+    pub fn set_expiry(&mut self, expiry: Duration) {
+        self.expiry = expiry;
     }
 
     /// This host has read the log itself. Gives the gap in which entries that this read
@@ -74,7 +74,7 @@
     /// fall into that moment has no chance to write from the first outage on, and loses its
     /// entry in the second one, however short that is. Both are one gap then.
     pub fn observe_read(&mut self, read: Instant, was_lost: bool) -> Option<LogGap> {
-        let lapse = self.lapse;
+        let expiry = self.expiry;
         let own = self.own.get_or_insert(OwnReads {
             first: read,
             span: LogSpan { since: read, read },
@@ -85,17 +85,17 @@
         let distance = read.saturating_duration_since(own.span.read);
         own.span.read = own.span.read.max(read);
         // Entries lapse after two heartbeats without the log at the earliest.
-        let heartbeat = lapse / 2;
-        let breaks = distance >= lapse || (was_lost && distance >= heartbeat);
+        let heartbeat = expiry / 2;
+        let breaks = distance >= expiry || (was_lost && distance >= heartbeat);
         if !breaks {
             if read.saturating_duration_since(own.run_since) >= heartbeat {
                 own.steady = own.steady.max(read);
             }
-            let lasts = |gap: &LogGap| gap.from.is_some_and(|from| read < from + lapse * 2);
+            let lasts = |gap: &LogGap| gap.from.is_some_and(|from| read < from + expiry * 2);
             return own.gap.filter(lasts);
         }
         own.run_since = read;
-        if read.saturating_duration_since(own.steady) < lapse {
+        if read.saturating_duration_since(own.steady) < expiry {
             return None;
         }
         own.span.since = read;
@@ -113,9 +113,9 @@
 
     /// Another host of the zone tells what stood in the log at that moment; as with an own
     /// read.
-    pub fn observe_told(&mut self, read: Instant) -> Option<LogGap> {
+    pub fn observe_relayed_read(&mut self, read: Instant) -> Option<LogGap> {
         let before = self.last_read();
-        let was_lost = before.is_some_and(|before| read >= before + TOLD_DISTANCE);
+        let was_lost = before.is_some_and(|before| read >= before + MIN_RELAYED_GAP);
         self.observe_read(read, was_lost)
     }
 
@@ -150,21 +150,21 @@
     /// Hosts tell of themselves only: passed on from host to host and back, each word would
     /// come back a little younger than it is, and a zone without the log would seem to have
     /// it.
-    pub fn observe_word(&mut self, zone: &ZoneId, ages: LogAges, now: Instant) {
+    pub fn observe_ages(&mut self, zone: &ZoneId, ages: LogAges, now: Instant) {
         let moments = now.checked_sub(ages.since).zip(now.checked_sub(ages.read));
         let Some((since, read)) = moments else {
             return;
         };
-        let told = LogSpan { since, read };
-        let lapse = self.lapse;
-        let known = self.zones.entry(zone.clone()).or_insert(told);
-        let joined = told.since < known.read + lapse && known.since < told.read + lapse;
+        let reported = LogSpan { since, read };
+        let expiry = self.expiry;
+        let known = self.zones.entry(zone.clone()).or_insert(reported);
+        let joined = reported.since < known.read + expiry && known.since < reported.read + expiry;
         match joined {
             true => {
-                known.since = known.since.min(told.since);
-                known.read = known.read.max(told.read);
+                known.since = known.since.min(reported.since);
+                known.read = known.read.max(reported.read);
             }
-            false if told.read > known.read => *known = told,
+            false if reported.read > known.read => *known = reported,
             false => {}
         }
     }
@@ -173,6 +173,6 @@
     /// that no target of that zone lost its entry for want of the log.
     pub fn had_log(&self, zone: &str, gap: LogGap) -> bool {
         let span = self.zones.get(zone).zip(gap.from);
-        span.is_some_and(|(span, from)| span.since <= from && span.read + self.lapse > gap.until)
+        span.is_some_and(|(span, from)| span.since <= from && span.read + self.expiry > gap.until)
     }
 }
--- a/src/entry/log_copy.rs
+++ b/src/entry/log_copy.rs
@@ -9,9 +9,9 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-use crate::entry::doubted::DoubtedTargets;
 use crate::entry::kept_records::KeptRecords;
 use crate::entry::log_continuity::LogContinuity;
+use crate::entry::suspect_targets::SuspectTargets;
 use crate::entry::target_starts::{StartVerdict, TargetStarts};
 use crate::fleet::TargetEntry;
 use crate::forward::ServingTables;
@@ -29,9 +29,9 @@
 #[derive(Debug)]
 pub struct LogCopy {
     tables: Arc<ServingTables>,
-    kept: Mutex<CopiedLog>,
+    state: Mutex<CopiedLog>,
     /// Told of each new configuration, and of changes of targets.
-    pub(super) news: Notify,
+    pub(super) updates: Notify,
 }
 
 #[derive(Debug, Default)]
@@ -40,12 +40,12 @@
     targets: KeptRecords,
     starts: TargetStarts,
     continuity: LogContinuity,
-    doubted: DoubtedTargets,
+    suspects: SuspectTargets,
     /// When each topic was last read without trouble, by whomever.
     targets_read: Option<Instant>,
     configuration_read: Option<Instant>,
     /// Number of the change of targets up to which others were told of news.
-    told_to: u64,
+    notified_to: u64,
 }
 
 impl LogCopy {
@@ -53,67 +53,78 @@
     pub fn new(tables: Arc<ServingTables>) -> Self {
         Self {
             tables,
-            kept: Mutex::default(),
-            news: Notify::new(),
+            state: Mutex::default(),
+            updates: Notify::new(),
         }
     }
 
     /// Counts a call to the log service, and notes whether the log is read.
-    pub(super) fn note_call(&self, topic: LogTopic, took: Duration, answered: bool, now: Instant) {
+    pub(super) fn record_call(
+        &self,
+        topic: LogTopic,
+        took: Duration,
+        answered: bool,
+        now: Instant,
+    ) {
         self.tables
             .metrics
             .store_called(topic.name(), took, answered);
         if !answered {
             return;
         }
-        let mut kept = self.kept.lock();
+        let mut state = self.state.lock();
         match topic {
-            LogTopic::Configuration => kept.configuration_read = Some(now),
-            LogTopic::Targets => kept.targets_read = Some(now),
+            LogTopic::Configuration => state.configuration_read = Some(now),
+            LogTopic::Targets => state.targets_read = Some(now),
         }
     }
 
     /// Notes that another host passed on what was read of the log so long ago.
-    pub(super) fn note_relayed(&self, age: Duration, now: Instant) {
+    pub(super) fn record_relayed(&self, age: Duration, now: Instant) {
         let Some(read) = now.checked_sub(age) else {
             return;
         };
-        let mut kept = self.kept.lock();
-        kept.configuration_read = kept.configuration_read.max(Some(read));
-        kept.targets_read = kept.targets_read.max(Some(read));
+        let mut state = self.state.lock();
+        state.configuration_read = state.configuration_read.max(Some(read));
+        state.targets_read = state.targets_read.max(Some(read));
     }
 
     /// Time since all of the log was last read without trouble, by whomever.
     pub(super) fn age(&self, now: Instant) -> Duration {
-        let kept = self.kept.lock();
-        let read = kept.configuration_read.zip(kept.targets_read);
+        let state = self.state.lock();
+        let read = state.configuration_read.zip(state.targets_read);
         read.map_or(Duration::MAX, |(configuration, targets)| {
             now.saturating_duration_since(configuration.min(targets))
         })
     }
 
     /// Whether an answer to a question would hold anything that is news.
-    pub(super) fn has_news(&self, question: FollowQuestion) -> bool {
+    pub(super) fn has_updates(&self, question: FollowQuestion) -> bool {
         question.configuration_version < self.configuration_version()
-            || question.from < self.kept.lock().targets.next_change()
+            || question.from < self.state.lock().targets.next_change()
     }
 
     /// What the asking host does not have yet.
-    pub fn answer(&self, question: FollowQuestion, known: bool, now: Instant) -> FollowAnswer {
+    pub fn reply(
+        &self,
+        question: FollowQuestion,
+        is_known_start: bool,
+        now: Instant,
+    ) -> FollowAnswer {
         let version = self.configuration_version();
-        let kept = self.kept.lock();
-        let changes = match known {
-            true => kept.targets.changes_since(question.from),
+        let state = self.state.lock();
+        let changes = match is_known_start {
+            true => state.targets.changes_since(question.from),
             false => None,
         };
-        let configuration = kept.configuration.clone();
+        let configuration = state.configuration.clone();
         FollowAnswer {
             configuration: configuration.filter(|_| question.configuration_version < version),
             whole: changes.is_none(),
-            targets: changes.unwrap_or_else(|| kept.targets.all()),
-            next: kept.targets.next_change(),
-            read_to: kept.targets.read_to(),
-            log: kept.continuity.followed(now),
+            targets: changes.unwrap_or_else(|| state.targets.all()),
+            next: state.targets.next_change(),
+            read_to: state.targets.read_to(),
+            log: state.continuity.followed(now),
             ..FollowAnswer::default()
         }
     }
@@ -141,9 +152,9 @@
             version = parsed.version, before = known, routes = routes, source:% = source;
             "configuration in force"
         );
-        self.kept.lock().configuration = Some(Bytes::copy_from_slice(value));
+        self.state.lock().configuration = Some(Bytes::copy_from_slice(value));
         self.tables.configuration.store(Some(Arc::new(parsed)));
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
     }
 
     /// Version in force; 0 while none is.
@@ -154,7 +165,7 @@
 
     /// Takes in a target's record, unless something later is known of it.
     pub fn observe_target(&self, id: &str, offset: LogOffset, value: &[u8]) {
-        if !self.kept.lock().targets.is_news(id, offset) {
+        if !self.state.lock().targets.is_newer(id, offset) {
             return;
         }
         let entry = match parse_target(id, value) {
@@ -162,7 +173,7 @@
             Err(error) => return self.drop_unreadable(id, offset, &error),
         };
         // One lock at a time: the thread that answers peers takes both too.
-        let verdict = self.kept.lock().starts.observe(id, &entry);
+        let verdict = self.state.lock().starts.observe(id, &entry);
         match verdict {
             StartVerdict::Current => {}
             StartVerdict::Replaces(before) => {
@@ -176,12 +187,12 @@
         }
         let changed = self.tables.fleet.lock().observe_entry(entry.clone());
         let value = Bytes::copy_from_slice(value);
-        let mut kept = self.kept.lock();
-        kept.targets.observe(&id.into(), offset, value, changed);
-        kept.doubted.forget(id);
-        drop(kept);
+        let mut state = self.state.lock();
+        state.targets.observe(&id.into(), offset, value, changed);
+        state.suspects.forget(id);
+        drop(state);
         if changed {
-            note_target(&entry, offset);
+            log_target(&entry, offset);
         }
     }
 
@@ -191,7 +202,7 @@
     fn drop_unreadable(&self, id: &str, offset: LogOffset, error: &str) {
         let topic = LogTopic::Targets.name();
         self.tables.metrics.unreadable_record(topic);
-        let first = !self.kept.lock().targets.has_left(id);
+        let first = !self.state.lock().targets.has_left(id);
         self.remove_target(id, offset, "entry cannot be read");
         if first {
             log::warn!(target_id:% = id, offset = offset, error:% = error; "entry cannot be read");
@@ -200,13 +211,13 @@
 
     /// A target is gone, as the record at `offset` says.
     pub fn remove_target(&self, id: &str, offset: LogOffset, reason: &str) {
-        let mut kept = self.kept.lock();
-        if !kept.targets.remove(id, offset) {
+        let mut state = self.state.lock();
+        if !state.targets.remove(id, offset) {
             return;
         }
-        kept.doubted.forget(id);
-        let start = kept.starts.remove(id).unwrap_or_else(|| id.into());
-        drop(kept);
+        state.suspects.forget(id);
+        let start = state.starts.remove(id).unwrap_or_else(|| id.into());
+        drop(state);
         self.tables.fleet.lock().remove(&start);
         self.tables.forget_target(&start);
         log::info!(target_id:% = start, reason:% = reason, offset = offset; "target gone");
@@ -221,31 +232,31 @@
 
     /// Whether any target is known.
     pub(super) fn has_targets(&self) -> bool {
-        !self.kept.lock().targets.is_empty()
+        !self.state.lock().targets.is_empty()
     }
 
     /// The log of targets is covered up to `read_to`.
     pub(super) fn advance(&self, read_to: LogOffset) {
-        let mut kept = self.kept.lock();
-        kept.targets.advance(read_to);
-        drop(kept);
-        self.tell_news();
+        let mut state = self.state.lock();
+        state.targets.advance(read_to);
+        drop(state);
+        self.notify_updates();
     }
 
     /// Tells hosts that follow of changes that they were not told of.
-    fn tell_news(&self) {
-        let mut kept = self.kept.lock();
-        let next = kept.targets.next_change();
-        let has_news = std::mem::replace(&mut kept.told_to, next) < next;
-        drop(kept);
-        if has_news {
-            self.news.notify_waiters();
+    fn notify_updates(&self) {
+        let mut state = self.state.lock();
+        let next = state.targets.next_change();
+        let has_updates = std::mem::replace(&mut state.notified_to, next) < next;
+        drop(state);
+        if has_updates {
+            self.updates.notify_waiters();
         }
     }
 }
 
 /// One line on what a target newly says of itself.
-fn note_target(entry: &TargetEntry, offset: LogOffset) {
+fn log_target(entry: &TargetEntry, offset: LogOffset) {
     let layers = entry.layers.map_or("none".to_owned(), |layers| {
         format!("{}-{}", layers.from, layers.to)
     });
--- a/src/entry/log_duty.rs
+++ b/src/entry/log_role.rs
@@ -6,24 +6,24 @@
 
 /// Doublings of the pause after failed reads by a host that stands in: a pause
 /// of 0.6 s becomes 4.8 s.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// Who reads the platform's log for a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LogDuty {
+pub enum LogRole {
     /// Another host of the zone.
-    Follows,
+    Follower,
     /// The host itself, and others rely on it.
-    Reads,
+    Reader,
     /// The host itself, for itself alone, since no host that it follows has the
     /// log.
-    StandsIn,
+    FallbackReader,
 }
 
-impl LogDuty {
+impl LogRole {
     /// Whether the host reads the log itself.
     pub fn is_reader(self) -> bool {
-        self != Self::Follows
+        self != Self::Follower
     }
 
     /// Pause after so many failed reads in a row, where `usual` is the pause
@@ -36,15 +36,17 @@
     /// lose nothing by trying less often themselves.
     pub fn retry_pause(self, usual: Duration, failures: u32) -> Duration {
         match self {
-            Self::StandsIn => usual * 2_u32.pow(failures.saturating_sub(1).min(MOST_DOUBLINGS)),
-            Self::Reads | Self::Follows => usual,
+            Self::FallbackReader => {
+                usual * 2_u32.pow(failures.saturating_sub(1).min(MAX_DOUBLINGS))
+            }
+            Self::Reader | Self::Follower => usual,
         }
     }
 }
 
 /// Waits until the host has to read the log itself; `None` if it never will,
 /// since nobody is left to say so.
-pub(super) async fn wait_to_read(duty: &mut watch::Receiver<LogDuty>) -> Option<LogDuty> {
-    let current = duty.wait_for(|duty| duty.is_reader()).await;
+pub(super) async fn wait_for_reader_role(role: &mut watch::Receiver<LogRole>) -> Option<LogRole> {
+    let current = role.wait_for(|role| role.is_reader()).await;
     current.ok().map(|current| *current)
 }
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -8,7 +8,7 @@
 
 use crate::entry::EntrySettings;
 use crate::entry::log_copy::LogCopy;
-use crate::entry::poison_log::note_poison;
+use crate::entry::poison_log::log_refused;
 use crate::fleet::{UseScope, UseSource};
 use crate::forward::{ServingTables, socket};
 use crate::ids::{HostId, IncarnationId, ZoneId};
@@ -20,13 +20,13 @@
 use crate::permits::PermitQuestion;
 
 /// Pause between two looks at who is to be called.
-const TICK: Duration = Duration::from_millis(125);
+const CALL_INTERVAL: Duration = Duration::from_millis(125);
 /// Age up to which what this host has of the log is good enough for others:
 /// reads come every 0.6 s and may take half a second; a speaker that passes them
 /// on asks for them every 0.2 s.
 pub(super) const FRESH_AGE: Duration = Duration::from_millis(1100);
 /// How long a question is kept at the most, whatever the asking host wants.
-const MOST_HOLD: Duration = Duration::from_secs(1);
+const MAX_HOLD: Duration = Duration::from_secs(1);
 /// How long a peer may take to answer: delays are below a millisecond; a host
 /// whose share of the processor is used up comes back within 100 ms.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
@@ -38,7 +38,7 @@
 
 /// What this host says of itself and hears of others.
 #[derive(Debug)]
-pub(super) struct PeerDesk {
+pub(super) struct PeerState {
     host: HostId,
     zone: ZoneId,
     address: SocketAddr,
@@ -60,7 +60,7 @@
     address: SocketAddr,
     tables: Arc<ServingTables>,
     copy: Arc<LogCopy>,
-) -> Result<(Arc<PeerDesk>, PeerHandle), PeerError> {
+) -> Result<(Arc<PeerState>, PeerHandle), PeerError> {
     // With room for a burst: when a fleet starts at once, each of its hosts
     // calls the same three seeds at the same moment.
     let listener = socket::bind(address)?.into_std()?;
@@ -69,7 +69,7 @@
     let incarnation = draw_incarnation();
     let strength = host_strength(settings.cores, settings.link_mbps);
     let gossip = GossipTable::new(host.clone(), zone.clone(), address, settings.seeds.clone());
-    let desk = Arc::new(PeerDesk {
+    let state = Arc::new(PeerState {
         gossip: Mutex::new(gossip.announced(incarnation, strength)),
         host,
         zone,
@@ -86,21 +86,21 @@
         idle_timeout: Duration::from_secs(20),
         ..PeerSettings::new(address)
     };
-    let answering = desk.clone();
-    let passing = desk.clone();
-    let issuing = desk.clone();
+    let answering = state.clone();
+    let passing = state.clone();
+    let issuing = state.clone();
     let handlers = EntryHandlers {
         exchange: Arc::new(move |view| answering.answer(&view, Instant::now())),
         follow: Arc::new(move |question| {
-            let desk = passing.clone();
-            Box::pin(async move { desk.answer_follow(question).await })
+            let state = passing.clone();
+            Box::pin(async move { state.reply_follow(question).await })
         }),
-        permit: Arc::new(move |question| issuing.clone().ask_permit(question)),
+        permit: Arc::new(move |question| issuing.clone().request_permit(question)),
     };
     let handle = peer::spawn_on(listener, limits, handlers)?;
-    desk.handle.get_or_init(|| handle.clone());
-    tokio::spawn(call_peers(desk.clone(), handle.clone()));
-    Ok((desk, handle))
+    state.handle.get_or_init(|| handle.clone());
+    tokio::spawn(call_peers(state.clone(), handle.clone()));
+    Ok((state, handle))
 }
 
 /// Grows with the clock of the host, so that a later start has a higher one.
@@ -110,7 +110,7 @@
     u64::try_from(micros).unwrap_or(u64::MAX)
 }
 
-impl PeerDesk {
+impl PeerState {
     /// Where peers reach this host.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
@@ -119,14 +119,14 @@
     /// Whether this host orders the engines of a zone about: the first live
     /// host of the zone in the order of duties; where none lives, the first of
     /// all zones.
-    pub(super) fn places_zone(&self, zone: &str, now: Instant) -> bool {
+    pub(super) fn plans_zone(&self, zone: &str, now: Instant) -> bool {
         let gossip = self.gossip.lock();
         let own = gossip.live_hosts(zone, now).into_iter().next();
         own.unwrap_or_else(|| gossip.first_of_all(now)) == self.host
     }
 
     fn answer(&self, view: &HostView, now: Instant) -> HostView {
-        self.hear(view, now);
+        self.receive(view, now);
         let answer = self.gossip.lock().answer_view(view, now);
         let answer = self.complete(answer, Some(&view.host), view.zone == self.zone, now);
         let answer = self.add_poison(answer, view.address, now);
@@ -167,7 +167,7 @@
     /// Adds what the host at an address has not heard yet of requests that targets
     /// ended under.
     fn add_poison(&self, view: HostView, listener: SocketAddr, now: Instant) -> HostView {
-        let poison = self.tables.poison.lock().listing_for(listener, now);
+        let poison = self.tables.poison.lock().delta_for(listener, now);
         HostView { poison, ..view }
     }
 
@@ -177,7 +177,7 @@
         HostView { limits, ..view }
     }
 
-    fn hear_limits(&self, view: &HostView, now: Instant) {
+    fn receive_limits(&self, view: &HostView, now: Instant) {
         let changes = self.tables.limits.lock().take_listing(
             view.address,
             view.incarnation,
@@ -189,25 +189,25 @@
         }
     }
 
-    fn hear_poison(&self, view: &HostView, now: Instant) {
-        let refused = self.tables.poison.lock().take_listing(
+    fn receive_poison(&self, view: &HostView, now: Instant) {
+        let refused = self.tables.poison.lock().apply_delta(
             view.address,
             view.incarnation,
             &view.poison,
             now,
         );
-        note_poison(&self.tables, &refused, &view.host);
+        log_refused(&self.tables, &refused, &view.host);
     }
 
-    fn hear(&self, view: &HostView, now: Instant) {
-        let news = self.gossip.lock().observe_view(view, now);
-        if !news {
+    fn receive(&self, view: &HostView, now: Instant) {
+        let is_new = self.gossip.lock().observe_view(view, now);
+        if !is_new {
             return;
         }
-        self.hear_poison(view, now);
-        self.hear_limits(view, now);
+        self.receive_poison(view, now);
+        self.receive_limits(view, now);
         if let Some(log) = view.log {
-            self.copy.observe_word(&view.zone, log, now);
+            self.copy.observe_ages(&view.zone, log, now);
         }
         let source = UseSource::of(view.scope, &view.host, &view.zone, &self.zone);
         if let Some(source) = source {
@@ -218,7 +218,7 @@
 
     /// Hosts that read the log for this zone, the first one where it can;
     /// empty if this one is the first.
-    pub(super) fn leads(&self, now: Instant, most: usize) -> Vec<(HostId, SocketAddr)> {
+    pub(super) fn leaders(&self, now: Instant, most: usize) -> Vec<(HostId, SocketAddr)> {
         self.gossip.lock().leads(now, most)
     }
 
@@ -228,7 +228,7 @@
     }
 
     /// The host to which this one reports.
-    pub(super) fn speaker(&self, now: Instant) -> Option<(HostId, SocketAddr)> {
+    pub(super) fn aggregator(&self, now: Instant) -> Option<(HostId, SocketAddr)> {
         let gossip = self.gossip.lock();
         let host = gossip.reports_to(now)?;
         let address = gossip.address_of(&host)?;
@@ -277,7 +277,7 @@
     }
 
     /// One line when this host reports to another one than before.
-    fn note_speaker(&self, reports_to: Option<&HostId>) {
+    fn log_aggregator(&self, reports_to: Option<&HostId>) {
         if reports_to.is_none() {
             self.tables.fleet.lock().forget_neighbours();
         }
@@ -287,15 +287,15 @@
 
     /// Passes on what this host has read, as soon as there is news or after a
     /// while.
-    async fn answer_follow(&self, question: FollowQuestion) -> FollowAnswer {
+    async fn reply_follow(&self, question: FollowQuestion) -> FollowAnswer {
         let known = question.incarnation == self.incarnation;
-        let news = self.copy.news.notified();
+        let updates = self.copy.updates.notified();
         // Without the log there will be no news: the other host looks for one
         // that has it.
         let fresh = self.copy.age(Instant::now()) < FRESH_AGE;
-        if known && fresh && !self.copy.has_news(question) {
+        if known && fresh && !self.copy.has_updates(question) {
             // Either way there is something to say.
-            let _ = tokio::time::timeout(question.hold.min(MOST_HOLD), news).await;
+            let _ = tokio::time::timeout(question.hold.min(MAX_HOLD), updates).await;
         }
         let now = Instant::now();
         let age = self.copy.age(now);
@@ -314,41 +314,42 @@
             fresh,
             age,
             remote,
-            ..self.copy.answer(question, known, now)
+            ..self.copy.reply(question, known, now)
         }
     }
 }
 
-async fn call_peers(desk: Arc<PeerDesk>, handle: PeerHandle) {
-    let mut ticks = tokio::time::interval(TICK);
+async fn call_peers(state: Arc<PeerState>, handle: PeerHandle) {
+    let mut ticks = tokio::time::interval(CALL_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut speaker = None;
+    let mut aggregator = None;
     loop {
         ticks.tick().await;
         let now = Instant::now();
-        let due = desk.gossip.lock().due_calls(now);
-        let reports_to = desk.gossip.lock().reports_to(now);
-        if reports_to != speaker {
-            desk.note_speaker(reports_to.as_ref());
-            speaker = reports_to;
+        let due = state.gossip.lock().due_calls(now);
+        let reports_to = state.gossip.lock().reports_to(now);
+        if reports_to != aggregator {
+            state.log_aggregator(reports_to.as_ref());
+            aggregator = reports_to;
         }
         for address in due {
-            tokio::spawn(call_peer(desk.clone(), handle.clone(), address));
+            tokio::spawn(call_peer(state.clone(), handle.clone(), address));
         }
     }
 }
 
-async fn call_peer(desk: Arc<PeerDesk>, handle: PeerHandle, address: SocketAddr) {
-    let question = desk.question(address, Instant::now());
+async fn call_peer(state: Arc<PeerState>, handle: PeerHandle, address: SocketAddr) {
+    let question = state.question(address, Instant::now());
     let answer = match handle.exchange(address, question).await {
         Ok(answer) => answer,
         Err(error) => {
             log::debug!("no exchange with {address}: {error}");
-            desk.gossip
+            state
+                .gossip
                 .lock()
                 .observe_failed_call(address, Instant::now());
             return;
         }
     };
-    desk.hear(&answer, Instant::now());
+    state.receive(&answer, Instant::now());
 }
--- a/src/entry/permitting.rs
+++ b/src/entry/permitting.rs
@@ -6,13 +6,13 @@
 
 use futures::future::BoxFuture;
 
-use crate::entry::peering::PeerDesk;
+use crate::entry::peering::PeerState;
 use crate::forward::PermitSource;
 use crate::permits::{PermitAnswer, PermitQuestion};
 
 /// How long another host may take to answer: the links take a few milliseconds, and a
 /// host whose share of the processor is used up comes back within 100.
-const ANSWER_LIMIT: Duration = Duration::from_millis(150);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 /// Pause after a question that was not answered: about the time in which hosts find
 /// out who lives.
 const UNANSWERED: PermitAnswer = PermitAnswer::Withheld {
@@ -20,16 +20,16 @@
 };
 
 /// Asks the host that hands out the permits for a target, which may be this one.
-pub(super) fn permit_source(desk: Arc<PeerDesk>) -> PermitSource {
-    Arc::new(move |question| desk.clone().ask_permit(question))
+pub(super) fn permit_source(state: Arc<PeerState>) -> PermitSource {
+    Arc::new(move |question| state.clone().request_permit(question))
 }
 
-impl PeerDesk {
+impl PeerState {
     /// Answers a question for permits, or asks the host that can.
     ///
     /// Hosts of other zones may know the first host of a target's zone alone, which then
     /// passes their questions on.
-    pub(super) fn ask_permit(
+    pub(super) fn request_permit(
         self: Arc<Self>,
         question: PermitQuestion,
     ) -> BoxFuture<'static, PermitAnswer> {
@@ -40,13 +40,13 @@
                     let part = self.permit_part(&question.zone, now);
                     self.tables().issue_permits(&question, part, now)
                 }
-                Some(address) if !question.relayed => self.pass_on(address, question).await,
+                Some(address) if !question.relayed => self.relay(address, question).await,
                 _ => UNANSWERED,
             }
         })
     }
 
-    async fn pass_on(&self, address: SocketAddr, question: PermitQuestion) -> PermitAnswer {
+    async fn relay(&self, address: SocketAddr, question: PermitQuestion) -> PermitAnswer {
         let Some(handle) = self.handle() else {
             return UNANSWERED;
         };
@@ -55,7 +55,7 @@
             relayed,
             ..question
         };
-        match handle.permit(address, question, ANSWER_LIMIT).await {
+        match handle.permit(address, question, REPLY_TIMEOUT).await {
             Ok(answer) => answer,
             Err(error) => {
                 log::debug!("no permits from {address}: {error}");
--- a/src/entry/placing.rs
+++ b/src/entry/placement.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 
 use crate::collections::FastMap;
-use crate::entry::peering::PeerDesk;
+use crate::entry::peering::PeerState;
 use crate::fleet::{FleetTable, LayerRange};
 use crate::forward::{ServingTables, ask, fetch_report};
 use crate::ids::TargetId;
@@ -21,31 +21,31 @@
 /// How long a host that starts leaves its zone's engines alone: until then it
 /// may not know the hosts that come before it, and after a start of all hosts
 /// each of 195 planned every zone. Engines keep their layers meanwhile.
-const START_PATIENCE: Duration = Duration::from_secs(2);
+const START_DELAY: Duration = Duration::from_secs(2);
 /// The same for the engines of a zone in which it knows no host.
-const STRANGE_ZONE_PATIENCE: Duration = Duration::from_secs(6);
+const OTHER_ZONE_START_DELAY: Duration = Duration::from_secs(6);
 /// Pause between two looks at the plan.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// The engines count as seen once no new one has shown up for this long; each
 /// writes a heartbeat every 1.2 s.
-const SETTLE_HEARTBEATS: f64 = 1.3;
+const STABLE_HEARTBEATS: f64 = 1.3;
 /// A first plan is not put off for longer than this many heartbeats.
-const MOST_HEARTBEATS: f64 = 3.5;
+const MAX_WAIT_HEARTBEATS: f64 = 3.5;
 /// After this time an order whose effect does not show is given again.
-const ORDER_PATIENCE: Duration = Duration::from_secs(8);
+const ORDER_VALIDITY: Duration = Duration::from_secs(8);
 /// How long an engine may take to accept an order.
-const ORDER_LIMIT: Duration = Duration::from_secs(1);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// An order that was given, by this host or by another.
 #[derive(Debug, Clone, Copy)]
-struct GivenOrder {
+struct IssuedOrder {
     layers: LayerRange,
     at: Instant,
 }
 
 /// A zone for which no order was due.
 #[derive(Debug, PartialEq)]
-struct SettledZone {
+struct ZoneSnapshot {
     engines: Vec<EngineView>,
     /// Whether it lacked layers for so long that it may be planned anew.
     overdue: bool,
@@ -56,19 +56,19 @@
 struct PlanningTask {
     service: Arc<ServiceSpec>,
     zone: ZoneId,
-    zone_view: SettledZone,
-    holed_for: Duration,
+    snapshot: ZoneSnapshot,
+    incomplete_for: Duration,
 }
 
-struct PlacingWorker {
+struct PlacementWorker {
     started: Instant,
     tables: Arc<ServingTables>,
-    desk: Arc<PeerDesk>,
-    given: FastMap<TargetId, GivenOrder>,
+    peer_state: Arc<PeerState>,
+    issued: FastMap<TargetId, IssuedOrder>,
     /// Views of zones that needed no change when last looked at.
-    settled: FastMap<ZoneId, SettledZone>,
+    unchanged_zones: FastMap<ZoneId, ZoneSnapshot>,
     /// Since when zones have lacked layers.
-    holed_since: FastMap<ZoneId, Instant>,
+    incomplete_since: FastMap<ZoneId, Instant>,
     known: usize,
     first_seen: Option<Instant>,
     changed_at: Instant,
@@ -76,31 +76,31 @@
 }
 
 /// Orders engines to hold what is planned, for ever.
-pub(super) async fn keep_placed(
+pub(super) async fn run_placement(
     tables: Arc<ServingTables>,
-    desk: Arc<PeerDesk>,
+    peer_state: Arc<PeerState>,
     heartbeat: Duration,
 ) {
-    let mut worker = PlacingWorker {
+    let mut worker = PlacementWorker {
         started: Instant::now(),
         tables,
-        desk,
-        given: FastMap::default(),
-        settled: FastMap::default(),
-        holed_since: FastMap::default(),
+        peer_state,
+        issued: FastMap::default(),
+        unchanged_zones: FastMap::default(),
+        incomplete_since: FastMap::default(),
         known: 0,
         first_seen: None,
         changed_at: Instant::now(),
         heartbeat,
     };
     loop {
-        tokio::time::sleep(LOOK_PAUSE).await;
-        worker.look(Instant::now()).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        worker.check(Instant::now()).await;
     }
 }
 
-impl PlacingWorker {
-    async fn look(&mut self, now: Instant) {
+impl PlacementWorker {
+    async fn check(&mut self, now: Instant) {
         let configuration = self.tables.configuration.load_full();
         let Some(configuration) = configuration else {
             return;
@@ -116,11 +116,11 @@
             self.changed_at = now;
             self.first_seen.get_or_insert(now);
         }
-        if !placed && !self.is_settled(now) {
+        if !placed && !self.is_fleet_stable(now) {
             return;
         }
-        self.given
-            .retain(|_, order| now < order.at + ORDER_PATIENCE);
+        self.issued
+            .retain(|_, order| now < order.at + ORDER_VALIDITY);
         let tasks = {
             let tables = self.tables.clone();
             let fleet = tables.fleet.lock();
@@ -128,16 +128,16 @@
         };
         for task in tasks {
             let planned = self.plan(task).await;
-            self.give_orders(planned, Instant::now()).await;
+            self.issue_orders(planned, Instant::now()).await;
         }
     }
 
     /// Nothing is held anywhere: a plan from a third of the engines would have
     /// to be made again, so it waits until all have shown up.
-    fn is_settled(&self, now: Instant) -> bool {
-        let quiet = now >= self.changed_at + self.heartbeat.mul_f64(SETTLE_HEARTBEATS);
+    fn is_fleet_stable(&self, now: Instant) -> bool {
+        let quiet = now >= self.changed_at + self.heartbeat.mul_f64(STABLE_HEARTBEATS);
         let first = self.first_seen.unwrap_or(now);
-        quiet || now >= first + self.heartbeat.mul_f64(MOST_HEARTBEATS)
+        quiet || now >= first + self.heartbeat.mul_f64(MAX_WAIT_HEARTBEATS)
     }
 
     /// The zones that this host has to plan now.
@@ -153,7 +153,7 @@
                 continue;
             };
             for (zone, engines) in self.engine_views(service, model, fleet) {
-                if self.knows_hosts(&zone, now) && self.desk.places_zone(&zone, now) {
+                if self.knows_hosts(&zone, now) && self.peer_state.plans_zone(&zone, now) {
                     tasks.extend(self.task(service, model, zone, engines, now));
                 }
             }
@@ -164,8 +164,8 @@
     /// Whether this host has had the time to find the hosts of a zone.
     fn knows_hosts(&self, zone: &ZoneId, now: Instant) -> bool {
         let patience = match *zone == self.tables.zone {
-            true => START_PATIENCE,
-            false => STRANGE_ZONE_PATIENCE,
+            true => START_DELAY,
+            false => OTHER_ZONE_START_DELAY,
         };
         now >= self.started + patience
     }
@@ -188,7 +188,7 @@
             let Some(kind) = kind.and_then(|kind| model.kinds.get(kind)) else {
                 continue;
             };
-            let ordered = self.given.get(&state.entry.id).map(|order| order.layers);
+            let ordered = self.issued.get(&state.entry.id).map(|order| order.layers);
             let engine = EngineView {
                 id: state.entry.id.clone(),
                 kind: *kind,
@@ -212,14 +212,14 @@
         engines: Vec<EngineView>,
         now: Instant,
     ) -> Option<PlanningTask> {
-        let holed_for = self.holed_for(model, &zone, &engines, now);
-        let overdue = holed_for >= ANEW_PATIENCE;
-        let zone_view = SettledZone { engines, overdue };
-        (self.settled.get(&zone) != Some(&zone_view)).then(|| PlanningTask {
+        let incomplete_for = self.incomplete_for(model, &zone, &engines, now);
+        let overdue = incomplete_for >= ANEW_PATIENCE;
+        let snapshot = ZoneSnapshot { engines, overdue };
+        (self.unchanged_zones.get(&zone) != Some(&snapshot)).then(|| PlanningTask {
             service: service.clone(),
             zone,
-            zone_view,
-            holed_for,
+            snapshot,
+            incomplete_for,
         })
     }
 
@@ -230,11 +230,13 @@
     /// it would answer nobody for as long, in the middle of a loss; it shows as
     /// pauses of all streams of one host at once.
     async fn plan(&mut self, task: PlanningTask) -> Vec<PlannedRange> {
-        let (service, engines) = (task.service.clone(), task.zone_view.engines.clone());
+        let (service, engines) = (task.service.clone(), task.snapshot.engines.clone());
         let started = Instant::now();
         let planned = tokio::task::spawn_blocking(move || {
             let model = service.engine.as_ref();
-            model.map_or_else(Vec::new, |model| plan_zone(model, &engines, task.holed_for))
+            model.map_or_else(Vec::new, |model| {
+                plan_zone(model, &engines, task.incomplete_for)
+            })
         });
         let planned = planned.await.unwrap_or_else(|error| {
             log::error!(zone:% = task.zone, error:% = error; "planning ended");
@@ -242,37 +244,41 @@
         });
         log::info!(
             zone:% = task.zone,
-            engines = task.zone_view.engines.len(),
-            holed_ms = task.holed_for.as_millis() as u64,
+            engines = task.snapshot.engines.len(),
+            holed_ms = task.incomplete_for.as_millis() as u64,
             changes = planned.len(),
             took_ms = started.elapsed().as_millis() as u64;
             "zone planned"
         );
         match planned.is_empty() {
             true => {
-                self.settled.insert(task.zone, task.zone_view);
+                self.unchanged_zones.insert(task.zone, task.snapshot);
                 planned
             }
-            false => self.unchanged(&task.zone_view.engines, planned),
+            false => self.still_applicable(&task.snapshot.engines, planned),
         }
     }
 
     /// Those changes of a plan whose engines still hold what the plan was made
     /// for: another host may have ordered them meanwhile.
-    fn unchanged(&self, engines: &[EngineView], planned: Vec<PlannedRange>) -> Vec<PlannedRange> {
+    fn still_applicable(
+        &self,
+        engines: &[EngineView],
+        planned: Vec<PlannedRange>,
+    ) -> Vec<PlannedRange> {
         let fleet = self.tables.fleet.lock();
-        let is_as_seen = |range: &PlannedRange| {
+        let is_unchanged = |range: &PlannedRange| {
             let seen = engines.iter().find(|engine| engine.id == range.id);
             let now = fleet.get(&range.id).map(|state| state.entry.layers);
-            let ordered = self.given.get(&range.id).map(|order| order.layers);
+            let ordered = self.issued.get(&range.id).map(|order| order.layers);
             now.zip(seen)
                 .is_some_and(|(now, seen)| ordered.or(now) == seen.layers)
         };
-        planned.into_iter().filter(is_as_seen).collect()
+        planned.into_iter().filter(is_unchanged).collect()
     }
 
     /// For how long a zone has lacked layers.
-    fn holed_for(
+    fn incomplete_for(
         &mut self,
         model: &EngineModel,
         zone: &ZoneId,
@@ -280,24 +286,24 @@
         now: Instant,
     ) -> Duration {
         if !has_holes(model, engines) {
-            self.holed_since.remove(zone);
+            self.incomplete_since.remove(zone);
             return Duration::ZERO;
         }
-        let since = *self.holed_since.entry(zone.clone()).or_insert(now);
+        let since = *self.incomplete_since.entry(zone.clone()).or_insert(now);
         now.saturating_duration_since(since)
     }
 
-    async fn give_orders(&mut self, planned: Vec<PlannedRange>, now: Instant) {
+    async fn issue_orders(&mut self, planned: Vec<PlannedRange>, now: Instant) {
         let orders = planned.into_iter().map(|range| {
             let tables = self.tables.clone();
             async move {
-                let taken = give_order(&tables, &range.id, range.layers, now).await;
+                let taken = issue_order(&tables, &range.id, range.layers, now).await;
                 (range.id, taken)
             }
         });
         for (id, taken) in futures::future::join_all(orders).await {
             if let Some(layers) = taken {
-                self.given.insert(id, GivenOrder { layers, at: now });
+                self.issued.insert(id, IssuedOrder { layers, at: now });
             }
         }
     }
@@ -305,7 +311,7 @@
 
 /// Orders an engine to hold `layers`, unless it does or has an order already.
 /// Gives the layers that the engine is taken to hold from now on.
-async fn give_order(
+async fn issue_order(
     tables: &ServingTables,
     id: &TargetId,
     layers: LayerRange,
@@ -328,7 +334,7 @@
         .header(names::TARGET_INSTANCE, platform_id(id))
         .body(Full::new(Bytes::from(body)))
         .ok()?;
-    let answer = ask(address, request, ORDER_LIMIT).await;
+    let answer = ask(address, request, ORDER_TIMEOUT).await;
     log::info!(
         target_id:% = id,
         from = layers.from,
--- a/src/entry/poison_log.rs
+++ b/src/entry/poison_log.rs
@@ -6,8 +6,8 @@
 
 use tokio::sync::watch;
 
-use crate::entry::LogDuty;
-use crate::entry::log_duty::wait_to_read;
+use crate::entry::LogRole;
+use crate::entry::log_role::wait_for_reader_role;
 use crate::forward::ServingTables;
 use crate::ids::{LogOffset, RequestKey};
 use crate::platform::log_calls::{KeyedRead, KeyedRecord, LogClient};
@@ -34,20 +34,20 @@
 pub(super) async fn follow_poison(
     tables: Arc<ServingTables>,
     mut client: LogClient,
-    mut duty: watch::Receiver<LogDuty>,
+    mut role: watch::Receiver<LogRole>,
 ) {
     let mut next: Option<LogOffset> = None;
     let mut failures = 0;
     loop {
-        if !duty.borrow().is_reader() {
+        if !role.borrow().is_reader() {
             next = None;
         }
-        let Some(current) = wait_to_read(&mut duty).await else {
+        let Some(current) = wait_for_reader_role(&mut role).await else {
             return;
         };
         if next.is_none() {
             tokio::time::sleep(SETTLED).await;
-            if !duty.borrow().is_reader() {
+            if !role.borrow().is_reader() {
                 continue;
             }
         }
@@ -95,7 +95,7 @@
     let refused = poison.merge(&notes, Instant::now());
     poison.set_in_log(request, notes.len());
     drop(poison);
-    note_poison(tables, &refused, "log");
+    log_refused(tables, &refused, "log");
     Ok(())
 }
 
@@ -104,14 +104,14 @@
 pub(super) async fn write_poison(
     tables: Arc<ServingTables>,
     mut client: LogClient,
-    mut duty: watch::Receiver<LogDuty>,
+    mut role: watch::Receiver<LogRole>,
 ) {
     loop {
-        let news = tables.poison_news.notified();
+        let updates = tables.poison_news.notified();
         if tables.poison.lock().log_changes(Instant::now()).is_empty() {
-            news.await;
+            updates.await;
         }
-        if wait_to_read(&mut duty).await.is_none() {
+        if wait_for_reader_role(&mut role).await.is_none() {
             return;
         }
         // Not all readers at the same moment.
@@ -148,7 +148,7 @@
 }
 
 /// One line a request that is refused from now on, on word of `source`.
-pub(super) fn note_poison(tables: &ServingTables, refused: &[RequestKey], source: &str) {
+pub(super) fn log_refused(tables: &ServingTables, refused: &[RequestKey], source: &str) {
     for request in refused {
         log::info!(
             key:% = key_text(*request), source:% = source;
--- a/src/entry/readiness.rs
+++ b/src/entry/readiness.rs
@@ -61,11 +61,11 @@
 /// # Errors
 ///
 /// If the address cannot be listened on.
-pub(super) fn answer_readiness(
+pub(super) fn serve_readiness(
     tables: Arc<ServingTables>,
     address: SocketAddr,
 ) -> io::Result<SocketAddr> {
-    answer_questions(address, move |path| match path {
+    serve_paths(address, move |path| match path {
         names::READY_PATH if is_ready(&tables, Instant::now()) => (StatusCode::OK, String::new()),
         names::READY_PATH => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
         _ => (StatusCode::NOT_FOUND, String::new()),
@@ -77,18 +77,18 @@
 /// # Errors
 ///
 /// If the address cannot be listened on.
-pub(super) fn answer_metrics(
+pub(super) fn serve_metrics(
     tables: Arc<ServingTables>,
     address: SocketAddr,
 ) -> io::Result<SocketAddr> {
-    answer_questions(address, move |path| match path {
+    serve_paths(address, move |path| match path {
         METRICS_PATH => (StatusCode::OK, tables.metrics.encode()),
         _ => (StatusCode::NOT_FOUND, String::new()),
     })
 }
 
 /// Answers each question by a function of its path; gives the address in use.
-fn answer_questions<F>(address: SocketAddr, answer: F) -> io::Result<SocketAddr>
+fn serve_paths<F>(address: SocketAddr, answer: F) -> io::Result<SocketAddr>
 where
     F: Fn(&str) -> (StatusCode, String) + Send + Sync + 'static,
 {
@@ -99,7 +99,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(answer_connection(stream, answer.clone()));
+                    tokio::spawn(serve_stream(stream, answer.clone()));
                 }
                 Err(error) => {
                     log::warn!(error:% = error; "cannot take a connection");
@@ -111,7 +111,7 @@
     Ok(address)
 }
 
-async fn answer_connection<F>(stream: TcpStream, answer: Arc<F>)
+async fn serve_stream<F>(stream: TcpStream, answer: Arc<F>)
 where
     F: Fn(&str) -> (StatusCode, String),
 {
--- a/src/entry/relayed_log.rs
+++ b/src/entry/relayed_log.rs
@@ -11,10 +11,10 @@
 use crate::peer::{FollowAnswer, FollowQuestion, TargetChange};
 
 /// Shortest time for which a question is kept.
-const LEAST_HOLD: Duration = Duration::from_millis(20);
+const MIN_HOLD: Duration = Duration::from_millis(20);
 /// Pause between two lists of other zones' requests: 200 targets are 4 KB, and
 /// their engines are used only for what the own zone cannot take.
-const REMOTE_PAUSE: Duration = Duration::from_secs(1);
+const REMOTE_INTERVAL: Duration = Duration::from_secs(1);
 /// The log as other hosts pass it on.
 #[derive(Debug)]
 pub struct RelayedLog {
@@ -37,61 +37,58 @@
     }
 
     /// What to ask a host, which may keep the question for so long.
-    pub fn question(&self, host: &HostId, hold: Duration, now: Instant) -> FollowQuestion {
+    pub fn request(&self, host: &HostId, hold: Duration, now: Instant) -> FollowQuestion {
         // A doubt ends on time, also where there is no news.
         let due = self.copy.next_due();
         let due = due.map(|due| due.saturating_duration_since(now));
-        let hold = due.map_or(hold, |due| hold.min(due.max(LEAST_HOLD)));
+        let hold = due.map_or(hold, |due| hold.min(due.max(MIN_HOLD)));
         FollowQuestion {
             hold,
             wants_remote: self.wants_remote(now),
-            ..self
-                .cursor
-                .question(host, self.copy.configuration_version())
+            ..self.cursor.request(host, self.copy.configuration_version())
         }
     }
 
     /// Asks every host for all that it has from now on.
-    pub(super) fn forget_places(&mut self) {
+    pub(super) fn reset_positions(&mut self) {
         self.cursor = FollowCursor::default();
     }
 
     fn wants_remote(&self, now: Instant) -> bool {
-        self.remote_at.is_none_or(|at| now >= at + REMOTE_PAUSE)
+        self.remote_at.is_none_or(|at| now >= at + REMOTE_INTERVAL)
     }
 
     /// Takes in what a host answers.
-    pub fn take(&mut self, host: &HostId, mut answer: FollowAnswer, now: Instant) {
-        if let Some(configuration) = &answer.configuration {
+    pub fn apply(&mut self, host: &HostId, mut reply: FollowAnswer, now: Instant) {
+        if let Some(configuration) = &reply.configuration {
             self.copy.apply_configuration(configuration, "peer");
         }
-        if !answer.remote.is_empty() {
+        if !reply.remote.is_empty() {
             self.remote_at = Some(now);
-            let remote = std::mem::take(&mut answer.remote);
+            let remote = std::mem::take(&mut reply.remote);
             self.tables.fleet.lock().observe_remote(remote, now);
         }
         // A host that has lost the log may be behind this one.
-        if !answer.fresh && self.copy.has_targets() {
+        if !reply.fresh && self.copy.has_targets() {
             return;
         }
-        let read = answer.log.and_then(|log| now.checked_sub(log.read));
-        let gap = read.and_then(|read| self.copy.observe_told(read));
-        if answer.whole {
-            let listed = answer.targets.iter().map(|change| &*change.id);
-            let first = answer.log.and_then(|log| now.checked_sub(log.first));
+        let read = reply.log.and_then(|log| now.checked_sub(log.read));
+        let gap = read.and_then(|read| self.copy.observe_relayed_read(read));
+        if reply.whole {
+            let listed = reply.targets.iter().map(|change| &*change.id);
+            let first = reply.log.and_then(|log| now.checked_sub(log.first));
             let first = first.unwrap_or(now);
-            self.copy
-                .take_judged_list(listed, answer.read_to, gap, first);
+            self.copy.apply_peer_list(listed, reply.read_to, gap, first);
         }
-        for change in &answer.targets {
-            self.take_change(change, gap, now);
+        for change in &reply.targets {
+            self.apply_change(change, gap, now);
         }
         self.copy.drop_due();
-        self.copy.advance(answer.read_to);
-        self.cursor.advance(host, answer.incarnation, answer.next);
+        self.copy.advance(reply.read_to);
+        self.cursor.advance(host, reply.incarnation, reply.next);
     }
 
-    fn take_change(&self, change: &TargetChange, gap: Option<LogGap>, now: Instant) {
+    fn apply_change(&self, change: &TargetChange, gap: Option<LogGap>, now: Instant) {
         let TargetChange { id, offset, .. } = change;
         let is_new = !self.copy.knows(id);
         match &change.value {
@@ -109,7 +106,7 @@
                 true => Some(unknown),
                 false => gap.or_else(|| self.copy.last_gap()),
             };
-            self.copy.take_drop(id, dropped_at, gap);
+            self.copy.apply_drop(id, dropped_at, gap);
         }
     }
 }
--- a/src/entry/relaying.rs
+++ b/src/entry/relaying.rs
@@ -6,9 +6,9 @@
 
 use tokio::sync::watch;
 
-use crate::entry::LogDuty;
+use crate::entry::LogRole;
 use crate::entry::log_copy::LogCopy;
-use crate::entry::peering::{FRESH_AGE, PeerDesk};
+use crate::entry::peering::{FRESH_AGE, PeerState};
 use crate::entry::relayed_log::RelayedLog;
 use crate::forward::ServingTables;
 use crate::ids::HostId;
@@ -21,7 +21,7 @@
 /// not be older than a read and this when others ask for it.
 const RELAY_HOLD: Duration = Duration::from_millis(200);
 /// How much longer an answer may take before this host reads the log itself.
-const ANSWER_LIMIT: Duration = Duration::from_millis(400);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause before the next round of questions where no answer helped.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Hosts of a zone that read the log themselves where those before them
@@ -29,75 +29,81 @@
 /// any, so that three in a row are cut off one time in thirty; with every host
 /// reading as soon as the first is cut off, 26 hosts of a zone made 4,500 calls
 /// in place of 1,100 in a minute.
-const MOST_READERS: usize = 3;
+const MAX_READERS: usize = 3;
 /// Time without the log after which any other host reads for itself. A first
 /// host counts as having the log for 1.1 s after it lost it; together that is
 /// below the two seconds within which a leaving target has to be known. The
 /// next reader has read the log 20 ms after it noticed that it has to.
-const PATIENCE: Duration = Duration::from_millis(600);
+const MAX_WITHOUT_LOG: Duration = Duration::from_millis(600);
 
 /// How long a host looks for others before it reads the log itself, where the
 /// whole system starts for the first time. All hosts start at the same moment and
 /// know nobody; each read the log for itself until it did, 1,300 calls of 195
 /// hosts in the first seconds. Callers come ten seconds later.
-const FIRST_START_PATIENCE: Duration = Duration::from_millis(1500);
+const FIRST_START_DELAY: Duration = Duration::from_millis(1500);
 
 struct RelayFollower {
     copy: Arc<LogCopy>,
     log: RelayedLog,
-    lead: Option<HostId>,
+    leader: Option<HostId>,
     /// Whether this host is one of the first of its zone.
     reads_for_others: bool,
     /// A neighbour that had the log when this host had nobody to follow.
-    listened_to: Option<HostId>,
+    followed_neighbour: Option<HostId>,
     /// Neighbours that were asked in turn.
-    neighbours_asked: usize,
+    next_index: usize,
     /// When a question was first asked that did not help.
     without_log_since: Option<Instant>,
 }
 
-/// Follows the reading host, and says by `duty` whether this host has to
+/// Follows the reading host, and says by `role` whether this host has to
 /// read for itself: when it is the one that reads, and when the other does not
 /// answer or has lost the log itself.
-pub(super) async fn follow_lead(
+pub(super) async fn follow_leader(
     tables: Arc<ServingTables>,
     copy: Arc<LogCopy>,
-    desk: Arc<PeerDesk>,
+    peer_state: Arc<PeerState>,
     handle: PeerHandle,
-    duty: watch::Sender<LogDuty>,
+    role: watch::Sender<LogRole>,
     is_first_start: bool,
 ) {
     let mut follower = RelayFollower {
         log: RelayedLog::open(tables, copy.clone()),
         copy,
-        lead: None,
+        leader: None,
         reads_for_others: false,
-        listened_to: None,
-        neighbours_asked: 0,
+        followed_neighbour: None,
+        next_index: 0,
         without_log_since: None,
     };
     if is_first_start {
-        tokio::time::sleep(FIRST_START_PATIENCE).await;
+        tokio::time::sleep(FIRST_START_DELAY).await;
     }
     loop {
         let now = Instant::now();
-        let leads = desk.leads(now, MOST_READERS);
-        follower.reads_for_others = leads.len() < MOST_READERS;
-        let speaker = desk.speaker(now);
-        let hold = match speaker {
+        let leaders = peer_state.leaders(now, MAX_READERS);
+        follower.reads_for_others = leaders.len() < MAX_READERS;
+        let aggregator = peer_state.aggregator(now);
+        let hold = match aggregator {
             Some(_) => FOLLOW_HOLD,
             None => RELAY_HOLD,
         };
-        let sources = sources(speaker, leads);
-        let asked = sources.len();
-        if follower.ask_in_turn(&handle, sources, hold, &duty).await {
+        let sources = sources(aggregator, leaders);
+        let requested = sources.len();
+        if follower
+            .request_in_order(&handle, sources, hold, &role)
+            .await
+        {
             continue;
         }
-        if follower.reads_for_others || follower.is_impatient(Instant::now()) {
-            follower.switch(&duty, None);
+        if follower.reads_for_others || follower.is_overdue(Instant::now()) {
+            follower.set_leader(&role, None);
         }
-        let neighbours = desk.neighbours(Instant::now());
-        if !follower.listen(&handle, &neighbours, asked).await {
+        let neighbours = peer_state.neighbours(Instant::now());
+        if !follower
+            .follow_neighbour(&handle, &neighbours, requested)
+            .await
+        {
             tokio::time::sleep(RETRY_PAUSE).await;
         }
     }
@@ -107,42 +113,42 @@
 /// passes it on, so that the reader is not asked by every host of its zone; then
 /// those that read it.
 fn sources(
-    speaker: Option<(HostId, SocketAddr)>,
-    leads: Vec<(HostId, SocketAddr)>,
+    aggregator: Option<(HostId, SocketAddr)>,
+    leaders: Vec<(HostId, SocketAddr)>,
 ) -> Vec<(HostId, SocketAddr)> {
-    let first = speaker.clone();
-    let others = leads
+    let first = aggregator.clone();
+    let others = leaders
         .into_iter()
-        .filter(|lead| Some(lead) != first.as_ref());
-    speaker.into_iter().chain(others).collect()
+        .filter(|leader| Some(leader) != first.as_ref());
+    aggregator.into_iter().chain(others).collect()
 }
 
 impl RelayFollower {
     /// Asks the hosts one after the other until one has the log; says whether
     /// one has.
-    async fn ask_in_turn(
+    async fn request_in_order(
         &mut self,
         handle: &PeerHandle,
         sources: Vec<(HostId, SocketAddr)>,
         hold: Duration,
-        duty: &watch::Sender<LogDuty>,
+        role: &watch::Sender<LogRole>,
     ) -> bool {
         for (host, address) in sources {
-            let asked = Instant::now();
+            let requested = Instant::now();
             if let Some(age) = self.ask(handle, &host, address, hold).await {
                 let now = Instant::now();
-                self.copy.note_relayed(age, now);
+                self.copy.record_relayed(age, now);
                 self.without_log_since = None;
-                self.switch(duty, Some(host));
+                self.set_leader(role, Some(host));
                 return true;
             }
             let now = Instant::now();
             // Judged after each host: one that does not answer at all takes
             // 0.9 s, and three of them would leave this host behind for longer
             // than a leaving target may be unknown.
-            self.without_log_since.get_or_insert(asked);
-            if self.is_impatient(now) {
-                self.switch(duty, None);
+            self.without_log_since.get_or_insert(requested);
+            if self.is_overdue(now) {
+                self.set_leader(role, None);
             }
         }
         false
@@ -156,13 +162,13 @@
         address: SocketAddr,
         hold: Duration,
     ) -> Option<Duration> {
-        let question = self.log.question(host, hold, Instant::now());
-        let hold = question.hold;
-        let answer = handle.follow(address, question, hold + ANSWER_LIMIT).await;
-        match answer {
-            Ok(answer) => {
-                let age = answer.fresh.then_some(answer.age);
-                self.log.take(host, answer, Instant::now());
+        let query = self.log.request(host, hold, Instant::now());
+        let hold = query.hold;
+        let reply = handle.follow(address, query, hold + REPLY_TIMEOUT).await;
+        match reply {
+            Ok(reply) => {
+                let age = reply.fresh.then_some(reply.age);
+                self.log.apply(host, reply, Instant::now());
                 age
             }
             Err(error) => {
@@ -179,16 +185,16 @@
     /// asks none of those that come after it, and sent requests to targets that left for as
     /// long as it was turned away. It goes on trying to read, and does not count as having
     /// the log: those that read in its place would follow it and stop.
-    async fn listen(
+    async fn follow_neighbour(
         &mut self,
         handle: &PeerHandle,
         neighbours: &[(HostId, SocketAddr)],
-        asked: usize,
+        requested: usize,
     ) -> bool {
         if self.copy.age(Instant::now()) < FRESH_AGE {
             return false;
         }
-        let Some((host, address)) = self.next_neighbour(neighbours, asked) else {
+        let Some((host, address)) = self.next_neighbour(neighbours, requested) else {
             return false;
         };
         let has_log = self
@@ -196,54 +202,54 @@
             .await
             .is_some();
         if !has_log {
-            self.listened_to = None;
-        } else if self.listened_to.as_ref() != Some(&host) {
+            self.followed_neighbour = None;
+        } else if self.followed_neighbour.as_ref() != Some(&host) {
             log::info!(host:% = host; "log heard of from a neighbour");
-            self.listened_to = Some(host);
+            self.followed_neighbour = Some(host);
         }
         has_log
     }
 
-    /// The neighbour that had the log last time, else the next one that was not `asked`
+    /// The neighbour that had the log last time, else the next one that was not `requested`
     /// already, in turn.
     fn next_neighbour(
         &mut self,
         neighbours: &[(HostId, SocketAddr)],
-        asked: usize,
+        requested: usize,
     ) -> Option<(HostId, SocketAddr)> {
-        let known = self.listened_to.as_ref();
+        let known = self.followed_neighbour.as_ref();
         let known = neighbours.iter().find(|(host, _)| Some(host) == known);
         if let Some(known) = known {
             return Some(known.clone());
         }
         let others = neighbours
-            .get(asked..)
+            .get(requested..)
             .filter(|others| !others.is_empty())?;
-        self.neighbours_asked += 1;
-        others.get(self.neighbours_asked % others.len()).cloned()
+        self.next_index += 1;
+        others.get(self.next_index % others.len()).cloned()
     }
 
     /// Whether no host has had the log for too long.
-    fn is_impatient(&self, now: Instant) -> bool {
+    fn is_overdue(&self, now: Instant) -> bool {
         let since = self.without_log_since;
-        since.is_some_and(|since| now >= since + PATIENCE)
+        since.is_some_and(|since| now >= since + MAX_WITHOUT_LOG)
     }
 
-    fn switch(&mut self, duty: &watch::Sender<LogDuty>, lead: Option<HostId>) {
-        if self.lead != lead {
-            let name = lead.as_deref().unwrap_or("the log itself");
+    fn set_leader(&mut self, role: &watch::Sender<LogRole>, leader: Option<HostId>) {
+        if self.leader != leader {
+            let name = leader.as_deref().unwrap_or("the log itself");
             log::info!(from:% = name; "log followed");
         }
-        if lead.is_none() && self.lead.is_some() {
+        if leader.is_none() && self.leader.is_some() {
             // Reading directly goes past what the other host has counted.
-            self.log.forget_places();
+            self.log.reset_positions();
         }
-        let current = match (&lead, self.reads_for_others) {
-            (Some(_), _) => LogDuty::Follows,
-            (None, true) => LogDuty::Reads,
-            (None, false) => LogDuty::StandsIn,
+        let current = match (&leader, self.reads_for_others) {
+            (Some(_), _) => LogRole::Follower,
+            (None, true) => LogRole::Reader,
+            (None, false) => LogRole::FallbackReader,
         };
-        self.lead = lead;
-        duty.send_if_modified(|duty| std::mem::replace(duty, current) != current);
+        self.leader = leader;
+        role.send_if_modified(|role| std::mem::replace(role, current) != current);
     }
 }
--- a/src/entry/retry_share.rs
+++ b/src/entry/retry_share.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 use crate::entry::EntryBounds;
-use crate::entry::peering::PeerDesk;
+use crate::entry::peering::PeerState;
 use crate::forward::ServingTables;
 use crate::retry::WindowSettings;
 
 /// Hosts that the slack is divided among until others are known.
-const FEWEST_HOSTS: usize = 12;
+const MIN_HOSTS: usize = 12;
 /// Part of the allowed retries that is used: hosts count each other a little
 /// late.
 const USED_SHARE: f64 = 0.9;
@@ -18,12 +18,12 @@
 const START_SHARE: f64 = 0.3;
 /// Pause between two counts of the hosts, and time after a start in which
 /// they become known.
-const COUNT_PAUSE: Duration = Duration::from_secs(1);
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// This host's part right after its start.
 pub(super) fn first_share(bounds: EntryBounds) -> WindowSettings {
-    share(bounds, FEWEST_HOSTS, START_SHARE)
+    share(bounds, MIN_HOSTS, START_SHARE)
 }
 
 fn share(bounds: EntryBounds, hosts: usize, part: f64) -> WindowSettings {
@@ -38,17 +38,17 @@
 /// host that hears nobody still counts those heard of lately.
 pub(super) async fn share_retries(
     tables: Arc<ServingTables>,
-    desk: Arc<PeerDesk>,
+    peer_state: Arc<PeerState>,
     bounds: EntryBounds,
 ) {
     let started = Instant::now();
     loop {
-        tokio::time::sleep(COUNT_PAUSE).await;
+        tokio::time::sleep(COUNT_INTERVAL).await;
         let age = started.elapsed();
-        let known = desk.known_count();
+        let known = peer_state.known_count();
         let hosts = match known {
             2.. if age >= SETTLE_TIME => known,
-            _ => known.max(FEWEST_HOSTS),
+            _ => known.max(MIN_HOSTS),
         };
         let part = match age >= bounds.retry_window {
             true => 1.0,
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -10,15 +10,15 @@
 use tokio::sync::watch;
 
 use crate::entry::configuring::follow_configuration;
-use crate::entry::following::{TargetPace, follow_targets};
+use crate::entry::following::{TargetTiming, follow_targets};
 use crate::entry::log_copy::LogCopy;
 use crate::entry::permitting::permit_source;
-use crate::entry::placing::keep_placed;
+use crate::entry::placement::run_placement;
 use crate::entry::poison_log::{follow_poison, write_poison};
-use crate::entry::readiness::{answer_metrics, answer_readiness};
-use crate::entry::relaying::follow_lead;
+use crate::entry::readiness::{serve_metrics, serve_readiness};
+use crate::entry::relaying::follow_leader;
 use crate::entry::retry_share::{first_share, share_retries};
-use crate::entry::{EntrySettings, LogDuty, peering};
+use crate::entry::{EntrySettings, LogRole, peering};
 use crate::forward::{ServingTables, serve};
 use crate::peer::PeerError;
 use crate::platform::host_settings::{SettingsError, read_settings};
@@ -45,10 +45,10 @@
 /// Time before the end from which nothing new is taken: plain services answer
 /// in some 30 ms and nearly all within half a second. A request that was taken
 /// 26 ms before the end was run and its answer lost.
-const LAST_REQUEST: Duration = Duration::from_millis(700);
+const CLOSING_TIME: Duration = Duration::from_millis(700);
 /// The balancer asks once a second and needs two misses; callers that it sends
 /// until then are still answered.
-const ROTATION_OUT: Duration = Duration::from_millis(2600);
+const BALANCER_DELAY: Duration = Duration::from_millis(2600);
 
 /// Why an entry host could not start.
 #[derive(Debug, thiserror::Error)]
@@ -81,9 +81,9 @@
     );
     let tables = Arc::new(tables);
     let peers = spawn_workers(&tables, &settings)?;
-    let readiness = answer_readiness(tables.clone(), settings.readiness)?;
+    let readiness = serve_readiness(tables.clone(), settings.readiness)?;
     let metrics = SocketAddr::new(settings.readiness.ip(), METRICS_PORT);
-    if let Err(error) = answer_metrics(tables.clone(), metrics) {
+    if let Err(error) = serve_metrics(tables.clone(), metrics) {
         // Serving callers matters more than being measured.
         log::warn!(address:% = metrics, error:% = error; "metrics are not served");
     }
@@ -109,31 +109,40 @@
     let client = || LogClient::open(settings.store, STORE_LIMITS);
     let copy = Arc::new(LogCopy::new(tables.clone()));
     let first = match settings.is_first_start {
-        true => LogDuty::Follows,
-        false => LogDuty::Reads,
+        true => LogRole::Follower,
+        false => LogRole::Reader,
     };
-    let (duty, reads) = watch::channel(first);
+    let (role, reads) = watch::channel(first);
     tokio::spawn(follow_configuration(copy.clone(), client(), reads.clone()));
-    let pace = TargetPace {
+    let pace = TargetTiming {
         drain: settings.bounds.drain,
         heartbeat: settings.heartbeat,
     };
     tokio::spawn(follow_targets(copy.clone(), client(), pace, reads.clone()));
     tokio::spawn(follow_poison(tables.clone(), client(), reads.clone()));
     tokio::spawn(write_poison(tables.clone(), client(), reads));
-    let (desk, handle) = peering::spawn(settings, settings.peers, tables.clone(), copy.clone())?;
-    tables.set_permit_source(permit_source(desk.clone()));
-    tokio::spawn(follow_lead(
+    let (peer_state, handle) =
+        peering::spawn(settings, settings.peers, tables.clone(), copy.clone())?;
+    tables.set_permit_source(permit_source(peer_state.clone()));
+    tokio::spawn(follow_leader(
         tables.clone(),
         copy,
-        desk.clone(),
+        peer_state.clone(),
         handle,
-        duty,
+        role,
         settings.is_first_start,
     ));
-    tokio::spawn(share_retries(tables.clone(), desk.clone(), settings.bounds));
-    let address = desk.address();
-    tokio::spawn(keep_placed(tables.clone(), desk, settings.heartbeat));
+    tokio::spawn(share_retries(
+        tables.clone(),
+        peer_state.clone(),
+        settings.bounds,
+    ));
+    let address = peer_state.address();
+    tokio::spawn(run_placement(
+        tables.clone(),
+        peer_state,
+        settings.heartbeat,
+    ));
     Ok(address)
 }
 
@@ -156,14 +165,14 @@
     tables.draining.store(true, Ordering::Relaxed);
     let last = started + grace.saturating_sub(STOP_MARGIN);
     while Instant::now() < last {
-        if Instant::now() >= started + ROTATION_OUT {
+        if Instant::now() >= started + BALANCER_DELAY {
             tables.closing.store(true, Ordering::Relaxed);
         }
-        if Instant::now() + LAST_REQUEST >= last {
+        if Instant::now() + CLOSING_TIME >= last {
             tables.ending.store(true, Ordering::Relaxed);
         }
         let idle = tables.in_flight.load(Ordering::Relaxed) == 0;
-        if idle && Instant::now() >= started + ROTATION_OUT {
+        if idle && Instant::now() >= started + BALANCER_DELAY {
             return;
         }
         tokio::time::sleep(PAUSE).await;
--- a/src/entry/doubted.rs
+++ b/src/entry/suspect_targets.rs
@@ -13,14 +13,14 @@
 const RETURN_GRACE: Duration = Duration::from_millis(2200);
 
 #[derive(Debug)]
-struct DoubtedTarget {
+struct SuspectTarget {
     zone: ZoneId,
     /// Where the log says that it left.
     offset: LogOffset,
     gap: LogGap,
 }
 
-impl DoubtedTarget {
+impl SuspectTarget {
     /// When its time is over. It begins anew with each break: nobody could come back then.
     fn due(&self, continuity: &LogContinuity) -> Instant {
         let run_since = continuity.run_since();
@@ -30,7 +30,7 @@
 
 /// A doubt that is over: the target is gone.
 #[derive(Debug, PartialEq, Eq)]
-pub struct SettledTarget {
+pub struct ConfirmedRemoval {
     /// The platform's id of the target.
     pub id: TargetId,
     /// Where the log says that it left.
@@ -44,14 +44,14 @@
 /// Without the doubt every target would be dropped when the log comes back after an outage,
 /// and nothing served until the heartbeats are in again.
 #[derive(Debug, Default)]
-pub struct DoubtedTargets {
-    targets: FastMap<TargetId, DoubtedTarget>,
+pub struct SuspectTargets {
+    targets: FastMap<TargetId, SuspectTarget>,
 }
 
-impl DoubtedTargets {
+impl SuspectTargets {
     /// The record at `offset`, read after a gap, says that a target of a zone is gone.
-    pub fn doubt(&mut self, id: &str, zone: ZoneId, offset: LogOffset, gap: LogGap) {
-        let target = DoubtedTarget { zone, offset, gap };
+    pub fn suspect(&mut self, id: &str, zone: ZoneId, offset: LogOffset, gap: LogGap) {
+        let target = SuspectTarget { zone, offset, gap };
         self.targets.entry(TargetId::from(id)).or_insert(target);
     }
 
@@ -79,8 +79,8 @@
     }
 
     /// Takes the targets that cannot have lapsed, as others had the log all the while.
-    pub fn take_disproved(&mut self, continuity: &LogContinuity) -> Vec<SettledTarget> {
-        self.take(
+    pub fn take_confirmed(&mut self, continuity: &LogContinuity) -> Vec<ConfirmedRemoval> {
+        self.extract(
             |target| continuity.had_log(&target.zone, target.gap),
             "others had the log",
         )
@@ -91,23 +91,23 @@
     /// What a host read before says nothing of a target that comes back last: one that is
     /// told by another host hears of it up to a second later, and nobody comes back while
     /// the log is away again.
-    pub fn take_due(&mut self, continuity: &LogContinuity) -> Vec<SettledTarget> {
+    pub fn take_due(&mut self, continuity: &LogContinuity) -> Vec<ConfirmedRemoval> {
         let Some(read) = continuity.last_read() else {
             return Vec::new();
         };
-        self.take(|target| read >= target.due(continuity), "missing")
+        self.extract(|target| read >= target.due(continuity), "missing")
     }
 
-    fn take<F>(&mut self, is_settled: F, reason: &'static str) -> Vec<SettledTarget>
+    fn extract<F>(&mut self, is_settled: F, reason: &'static str) -> Vec<ConfirmedRemoval>
     where
-        F: Fn(&DoubtedTarget) -> bool,
+        F: Fn(&SuspectTarget) -> bool,
     {
-        let settled = self.targets.extract_if(|_, target| is_settled(target));
-        let settled = settled.map(|(id, target)| SettledTarget {
+        let removals = self.targets.extract_if(|_, target| is_settled(target));
+        let removals = removals.map(|(id, target)| ConfirmedRemoval {
             id,
             offset: target.offset,
             reason,
         });
-        settled.collect()
+        removals.collect()
     }
 }
--- a/src/entry/target_starts.rs
+++ b/src/entry/target_starts.rs
@@ -8,7 +8,7 @@
 /// that runs. A heartbeat that was under way when its target crashed can be
 /// written seconds late, between those of the new start; a target whose clock
 /// was set back before it started again writes nothing else.
-const CREDIBLE_RECORDS: u32 = 3;
+const MAX_EARLIER_RECORDS: u32 = 3;
 
 /// What a record says of a target's start.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -57,7 +57,7 @@
         }
         if entry.started_ms < known.started_ms {
             known.earlier_records += 1;
-            if known.earlier_records < CREDIBLE_RECORDS {
+            if known.earlier_records < MAX_EARLIER_RECORDS {
                 return StartVerdict::Ended;
             }
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -54,6 +54,7 @@
 )]
 #[rustfmt::skip]
 pub mod peer_capnp;
+pub mod delta_sync;
 pub mod permits;
 pub mod placing;
 pub mod platform;
@@ -68,6 +69,5 @@
 pub mod routing;
 pub mod run;
 pub mod shares;
-pub mod spread;
 pub mod target;
 pub mod verdict;
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -9,7 +9,7 @@
 use crate::membership::gossip_member::{DEAD_AFTER, GossipMember};
 use crate::peer::{HostListing, HostView, KnownHost, SeenListing, ZoneCount};
 use crate::permits::LimitListing;
-use crate::poison::PoisonListing;
+use crate::poison::PoisonDelta;
 
 impl GossipTable {
     /// What to say to the host at an address; the requests, those that targets ended
@@ -85,7 +85,7 @@
             seen,
             counts,
             log: None,
-            poison: PoisonListing::default(),
+            poison: PoisonDelta::default(),
             limits: LimitListing::default(),
         }
     }
--- a/src/peer/convert/permits.rs
+++ b/src/peer/convert/permits.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::{length, short_milliseconds, text};
+use crate::delta_sync::DeltaBounds;
 use crate::peer_capnp as wire;
 use crate::permits::{LimitListing, LimitWord, PermitAnswer, PermitQuestion, RateLimit};
-use crate::spread::ListingBounds;
 
 /// Stands for a limit that is over, in the place of its rate.
 const NO_LIMIT: f64 = -1.0;
@@ -27,7 +27,7 @@
 /// Decodes words on limits.
 pub(super) fn read_limits(reader: wire::limit_listing::Reader<'_>) -> capnp::Result<LimitListing> {
     Ok(LimitListing {
-        bounds: ListingBounds {
+        bounds: DeltaBounds {
             from: reader.get_from(),
             to: reader.get_to(),
             seen_to: reader.get_seen_to(),
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -6,6 +6,7 @@
 
 use super::permits::{read_limits, write_limits};
 use super::{address, length, milliseconds, short_milliseconds, text};
+use crate::delta_sync::DeltaBounds;
 use crate::fleet::{TargetLoad, TargetUse, UseScope, ZoneUses};
 use crate::peer::view::{
     FollowAnswer, FollowQuestion, FollowedLog, HostListing, HostView, KnownHost, LogAges,
@@ -13,8 +14,7 @@
 };
 use crate::peer_capnp as wire;
 use crate::permits::LimitListing;
-use crate::poison::{PoisonEvent, PoisonListing, PoisonNote};
-use crate::spread::ListingBounds;
+use crate::poison::{PoisonDelta, PoisonEvent, PoisonEvidence};
 
 /// Stands for a request that was survived, in the place of a target's key.
 const SURVIVED: u64 = 0;
@@ -179,20 +179,20 @@
 }
 
 /// One list for each field, as in [`write_uses`].
-fn write_poison(mut builder: wire::poison_listing::Builder<'_>, listing: &PoisonListing) {
+fn write_poison(mut builder: wire::poison_listing::Builder<'_>, listing: &PoisonDelta) {
     builder.set_from(listing.bounds.from);
     builder.set_to(listing.bounds.to);
     builder.set_seen_to(listing.bounds.seen_to);
-    let count = length(listing.notes.len());
+    let count = length(listing.evidence.len());
     if count == 0 {
         return;
     }
     let mut requests = builder.reborrow().init_requests(count);
-    for (index, note) in (0..).zip(&listing.notes) {
+    for (index, note) in (0..).zip(&listing.evidence) {
         requests.set(index, note.request);
     }
     let mut targets = builder.reborrow().init_targets(count);
-    for (index, note) in (0..).zip(&listing.notes) {
+    for (index, note) in (0..).zip(&listing.evidence) {
         let target = match note.event {
             PoisonEvent::Ended(target) => target,
             PoisonEvent::Survived => SURVIVED,
@@ -200,19 +200,19 @@
         targets.set(index, target);
     }
     let mut ages = builder.init_ages_ms(count);
-    for (index, note) in (0..).zip(&listing.notes) {
+    for (index, note) in (0..).zip(&listing.evidence) {
         ages.set(index, short_milliseconds(note.age));
     }
 }
 
-fn read_poison(reader: wire::poison_listing::Reader<'_>) -> capnp::Result<PoisonListing> {
+fn read_poison(reader: wire::poison_listing::Reader<'_>) -> capnp::Result<PoisonDelta> {
     let requests = reader.get_requests()?;
     let (targets, ages) = (reader.get_targets()?, reader.get_ages_ms()?);
     if targets.len() != requests.len() || ages.len() != requests.len() {
         let text = "the lists of notes differ in length";
         return Err(capnp::Error::failed(text.to_owned()));
     }
-    let notes = (0..requests.len()).map(|index| PoisonNote {
+    let notes = (0..requests.len()).map(|index| PoisonEvidence {
         request: requests.get(index),
         event: match targets.get(index) {
             SURVIVED => PoisonEvent::Survived,
@@ -220,13 +220,13 @@
         },
         age: Duration::from_millis(ages.get(index).into()),
     });
-    Ok(PoisonListing {
-        bounds: ListingBounds {
+    Ok(PoisonDelta {
+        bounds: DeltaBounds {
             from: reader.get_from(),
             to: reader.get_to(),
             seen_to: reader.get_seen_to(),
         },
-        notes: notes.collect(),
+        evidence: notes.collect(),
     })
 }
 
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -9,7 +9,7 @@
 use crate::fleet::{TargetUse, UseScope, ZoneUses};
 use crate::ids::{HostId, HostStrength, IncarnationId, LogOffset, TargetId, ZoneId};
 use crate::permits::LimitListing;
-use crate::poison::PoisonListing;
+use crate::poison::PoisonDelta;
 
 /// A host's statement about itself, requests on targets, and the hosts that it
 /// knows.
@@ -42,7 +42,7 @@
     /// Since when it has had the log of targets; `None` if it never had.
     pub log: Option<LogAges>,
     /// What is known of requests that targets ended under.
-    pub poison: PoisonListing,
+    pub poison: PoisonDelta,
     /// What is known of the limits that targets name.
     pub limits: LimitListing,
 }
--- a/src/permits/table.rs
+++ b/src/permits/table.rs
@@ -6,8 +6,8 @@
 use super::observation::LimitObservation;
 use super::rate::RateLimit;
 use crate::collections::FastMap;
+use crate::delta_sync::{DeltaBounds, DeltaProgress};
 use crate::ids::{IncarnationId, TargetKey};
-use crate::spread::{ListingBounds, SpreadProgress};
 
 /// Most targets that are remembered; a record takes some 60 bytes.
 const MOST_RECORDS: usize = 4096;
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct LimitListing {
     /// The versions that it covers.
-    pub bounds: ListingBounds,
+    pub bounds: DeltaBounds,
     /// What changed in between.
     pub words: Vec<LimitWord>,
 }
@@ -71,7 +71,7 @@
     records: FastMap<TargetKey, LimitRecord>,
     /// Grows with each change of a limit.
     version: u64,
-    progress: SpreadProgress,
+    progress: DeltaProgress,
 }
 
 impl LimitTable {
--- a/src/platform/poison_record.rs
+++ b/src/platform/poison_record.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{RequestKey, TargetKey};
-use crate::poison::{PoisonEvent, PoisonNote};
+use crate::poison::{PoisonEvent, PoisonEvidence};
 
 /// A record's value.
 #[derive(Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// If it cannot be encoded; the text says why.
-pub fn poison_value(notes: &[PoisonNote], now: SystemTime) -> Result<Vec<u8>, String> {
+pub fn poison_value(notes: &[PoisonEvidence], now: SystemTime) -> Result<Vec<u8>, String> {
     let ends = notes.iter().filter_map(|note| match note.event {
         PoisonEvent::Ended(target) => Some(EndBody {
             target,
@@ -59,9 +59,9 @@
     request: RequestKey,
     value: &[u8],
     now: SystemTime,
-) -> Result<Vec<PoisonNote>, String> {
+) -> Result<Vec<PoisonEvidence>, String> {
     let body = serde_json::from_slice::<PoisonBody>(value).map_err(|error| error.to_string())?;
-    let notes = body.ends.into_iter().map(|end| PoisonNote {
+    let notes = body.ends.into_iter().map(|end| PoisonEvidence {
         request,
         event: PoisonEvent::Ended(end.target),
         // Clocks of two hosts differ; nothing ends in the future.
--- a/src/poison.rs
+++ b/src/poison.rs
@@ -7,20 +7,20 @@
 //! - A [`RunStart`] tells whether a target ended as the request began to run there.
 //! - A [`PoisonTable`] holds the targets that ended under each request, and says
 //!   which requests are refused. Hosts tell each other its notes with the views that
-//!   they exchange ([`PoisonListing`]); what is refused is kept in the platform's log
+//!   they exchange ([`PoisonDelta`]); what is refused is kept in the platform's log
 //!   besides, so that it outlives a restart of all hosts.
 //!
 //! Pure: the present time is an argument.
 
+mod delta;
+mod evidence;
 mod key;
-mod note;
 mod record;
 mod run_start;
-mod spread;
 mod survivors;
 mod table;
 
+pub use evidence::{PoisonDelta, PoisonEvent, PoisonEvidence};
 pub use key::{RequestIdentity, key_text, request_key};
-pub use note::{PoisonEvent, PoisonListing, PoisonNote};
 pub use run_start::RunStart;
 pub use table::{LogChange, PoisonTable, PoisonVerdict};
--- a/src/poison/note.rs
+++ b/src/poison/evidence.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
+use crate::delta_sync::DeltaBounds;
 use crate::ids::{RequestKey, TargetKey};
-use crate::spread::ListingBounds;
 
 /// Something that one host saw of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PoisonNote {
+pub struct PoisonEvidence {
     /// The request.
     pub request: RequestKey,
     /// What became of it.
@@ -27,9 +27,9 @@
 
 /// The notes that a host has for another one, and what it has heard of that one's.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct PoisonListing {
+pub struct PoisonDelta {
     /// The versions that it covers.
-    pub bounds: ListingBounds,
+    pub bounds: DeltaBounds,
     /// The notes of the records that changed in between.
-    pub notes: Vec<PoisonNote>,
+    pub evidence: Vec<PoisonEvidence>,
 }
--- a/src/poison/record.rs
+++ b/src/poison/record.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::note::{PoisonEvent, PoisonNote};
+use super::evidence::{PoisonEvent, PoisonEvidence};
 use crate::ids::{RequestKey, TargetKey};
 
 /// Targets that have to end under a request before it is refused.
@@ -12,9 +12,9 @@
 /// up again in a rack that loses its power. A request is tried twice by a host and
 /// comes a second time, so that three are met by chance by few; and three is what
 /// the operators of the engines bear.
-pub(super) const PROOFS: usize = 3;
+pub(super) const ENDS_TO_REFUSE: usize = 3;
 /// Different targets that are remembered of a request.
-const MOST_ENDS: usize = PROOFS + REFUSALS.len() - 1;
+const MAX_ENDS: usize = ENDS_TO_REFUSE + REFUSAL_TIMES.len() - 1;
 /// How long a request is refused after the last target that ended under it, by how
 /// many ended beyond those that prove it.
 ///
@@ -22,24 +22,24 @@
 /// along a request that all callers send alike. One that was refused for good would
 /// never show that nothing is wrong with it. So it is tried again, ever more rarely: a
 /// poison request takes down three targets more in the first day, and one a week then.
-const REFUSALS: [Duration; 4] = [
+const REFUSAL_TIMES: [Duration; 4] = [
     Duration::from_secs(600),
     Duration::from_secs(3600),
     Duration::from_secs(24 * 3600),
-    POISON_LAPSE,
+    POISON_EXPIRY,
 ];
 /// How long it is remembered that a request is poison: software and weights of engines
 /// are replaced within weeks.
-const POISON_LAPSE: Duration = Duration::from_secs(7 * 24 * 3600);
+const POISON_EXPIRY: Duration = Duration::from_secs(7 * 24 * 3600);
 /// How long targets that ended under a request speak against it: callers come again
 /// within seconds, and those that a person sends again within the hour.
-const SUSPECT_LAPSE: Duration = Duration::from_secs(3600);
+const SUSPECT_EXPIRY: Duration = Duration::from_secs(3600);
 /// How long it is remembered that a request was survived: as long as word of an end
 /// before may still be on its way, which takes seconds, or a cut zone's minutes.
-const SURVIVED_LAPSE: Duration = Duration::from_secs(600);
+const SURVIVED_EXPIRY: Duration = Duration::from_secs(600);
 /// A later moment counts as the same one within this time: the age of a note grows
 /// by its time on the way, and two hosts would tell each other the same news for ever.
-const SAME_MOMENT: Duration = Duration::from_secs(2);
+const TIME_TOLERANCE: Duration = Duration::from_secs(2);
 
 /// A target that ended as a request began to run there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,31 +69,31 @@
     }
 
     pub(super) fn is_poison(&self, now: Instant) -> bool {
-        let beyond = self.ends.len().checked_sub(PROOFS);
-        let refused_for = beyond.and_then(|beyond| REFUSALS.get(beyond));
+        let beyond = self.ends.len().checked_sub(ENDS_TO_REFUSE);
+        let refused_for = beyond.and_then(|beyond| REFUSAL_TIMES.get(beyond));
         let last = self.ends.iter().map(|end| end.at).max();
         let until = refused_for.zip(last);
         until.is_some_and(|(refused_for, last)| now < last + *refused_for)
     }
 
     /// Targets that the platform's log has to name.
-    pub(super) fn wanted_in_log(&self, now: Instant) -> usize {
+    pub(super) fn required_in_log(&self, now: Instant) -> usize {
         match self.ends.len() {
-            ends @ PROOFS.. if !self.has_lapsed(now) => ends,
+            ends @ ENDS_TO_REFUSE.. if !self.has_expired(now) => ends,
             _ => 0,
         }
     }
 
-    pub(super) fn has_lapsed(&self, now: Instant) -> bool {
-        let lapse = match self.ends.len() {
-            0 => SURVIVED_LAPSE,
-            PROOFS.. => POISON_LAPSE,
-            _ => SUSPECT_LAPSE,
+    pub(super) fn has_expired(&self, now: Instant) -> bool {
+        let expiry = match self.ends.len() {
+            0 => SURVIVED_EXPIRY,
+            ENDS_TO_REFUSE.. => POISON_EXPIRY,
+            _ => SUSPECT_EXPIRY,
         };
-        self.last().is_none_or(|last| now >= last + lapse)
+        self.last().is_none_or(|last| now >= last + expiry)
     }
 
-    pub(super) fn note_end(&mut self, end: TargetEnd) -> bool {
+    pub(super) fn observe_end(&mut self, end: TargetEnd) -> bool {
         if self.survived.is_some_and(|survived| end.at <= survived) {
             return false;
         }
@@ -101,17 +101,17 @@
             .ends
             .iter()
             .position(|known| known.target == end.target);
-        let place = match same {
-            None if self.ends.len() < MOST_ENDS => {
+        let index = match same {
+            None if self.ends.len() < MAX_ENDS => {
                 self.ends.push(end);
                 return true;
             }
             None => self.oldest_end(),
             same => same,
         };
-        let known = place.and_then(|place| self.ends.get_mut(place));
+        let known = index.and_then(|index| self.ends.get_mut(index));
         match known {
-            Some(known) if end.at > known.at + SAME_MOMENT => {
+            Some(known) if end.at > known.at + TIME_TOLERANCE => {
                 *known = end;
                 true
             }
@@ -122,11 +122,14 @@
     fn oldest_end(&self) -> Option<usize> {
         let ends = self.ends.iter().enumerate();
         let oldest = ends.min_by_key(|(_, end)| end.at);
-        oldest.map(|(place, _)| place)
+        oldest.map(|(index, _)| index)
     }
 
-    pub(super) fn note_survival(&mut self, at: Instant) -> bool {
-        if self.survived.is_some_and(|known| at <= known + SAME_MOMENT) {
+    pub(super) fn observe_survival(&mut self, at: Instant) -> bool {
+        if self
+            .survived
+            .is_some_and(|known| at <= known + TIME_TOLERANCE)
+        {
             return false;
         }
         self.survived = Some(at);
@@ -135,21 +138,21 @@
     }
 
     /// All that there is to tell of the request.
-    pub(super) fn notes(&self, request: RequestKey, now: Instant) -> Vec<PoisonNote> {
-        let survived = self.survived.map(|at| PoisonNote {
+    pub(super) fn evidence(&self, request: RequestKey, now: Instant) -> Vec<PoisonEvidence> {
+        let survived = self.survived.map(|at| PoisonEvidence {
             request,
             event: PoisonEvent::Survived,
             age: now.saturating_duration_since(at),
         });
-        self.end_notes(request, now).chain(survived).collect()
+        self.end_evidence(request, now).chain(survived).collect()
     }
 
-    pub(super) fn end_notes(
+    pub(super) fn end_evidence(
         &self,
         request: RequestKey,
         now: Instant,
-    ) -> impl Iterator<Item = PoisonNote> + use<'_> {
-        self.ends.iter().map(move |end| PoisonNote {
+    ) -> impl Iterator<Item = PoisonEvidence> + use<'_> {
+        self.ends.iter().map(move |end| PoisonEvidence {
             request,
             event: PoisonEvent::Ended(end.target),
             age: now.saturating_duration_since(end.at),
--- a/src/poison/run_start.rs
+++ b/src/poison/run_start.rs
@@ -10,11 +10,11 @@
 /// more than two of the longest pauses that callers are promised. Streams run for three
 /// seconds on average, so that most of the requests on an engine that is lost for another
 /// reason are not even suspected.
-const START: Duration = Duration::from_millis(500);
+const SUSPECT_TIME: Duration = Duration::from_millis(500);
 /// How long a request has to run on a target before the target is taken to survive it,
 /// so that what spoke against the request is dropped: what is not suspected yet, and not
 /// cleared yet either, lies between the two.
-const SURVIVAL: Duration = Duration::from_secs(2);
+const SURVIVAL_TIME: Duration = Duration::from_secs(2);
 
 /// Since when a request runs on the first target of its path.
 ///
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct RunStart {
     first_event: Option<Instant>,
-    told: bool,
+    survival_reported: bool,
 }
 
 impl RunStart {
@@ -37,14 +37,15 @@
 
     /// Whether the end of the target now may be this request's doing.
     pub fn is_suspect(&self, now: Instant) -> bool {
-        self.first_event.is_none_or(|first| now < first + START)
+        self.first_event
+            .is_none_or(|first| now < first + SUSPECT_TIME)
     }
 
     /// Whether the target has just been found to survive the request; told once.
     pub fn has_survived(&mut self, now: Instant) -> bool {
         let survived = self
             .first_event
-            .is_some_and(|first| now >= first + SURVIVAL);
-        survived && !std::mem::replace(&mut self.told, true)
+            .is_some_and(|first| now >= first + SURVIVAL_TIME);
+        survived && !std::mem::replace(&mut self.survival_reported, true)
     }
 }
--- a/src/poison/survivors.rs
+++ b/src/poison/survivors.rs
@@ -6,11 +6,11 @@
 
 /// How long a request that was survived is not suspected. Requests that many callers
 /// send alike, for a status or a price list, come several times a second.
-const SURVIVED_RECENTLY: Duration = Duration::from_secs(10);
+const RECENT_TIME: Duration = Duration::from_secs(10);
 /// Requests that are remembered, 24 KB. Each takes one place, by its key, from the one
 /// before: of 100 other requests a second, a hundred push it out in a tenth of the
 /// cases, and it is back with its next answer.
-const PLACES: usize = 1024;
+const SLOTS: usize = 1024;
 
 /// Requests that were survived lately, as far as there is room.
 ///
@@ -19,30 +19,30 @@
 /// service at once could have it refused, for everybody.
 #[derive(Debug)]
 pub(super) struct RecentSurvivors {
-    places: Vec<Option<(RequestKey, Instant)>>,
+    slots: Vec<Option<(RequestKey, Instant)>>,
 }
 
 impl Default for RecentSurvivors {
     fn default() -> Self {
         Self {
-            places: vec![None; PLACES],
+            slots: vec![None; SLOTS],
         }
     }
 }
 
 impl RecentSurvivors {
     pub(super) fn insert(&mut self, request: RequestKey, now: Instant) {
-        if let Some(place) = self.places.get_mut(place_of(request)) {
-            *place = Some((request, now));
+        if let Some(slot) = self.slots.get_mut(slot_of(request)) {
+            *slot = Some((request, now));
         }
     }
 
     pub(super) fn contains(&self, request: RequestKey, now: Instant) -> bool {
-        let place = self.places.get(place_of(request)).copied().flatten();
-        place.is_some_and(|(survivor, at)| survivor == request && now < at + SURVIVED_RECENTLY)
+        let slot = self.slots.get(slot_of(request)).copied().flatten();
+        slot.is_some_and(|(survivor, at)| survivor == request && now < at + RECENT_TIME)
     }
 }
 
-fn place_of(request: RequestKey) -> usize {
-    (request % PLACES as RequestKey) as usize
+fn slot_of(request: RequestKey) -> usize {
+    (request % SLOTS as RequestKey) as usize
 }
--- a/src/poison/table.rs
+++ b/src/poison/table.rs
@@ -2,17 +2,17 @@
 
 use std::time::Instant;
 
-use super::note::{PoisonEvent, PoisonNote};
-use super::record::{PROOFS, PoisonRecord, TargetEnd};
+use super::evidence::{PoisonEvent, PoisonEvidence};
+use super::record::{ENDS_TO_REFUSE, PoisonRecord, TargetEnd};
 use super::survivors::RecentSurvivors;
 use crate::collections::FastMap;
+use crate::delta_sync::DeltaProgress;
 use crate::ids::{RequestKey, TargetKey};
-use crate::spread::SpreadProgress;
 
 /// Most requests that are remembered. An engine takes 192 requests at once, so that
 /// all that ran on one fit beside 64 requests that are refused. A record takes some
 /// 120 bytes: 31 KB in all, whatever the size of the fleet.
-const MOST_RECORDS: usize = 256;
+const MAX_RECORDS: usize = 256;
 /// What a table knows of a request that a target ended under.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PoisonVerdict {
@@ -45,7 +45,7 @@
     pub(super) records: FastMap<RequestKey, PoisonRecord>,
     /// Grows with each change of a record.
     pub(super) version: u64,
-    pub(super) progress: SpreadProgress,
+    pub(super) progress: DeltaProgress,
     survivors: RecentSurvivors,
 }
 
@@ -55,7 +55,7 @@
     /// The request.
     pub request: RequestKey,
     /// The targets that ended under it; empty if the log has to forget it.
-    pub ends: Vec<PoisonNote>,
+    pub ends: Vec<PoisonEvidence>,
 }
 
 impl PoisonTable {
@@ -75,10 +75,10 @@
         if self.survivors.contains(request, now) {
             return PoisonVerdict::Survived;
         }
-        self.note(request, PoisonEvent::Ended(target), now, now);
+        self.observe(request, PoisonEvent::Ended(target), now, now);
         let record = self.records.get(&request);
         match record.map_or(0, |record| record.ends.len()) {
-            PROOFS.. => PoisonVerdict::Poison,
+            ENDS_TO_REFUSE.. => PoisonVerdict::Poison,
             ends => PoisonVerdict::Suspect(ends),
         }
     }
@@ -89,33 +89,33 @@
         let record = self.records.get(&request);
         let suspected = record.is_some_and(|record| !record.ends.is_empty());
         if suspected {
-            self.note(request, PoisonEvent::Survived, now, now);
+            self.observe(request, PoisonEvent::Survived, now, now);
         }
         suspected
     }
 
     /// Takes in what others saw; gives the requests that are refused from now on.
-    pub fn merge(&mut self, notes: &[PoisonNote], now: Instant) -> Vec<RequestKey> {
+    pub fn merge(&mut self, evidence: &[PoisonEvidence], now: Instant) -> Vec<RequestKey> {
         let mut refused = Vec::new();
-        for note in notes {
-            let before = self.is_poison(note.request, now);
-            let at = now.checked_sub(note.age).unwrap_or(now);
-            self.note(note.request, note.event, at, now);
-            if !before && self.is_poison(note.request, now) {
-                refused.push(note.request);
+        for item in evidence {
+            let before = self.is_poison(item.request, now);
+            let at = now.checked_sub(item.age).unwrap_or(now);
+            self.observe(item.request, item.event, at, now);
+            if !before && self.is_poison(item.request, now) {
+                refused.push(item.request);
             }
         }
         refused
     }
 
-    fn note(&mut self, request: RequestKey, event: PoisonEvent, at: Instant, now: Instant) {
+    fn observe(&mut self, request: RequestKey, event: PoisonEvent, at: Instant, now: Instant) {
         if !self.records.contains_key(&request) {
             self.make_room(now);
         }
         let record = self.records.entry(request).or_default();
         let changed = match event {
-            PoisonEvent::Ended(target) => record.note_end(TargetEnd { target, at }),
-            PoisonEvent::Survived => record.note_survival(at),
+            PoisonEvent::Ended(target) => record.observe_end(TargetEnd { target, at }),
+            PoisonEvent::Survived => record.observe_survival(at),
         };
         if changed {
             self.version += 1;
@@ -126,17 +126,20 @@
     /// Drops what has lapsed, and what says least if that is not enough: a flood of
     /// requests that ran on one lost engine must not push out those that are refused.
     fn make_room(&mut self, now: Instant) {
-        if self.records.len() < MOST_RECORDS {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         // What the log still says has to be taken back there first.
         self.records
-            .retain(|_, record| record.in_log > 0 || !record.has_lapsed(now));
-        if self.records.len() < MOST_RECORDS {
+            .retain(|_, record| record.in_log > 0 || !record.has_expired(now));
+        if self.records.len() < MAX_RECORDS {
             return;
         }
-        let weight = |record: &PoisonRecord| (record.ends.len(), record.changed);
-        let least = self.records.iter().min_by_key(|(_, record)| weight(record));
+        let priority = |record: &PoisonRecord| (record.ends.len(), record.changed);
+        let least = self
+            .records
+            .iter()
+            .min_by_key(|(_, record)| priority(record));
         if let Some(request) = least.map(|(request, _)| *request) {
             self.records.remove(&request);
         }
@@ -152,12 +155,12 @@
     /// What the platform's log has to be told.
     pub fn log_changes(&self, now: Instant) -> Vec<LogChange> {
         let records = self.records.iter();
-        let behind = records.filter(|(_, record)| record.wanted_in_log(now) != record.in_log);
+        let behind = records.filter(|(_, record)| record.required_in_log(now) != record.in_log);
         let changes = behind.map(|(request, record)| LogChange {
             request: *request,
-            ends: match record.wanted_in_log(now) {
+            ends: match record.required_in_log(now) {
                 0 => Vec::new(),
-                _ => record.end_notes(*request, now).collect(),
+                _ => record.end_evidence(*request, now).collect(),
             },
         });
         changes.collect()
--- a/src/retry/backoff.rs
+++ b/src/retry/backoff.rs
@@ -23,7 +23,7 @@
 }
 
 /// Doublings after which the bound is `longest` in any case.
-const DOUBLINGS_AT_MOST: u32 = 20;
+const MAX_DOUBLINGS: u32 = 20;
 
 /// Delay before a retry, drawn evenly between half the bound and the bound.
 ///
@@ -34,7 +34,7 @@
 where
     R: Rng + ?Sized,
 {
-    let doublings = failures.min(DOUBLINGS_AT_MOST);
+    let doublings = failures.min(MAX_DOUBLINGS);
     let bound = settings.first.saturating_mul(1 << doublings);
     let bound = bound.min(settings.longest);
     bound.mul_f64(rng.random_range(0.5..=1.0))
--- a/src/retry/window.rs
+++ b/src/retry/window.rs
@@ -37,15 +37,15 @@
 
     /// Counts a request, which earns a part of a retry.
     pub fn count_request(&mut self, settings: WindowSettings, now: Instant) {
-        forget(&mut self.requests, settings.window, now);
+        remove_expired(&mut self.requests, settings.window, now);
         self.requests.push_back(now);
     }
 
     /// Takes one retry; `false` if the window has none left.
     #[must_use]
     pub fn spend(&mut self, settings: WindowSettings, now: Instant) -> bool {
-        forget(&mut self.requests, settings.window, now);
-        forget(&mut self.retries, settings.window, now);
+        remove_expired(&mut self.requests, settings.window, now);
+        remove_expired(&mut self.retries, settings.window, now);
         let earned = settings.ratio * self.requests.len() as f64;
         if self.retries.len() as f64 + 1.0 > earned + settings.slack {
             return false;
@@ -61,7 +61,7 @@
     }
 }
 
-fn forget(moments: &mut VecDeque<Instant>, window: Duration, now: Instant) {
+fn remove_expired(moments: &mut VecDeque<Instant>, window: Duration, now: Instant) {
     while moments
         .front()
         .is_some_and(|at| now.saturating_duration_since(*at) >= window)
--- a/tests/entry_decisions.rs
+++ b/tests/entry_decisions.rs
@@ -11,7 +11,7 @@
 use jackdawwick::membership::GossipTable;
 use jackdawwick::peer::{HostListing, HostView, KnownHost, SeenListing};
 use jackdawwick::permits::LimitListing;
-use jackdawwick::poison::PoisonListing;
+use jackdawwick::poison::PoisonDelta;
 use jackdawwick::retry::{WindowBudget, WindowSettings};
 use proptest::prelude::*;
 
@@ -181,7 +181,7 @@
         seen: SeenListing::default(),
         counts: Vec::new(),
         log: None,
-        poison: PoisonListing::default(),
+        poison: PoisonDelta::default(),
         limits: LimitListing::default(),
     }
 }
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use futures::FutureExt;
+use jackdawwick::delta_sync::DeltaBounds;
 use jackdawwick::fleet::{TargetLoad, TargetUse, UseScope, ZoneUses, target_key};
 use jackdawwick::peer::{
     self, EntryHandlers, FollowAnswer, FollowQuestion, HostListing, HostView, KnownHost, LogAges,
     PeerHandle, PeerSettings, SeenListing, ZoneCount,
 };
 use jackdawwick::permits::{LimitListing, LimitWord, PermitAnswer, PermitQuestion, RateLimit};
-use jackdawwick::poison::{PoisonEvent, PoisonListing, PoisonNote};
-use jackdawwick::spread::ListingBounds;
+use jackdawwick::poison::{PoisonDelta, PoisonEvent, PoisonEvidence};
 
 fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -40,13 +40,13 @@
             since: Duration::from_secs(90_000),
             read: Duration::from_millis(640),
         }),
-        poison: PoisonListing {
-            bounds: ListingBounds {
+        poison: PoisonDelta {
+            bounds: DeltaBounds {
                 from: 3,
                 to: 5,
                 seen_to: 4,
             },
-            notes: Vec::new(),
+            evidence: Vec::new(),
         },
         limits: LimitListing::default(),
     }
@@ -74,8 +74,8 @@
     }
 }
 
-fn noted(number: u64) -> PoisonNote {
-    PoisonNote {
+fn noted(number: u64) -> PoisonEvidence {
+    PoisonEvidence {
         request: u64::MAX - number,
         event: match number {
             0 => PoisonEvent::Survived,
@@ -146,8 +146,8 @@
             zone: "vake".into(),
             hosts: 39,
         }],
-        poison: PoisonListing {
-            notes: (0..3).map(noted).collect(),
+        poison: PoisonDelta {
+            evidence: (0..3).map(noted).collect(),
             ..view("").poison
         },
         limits: LimitListing {
@@ -240,8 +240,8 @@
         ..view("front-saburtalo-1")
     };
     let with_notes = HostView {
-        poison: PoisonListing {
-            notes: (0..ITEMS as u64).map(noted).collect(),
+        poison: PoisonDelta {
+            evidence: (0..ITEMS as u64).map(noted).collect(),
             ..view("").poison
         },
         ..view("front-saburtalo-1")
--- a/tests/fleet_in_memory/mod.rs
+++ b/tests/fleet_in_memory/mod.rs
@@ -242,7 +242,7 @@
     ) -> HostView {
         let host = &self.hosts[place];
         let uses = host.fleet.uses(view.scope, listener);
-        let poison = host.poison.listing_for(address, self.now);
+        let poison = host.poison.delta_for(address, self.now);
         HostView {
             uses,
             poison,
@@ -257,7 +257,7 @@
             return;
         }
         host.poison
-            .take_listing(view.address, view.incarnation, &view.poison, now);
+            .apply_delta(view.address, view.incarnation, &view.poison, now);
         let source = UseSource::of(view.scope, &view.host, &view.zone, &host.zone);
         if let Some(source) = source {
             host.fleet.observe_uses(source, view.uses.clone(), now);
@@ -271,5 +271,5 @@
         + USE_BYTES * view.uses.len()
         + LISTED_BYTES * view.listing.hosts.len()
         + COUNT_BYTES * view.counts.len()
-        + NOTE_BYTES * view.poison.notes.len()
+        + NOTE_BYTES * view.poison.evidence.len()
 }
--- a/tests/leaving_fleet/host.rs
+++ b/tests/leaving_fleet/host.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use jackdawwick::entry::{LogCopy, RelayedLog, TargetFollower, TargetPace};
+use jackdawwick::entry::{LogCopy, RelayedLog, TargetFollower, TargetTiming};
 use jackdawwick::forward::ServingTables;
 use jackdawwick::ids::HostId;
 use jackdawwick::peer::{FollowAnswer, FollowQuestion};
@@ -44,7 +44,7 @@
             budget,
         ));
         let copy = Arc::new(LogCopy::new(tables.clone()));
-        let pace = TargetPace {
+        let pace = TargetTiming {
             drain: Duration::from_millis(DRAIN_MS),
             heartbeat: Duration::from_millis(HEARTBEAT_MS),
         };
@@ -82,7 +82,7 @@
             incarnation: self.incarnation,
             fresh: self.is_fresh(now_ms),
             age: self.age(now_ms),
-            ..self.copy.answer(question, known, now)
+            ..self.copy.reply(question, known, now)
         }
     }
 
--- a/tests/leaving_fleet/world.rs
+++ b/tests/leaving_fleet/world.rs
@@ -228,7 +228,7 @@
         if read.is_ok() {
             self.hosts[host].read_ms = Some(self.now_ms);
         }
-        self.hosts[host].follower.take(read, now);
+        self.hosts[host].follower.apply_read(read, now);
     }
 
     /// A host that follows asks the first one of its zone.
@@ -242,7 +242,7 @@
                 let state = &mut self.hosts[host];
                 state.read_ms = state.read_ms.max(now_ms.checked_sub(age));
                 state.follows = true;
-                state.follower.forget_place();
+                state.follower.reset_position();
             }
             None => {
                 let state = &mut self.hosts[host];
@@ -269,14 +269,14 @@
         }
         let name = &self.hosts[other].name;
         let now = self.now();
-        let question = self.hosts[host].relayed.question(name, Duration::ZERO, now);
+        let question = self.hosts[host].relayed.request(name, Duration::ZERO, now);
         Some(self.hosts[other].answer(question, self.now_ms, now))
     }
 
     fn take(&mut self, host: usize, other: usize, answer: FollowAnswer) {
         let now = self.now();
         let name = self.hosts[other].name.clone();
-        self.hosts[host].relayed.take(&name, answer, now);
+        self.hosts[host].relayed.apply(&name, answer, now);
     }
 
     fn exchange_words(&mut self) {
@@ -298,7 +298,7 @@
         let now = self.now();
         let zone = zone_name(self.hosts[host].zone).into();
         if let Some(ages) = self.hosts[host].copy.log_ages(now) {
-            self.hosts[listener].copy.observe_word(&zone, ages, now);
+            self.hosts[listener].copy.observe_ages(&zone, ages, now);
         }
     }
 }
--- a/tests/log_continuity.rs
+++ b/tests/log_continuity.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jackdawwick::entry::{DoubtedTargets, LogContinuity, LogGap};
+use jackdawwick::entry::{LogContinuity, LogGap, SuspectTargets};
 use jackdawwick::ids::ZoneId;
 use jackdawwick::peer::LogAges;
 
@@ -23,7 +23,7 @@
     /// A host that has read the log for ten seconds.
     fn of_a_reader() -> Self {
         let mut continuity = LogContinuity::default();
-        continuity.set_lapse(LAPSE);
+        continuity.set_expiry(LAPSE);
         let start = Instant::now() + Duration::from_secs(60);
         let mut story = Self { start, continuity };
         story.read_from_to(0, 10_000);
@@ -53,7 +53,7 @@
             read: Duration::from_millis(now - read),
         };
         let now = self.at(now);
-        self.continuity.observe_word(&zone.into(), ages, now);
+        self.continuity.observe_ages(&zone.into(), ages, now);
     }
 }
 
@@ -71,18 +71,18 @@
 fn the_targets_own_zone_decides_whether_its_entry_can_have_lapsed() {
     let mut story = Story::of_a_reader();
     let gap = story.read_again(16_000);
-    let mut doubted = DoubtedTargets::default();
-    doubted.doubt("left", zone("far"), 7, gap);
-    doubted.doubt("cut", zone("own"), 8, gap);
-    assert!(doubted.take_disproved(&story.continuity).is_empty());
+    let mut suspects = SuspectTargets::default();
+    suspects.suspect("left", zone("far"), 7, gap);
+    suspects.suspect("cut", zone("own"), 8, gap);
+    assert!(suspects.take_confirmed(&story.continuity).is_empty());
     story.hear("far", 0, 15_900, 16_400);
-    let settled = doubted.take_disproved(&story.continuity);
-    assert_eq!(settled.len(), 1);
-    assert_eq!((&*settled[0].id, settled[0].offset), ("left", 7));
-    assert!(doubted.gap("cut").is_some());
+    let removals = suspects.take_confirmed(&story.continuity);
+    assert_eq!(removals.len(), 1);
+    assert_eq!((&*removals[0].id, removals[0].offset), ("left", 7));
+    assert!(suspects.gap("cut").is_some());
     // A neighbour that was cut off as well proves nothing.
     story.hear("own", 16_100, 16_300, 16_400);
-    assert!(doubted.take_disproved(&story.continuity).is_empty());
+    assert!(suspects.take_confirmed(&story.continuity).is_empty());
 }
 
 /// A host that was cut off alone hears from its neighbours that its own zone had the log.
@@ -103,17 +103,17 @@
 fn a_doubt_outlasts_the_return_of_entries_and_ends_before_the_host_counts_as_sound() {
     let mut story = Story::of_a_reader();
     let gap = story.read_again(16_000);
-    let mut doubted = DoubtedTargets::default();
-    doubted.doubt("a", zone("own"), 7, gap);
-    let due = doubted.next_due(&story.continuity).expect("a doubt");
+    let mut suspects = SuspectTargets::default();
+    suspects.suspect("a", zone("own"), 7, gap);
+    let due = suspects.next_due(&story.continuity).expect("a doubt");
     assert!(due > gap.until + RETURN_TIME);
     assert!(due + Duration::from_millis(600) < gap.until + CONTACT_TIME);
     story.read_from_to(16_600, 17_800);
     story.read_from_to(18_199, 18_199);
-    assert!(doubted.take_due(&story.continuity).is_empty());
+    assert!(suspects.take_due(&story.continuity).is_empty());
     assert_eq!(story.continuity.observe_read(due, false), None);
-    assert_eq!(doubted.take_due(&story.continuity).len(), 1);
-    assert_eq!(doubted.next_due(&story.continuity), None);
+    assert_eq!(suspects.take_due(&story.continuity).len(), 1);
+    assert_eq!(suspects.next_due(&story.continuity), None);
 }
 
 /// Symptom: sound targets are dropped, and with them all requests that they run. Sequence:
@@ -123,21 +123,21 @@
 fn a_second_outage_begins_the_doubt_anew() {
     let mut story = Story::of_a_reader();
     let first = story.read_again(16_000);
-    let mut doubted = DoubtedTargets::default();
-    doubted.doubt("a", zone("own"), 7, first);
+    let mut suspects = SuspectTargets::default();
+    suspects.suspect("a", zone("own"), 7, first);
     // Without the log no doubt ends.
-    assert!(doubted.take_due(&story.continuity).is_empty());
+    assert!(suspects.take_due(&story.continuity).is_empty());
     let second = story.read_again(20_000);
-    doubted.extend(second);
-    assert!(doubted.take_due(&story.continuity).is_empty());
+    suspects.extend(second);
+    assert!(suspects.take_due(&story.continuity).is_empty());
     assert!(
-        doubted
+        suspects
             .next_due(&story.continuity)
             .is_some_and(|due| due > second.until + RETURN_TIME)
     );
     // Hosts that had the log through the first outage only prove nothing.
     story.hear("own", 0, 17_000, 20_100);
-    assert!(doubted.take_disproved(&story.continuity).is_empty());
+    assert!(suspects.take_confirmed(&story.continuity).is_empty());
 }
 
 /// Two hosts that took turns in reading had the log between them; a pause in which
--- a/tests/log_reader.rs
+++ b/tests/log_reader.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use jackdawwick::entry::{FollowCursor, LogCopy, LogDuty, TargetPace, follow_targets};
+use jackdawwick::entry::{FollowCursor, LogCopy, LogRole, TargetTiming, follow_targets};
 use jackdawwick::forward::ServingTables;
 use jackdawwick::platform::log_calls::{CallLimits, LogClient, LogError};
 use jackdawwick::retry::WindowSettings;
@@ -17,7 +17,7 @@
     answer: Duration::from_millis(150),
     newest: Duration::from_millis(150),
 };
-const USUAL_PACE: TargetPace = TargetPace {
+const USUAL_PACE: TargetTiming = TargetTiming {
     drain: Duration::from_millis(600),
     heartbeat: Duration::from_millis(1200),
 };
@@ -170,8 +170,8 @@
 /// Follows a log that gives these answers, for as long as the sender says so.
 async fn spawn_follower(
     answers: Vec<Vec<u8>>,
-    pace: TargetPace,
-) -> (Arc<ServingTables>, tokio::sync::watch::Sender<LogDuty>) {
+    pace: TargetTiming,
+) -> (Arc<ServingTables>, tokio::sync::watch::Sender<LogRole>) {
     let reader = LogClient::open(spawn_log(vec![answers]).await, LIMIT);
     let budget = WindowSettings {
         window: LIMIT.answer,
@@ -180,7 +180,7 @@
     };
     let tables = Arc::new(ServingTables::new("h".into(), "z".into(), budget));
     let copy = Arc::new(LogCopy::new(tables.clone()));
-    let (direct, reads) = tokio::sync::watch::channel(LogDuty::Reads);
+    let (direct, reads) = tokio::sync::watch::channel(LogRole::Reader);
     tokio::spawn(follow_targets(copy, reader, pace, reads));
     (tables, direct)
 }
@@ -225,7 +225,7 @@
     let first = vec![answer("200 OK", &all), answer("503 Busy", b"")];
     let later = vec![answer("200 OK", &lapsed), answer("200 OK", &left)];
     let answers = [first, later].concat();
-    let pace = TargetPace {
+    let pace = TargetTiming {
         drain: Duration::from_millis(60),
         // The outage of one read lasts longer than two of these.
         heartbeat: Duration::from_millis(10),
@@ -269,9 +269,9 @@
     let answers = vec![answer("200 OK", &all), answer("200 OK", &left)];
     let (tables, direct) = spawn_follower(answers, USUAL_PACE).await;
     wait_until_known(&tables, "b").await;
-    direct.send(LogDuty::Follows).expect("a reader");
+    direct.send(LogRole::Follower).expect("a reader");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    direct.send(LogDuty::Reads).expect("a reader");
+    direct.send(LogRole::Reader).expect("a reader");
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
 }
@@ -292,9 +292,9 @@
     let (tables, direct) = spawn_follower(answers, USUAL_PACE).await;
     wait_until_known(&tables, "b").await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    direct.send(LogDuty::Follows).expect("a reader");
+    direct.send(LogRole::Follower).expect("a reader");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    direct.send(LogDuty::Reads).expect("a reader");
+    direct.send(LogRole::Reader).expect("a reader");
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
 }
@@ -328,10 +328,10 @@
 fn the_number_of_one_hosts_changes_is_not_asked_of_another() {
     let mut cursor = FollowCursor::default();
     let (first, second) = ("a".into(), "b".into());
-    assert_eq!(cursor.question(&second, 3).incarnation, 0);
+    assert_eq!(cursor.request(&second, 3).incarnation, 0);
     cursor.advance(&second, 7, 41);
-    assert_eq!(cursor.question(&second, 3).from, 41);
-    let asked = cursor.question(&first, 3);
+    assert_eq!(cursor.request(&second, 3).from, 41);
+    let asked = cursor.request(&first, 3);
     assert_ne!(asked.incarnation, 7);
     // Not the first question: the asking host has targets.
     assert_ne!(asked.incarnation, 0);
@@ -364,11 +364,11 @@
 #[test]
 fn hosts_that_nobody_follows_try_less_often_while_the_log_is_down() {
     let usual = Duration::from_millis(600);
-    assert_eq!(LogDuty::StandsIn.retry_pause(usual, 0), usual);
-    assert_eq!(LogDuty::StandsIn.retry_pause(usual, 1), usual);
-    assert_eq!(LogDuty::StandsIn.retry_pause(usual, 2), usual * 2);
-    assert_eq!(LogDuty::StandsIn.retry_pause(usual, 90), usual * 8);
-    assert_eq!(LogDuty::Reads.retry_pause(usual, 90), usual);
+    assert_eq!(LogRole::FallbackReader.retry_pause(usual, 0), usual);
+    assert_eq!(LogRole::FallbackReader.retry_pause(usual, 1), usual);
+    assert_eq!(LogRole::FallbackReader.retry_pause(usual, 2), usual * 2);
+    assert_eq!(LogRole::FallbackReader.retry_pause(usual, 90), usual * 8);
+    assert_eq!(LogRole::Reader.retry_pause(usual, 90), usual);
 }
 
 /// Symptom: for 1.6 s after a start of 195 hosts many have no configuration and
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -6,8 +6,8 @@
 
 use jackdawwick::ids::{IncarnationId, RequestKey};
 use jackdawwick::poison::{
-    PoisonEvent, PoisonListing, PoisonNote, PoisonTable, PoisonVerdict, RequestIdentity, RunStart,
-    request_key,
+    PoisonDelta, PoisonEvent, PoisonEvidence, PoisonTable, PoisonVerdict, RequestIdentity,
+    RunStart, request_key,
 };
 use proptest::prelude::*;
 
@@ -25,8 +25,8 @@
     Duration::from_secs(seconds)
 }
 
-fn ended(request: RequestKey, target: u64, age: Duration) -> PoisonNote {
-    PoisonNote {
+fn ended(request: RequestKey, target: u64, age: Duration) -> PoisonEvidence {
+    PoisonEvidence {
         request,
         event: PoisonEvent::Ended(target),
         age,
@@ -210,17 +210,17 @@
         }
     }
 
-    fn hear(&mut self, other: &Self, listing: &PoisonListing, now: Instant) {
+    fn hear(&mut self, other: &Self, listing: &PoisonDelta, now: Instant) {
         let (address, incarnation) = (other.address, other.incarnation);
-        self.table.take_listing(address, incarnation, listing, now);
+        self.table.apply_delta(address, incarnation, listing, now);
     }
 }
 
 /// One call and its answer.
 fn exchange(caller: &mut Speaker, callee: &mut Speaker, now: Instant) {
-    let question = caller.table.listing_for(callee.address, now);
+    let question = caller.table.delta_for(callee.address, now);
     callee.hear(caller, &question, now);
-    let answer = callee.table.listing_for(caller.address, now);
+    let answer = callee.table.delta_for(caller.address, now);
     caller.hear(callee, &answer, now);
 }
 
@@ -271,9 +271,9 @@
     }
     let mut exchanges = 0;
     loop {
-        let listing = one.table.listing_for(other.address, now);
-        assert!(listing.notes.len() <= MOST_NOTES);
-        if listing.notes.is_empty() {
+        let listing = one.table.delta_for(other.address, now);
+        assert!(listing.evidence.len() <= MOST_NOTES);
+        if listing.evidence.is_empty() {
             break;
         }
         exchange(&mut one, &mut other, now);
@@ -284,12 +284,12 @@
     assert_eq!(exchanges, 2 * MOST_RECORDS / MOST_NOTES);
 }
 
-fn any_note() -> impl Strategy<Value = PoisonNote> {
+fn any_note() -> impl Strategy<Value = PoisonEvidence> {
     let event = prop_oneof![
         6 => (1..6_u64).prop_map(PoisonEvent::Ended),
         1 => Just(PoisonEvent::Survived),
     ];
-    (1..4_u64, event, 0..20_u64).prop_map(|(request, event, age)| PoisonNote {
+    (1..4_u64, event, 0..20_u64).prop_map(|(request, event, age)| PoisonEvidence {
         request,
         event,
         // Moments that differ do so by more than messages take.
