--- a/src/delta_sync.rs
+++ b/src/delta_sync.rs
@@ -1,8 +1,8 @@
-//! How far hosts have heard of each other's listings of what changed.
+//! Tracks how far hosts have received the deltas of each other's tables.
 //!
-//! Listings travel with the views that hosts exchange anyway. Each names the versions
-//! of the speaker's table that it covers, and up to where the listener's own listings
-//! were taken in, so that only what is news is told.
+//! Deltas travel with the views that hosts exchange. Each names the versions of the
+//! sender's table that it covers and the version up to which the sender has applied the
+//! receiver's deltas, so that only updates are sent.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,43 +10,43 @@
 use crate::collections::FastMap;
 use crate::ids::IncarnationId;
 
-/// How long a host that says nothing is remembered. One that comes back later is
-/// told everything again.
+/// Time after which a silent host is forgotten. A host that returns later is sent the whole
+/// table again.
 const PEER_EXPIRY: Duration = Duration::from_secs(60);
 
-/// The versions that a listing covers.
+/// The versions that a delta covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DeltaBounds {
-    /// Version of the speaker's table from which on changes are listed.
+    /// Version of the sender's table from which on changes are included.
     pub from: u64,
-    /// Version up to which they are.
+    /// Version of the sender's table up to which changes are included.
     pub to: u64,
-    /// Version of the listener's table up to which its listings were taken in.
+    /// Version of the receiver's table up to which the sender has applied its deltas.
     pub seen_to: u64,
 }
 
-/// How far another host and this one have heard of each other.
+/// Progress of the exchange between this host and a peer.
 #[derive(Debug, Clone, Copy)]
 struct PeerProgress {
-    /// Its start; another one has another table.
+    /// Incarnation of the peer; another incarnation has another table.
     incarnation: IncarnationId,
-    /// Version of its table up to which its listings were taken in.
+    /// Version of the peer's table up to which its deltas have been applied.
     received_to: u64,
-    /// Version of this host's table up to which it has taken listings in.
+    /// Version of this host's table up to which the peer has applied deltas.
     acknowledged_to: u64,
-    /// When it was last heard.
+    /// When the peer was last heard from.
     at: Instant,
 }
 
-/// How far the hosts that this one exchanges views with have heard of its listings.
+/// Progress of the exchange with each peer.
 #[derive(Debug, Default)]
 pub struct DeltaProgress {
     peers: FastMap<SocketAddr, PeerProgress>,
 }
 
 impl DeltaProgress {
-    /// Bounds of a listing of everything up to `version` that the host at an address
-    /// has not heard.
+    /// Returns the bounds of a delta of everything up to `version` that the host at
+    /// `address` has not acknowledged.
     pub fn bounds_for(&self, address: SocketAddr, version: u64) -> DeltaBounds {
         let peer = self.peers.get(&address);
         DeltaBounds {
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Takes in the bounds of a listing by a start of the host at an address.
+    /// Records the bounds of a delta that the host at `address` sent as `incarnation`.
     ///
-    /// A host that starts again knows nothing, and counts its versions anew. What the
-    /// other one goes by is from before for one exchange: it lists from a version that
-    /// this start has not heard up to, which is then not taken for heard, and the next
-    /// listing begins where this one says.
+    /// A host that restarts has an empty table and counts its versions from zero. For one
+    /// exchange its peer still uses the progress of the previous incarnation and sends a
+    /// delta that begins beyond what the new incarnation has received. Such a delta does
+    /// not advance `received_to`, so that the next one begins at the right version.
     pub fn observe(
         &mut self,
         address: SocketAddr,
--- a/src/poison.rs
+++ b/src/poison.rs
@@ -1,16 +1,16 @@
-//! Poison requests: each target that begins to run one crashes.
+//! Detection of poison requests, which crash each target that begins to run one.
 //!
-//! Without this, one request takes down engine after engine for as long as its
-//! caller comes back, at whichever host, and everything else that ran there with it.
+//! Without detection, one request takes down engine after engine, with everything else that
+//! runs there, for as long as its caller retries it at any host.
 //!
-//! - [`request_key`] tells which attempts are the same request.
-//! - A [`RunStart`] tells whether a target ended as the request began to run there.
-//! - A [`PoisonTable`] holds the targets that ended under each request, and says
-//!   which requests are refused. Hosts tell each other its notes with the views that
-//!   they exchange ([`PoisonDelta`]); what is refused is kept in the platform's log
-//!   besides, so that it outlives a restart of all hosts.
+//! - [`request_key`] identifies the attempts of one request.
+//! - [`RunStart`] tells whether a target ended as a request began to run there.
+//! - [`PoisonTable`] holds the targets that ended under each request and decides which
+//!   requests are refused. Hosts exchange its changes with their views ([`PoisonDelta`]).
+//!   Refused requests are also kept in the platform's log, so that they outlive a restart
+//!   of all hosts.
 //!
-//! Pure: the present time is an argument.
+//! The module does no I/O and reads no clock: the present time is an argument.
 
 mod delta;
 mod evidence;
--- a/src/poison/delta.rs
+++ b/src/poison/delta.rs
@@ -1,4 +1,5 @@
-//! How notes reach all hosts: with the views that hosts exchange anyway.
+//! Replication of the poison table to other hosts, as deltas in the views that hosts
+//! exchange.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -7,15 +8,15 @@
 use super::table::PoisonTable;
 use crate::ids::{IncarnationId, RequestKey};
 
-/// Notes in one listing at the most: 20 bytes each, four times a second in both
-/// directions, 10 KB a second while there is ever more news, under half of what a
-/// host may spend on control. A full table has reached a host that starts after some
-/// five exchanges, 1.3 s.
+/// Maximum number of evidence items in one delta. At 20 bytes each, four times a second in
+/// both directions, a steady stream of updates costs 10 KB a second, under half of the
+/// control budget of a host. A full table reaches a newly started host after about five
+/// exchanges, 1.3 s.
 const MAX_DELTA_EVIDENCE: usize = 64;
 
 impl PoisonTable {
-    /// What to tell the host at an address: everything that changed since what it
-    /// said that it has taken in, oldest changes first.
+    /// Returns the evidence that changed since the version that the host at `address` has
+    /// acknowledged, oldest changes first.
     pub fn delta_for(&self, address: SocketAddr, now: Instant) -> PoisonDelta {
         let mut bounds = self.progress.bounds_for(address, self.version);
         let updates = self.records.iter();
@@ -36,8 +37,8 @@
         PoisonDelta { bounds, evidence }
     }
 
-    /// Takes in what a start of the host at an address lists; gives the requests that
-    /// are refused from now on.
+    /// Applies a delta from the host at `address`, which runs as `incarnation`, and returns
+    /// the requests that are refused from now on.
     pub fn apply_delta(
         &mut self,
         address: SocketAddr,
--- a/src/poison/evidence.rs
+++ b/src/poison/evidence.rs
@@ -1,35 +1,36 @@
-//! What hosts tell each other of poison requests.
+//! Evidence on poison requests that hosts exchange.
 
 use std::time::Duration;
 
 use crate::delta_sync::DeltaBounds;
 use crate::ids::{RequestKey, TargetKey};
 
-/// Something that one host saw of a request.
+/// An observation of a request by one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoisonEvidence {
     /// The request.
     pub request: RequestKey,
-    /// What became of it.
+    /// What was observed.
     pub event: PoisonEvent,
-    /// Time since then.
+    /// Time since the observation.
     pub age: Duration,
 }
 
-/// What became of a request on a target.
+/// Outcome of a request on a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PoisonEvent {
     /// The process of this target ended as the request began to run there.
     Ended(TargetKey),
-    /// A target ran it and lives on: nothing from before speaks against it.
+    /// A target ran the request and stayed up, which cancels all earlier evidence.
     Survived,
 }
 
-/// The notes that a host has for another one, and what it has heard of that one's.
+/// Changes of a host's poison table for one peer, and how far the peer's own deltas have
+/// been applied.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PoisonDelta {
-    /// The versions that it covers.
+    /// The versions that the delta covers.
     pub bounds: DeltaBounds,
-    /// The notes of the records that changed in between.
+    /// Evidence of the records that changed between these versions.
     pub evidence: Vec<PoisonEvidence>,
 }
--- a/src/poison/key.rs
+++ b/src/poison/key.rs
@@ -1,11 +1,11 @@
-//! Which attempts are the same request.
+//! Keys that identify the attempts of one request.
 
 use sha2::{Digest, Sha256};
 
 use crate::ids::RequestKey;
 
-/// What is alike in all attempts of one request: the ids of attempts differ, and
-/// so do their deadlines.
+/// The parts of a request that are equal in all of its attempts. Attempt ids and deadlines
+/// differ and are left out.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestIdentity<'a> {
     /// HTTP method.
@@ -14,22 +14,23 @@
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Who is asking, if the configuration knows organisations.
+    /// The calling organisation, if the configuration defines organisations.
     pub organisation: Option<&'a str>,
     /// The whole body.
     pub body: &'a [u8],
 }
 
-/// A key as it stands in log lines and records.
+/// Formats a key as in log lines and records.
 pub fn key_text(request: RequestKey) -> String {
     format!("{request:016x}")
 }
 
-/// The key of a request, alike on all hosts and in every version of the program.
+/// Returns the key of a request, which is equal on all hosts and in all versions of the
+/// program.
 ///
-/// Eight bytes of a cryptographic hash: a caller cannot make a request that is
-/// taken for another organisation's. With 256 keys remembered, one of 10^16
-/// requests is taken for another one by chance.
+/// The key is eight bytes of a cryptographic hash, so that a caller cannot craft a request
+/// that collides with another organisation's. With 256 keys remembered, one of 10^16
+/// requests collides by chance.
 pub fn request_key(identity: RequestIdentity<'_>) -> RequestKey {
     let parts = [
         identity.method.as_bytes(),
@@ -39,7 +40,8 @@
         identity.body,
     ];
     let hash = parts.iter().fold(Sha256::new(), |hash, part| {
-        // The length keeps the end of one part from being read as the next one.
+        // The length prefix keeps the end of one part from being read as the start of the
+        // next.
         hash.chain_update((part.len() as u64).to_le_bytes())
             .chain_update(part)
     });
--- a/src/poison/record.rs
+++ b/src/poison/record.rs
@@ -1,44 +1,44 @@
-//! What is known of one request.
+//! The evidence on one request.
 
 use std::time::{Duration, Instant};
 
 use super::evidence::{PoisonEvent, PoisonEvidence};
 use crate::ids::{RequestKey, TargetKey};
 
-/// Targets that have to end under a request before it is refused.
+/// Number of different targets that must end under a request before it is refused.
 ///
-/// One proves nothing: everything that ran on a lost engine would be refused with
-/// it, some 20 to 60 requests each time. Two are what a request meets that is taken
-/// up again in a rack that loses its power. A request is tried twice by a host and
-/// comes a second time, so that three are met by chance by few; and three is what
-/// the operators of the engines bear.
+/// One would refuse everything that ran on a lost engine, 20 to 60 requests each time. Two
+/// are reached by a request that is retried within a rack that loses power. A host tries a
+/// request twice and the caller sends it a second time, so three are rarely reached by
+/// chance, and the operators of the engines accept the loss of three.
 pub(super) const ENDS_TO_REFUSE: usize = 3;
-/// Different targets that are remembered of a request.
+/// Maximum number of different targets that are remembered for a request.
 const MAX_ENDS: usize = ENDS_TO_REFUSE + REFUSAL_TIMES.len() - 1;
-/// How long a request is refused after the last target that ended under it, by how
-/// many ended beyond those that prove it.
+/// Time for which a request is refused after the last target that ended under it, indexed
+/// by the number of targets beyond [`ENDS_TO_REFUSE`].
 ///
-/// Proofs can err: a service that loses all its targets, three times in an hour, takes
-/// along a request that all callers send alike. One that was refused for good would
-/// never show that nothing is wrong with it. So it is tried again, ever more rarely: a
-/// poison request takes down three targets more in the first day, and one a week then.
+/// The evidence can be wrong: a service that loses all its targets three times in an hour
+/// incriminates a request that all callers send alike, and a request that is refused
+/// forever can never be cleared. It is therefore tried again at growing intervals: a poison
+/// request takes down three more targets on the first day and one a week after that.
 const REFUSAL_TIMES: [Duration; 4] = [
     Duration::from_secs(600),
     Duration::from_secs(3600),
     Duration::from_secs(24 * 3600),
     POISON_EXPIRY,
 ];
-/// How long it is remembered that a request is poison: software and weights of engines
-/// are replaced within weeks.
+/// Time after which a poison request is forgotten: the software and weights of engines are
+/// replaced within weeks.
 const POISON_EXPIRY: Duration = Duration::from_secs(7 * 24 * 3600);
-/// How long targets that ended under a request speak against it: callers come again
-/// within seconds, and those that a person sends again within the hour.
+/// Time for which targets that ended under a request count as evidence: callers retry
+/// within seconds, and people resend within the hour.
 const SUSPECT_EXPIRY: Duration = Duration::from_secs(3600);
-/// How long it is remembered that a request was survived: as long as word of an end
-/// before may still be on its way, which takes seconds, or a cut zone's minutes.
+/// Time for which a survival is remembered. Evidence of an earlier end can still arrive,
+/// usually within seconds and from a partitioned zone within minutes.
 const SURVIVED_EXPIRY: Duration = Duration::from_secs(600);
-/// A later moment counts as the same one within this time: the age of a note grows
-/// by its time on the way, and two hosts would tell each other the same news for ever.
+/// Time within which a later moment counts as equal. The age of evidence grows by its time
+/// in transit, and without a tolerance two hosts would send each other the same evidence
+/// forever.
 const TIME_TOLERANCE: Duration = Duration::from_secs(2);
 
 /// A target that ended as a request began to run there.
@@ -48,17 +48,17 @@
     pub(super) at: Instant,
 }
 
-/// What is known of one request.
+/// The evidence on one request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PoisonRecord {
-    /// Different targets, the last ones to end.
+    /// The most recent ends, one per target.
     pub(super) ends: Vec<TargetEnd>,
-    /// When a target last ran it and lived on.
+    /// When a target last survived the request.
     survived: Option<Instant>,
-    /// Version of the table at its last change.
+    /// Version of the table at the last change of this record.
     pub(super) changed: u64,
-    /// Targets that the platform's log names; none if it does not say that the request
-    /// is poison.
+    /// Number of targets that the platform's log names; 0 if the log does not list the
+    /// request as poison.
     pub(super) in_log: usize,
 }
 
@@ -76,7 +76,7 @@
         until.is_some_and(|(refused_for, last)| now < last + *refused_for)
     }
 
-    /// Targets that the platform's log has to name.
+    /// Returns the number of targets that the platform's log has to name.
     pub(super) fn required_in_log(&self, now: Instant) -> usize {
         match self.ends.len() {
             ends @ ENDS_TO_REFUSE.. if !self.has_expired(now) => ends,
@@ -137,7 +137,7 @@
         true
     }
 
-    /// All that there is to tell of the request.
+    /// Returns all evidence on the request.
     pub(super) fn evidence(&self, request: RequestKey, now: Instant) -> Vec<PoisonEvidence> {
         let survived = self.survived.map(|at| PoisonEvidence {
             request,
--- a/src/poison/run_start.rs
+++ b/src/poison/run_start.rs
@@ -1,28 +1,28 @@
-//! Whether a request has just begun to run on a target.
+//! Tracks whether a request has only just begun to run on a target.
 
 use std::time::{Duration, Instant};
 
-/// How long events of a request have to come from a target before the target's end says
-/// nothing about the request.
+/// Time since the first event of a request after which the end of its target is no evidence
+/// against the request.
 ///
-/// An engine crashes in its first passes of a poison request: it ended 50 to 170 ms
-/// after it was sent one, before the first event. Half a second is three times that, and
-/// more than two of the longest pauses that callers are promised. Streams run for three
-/// seconds on average, so that most of the requests on an engine that is lost for another
-/// reason are not even suspected.
+/// An engine crashes in its first passes of a poison request: 50 to 170 ms after it
+/// receives one, before the first event. Half a second is three times that and more than
+/// two of the longest pauses that callers are promised. Streams run for three seconds on
+/// average, so that most requests on an engine that is lost for another reason are not
+/// suspected.
 const SUSPECT_TIME: Duration = Duration::from_millis(500);
-/// How long a request has to run on a target before the target is taken to survive it,
-/// so that what spoke against the request is dropped: what is not suspected yet, and not
-/// cleared yet either, lies between the two.
+/// Time since the first event of a request after which its target has survived it, which
+/// clears earlier evidence. Between [`SUSPECT_TIME`] and this a request is neither
+/// suspected nor cleared.
 const SURVIVAL_TIME: Duration = Duration::from_secs(2);
 
-/// Since when a request runs on the first target of its path.
+/// Tracks since when a request runs on the first target of its path.
 ///
-/// Only that one counts: it begins to run a request before all others of the path, and
-/// so ends of it before they do. A request depends on up to a dozen targets; with the end
-/// of each of them held against it, 0, 0, 4 and 5 attempts of healthy requests were refused
-/// on four played days of 4,000 attempts, on which a fifth of the engines crashed each
-/// second for eight seconds; with the first ones alone none was.
+/// Only the first target counts: it begins to run a request before the others of the path
+/// and so crashes before they do. A request depends on up to a dozen targets. When the end
+/// of any of them counted, up to 5 of 4,000 attempts of healthy requests were refused while
+/// a fifth of the engines crashed each second for eight seconds; with the first target
+/// alone none was.
 #[derive(Debug, Clone, Default)]
 pub struct RunStart {
     first_event: Option<Instant>,
@@ -30,18 +30,18 @@
 }
 
 impl RunStart {
-    /// Something of the answer came.
+    /// Records that an event of the response arrived.
     pub fn observe_event(&mut self, now: Instant) {
         self.first_event.get_or_insert(now);
     }
 
-    /// Whether the end of the target now may be this request's doing.
+    /// Returns whether the request may have caused the target to end now.
     pub fn is_suspect(&self, now: Instant) -> bool {
         self.first_event
             .is_none_or(|first| now < first + SUSPECT_TIME)
     }
 
-    /// Whether the target has just been found to survive the request; told once.
+    /// Returns `true` once, when the target has survived the request.
     pub fn has_survived(&mut self, now: Instant) -> bool {
         let survived = self
             .first_event
--- a/src/poison/survivors.rs
+++ b/src/poison/survivors.rs
@@ -1,22 +1,22 @@
-//! Requests that targets have just survived.
+//! Requests that targets survived recently.
 
 use std::time::{Duration, Instant};
 
 use crate::ids::RequestKey;
 
-/// How long a request that was survived is not suspected. Requests that many callers
-/// send alike, for a status or a price list, come several times a second.
+/// Time for which a survived request is not suspected. Requests that many callers send
+/// alike, for a status or a price list, come several times a second.
 const RECENT_TIME: Duration = Duration::from_secs(10);
-/// Requests that are remembered, 24 KB. Each takes one place, by its key, from the one
-/// before: of 100 other requests a second, a hundred push it out in a tenth of the
-/// cases, and it is back with its next answer.
+/// Number of remembered requests, 24 KB. A request replaces the one that has the same slot:
+/// at 100 other requests a second, a hundred of them evict a given request in a tenth of
+/// the cases, and its next response restores it.
 const SLOTS: usize = 1024;
 
-/// Requests that were survived lately, as far as there is room.
+/// A fixed-size cache of the requests that were survived recently.
 ///
-/// A target that ends takes along everything that it has just begun. Were a request
-/// that all callers send alike suspected for that, the loss of all targets of a
-/// service at once could have it refused, for everybody.
+/// A target that ends takes everything with it that it has just begun. Without this cache,
+/// the loss of all targets of a service at once could refuse a request that all callers
+/// send alike, for everybody.
 #[derive(Debug)]
 pub(super) struct RecentSurvivors {
     slots: Vec<Option<(RequestKey, Instant)>>,
--- a/src/poison/table.rs
+++ b/src/poison/table.rs
@@ -1,4 +1,4 @@
-//! The targets that ended under requests, and the requests that are refused for it.
+//! The table of targets that ended under requests, which decides what is refused.
 
 use std::time::Instant;
 
@@ -9,23 +9,24 @@
 use crate::delta_sync::DeltaProgress;
 use crate::ids::{RequestKey, TargetKey};
 
-/// Most requests that are remembered. An engine takes 192 requests at once, so that
-/// all that ran on one fit beside 64 requests that are refused. A record takes some
-/// 120 bytes: 31 KB in all, whatever the size of the fleet.
+/// Maximum number of remembered requests. An engine takes 192 requests at once, so that all
+/// that ran on one fit beside 64 refused requests. A record takes about 120 bytes, 31 KB in
+/// all, whatever the size of the fleet.
 const MAX_RECORDS: usize = 256;
-/// What a table knows of a request that a target ended under.
+
+/// The conclusion on a request after a target ended under it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PoisonVerdict {
-    /// A target ran it a moment ago and lives on: nothing speaks against it.
+    /// A target survived the request recently, which clears it.
     Survived,
-    /// So many different targets have ended under it.
+    /// This number of different targets has ended under it.
     Suspect(usize),
-    /// It is refused from now on.
+    /// The request is refused from now on.
     Poison,
 }
 
 impl PoisonVerdict {
-    /// The name used in metrics and logs.
+    /// Returns the name used in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Survived => "survived",
@@ -35,37 +36,37 @@
     }
 }
 
-/// What is known of requests that targets ended under.
+/// The evidence on requests that targets ended under.
 ///
-/// A record is a set of targets, and a moment before which nothing counts. Hosts
-/// that take in each other's notes, in any order and more than once, come to the
-/// same record, without a word on who is right.
+/// A record is a set of targets and a moment before which no evidence counts. Hosts that
+/// merge each other's evidence, in any order and more than once, arrive at the same record
+/// without further coordination.
 #[derive(Debug, Default)]
 pub struct PoisonTable {
     pub(super) records: FastMap<RequestKey, PoisonRecord>,
-    /// Grows with each change of a record.
+    /// Incremented with each change of a record.
     pub(super) version: u64,
     pub(super) progress: DeltaProgress,
     survivors: RecentSurvivors,
 }
 
-/// What the platform's log has to say of a request, and does not yet.
+/// A change that the platform's log lacks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogChange {
     /// The request.
     pub request: RequestKey,
-    /// The targets that ended under it; empty if the log has to forget it.
+    /// The targets that ended under it; empty if the log has to drop the request.
     pub ends: Vec<PoisonEvidence>,
 }
 
 impl PoisonTable {
-    /// Whether a request is refused. Asked before every attempt.
+    /// Returns whether a request is refused. Called before every attempt.
     pub fn is_poison(&self, request: RequestKey, now: Instant) -> bool {
         let record = self.records.get(&request);
         record.is_some_and(|record| record.is_poison(now))
     }
 
-    /// The process of a target ended as a request began to run there.
+    /// Records that the process of a target ended as a request began to run there.
     pub fn observe_end(
         &mut self,
         request: RequestKey,
@@ -83,7 +84,8 @@
         }
     }
 
-    /// A target ran a request and lives on. Says whether anything spoke against it.
+    /// Records that a target survived a request; returns whether there was evidence against
+    /// it.
     pub fn observe_survival(&mut self, request: RequestKey, now: Instant) -> bool {
         self.survivors.insert(request, now);
         let record = self.records.get(&request);
@@ -94,7 +96,8 @@
         suspected
     }
 
-    /// Takes in what others saw; gives the requests that are refused from now on.
+    /// Merges evidence from other hosts or the log and returns the requests that are
+    /// refused from now on.
     pub fn merge(&mut self, evidence: &[PoisonEvidence], now: Instant) -> Vec<RequestKey> {
         let mut refused = Vec::new();
         for item in evidence {
@@ -123,13 +126,14 @@
         }
     }
 
-    /// Drops what has lapsed, and what says least if that is not enough: a flood of
-    /// requests that ran on one lost engine must not push out those that are refused.
+    /// Removes expired records and, if that is not enough, the one with the least evidence:
+    /// a flood of requests that ran on one lost engine must not evict those that are
+    /// refused.
     fn make_room(&mut self, now: Instant) {
         if self.records.len() < MAX_RECORDS {
             return;
         }
-        // What the log still says has to be taken back there first.
+        // A record that the log still lists has to be removed from the log first.
         self.records
             .retain(|_, record| record.in_log > 0 || !record.has_expired(now));
         if self.records.len() < MAX_RECORDS {
@@ -145,14 +149,14 @@
         }
     }
 
-    /// How many targets the platform's log names that ended under a request.
+    /// Sets the number of targets that the platform's log names for a request.
     pub fn set_in_log(&mut self, request: RequestKey, in_log: usize) {
         if let Some(record) = self.records.get_mut(&request) {
             record.in_log = in_log;
         }
     }
 
-    /// What the platform's log has to be told.
+    /// Returns the changes that have to be written to the platform's log.
     pub fn log_changes(&self, now: Instant) -> Vec<LogChange> {
         let records = self.records.iter();
         let behind = records.filter(|(_, record)| record.required_in_log(now) != record.in_log);
@@ -166,12 +170,12 @@
         changes.collect()
     }
 
-    /// Requests that are remembered.
+    /// Returns the number of remembered requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing speaks against any request.
+    /// Returns whether there is no evidence on any request.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
