--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: the budget, the backoff and the ejection of outliers.
+//! Retries: budgets, backoff and the ejection of outliers.
 
 mod backoff;
 mod budget;
--- a/src/retry/backoff.rs
+++ b/src/retry/backoff.rs
@@ -1,10 +1,10 @@
-//! How long to wait before the next try.
+//! Delays between attempts.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// Shape of the exponential backoff.
+/// Parameters of the exponential backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffSettings {
     /// Upper bound of the first delay.
@@ -22,14 +22,14 @@
     }
 }
 
-/// Doublings after which the bound is `longest` in any case.
+/// Number of doublings after which the bound is always `longest`.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// Delay before a retry, drawn evenly between half the bound and the bound.
+/// Returns the delay before a retry, drawn uniformly between half the bound and the bound.
 ///
-/// `failures` counts the failures so far, from zero; the bound doubles with
-/// each. The jitter keeps callers that failed together from coming back
-/// together, which would show as waves of load at the doubling times.
+/// `failures` counts the failures so far, from zero; the bound doubles with each. The
+/// jitter keeps callers that failed together from retrying together, which would cause
+/// waves of load at the doubling times.
 pub fn backoff_delay<R>(settings: BackoffSettings, failures: u32, rng: &mut R) -> Duration
 where
     R: Rng + ?Sized,
--- a/src/retry/budget.rs
+++ b/src/retry/budget.rs
@@ -1,11 +1,11 @@
-//! How many retries may be sent in all.
+//! A budget that limits the total number of retries.
 
 /// Limits of a [`RetryBudget`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetSettings {
     /// Retries earned by each request, from 0 to 1.
     pub fraction: f64,
-    /// Retries that can be saved up, and that a new budget starts with.
+    /// Maximum number of saved retries, with which a new budget starts.
     pub burst: f64,
 }
 
@@ -18,13 +18,12 @@
     }
 }
 
-/// Retries earned and not yet spent.
+/// Retries that have been earned and not yet spent.
 ///
-/// Without it, a target that fails everything turns each request into
-/// several, and the retries keep the other targets overloaded after the fault
-/// has passed. One notices by a retry counter that grows faster than the
-/// requests. Because a retry has to be earned by requests, the extra load
-/// stays at the fraction.
+/// Without a budget, a target that fails everything turns each request into several, and
+/// the retries keep the other targets overloaded after the fault has passed; the symptom is
+/// a retry counter that grows faster than the requests. Because requests have to earn the
+/// retries, the extra load stays at `fraction`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetryBudget {
     settings: BudgetSettings,
@@ -32,7 +31,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(settings: BudgetSettings) -> Self {
         Self {
             settings,
@@ -40,13 +39,13 @@
         }
     }
 
-    /// Counts a request, which earns a part of a retry.
+    /// Counts a request, which earns `fraction` of a retry.
     pub fn request_started(&mut self) {
         let earned = self.saved + self.settings.fraction;
         self.saved = earned.min(self.settings.burst);
     }
 
-    /// Spends one retry; `false` if none is left, and nothing may be sent.
+    /// Spends one retry; returns `false` if none is left and nothing may be sent.
     #[must_use]
     pub fn spend(&mut self) -> bool {
         if self.saved < 1.0 {
@@ -56,7 +55,7 @@
         true
     }
 
-    /// Whole retries that could be spent now.
+    /// Returns the number of whole retries that can be spent now.
     pub fn available(&self) -> u64 {
         self.saved as u64
     }
--- a/src/retry/outlier.rs
+++ b/src/retry/outlier.rs
@@ -1,23 +1,23 @@
-//! When a target is taken out for a while because it misbehaves.
+//! Ejection of targets that fail or respond slowly.
 
 use std::time::{Duration, Instant};
 
 /// When targets are ejected and how they return.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EjectionSettings {
-    /// Failures in a row that eject a target.
+    /// Consecutive failures that eject a target.
     pub consecutive_failures: u32,
-    /// Answers in a row that were slower than `slow_factor` and eject a target.
+    /// Consecutive responses slower than `slow_factor` that eject a target.
     pub consecutive_slow: u32,
-    /// How many times longer than expected a slow answer takes.
+    /// Ratio to the expected time from which on a response counts as slow.
     pub slow_factor: f64,
-    /// Length of the first ejection; it grows by as much with each further one.
+    /// Length of the first ejection; each further one is longer by this amount.
     pub base_duration: Duration,
-    /// Upper bound of an ejection.
+    /// Upper bound of the length of an ejection.
     pub longest_duration: Duration,
-    /// Fraction of a group that may be out, from 0 to 1.
+    /// Fraction of a group that may be ejected at once, from 0 to 1.
     pub fraction_out: f64,
-    /// Time over which a returned target's weight grows back to 1.
+    /// Time over which the weight of a returned target grows back to 1.
     pub slow_start: Duration,
 }
 
@@ -36,21 +36,20 @@
 }
 
 impl EjectionSettings {
-    /// Targets of a group that may be out at once; never all of them.
+    /// Returns how many targets of a group may be ejected at once; never all of them.
     ///
-    /// Ejecting without a cap turns a fault of the network or of this host
-    /// into a group without targets; one would see every target ejected at
-    /// once and every request refused. With the cap the rest stays usable.
+    /// Without a cap, a fault of the network or of this host ejects every target at once
+    /// and every request is refused. With the cap the rest stays usable.
     pub fn allowed_out(&self, group: usize) -> usize {
         let allowed = (group as f64 * self.fraction_out) as usize;
         allowed.min(group.saturating_sub(1))
     }
 }
 
-/// Weight of a target at the moment when it returns.
+/// Weight of a target at the moment of its return.
 const WEIGHT_ON_RETURN: f64 = 0.1;
 
-/// What is known about a target's recent failures.
+/// Recent failures and ejections of a target.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TargetHealth {
     failures: u32,
@@ -61,7 +60,7 @@
 }
 
 impl TargetHealth {
-    /// Counts an answer that came within the expected time.
+    /// Counts a response that arrived within the expected time.
     pub fn answered(&mut self, settings: &EjectionSettings, now: Instant) {
         self.failures = 0;
         self.slow = 0;
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Counts an answer that took much longer than expected.
+    /// Counts a response that took much longer than expected.
     pub fn answered_slowly(&mut self, settings: &EjectionSettings, now: Instant) {
         self.failures = 0;
         self.slow += 1;
@@ -99,21 +98,21 @@
         self.returns_at = Some(now + length.min(settings.longest_duration));
     }
 
-    /// Whether the target should be out, as far as the cap allows it.
+    /// Returns whether the target should be ejected, as far as the cap allows it.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.returns_at.is_some_and(|returns| now < returns)
     }
 
-    /// When the present or last ejection began.
+    /// Returns when the current or last ejection began.
     pub fn ejected_at(&self) -> Option<Instant> {
         self.ejected_at
     }
 
-    /// Part of its rate that the target is trusted with, above 0 and up to 1.
+    /// Returns the share of its rate that the target may get, above 0 and up to 1.
     ///
-    /// A target that returns cold and is the least loaded of its group would
-    /// get the whole group's new work at once and fail again; one would see
-    /// it ejected at regular intervals. Growing weight lets it warm up.
+    /// A target that returns cold is the least loaded of its group. At full weight it would
+    /// get all new work of the group at once, fail again and be ejected at regular
+    /// intervals. The growing weight lets it warm up.
     pub fn weight(&self, settings: &EjectionSettings, now: Instant) -> f64 {
         let Some(returned) = self.returns_at else {
             return 1.0;
--- a/src/retry/window.rs
+++ b/src/retry/window.rs
@@ -1,4 +1,4 @@
-//! How many retries may be sent within a window of time.
+//! A budget that limits the retries within a time window.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -8,18 +8,18 @@
 pub struct WindowSettings {
     /// Length of the window.
     pub window: Duration,
-    /// Retries that each request of the window earns, from 0 to 1.
+    /// Retries that each request in the window earns, from 0 to 1.
     pub ratio: f64,
-    /// Retries allowed besides in each window.
+    /// Retries allowed in each window beyond the earned ones.
     pub slack: f64,
 }
 
-/// Retries and requests of the last window.
+/// Requests and retries of the last window.
 ///
-/// The platform counts retries over all hosts within any ten seconds. When
-/// each host keeps to its part of that bound, the sum does without a word
-/// between them. A bucket that only requests fill would allow less: after one
-/// lost engine it is empty for as long as a minute.
+/// The platform counts the retries of all hosts within any ten seconds. When each host
+/// keeps to its share of that bound, the sum does too, without coordination. A token bucket
+/// that only requests fill would allow less: after the loss of one engine it stays empty
+/// for up to a minute.
 #[derive(Debug, Clone)]
 pub struct WindowBudget {
     requests: VecDeque<Instant>,
@@ -27,7 +27,7 @@
 }
 
 impl WindowBudget {
-    /// A budget without history.
+    /// Creates a budget without history.
     pub fn new() -> Self {
         Self {
             requests: VecDeque::new(),
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Counts a request, which earns a part of a retry.
+    /// Counts a request, which earns `ratio` of a retry.
     pub fn count_request(&mut self, settings: WindowSettings, now: Instant) {
         remove_expired(&mut self.requests, settings.window, now);
         self.requests.push_back(now);
     }
 
-    /// Takes one retry; `false` if the window has none left.
+    /// Spends one retry; returns `false` if the window has none left.
     #[must_use]
     pub fn spend(&mut self, settings: WindowSettings, now: Instant) -> bool {
         remove_expired(&mut self.requests, settings.window, now);
