--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,5 +1,5 @@
-//! An entry host on the users' platform: reads the platform's log, serves
-//! callers and keeps the engines' layers in place.
+//! An entry host: reads the platform's log, serves callers and places layers on the
+//! engines.
 
 mod configuring;
 mod follow_cursor;
--- a/src/entry/configuring.rs
+++ b/src/entry/configuring.rs
@@ -1,4 +1,4 @@
-//! Follows the operators' configuration.
+//! Follows the operators' configuration in the log.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,20 +12,19 @@
 use crate::platform::log_calls::{KeyedRead, LogClient, LogError};
 use crate::platform::names;
 
-/// How long a read waits for a change. A connection can go silent for good
-/// without a reset; with a wait of ten seconds a host, and all that follow it,
-/// served an old configuration for as long. With this and the time limit of a
-/// call, that is noticed after 1.2 s; a configuration has to be in force within
-/// two.
+/// Maximum time that a read waits for a change. A connection can go silent without a reset;
+/// with a wait of ten seconds, a host and all that follow it would serve an old
+/// configuration for as long. With this wait and the timeout of a call, a silent connection
+/// is noticed after 1.2 s; a configuration has to take effect within two seconds.
 const READ_WAIT: Duration = Duration::from_millis(600);
-/// Pause after a failed read: a configuration has to be in force within two
-/// seconds of the store's return.
+/// Pause after a failed read: a configuration has to take effect within two seconds of the
+/// log's return.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// The same while no configuration is known: every caller is refused meanwhile.
+/// Pause after a failed read while no configuration is known, as every caller is refused
+/// until then.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Keeps the configuration in force up to date while it is this host's duty, for
-/// ever.
+/// Keeps the configuration up to date while this host is a reader; runs forever.
 pub(super) async fn follow_configuration(
     copy: Arc<LogCopy>,
     mut reader: LogClient,
@@ -42,7 +41,7 @@
         };
         let started = Instant::now();
         let read = read_next(&mut reader, next).await;
-        // A read that waits for a change says nothing about the store's time.
+        // A read that waits for a change says nothing about the latency of the log.
         let answered = matches!(read, Ok(_) | Err(LogError::Deleted));
         let now = Instant::now();
         let elapsed = now.saturating_duration_since(started);
@@ -60,7 +59,7 @@
                 next = Some(read.next);
                 apply(&copy, &read);
             }
-            // The history is gone: start over from the newest of each key.
+            // The history has been deleted: start over from the newest record of each key.
             Err(LogError::Deleted) => next = None,
             Err(error) => {
                 if failures == 0 {
--- a/src/entry/follow_cursor.rs
+++ b/src/entry/follow_cursor.rs
@@ -1,38 +1,37 @@
-//! How far this host has followed another one.
+//! Positions in the changes of the hosts that this host follows.
 
 use crate::collections::FastMap;
 use crate::ids::{HostId, IncarnationId};
 use crate::peer::FollowQuestion;
 
-/// Stands for a start of another host than the one that is asked. A host that
-/// has lost the log then knows that the asking one has targets, and need not
-/// send all of its own.
+/// Incarnation that no host has. It tells a host without a current log that the requesting
+/// host already knows targets, so that it need not send all of its own.
 const FOREIGN_INCARNATION: IncarnationId = IncarnationId::MAX;
 
-/// Hosts whose numbers are kept; all are forgotten when there are more. A host
-/// follows its speaker, or the host that reads the log.
+/// Maximum number of hosts with a position; all positions are dropped when there are more.
+/// A host follows its aggregator or the host that reads the log.
 const MAX_HOSTS: usize = 16;
 
-/// Number of the next change of a start of a host.
+/// Number of the next change of one incarnation of a host.
 #[derive(Debug, Clone, Copy)]
 struct ChangePosition {
     incarnation: IncarnationId,
     from: u64,
 }
 
-/// Up to where the changes of each followed host were taken in.
+/// The position up to which the changes of each followed host have been applied.
 ///
-/// Each host numbers the changes that it passes on by itself. Starts are told
-/// apart by the clock, and hosts that start together can draw the same one; a
-/// number of one host, asked of the other, then skips changes unseen, and a
-/// target that left is used until the next whole list.
+/// Each host numbers its changes independently. Incarnations come from the clock, so hosts
+/// that start together can have the same one; without a position per host, the number of
+/// one host would be sent to the other, changes would be skipped, and a target that left
+/// would be used until the next full list.
 #[derive(Debug, Default)]
 pub struct FollowCursor {
     positions: FastMap<HostId, ChangePosition>,
 }
 
 impl FollowCursor {
-    /// What to ask a host that may know of configurations after `version`.
+    /// Returns the request for a host, where `version` is the configuration known so far.
     pub fn request(&self, host: &HostId, version: u64) -> FollowQuestion {
         let (incarnation, from) = match self.positions.get(host) {
             Some(position) => (position.incarnation, position.from),
@@ -47,8 +46,7 @@
         }
     }
 
-    /// The changes of a host were taken in up to number `next`, this one
-    /// excluded.
+    /// Records that the changes of a host have been applied up to number `next`, exclusive.
     pub fn advance(&mut self, host: &HostId, incarnation: IncarnationId, next: u64) {
         if self.positions.len() >= MAX_HOSTS && !self.positions.contains_key(host) {
             self.positions.clear();
--- a/src/entry/following.rs
+++ b/src/entry/following.rs
@@ -13,20 +13,20 @@
 use crate::platform::log_calls::{KeyedRead, LogClient, LogError};
 use crate::platform::names;
 
-/// Pause between two reads, in parts of the time within which a leaving
-/// target must be known. Every heartbeat is a record, so a read that waits
-/// for the next one would return 30 times a second with 36 engines.
+/// Number of reads within the time in which a leaving target must be known. Every heartbeat
+/// is a record, so that a read that waits for the next one would return 30 times a second
+/// with 36 engines.
 const READS_PER_DRAIN_TIME: u32 = 3;
-/// Longest pause between two reads: others rely on this host, and have to
-/// notice within a second that it has lost the log.
+/// Maximum pause between two reads: other hosts rely on this one and have to notice within
+/// a second that it has lost the log.
 const MAX_PAUSE: Duration = Duration::from_millis(600);
 
-/// Shortest pause between two reads.
+/// Minimum pause between two reads.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
 
-/// Heartbeats for which the log has to be out of reach before entries can have
-/// lapsed for that alone: they lapse after three without a word, and the last
-/// one may have been written just before.
+/// Number of heartbeats for which the log has to be unreachable before entries can have
+/// expired because of it. Entries expire after three missed heartbeats, and the last one
+/// may have been written just before.
 const EXPIRY_HEARTBEATS: u32 = 2;
 
 /// How fast targets and their entries change.
@@ -38,18 +38,18 @@
     pub heartbeat: Duration,
 }
 
-/// What is taken from the reads of the targets' log.
+/// Applies what is read from the log of targets to a [`LogCopy`].
 #[derive(Debug)]
 pub struct TargetFollower {
     copy: Arc<LogCopy>,
     next: Option<LogOffset>,
-    /// When the log was read up to there.
+    /// When the log was last read up to `next`.
     read_at: Option<Instant>,
-    /// Failed reads in a row.
+    /// Consecutive failed reads.
     failures: u32,
 }
 
-/// Keeps the table of targets up to date while it is this host's duty, for ever.
+/// Keeps the table of targets up to date while this host is a reader; runs forever.
 pub async fn follow_targets(
     copy: Arc<LogCopy>,
     mut reader: LogClient,
@@ -79,7 +79,8 @@
         let is_trimmed = matches!(read, Err(LogError::Deleted));
         follower.apply_read(read, now);
         let paused = match is_trimmed {
-            // The newest records are there, and a target may have left unseen.
+            // The newest records are available at once, and a target may have left
+            // unnoticed.
             true => Duration::ZERO,
             false => follower.pause(current.retry_pause(pause, follower.failures), elapsed, now),
         };
@@ -88,7 +89,7 @@
 }
 
 impl TargetFollower {
-    /// A follower that has read nothing yet; what it reads goes into the copy.
+    /// Creates a follower that has read nothing yet and applies what it reads to `copy`.
     pub fn open(copy: Arc<LogCopy>, pace: TargetTiming) -> Self {
         copy.set_expiry(pace.heartbeat * EXPIRY_HEARTBEATS);
         Self {
@@ -99,23 +100,26 @@
         }
     }
 
-    /// Where to read on; `None` for the newest record of each target.
+    /// Returns the offset of the next read; `None` to read the newest record of each
+    /// target.
     pub fn next(&self) -> Option<LogOffset> {
         self.next
     }
 
-    /// Another host is followed: what was read before is old by the time it is needed again.
+    /// Resets the position when another host is followed: by the time this host reads
+    /// again, what it read before is outdated.
     pub fn reset_position(&mut self) {
         self.next = None;
         self.read_at = None;
         self.failures = 0;
     }
 
-    /// Takes in what a read gave.
+    /// Applies the result of a read.
     pub fn apply_read(&mut self, read: Result<KeyedRead, LogError>, now: Instant) {
         match read {
             Ok(read) => self.apply_records(&read, now),
-            // The log was there all the while: whatever the newest records lack has left.
+            // The log was reachable all the while, so that targets missing from the newest
+            // records have left.
             Err(LogError::Deleted) => {
                 log::info!("targets: history lost, reading the newest records");
                 self.next = None;
@@ -129,15 +133,15 @@
         }
     }
 
-    /// Pause until the next read, where the last one took so long.
+    /// Returns the pause until the next read, where the last read took `elapsed`.
     ///
-    /// Reads are paced from their starts: one that waited in vain for its answer would be
-    /// followed by a whole pause, and the end of an outage seen that much later. A doubt
-    /// ends with a read of its own, so that it neither lasts longer nor rests on what was
-    /// true half a second before.
+    /// Reads are paced from their starts: otherwise a full pause would follow a read that
+    /// timed out, and the end of an outage would be seen that much later. A read is made
+    /// when a suspicion is due, so that the suspicion neither lasts longer nor rests on
+    /// data that is half a second old.
     fn pause(&self, usual: Duration, elapsed: Duration, now: Instant) -> Duration {
         let paced = usual.saturating_sub(elapsed).max(MIN_PAUSE);
-        // Without the log no doubt ends.
+        // Without the log no suspicion can end.
         let due = match self.failures {
             0 => self.copy.next_due(),
             _ => None,
@@ -147,8 +151,9 @@
     }
 
     fn apply_records(&mut self, read: &KeyedRead, now: Instant) {
-        // What the first read after a gap says is gone may have lapsed only because
-        // nobody could write. Whoever goes after that is gone at once.
+        // Entries that are missing from the first read after a gap may have expired only
+        // because no target could write. Entries that are dropped later are removed at
+        // once.
         let regained = std::mem::take(&mut self.failures) > 0;
         let gap = self.copy.observe_read(now, regained);
         if regained {
@@ -160,8 +165,8 @@
             let listed = read.records.iter().map(|record| record.key.as_str());
             self.copy.apply_list(listed, read.next, gap);
         }
-        // The records since the last own read cover a gap also where a neighbour told of the
-        // log in between.
+        // The records since this host's last own read cover a gap even if a neighbour
+        // relayed the log in between.
         let before = self.read_at.replace(now);
         let is_after_last_read = |gap: &LogGap| before.is_some_and(|before| gap.until > before);
         let gap = gap.or_else(|| self.copy.last_gap().filter(is_after_last_read));
--- a/src/entry/kept_records.rs
+++ b/src/entry/kept_records.rs
@@ -1,4 +1,4 @@
-//! Targets' records as last read from the platform's log, by their offsets.
+//! The newest records of the targets in the platform's log, with their offsets.
 
 use std::collections::VecDeque;
 
@@ -8,58 +8,58 @@
 use crate::ids::{LogOffset, TargetId};
 use crate::peer::TargetChange;
 
-/// Changes of targets that are kept for hosts that follow. A host asks twice a
-/// second; 100 targets that all change layers make 200 changes in a few.
+/// Maximum number of changes that are kept for followers. A host polls twice a second; 100
+/// targets that all change layers make 200 changes in a few seconds.
 const MAX_CHANGES: usize = 2048;
-/// Targets that have left and are remembered, oldest forgotten first. Each
+/// Maximum number of left targets that are remembered; the oldest is forgotten first. Each
 /// start of a target draws a new id: with 90 restarts a day this is weeks.
 const MAX_LEFT: usize = 2048;
 
-/// A record and where it stands in the log.
+/// A record and its offset in the log.
 #[derive(Debug, Clone)]
 struct KeptRecord {
     offset: LogOffset,
     value: Bytes,
-    /// Where the log dropped the entry, which may have lapsed.
+    /// Offset at which the log dropped the entry, which may have expired.
     dropped_at: Option<LogOffset>,
 }
 
 impl KeptRecord {
-    /// Offset of the last thing that the log says of the target.
+    /// Returns the offset of the last record of the target, including its removal.
     fn last(&self) -> LogOffset {
         self.dropped_at.unwrap_or(self.offset)
     }
 }
 
-/// The newest record of each target, and of those that have left the offset
-/// at which they did.
+/// The newest record of each target, and for targets that have left the offset at which
+/// they did.
 ///
-/// Hosts pass records on to each other, and one that lags behind, or waits for
-/// lapsed entries to come back, still lists targets that this host knows to
-/// have left. Without the offsets this host takes them in again and sends
-/// requests to them seconds after they said that they leave.
+/// Hosts relay records to each other. A host that lags behind, or that waits for expired
+/// entries to return, still lists targets that this host knows to have left. Without the
+/// offsets this host would add them again and send requests to them seconds after they
+/// announced that they leave.
 #[derive(Debug, Default)]
 pub struct KeptRecords {
     targets: FastMap<TargetId, KeptRecord>,
     left: FastMap<TargetId, LogOffset>,
     left_order: VecDeque<TargetId>,
     changes: VecDeque<TargetChange>,
-    /// Number of the first change that is kept.
+    /// Number of the first change in `changes`.
     first_change: u64,
-    /// Offset up to which the log is covered, this one excluded.
+    /// Offset up to which the log is covered, exclusive.
     read_to: LogOffset,
 }
 
 impl KeptRecords {
-    /// Whether a record at `offset` says more of a target than is known.
+    /// Returns whether a record at `offset` is newer than what is known of a target.
     pub fn is_newer(&self, id: &str, offset: LogOffset) -> bool {
         let left = self.left.get(id).copied();
         let kept = self.targets.get(id).map(KeptRecord::last);
         left.max(kept).is_none_or(|known| offset > known)
     }
 
-    /// Takes in a target's record. `changed` says whether it differs from the
-    /// one before, so that hosts that follow are told.
+    /// Applies a target's record. `changed` says whether it differs from the previous one,
+    /// so that followers are notified.
     pub fn observe(&mut self, id: &TargetId, offset: LogOffset, value: Bytes, changed: bool) {
         if !self.is_newer(id, offset) {
             return;
@@ -71,7 +71,7 @@
             dropped_at: None,
         };
         let before = self.targets.insert(id.clone(), kept);
-        // Whoever was told that it may have lapsed has to hear that it lives.
+        // Followers that were told of the drop have to learn that the target is alive.
         let is_back = before.is_some_and(|kept| kept.dropped_at.is_some());
         if changed || is_back {
             self.push_change(TargetChange {
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Takes in that the log dropped a target's entry at `offset`, which may have lapsed.
-    /// Hosts that follow are told as much, and judge it by what they know themselves.
+    /// Records that the log dropped a target's entry at `offset`, which may have expired.
+    /// Followers receive the offset and decide by their own reads whether the target left.
     pub fn mark_dropped(&mut self, id: &str, offset: LogOffset) {
         let Some(kept) = self.targets.get_mut(id) else {
             return;
@@ -102,8 +102,8 @@
         self.push_change(change);
     }
 
-    /// Takes in that a target left at `offset`, or that a list that covers the
-    /// log up to there lacks it; says whether it was known.
+    /// Records that a target left at `offset`, or that a list which covers the log up to
+    /// there lacks it; returns whether the target was known.
     pub fn remove(&mut self, id: &str, offset: LogOffset) -> bool {
         let kept = self.targets.get(id);
         if kept.is_some_and(|kept| kept.offset > offset) {
@@ -133,13 +133,13 @@
         known
     }
 
-    /// Whether a target is known to have left.
+    /// Returns whether a target is known to have left.
     pub fn has_left(&self, id: &str) -> bool {
         self.left.contains_key(id)
     }
 
-    /// Targets that are kept and not among `listed`, which covers the log up
-    /// to `read_to`. What stands later in the log is not expected there.
+    /// Returns the known targets that are missing from `listed`, a list that covers the log
+    /// up to `read_to`. Targets with later records are not expected in it.
     pub fn unlisted<'a, I>(&self, listed: I, read_to: LogOffset) -> Vec<TargetId>
     where
         I: Iterator<Item = &'a str>,
@@ -152,22 +152,22 @@
         missing.map(|(id, _)| id.clone()).collect()
     }
 
-    /// The log is covered up to `read_to`.
+    /// Records that the log is covered up to `read_to`.
     pub fn advance(&mut self, read_to: LogOffset) {
         self.read_to = self.read_to.max(read_to);
     }
 
-    /// Offset up to which the log is covered.
+    /// Returns the offset up to which the log is covered.
     pub fn read_to(&self) -> LogOffset {
         self.read_to
     }
 
-    /// Whether any target is known.
+    /// Returns whether no target is known.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// The changes from number `from` on; `None` if they are not all kept.
+    /// Returns the changes from number `from` on; `None` if they are not all kept.
     pub fn changes_since(&self, from: u64) -> Option<Vec<TargetChange>> {
         let skipped = from.checked_sub(self.first_change)?;
         let skipped = usize::try_from(skipped).ok()?;
@@ -175,7 +175,7 @@
         kept.then(|| self.changes.iter().skip(skipped).cloned().collect())
     }
 
-    /// Every target that is known, each as a change.
+    /// Returns every known target as a change.
     pub fn all(&self) -> Vec<TargetChange> {
         let kept = self.targets.iter().map(|(id, kept)| TargetChange {
             id: id.clone(),
@@ -186,7 +186,7 @@
         kept.collect()
     }
 
-    /// Number of the next change.
+    /// Returns the number of the next change.
     pub fn next_change(&self) -> u64 {
         self.first_change + self.changes.len() as u64
     }
--- a/src/entry/log_continuity.rs
+++ b/src/entry/log_continuity.rs
@@ -1,4 +1,4 @@
-//! Since when hosts have had the log of targets without a break.
+//! Tracks since when hosts have read the log of targets without a gap.
 
 use std::time::{Duration, Instant};
 
@@ -6,30 +6,30 @@
 use crate::ids::ZoneId;
 use crate::peer::{FollowedLog, LogAges};
 
-/// A time in which this host did not have the log, long enough for entries to lapse.
+/// A period without the log on this host that is long enough for entries to expire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogGap {
-    /// When the log was last read before; `None` if it never was.
+    /// When the log was last read before the gap; `None` if it never was.
     pub from: Option<Instant>,
-    /// When it was read again.
+    /// When the log was read again.
     pub until: Instant,
 }
 
-/// Distance of two moments at which the log was read, as another host tells them, from which
-/// on it was lost in between. Readers read every 0.6 s, and one read may be passed over.
+/// Minimum distance between two reads relayed by another host from which on the log counts
+/// as lost in between. Readers read every 0.6 s, and one read may be skipped.
 const MIN_RELAYED_GAP: Duration = Duration::from_millis(1500);
 
-/// A time through which the log was read without a gap.
+/// A period in which the log was read without a gap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct LogSpan {
     since: Instant,
     read: Instant,
 }
 
-/// What this host has had of the log.
+/// Reads of the log by this host.
 #[derive(Debug, Clone, Copy)]
 struct OwnReads {
-    /// The first read ever.
+    /// The first read.
     first: Instant,
     /// From the end of the last gap, or the first read, to the last read.
     span: LogSpan,
@@ -41,38 +41,39 @@
     gap: Option<LogGap>,
 }
 
-/// Since when this host, and the hosts of each zone, have had the log without a break.
+/// Tracks since when this host, and the hosts of each zone, have read the log without a
+/// gap.
 ///
-/// Targets that cannot write for three heartbeats lose their entries and live. A host that
-/// comes back to the log cannot tell whether the targets were cut off from it or only the
-/// host was. To keep whatever it does not list any more sends requests to targets seconds
-/// after they left; to drop it takes away every target of a zone that was cut off. What
-/// tells the two apart is whether a host of the target's own zone had the log meanwhile.
+/// The entry of a live target expires if the target cannot write for three heartbeats. A
+/// host that reaches the log again cannot tell whether the targets were cut off from it or
+/// only the host was. Keeping the targets that are no longer listed sends requests to them
+/// seconds after they left; dropping them removes every target of a zone that was cut off.
+/// The cases differ in whether a host of the target's own zone had the log meanwhile.
 #[derive(Debug, Default)]
 pub struct LogContinuity {
-    /// Time without the log after which entries may have lapsed.
+    /// Time without the log after which entries may have expired.
     expiry: Duration,
     own: Option<OwnReads>,
     zones: FastMap<ZoneId, LogSpan>,
 }
 
 impl LogContinuity {
-    /// Sets the time without the log after which entries may have lapsed.
+    /// Sets the time without the log after which entries may have expired.
     pub fn set_expiry(&mut self, expiry: Duration) {
         self.expiry = expiry;
     }
 
-    /// This host has read the log itself. Gives the gap in which entries that this read
-    /// lacks may have lapsed: the one that ends with it, if reads were tried in vain (a host
-    /// that merely stood still has no outage to doubt).
+    /// Records a read of the log by this host. Returns the gap in which entries that are
+    /// missing from this read may have expired: the gap that ends with it, if reads failed
+    /// in it. A host that was merely suspended has no outage.
     ///
-    /// An entry lapses three heartbeats after the last one, which came up to one before the
-    /// log was away. After a gap shorter than that it can lapse when the log is back, so that
+    /// An entry expires three heartbeats after the last one, which came up to one heartbeat
+    /// before the outage. After a shorter gap it can expire once the log is back, so that
     /// later reads belong to the gap for as long.
     ///
-    /// The log can be away twice with a moment between: a target whose heartbeat does not
-    /// fall into that moment has no chance to write from the first outage on, and loses its
-    /// entry in the second one, however short that is. Both are one gap then.
+    /// The log can be lost twice with a short time in between. A target whose heartbeat
+    /// does not fall into that time cannot write from the first outage on and loses its
+    /// entry in the second one, however short that is. Both outages are then one gap.
     pub fn observe_read(&mut self, read: Instant, was_lost: bool) -> Option<LogGap> {
         let expiry = self.expiry;
         let own = self.own.get_or_insert(OwnReads {
@@ -84,7 +85,7 @@
         });
         let distance = read.saturating_duration_since(own.span.read);
         own.span.read = own.span.read.max(read);
-        // Entries lapse after two heartbeats without the log at the earliest.
+        // Entries expire after two heartbeats without the log at the earliest.
         let heartbeat = expiry / 2;
         let breaks = distance >= expiry || (was_lost && distance >= heartbeat);
         if !breaks {
@@ -106,20 +107,20 @@
         own.gap
     }
 
-    /// The last gap of this host.
+    /// Returns the last gap of this host.
     pub fn last_gap(&self) -> Option<LogGap> {
         self.own.and_then(|own| own.gap)
     }
 
-    /// Another host of the zone tells what stood in the log at that moment; as with an own
-    /// read.
+    /// Records a read by another host of the zone that relays the log, like an own read.
     pub fn observe_relayed_read(&mut self, read: Instant) -> Option<LogGap> {
         let before = self.last_read();
         let was_lost = before.is_some_and(|before| read >= before + MIN_RELAYED_GAP);
         self.observe_read(read, was_lost)
     }
 
-    /// How long ago this host began to have the log without a break, and when it last did.
+    /// Returns how long ago the current gapless period of this host began, and its last
+    /// read.
     pub fn ages(&self, now: Instant) -> Option<LogAges> {
         self.own.map(|own| LogAges {
             since: now.saturating_duration_since(own.span.since),
@@ -127,7 +128,7 @@
         })
     }
 
-    /// How long ago this host first had the log, and last had it.
+    /// Returns how long ago this host first read the log, and last read it.
     pub fn followed(&self, now: Instant) -> Option<FollowedLog> {
         self.own.map(|own| FollowedLog {
             first: now.saturating_duration_since(own.first),
@@ -135,20 +136,21 @@
         })
     }
 
-    /// Since when this host has had the log without a break of a heartbeat or more.
+    /// Returns since when this host has read the log without a break of a heartbeat or
+    /// more.
     pub fn run_since(&self) -> Option<Instant> {
         self.own.map(|own| own.run_since)
     }
 
-    /// When this host last had the log.
+    /// Returns when this host last read the log.
     pub fn last_read(&self) -> Option<Instant> {
         self.own.map(|own| own.span.read)
     }
 
-    /// A host of a zone tells since when it has had the log.
+    /// Records the report of a host in `zone` on its own reads of the log.
     ///
-    /// Hosts tell of themselves only: passed on from host to host and back, each word would
-    /// come back a little younger than it is, and a zone without the log would seem to have
+    /// Hosts report only their own reads: a report that is relayed back and forth would
+    /// return slightly younger than it is, and a zone without the log would seem to have
     /// it.
     pub fn observe_ages(&mut self, zone: &ZoneId, ages: LogAges, now: Instant) {
         let moments = now.checked_sub(ages.since).zip(now.checked_sub(ages.read));
@@ -169,8 +171,8 @@
         }
     }
 
-    /// Whether hosts of a zone are known to have had the log through a gap of this host, so
-    /// that no target of that zone lost its entry for want of the log.
+    /// Returns whether hosts of a zone are known to have had the log throughout a gap of
+    /// this host, so that no target of that zone lost its entry for lack of the log.
     pub fn had_log(&self, zone: &str, gap: LogGap) -> bool {
         let span = self.zones.get(zone).zip(gap.from);
         span.is_some_and(|(span, from)| span.since <= from && span.read + self.expiry > gap.until)
