--- a/src/entry/following.rs
+++ b/src/entry/following.rs
@@ -53,11 +53,11 @@
 pub async fn follow_targets(
     copy: Arc<LogCopy>,
     mut reader: LogClient,
-    pace: TargetTiming,
+    timing: TargetTiming,
     mut role: watch::Receiver<LogRole>,
 ) {
-    let pause = (pace.drain / READS_PER_DRAIN_TIME).min(MAX_PAUSE);
-    let mut follower = TargetFollower::open(copy, pace);
+    let pause = (timing.drain / READS_PER_DRAIN_TIME).min(MAX_PAUSE);
+    let mut follower = TargetFollower::open(copy, timing);
     loop {
         if !role.borrow().is_reader() {
             follower.reset_position();
@@ -90,8 +90,8 @@
 
 impl TargetFollower {
     /// Creates a follower that has read nothing yet and applies what it reads to `copy`.
-    pub fn open(copy: Arc<LogCopy>, pace: TargetTiming) -> Self {
-        copy.set_expiry(pace.heartbeat * EXPIRY_HEARTBEATS);
+    pub fn open(copy: Arc<LogCopy>, timing: TargetTiming) -> Self {
+        copy.set_expiry(timing.heartbeat * EXPIRY_HEARTBEATS);
         Self {
             copy,
             next: None,
--- a/src/entry/log_continuity.rs
+++ b/src/entry/log_continuity.rs
@@ -36,7 +36,7 @@
     /// Since when no read has been missed for as long as a heartbeat.
     run_since: Instant,
     /// The last read of a run that was long enough for each target to write in it.
-    steady: Instant,
+    steady_read: Instant,
     /// The last gap.
     gap: Option<LogGap>,
 }
@@ -80,7 +80,7 @@
             first: read,
             span: LogSpan { since: read, read },
             run_since: read,
-            steady: read,
+            steady_read: read,
             gap: None,
         });
         let distance = read.saturating_duration_since(own.span.read);
@@ -90,18 +90,18 @@
         let breaks = distance >= expiry || (was_lost && distance >= heartbeat);
         if !breaks {
             if read.saturating_duration_since(own.run_since) >= heartbeat {
-                own.steady = own.steady.max(read);
+                own.steady_read = own.steady_read.max(read);
             }
             let lasts = |gap: &LogGap| gap.from.is_some_and(|from| read < from + expiry * 2);
             return own.gap.filter(lasts);
         }
         own.run_since = read;
-        if read.saturating_duration_since(own.steady) < expiry {
+        if read.saturating_duration_since(own.steady_read) < expiry {
             return None;
         }
         own.span.since = read;
         own.gap = was_lost.then_some(LogGap {
-            from: Some(own.steady),
+            from: Some(own.steady_read),
             until: read,
         });
         own.gap
--- a/src/entry/log_copy.rs
+++ b/src/entry/log_copy.rs
@@ -29,13 +29,13 @@
 #[derive(Debug)]
 pub struct LogCopy {
     tables: Arc<ServingTables>,
-    state: Mutex<CopiedLog>,
+    state: Mutex<LogState>,
     /// Told of each new configuration, and of changes of targets.
     pub(super) updates: Notify,
 }
 
 #[derive(Debug, Default)]
-struct CopiedLog {
+struct LogState {
     configuration: Option<Bytes>,
     targets: KeptRecords,
     starts: TargetStarts,
@@ -62,13 +62,13 @@
     pub(super) fn record_call(
         &self,
         topic: LogTopic,
-        took: Duration,
+        elapsed: Duration,
         answered: bool,
         now: Instant,
     ) {
         self.tables
             .metrics
-            .store_called(topic.name(), took, answered);
+            .store_called(topic.name(), elapsed, answered);
         if !answered {
             return;
         }
@@ -99,27 +99,27 @@
     }
 
     /// Whether an answer to a question would hold anything that is news.
-    pub(super) fn has_updates(&self, question: FollowQuestion) -> bool {
-        question.configuration_version < self.configuration_version()
-            || question.from < self.state.lock().targets.next_change()
+    pub(super) fn has_updates(&self, request: FollowQuestion) -> bool {
+        request.configuration_version < self.configuration_version()
+            || request.from < self.state.lock().targets.next_change()
     }
 
     /// What the asking host does not have yet.
     pub fn reply(
         &self,
-        question: FollowQuestion,
+        request: FollowQuestion,
         is_known_start: bool,
         now: Instant,
     ) -> FollowAnswer {
         let version = self.configuration_version();
         let state = self.state.lock();
         let changes = match is_known_start {
-            true => state.targets.changes_since(question.from),
+            true => state.targets.changes_since(request.from),
             false => None,
         };
         let configuration = state.configuration.clone();
         FollowAnswer {
-            configuration: configuration.filter(|_| question.configuration_version < version),
+            configuration: configuration.filter(|_| request.configuration_version < version),
             whole: changes.is_none(),
             targets: changes.unwrap_or_else(|| state.targets.all()),
             next: state.targets.next_change(),
--- a/src/entry/log_copy/dropping.rs
+++ b/src/entry/log_copy/dropping.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{CopiedLog, LogCopy};
+use super::{LogCopy, LogState};
 use crate::entry::log_continuity::LogGap;
 use crate::entry::suspect_targets::ConfirmedRemoval;
 use crate::ids::{LogOffset, ZoneId};
@@ -106,8 +106,8 @@
     {
         let unlisted = self.state.lock().targets.unlisted(listed, read_to);
         for id in unlisted {
-            let missed = self.state.lock().suspects.gap(&id).or(gap);
-            let from = missed.map(|gap| gap.from);
+            let suspected_gap = self.state.lock().suspects.gap(&id).or(gap);
+            let from = suspected_gap.map(|gap| gap.from);
             match from {
                 Some(from) if from.is_none_or(|from| from < first) => {
                     self.apply_drop(&id, read_to.saturating_sub(1), gap);
@@ -126,7 +126,7 @@
     /// Drops the targets that are known by now not to have lapsed.
     fn drop_confirmed(&self) {
         let mut state = self.state.lock();
-        let CopiedLog {
+        let LogState {
             suspects,
             continuity,
             ..
@@ -139,7 +139,7 @@
     /// Drops the targets that may have lapsed and did not come back in time.
     pub(in crate::entry) fn drop_due(&self) {
         let mut state = self.state.lock();
-        let CopiedLog {
+        let LogState {
             suspects,
             continuity,
             ..
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -86,16 +86,16 @@
         idle_timeout: Duration::from_secs(20),
         ..PeerSettings::new(address)
     };
-    let answering = state.clone();
-    let passing = state.clone();
-    let issuing = state.clone();
+    let exchanging = state.clone();
+    let following = state.clone();
+    let permitting = state.clone();
     let handlers = EntryHandlers {
-        exchange: Arc::new(move |view| answering.answer(&view, Instant::now())),
-        follow: Arc::new(move |question| {
-            let state = passing.clone();
-            Box::pin(async move { state.reply_follow(question).await })
+        exchange: Arc::new(move |view| exchanging.handle_view(&view, Instant::now())),
+        follow: Arc::new(move |request| {
+            let state = following.clone();
+            Box::pin(async move { state.reply_follow(request).await })
         }),
-        permit: Arc::new(move |question| issuing.clone().request_permit(question)),
+        permit: Arc::new(move |request| permitting.clone().request_permit(request)),
     };
     let handle = peer::spawn_on(listener, limits, handlers)?;
     state.handle.get_or_init(|| handle.clone());
@@ -125,22 +125,22 @@
         own.unwrap_or_else(|| gossip.first_of_all(now)) == self.host
     }
 
-    fn answer(&self, view: &HostView, now: Instant) -> HostView {
+    fn handle_view(&self, view: &HostView, now: Instant) -> HostView {
         self.receive(view, now);
-        let answer = self.gossip.lock().answer_view(view, now);
-        let answer = self.complete(answer, Some(&view.host), view.zone == self.zone, now);
-        let answer = self.add_poison(answer, view.address, now);
-        self.add_limits(answer, view.address, now)
+        let reply = self.gossip.lock().answer_view(view, now);
+        let reply = self.complete(reply, Some(&view.host), view.zone == self.zone, now);
+        let reply = self.add_poison(reply, view.address, now);
+        self.add_limits(reply, view.address, now)
     }
 
-    fn question(&self, address: SocketAddr, now: Instant) -> HostView {
+    fn build_view(&self, address: SocketAddr, now: Instant) -> HostView {
         let mut gossip = self.gossip.lock();
         let is_neighbour = gossip.is_neighbour(address);
-        let question = gossip.open_view(address, now);
+        let request = gossip.open_view(address, now);
         drop(gossip);
-        let question = self.complete(question, None, is_neighbour, now);
-        let question = self.add_poison(question, address, now);
-        self.add_limits(question, address, now)
+        let request = self.complete(request, None, is_neighbour, now);
+        let request = self.add_poison(request, address, now);
+        self.add_limits(request, address, now)
     }
 
     /// Adds what this host tells of requests and of the log.
@@ -239,11 +239,11 @@
     /// know.
     pub(super) fn permit_address(
         &self,
-        question: &PermitQuestion,
+        request: &PermitQuestion,
         now: Instant,
     ) -> Option<SocketAddr> {
         let gossip = self.gossip.lock();
-        let host = gossip.permit_host(&question.zone, question.limit.target, now)?;
+        let host = gossip.permit_host(&request.zone, request.limit.target, now)?;
         match host == self.host {
             true => Some(self.address),
             false => gossip.address_of(&host),
@@ -287,25 +287,25 @@
 
     /// Passes on what this host has read, as soon as there is news or after a
     /// while.
-    async fn reply_follow(&self, question: FollowQuestion) -> FollowAnswer {
-        let known = question.incarnation == self.incarnation;
+    async fn reply_follow(&self, request: FollowQuestion) -> FollowAnswer {
+        let known = request.incarnation == self.incarnation;
         let updates = self.copy.updates.notified();
         // Without the log there will be no news: the other host looks for one
         // that has it.
         let fresh = self.copy.age(Instant::now()) < FRESH_AGE;
-        if known && fresh && !self.copy.has_updates(question) {
+        if known && fresh && !self.copy.has_updates(request) {
             // Either way there is something to say.
-            let _ = tokio::time::timeout(question.hold.min(MAX_HOLD), updates).await;
+            let _ = tokio::time::timeout(request.hold.min(MAX_HOLD), updates).await;
         }
         let now = Instant::now();
         let age = self.copy.age(now);
         let fresh = age < FRESH_AGE;
-        if !fresh && question.incarnation != 0 {
+        if !fresh && request.incarnation != 0 {
             // The asking host has targets, and would not take these.
             return FollowAnswer::default();
         }
         // Taken first, so that its lock is not held while the copy's is taken.
-        let remote = match question.wants_remote {
+        let remote = match request.wants_remote {
             true => self.tables.fleet.lock().remote_uses(),
             false => Vec::new(),
         };
@@ -314,7 +314,7 @@
             fresh,
             age,
             remote,
-            ..self.copy.reply(question, known, now)
+            ..self.copy.reply(request, known, now)
         }
     }
 }
@@ -339,9 +339,9 @@
 }
 
 async fn call_peer(state: Arc<PeerState>, handle: PeerHandle, address: SocketAddr) {
-    let question = state.question(address, Instant::now());
-    let answer = match handle.exchange(address, question).await {
-        Ok(answer) => answer,
+    let request = state.build_view(address, Instant::now());
+    let view = match handle.exchange(address, request).await {
+        Ok(view) => view,
         Err(error) => {
             log::debug!("no exchange with {address}: {error}");
             state
@@ -351,5 +351,5 @@
             return;
         }
     };
-    state.receive(&answer, Instant::now());
+    state.receive(&view, Instant::now());
 }
--- a/src/entry/permitting.rs
+++ b/src/entry/permitting.rs
@@ -21,7 +21,7 @@
 
 /// Asks the host that hands out the permits for a target, which may be this one.
 pub(super) fn permit_source(state: Arc<PeerState>) -> PermitSource {
-    Arc::new(move |question| state.clone().request_permit(question))
+    Arc::new(move |request| state.clone().request_permit(request))
 }
 
 impl PeerState {
@@ -31,31 +31,28 @@
     /// passes their questions on.
     pub(super) fn request_permit(
         self: Arc<Self>,
-        question: PermitQuestion,
+        request: PermitQuestion,
     ) -> BoxFuture<'static, PermitAnswer> {
         Box::pin(async move {
             let now = Instant::now();
-            match self.permit_address(&question, now) {
+            match self.permit_address(&request, now) {
                 Some(address) if address == self.address() => {
-                    let part = self.permit_part(&question.zone, now);
-                    self.tables().issue_permits(&question, part, now)
+                    let part = self.permit_part(&request.zone, now);
+                    self.tables().issue_permits(&request, part, now)
                 }
-                Some(address) if !question.relayed => self.relay(address, question).await,
+                Some(address) if !request.relayed => self.relay(address, request).await,
                 _ => UNANSWERED,
             }
         })
     }
 
-    async fn relay(&self, address: SocketAddr, question: PermitQuestion) -> PermitAnswer {
+    async fn relay(&self, address: SocketAddr, request: PermitQuestion) -> PermitAnswer {
         let Some(handle) = self.handle() else {
             return UNANSWERED;
         };
-        let relayed = question.host != *self.host();
-        let question = PermitQuestion {
-            relayed,
-            ..question
-        };
-        match handle.permit(address, question, REPLY_TIMEOUT).await {
+        let relayed = request.host != *self.host();
+        let request = PermitQuestion { relayed, ..request };
+        match handle.permit(address, request, REPLY_TIMEOUT).await {
             Ok(answer) => answer,
             Err(error) => {
                 log::debug!("no permits from {address}: {error}");
--- a/src/entry/placement.rs
+++ b/src/entry/placement.rs
@@ -297,12 +297,12 @@
         let orders = planned.into_iter().map(|range| {
             let tables = self.tables.clone();
             async move {
-                let taken = issue_order(&tables, &range.id, range.layers, now).await;
-                (range.id, taken)
+                let accepted = issue_order(&tables, &range.id, range.layers, now).await;
+                (range.id, accepted)
             }
         });
-        for (id, taken) in futures::future::join_all(orders).await {
-            if let Some(layers) = taken {
+        for (id, accepted) in futures::future::join_all(orders).await {
+            if let Some(layers) = accepted {
                 self.issued.insert(id, IssuedOrder { layers, at: now });
             }
         }
--- a/src/entry/poison_log.rs
+++ b/src/entry/poison_log.rs
@@ -23,7 +23,7 @@
 /// How long a host has to be a reader before it reads. After a start of all hosts each
 /// reads the log for itself until it knows another one, within a second; what is refused
 /// has to be known after three.
-const SETTLED: Duration = Duration::from_secs(1);
+const START_DELAY: Duration = Duration::from_secs(1);
 /// How long a host waits before it writes what another one may be writing: the readers
 /// of all zones hear of a poison request within 1.3 s of each other, and a record that
 /// one has written reaches the others within milliseconds.
@@ -46,7 +46,7 @@
             return;
         };
         if next.is_none() {
-            tokio::time::sleep(SETTLED).await;
+            tokio::time::sleep(START_DELAY).await;
             if !role.borrow().is_reader() {
                 continue;
             }
--- a/src/entry/relaying.rs
+++ b/src/entry/relaying.rs
@@ -89,7 +89,7 @@
             None => RELAY_HOLD,
         };
         let sources = sources(aggregator, leaders);
-        let requested = sources.len();
+        let skipped = sources.len();
         if follower
             .request_in_order(&handle, sources, hold, &role)
             .await
@@ -101,7 +101,7 @@
         }
         let neighbours = peer_state.neighbours(Instant::now());
         if !follower
-            .follow_neighbour(&handle, &neighbours, requested)
+            .follow_neighbour(&handle, &neighbours, skipped)
             .await
         {
             tokio::time::sleep(RETRY_PAUSE).await;
@@ -134,8 +134,8 @@
         role: &watch::Sender<LogRole>,
     ) -> bool {
         for (host, address) in sources {
-            let requested = Instant::now();
-            if let Some(age) = self.ask(handle, &host, address, hold).await {
+            let start = Instant::now();
+            if let Some(age) = self.request_from(handle, &host, address, hold).await {
                 let now = Instant::now();
                 self.copy.record_relayed(age, now);
                 self.without_log_since = None;
@@ -146,7 +146,7 @@
             // Judged after each host: one that does not answer at all takes
             // 0.9 s, and three of them would leave this host behind for longer
             // than a leaving target may be unknown.
-            self.without_log_since.get_or_insert(requested);
+            self.without_log_since.get_or_insert(start);
             if self.is_overdue(now) {
                 self.set_leader(role, None);
             }
@@ -155,7 +155,7 @@
     }
 
     /// Asks a host and takes in what it has; gives the age of that if it has the log.
-    async fn ask(
+    async fn request_from(
         &mut self,
         handle: &PeerHandle,
         host: &HostId,
@@ -189,16 +189,16 @@
         &mut self,
         handle: &PeerHandle,
         neighbours: &[(HostId, SocketAddr)],
-        requested: usize,
+        skipped: usize,
     ) -> bool {
         if self.copy.age(Instant::now()) < FRESH_AGE {
             return false;
         }
-        let Some((host, address)) = self.next_neighbour(neighbours, requested) else {
+        let Some((host, address)) = self.next_neighbour(neighbours, skipped) else {
             return false;
         };
         let has_log = self
-            .ask(handle, &host, address, FOLLOW_HOLD)
+            .request_from(handle, &host, address, FOLLOW_HOLD)
             .await
             .is_some();
         if !has_log {
@@ -210,12 +210,12 @@
         has_log
     }
 
-    /// The neighbour that had the log last time, else the next one that was not `requested`
+    /// The neighbour that had the log last time, else the next one that was not `skipped`
     /// already, in turn.
     fn next_neighbour(
         &mut self,
         neighbours: &[(HostId, SocketAddr)],
-        requested: usize,
+        skipped: usize,
     ) -> Option<(HostId, SocketAddr)> {
         let known = self.followed_neighbour.as_ref();
         let known = neighbours.iter().find(|(host, _)| Some(host) == known);
@@ -223,7 +223,7 @@
             return Some(known.clone());
         }
         let others = neighbours
-            .get(requested..)
+            .get(skipped..)
             .filter(|others| !others.is_empty())?;
         self.next_index += 1;
         others.get(self.next_index % others.len()).cloned()
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -114,11 +114,16 @@
     };
     let (role, reads) = watch::channel(first);
     tokio::spawn(follow_configuration(copy.clone(), client(), reads.clone()));
-    let pace = TargetTiming {
+    let timing = TargetTiming {
         drain: settings.bounds.drain,
         heartbeat: settings.heartbeat,
     };
-    tokio::spawn(follow_targets(copy.clone(), client(), pace, reads.clone()));
+    tokio::spawn(follow_targets(
+        copy.clone(),
+        client(),
+        timing,
+        reads.clone(),
+    ));
     tokio::spawn(follow_poison(tables.clone(), client(), reads.clone()));
     tokio::spawn(write_poison(tables.clone(), client(), reads));
     let (peer_state, handle) =
@@ -163,12 +168,12 @@
     const PAUSE: Duration = Duration::from_millis(50);
     let started = Instant::now();
     tables.draining.store(true, Ordering::Relaxed);
-    let last = started + grace.saturating_sub(STOP_MARGIN);
-    while Instant::now() < last {
+    let end = started + grace.saturating_sub(STOP_MARGIN);
+    while Instant::now() < end {
         if Instant::now() >= started + BALANCER_DELAY {
             tables.closing.store(true, Ordering::Relaxed);
         }
-        if Instant::now() + CLOSING_TIME >= last {
+        if Instant::now() + CLOSING_TIME >= end {
             tables.ending.store(true, Ordering::Relaxed);
         }
         let idle = tables.in_flight.load(Ordering::Relaxed) == 0;
--- a/src/entry/suspect_targets.rs
+++ b/src/entry/suspect_targets.rs
@@ -98,11 +98,11 @@
         self.extract(|target| read >= target.due(continuity), "missing")
     }
 
-    fn extract<F>(&mut self, is_settled: F, reason: &'static str) -> Vec<ConfirmedRemoval>
+    fn extract<F>(&mut self, is_confirmed: F, reason: &'static str) -> Vec<ConfirmedRemoval>
     where
         F: Fn(&SuspectTarget) -> bool,
     {
-        let removals = self.targets.extract_if(|_, target| is_settled(target));
+        let removals = self.targets.extract_if(|_, target| is_confirmed(target));
         let removals = removals.map(|(id, target)| ConfirmedRemoval {
             id,
             offset: target.offset,
