--- a/src/entry/permitting.rs
+++ b/src/entry/permitting.rs
@@ -54,7 +54,7 @@
         let relayed = request.host != *self.host();
         let request = PermitQuestion { relayed, ..request };
         match handle.permit(address, request, REPLY_TIMEOUT).await {
-            Ok(answer) => answer,
+            Ok(reply) => reply,
             Err(error) => {
                 log::debug!("permit request to {address} failed: {error}");
                 UNANSWERED
--- a/src/entry/placement.rs
+++ b/src/entry/placement.rs
@@ -335,22 +335,22 @@
         .header(names::TARGET_INSTANCE, platform_id(id))
         .body(Full::new(Bytes::from(body)))
         .ok()?;
-    let answer = ask(address, request, ORDER_TIMEOUT).await;
+    let response = ask(address, request, ORDER_TIMEOUT).await;
     log::info!(
         target_id:% = id,
         from = layers.from,
         to = layers.to,
         held:? = report.layers,
         expected = report.order_sequence,
-        answer:? = answer.as_ref().map(|(status, _)| status.as_u16());
+        answer:? = response.as_ref().map(|(status, _)| status.as_u16());
         "order given"
     );
-    tables.metrics.ordered(match answer {
+    tables.metrics.ordered(match response {
         Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => "accepted",
         Ok(_) => "refused",
         Err(_) => "unanswered",
     });
-    match answer {
+    match response {
         Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => Some(layers),
         // The order may have been accepted, or may still be executed.
         Err(_) => Some(layers),
--- a/src/entry/poison_log.rs
+++ b/src/entry/poison_log.rs
@@ -86,13 +86,13 @@
 
 fn take_record(tables: &ServingTables, record: &KeyedRecord) -> Result<(), String> {
     let request = poison_record::parse_key(&record.key)?;
-    let notes = match &record.value {
+    let evidence = match &record.value {
         None => Vec::new(),
         Some(value) => poison_record::parse_poison(request, value, SystemTime::now())?,
     };
     let mut poison = tables.poison.lock();
-    let refused = poison.merge(&notes, Instant::now());
-    poison.set_in_log(request, notes.len());
+    let refused = poison.merge(&evidence, Instant::now());
+    poison.set_in_log(request, evidence.len());
     drop(poison);
     log_refused(tables, &refused, "log");
     Ok(())
--- a/src/entry/readiness.rs
+++ b/src/entry/readiness.rs
@@ -34,7 +34,7 @@
         return false;
     }
     let fleet = tables.fleet.lock();
-    let served = |service: &crate::ingress::ServiceSpec| match &service.engine {
+    let is_served = |service: &crate::ingress::ServiceSpec| match &service.engine {
         None => fleet.has_usable(&service.name, now),
         Some(model) => fleet.members(&service.name).is_some_and(|members| {
             let size = RequestSize {
@@ -53,7 +53,7 @@
     configuration
         .services
         .values()
-        .any(|service| served(service))
+        .any(|service| is_served(service))
 }
 
 /// Serves readiness checks on `address`, forever; returns the bound address.
@@ -88,18 +88,18 @@
 }
 
 /// Serves each request by a function of its path; returns the bound address.
-fn serve_paths<F>(address: SocketAddr, answer: F) -> io::Result<SocketAddr>
+fn serve_paths<F>(address: SocketAddr, respond: F) -> io::Result<SocketAddr>
 where
     F: Fn(&str) -> (StatusCode, String) + Send + Sync + 'static,
 {
     let listener = crate::forward::socket::bind(address)?;
     let address = listener.local_addr()?;
-    let answer = Arc::new(answer);
+    let respond = Arc::new(respond);
     tokio::spawn(async move {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(serve_stream(stream, answer.clone()));
+                    tokio::spawn(serve_stream(stream, respond.clone()));
                 }
                 Err(error) => {
                     log::warn!(error:% = error; "cannot accept a connection");
@@ -111,12 +111,12 @@
     Ok(address)
 }
 
-async fn serve_stream<F>(stream: TcpStream, answer: Arc<F>)
+async fn serve_stream<F>(stream: TcpStream, respond: Arc<F>)
 where
     F: Fn(&str) -> (StatusCode, String),
 {
     let service = service_fn(|request: Request<Incoming>| {
-        let (status, text) = answer(request.uri().path());
+        let (status, text) = respond(request.uri().path());
         let mut response = Response::new(Full::new(Bytes::from(text)));
         *response.status_mut() = status;
         async { Ok::<_, Infallible>(response) }
