--- a/tests/entry_decisions.rs
+++ b/tests/entry_decisions.rs
@@ -19,7 +19,7 @@
 /// engine breaks off in the middle of an event, the stream goes on elsewhere.
 /// Cause: bytes were passed on as they came.
 #[test]
-fn half_an_event_is_held_back() {
+fn partial_event_is_held_back() {
     let mut splitter = EventSplitter::default();
     let whole = splitter
         .push(b"id: 1\ndata: a\n\nid: 2\nda")
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_endless_event_is_an_error() {
+fn oversized_event_is_an_error() {
     let mut splitter = EventSplitter::default();
     let pushed = (0..200).try_for_each(|_| splitter.push(&[b'x'; 1024]).map(|_| ()));
     assert!(pushed.is_err());
@@ -43,16 +43,16 @@
 proptest! {
     /// However the bytes are cut, whole events come out in order.
     #[test]
-    fn cuts_do_not_matter(count in 1_usize..20, cuts in prop::collection::vec(1_usize..40, 1..60)) {
+    fn events_do_not_depend_on_fragmentation(count in 1_usize..20, lengths in prop::collection::vec(1_usize..40, 1..60)) {
         let text = (0..count).map(|id| format!("id: {id}\ndata: {}\n\n", "t".repeat(id % 7)));
         let text = text.collect::<String>();
         let mut splitter = EventSplitter::default();
         let mut rest = text.as_bytes();
         let mut seen = Vec::new();
-        let mut cuts = cuts.iter().cycle();
+        let mut lengths = lengths.iter().cycle();
         while !rest.is_empty() {
-            let cut = (*cuts.next().expect("endless")).min(rest.len());
-            let (part, tail) = rest.split_at(cut);
+            let length = (*lengths.next().expect("endless")).min(rest.len());
+            let (part, tail) = rest.split_at(length);
             rest = tail;
             if let Some(events) = splitter.push(part).expect("no overflow") {
                 prop_assert!(events.ends_with(b"\n\n"));
@@ -65,14 +65,14 @@
     }
 
     #[test]
-    fn any_bytes_are_taken_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn any_bytes_are_accepted_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut splitter = EventSplitter::default();
         let _ = splitter.push(&bytes);
     }
 }
 
 #[test]
-fn refused_callers_come_back_later_the_more_are_refused() {
+fn retry_delay_grows_with_refusals() {
     let now = Instant::now();
     let mut gauge = OverloadGauge::default();
     for _ in 0..50 {
@@ -87,32 +87,32 @@
     assert!(later <= Duration::from_secs(5));
     let jittered = gauge.count_refusal(now, 1.0);
     assert!(jittered > later);
-    let calm = now + Duration::from_secs(60);
+    let later_start = now + Duration::from_secs(60);
     for _ in 0..50 {
-        gauge.count_start(calm);
+        gauge.count_start(later_start);
     }
-    assert!(gauge.count_refusal(calm, 0.0) < later);
+    assert!(gauge.count_refusal(later_start, 0.0) < later);
 }
 
 /// Callers that were never served, of those that come while engines are lost:
 /// 100 a second come, and for six seconds 60 a second find a place. Each caller
 /// comes back once, when it was told to.
-fn lost_in_a_shortage() -> usize {
+fn count_lost_callers() -> usize {
     const TICK: Duration = Duration::from_millis(10);
     let start = Instant::now();
     let mut gauge = OverloadGauge::default();
     let mut returning: Vec<Instant> = Vec::new();
-    let mut places = 0.0_f64;
+    let mut capacity = 0.0_f64;
     let mut lost = 0;
     for tick in 0..1_500_u32 {
         let now = start + TICK * tick;
         let is_short = (200..800).contains(&tick);
-        places = (places + if is_short { 0.6 } else { 1.15 }).min(3.0);
+        capacity = (capacity + if is_short { 0.6 } else { 1.15 }).min(3.0);
         let due = returning.extract_if(.., |at| *at <= now).count();
         for is_first in std::iter::repeat_n(false, due).chain([true]) {
-            match (places >= 1.0, is_first) {
+            match (capacity >= 1.0, is_first) {
                 (true, _) => {
-                    places -= 1.0;
+                    capacity -= 1.0;
                     gauge.count_start(now);
                 }
                 (false, true) => {
@@ -132,8 +132,8 @@
 ///
 /// Lost callers: 147 before, 52 after.
 #[test]
-fn callers_come_back_when_a_shortage_may_have_ended() {
-    let lost = lost_in_a_shortage();
+fn retry_delay_outlasts_a_shortage() {
+    let lost = count_lost_callers();
     assert!(lost <= 60, "{lost} lost");
 }
 
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn seeds_are_called_until_they_are_known_and_never_oneself() {
+fn seeds_are_called_until_known_and_the_host_itself_never() {
     let now = Instant::now();
     let mut table = table(&[1, 2]);
     assert_eq!(table.due_calls(now), [([10, 0, 0, 1], 1).into()]);
@@ -211,8 +211,8 @@
 fn hosts_become_known_through_others() {
     let now = Instant::now();
     let mut table = table(&[]);
-    let mut told = view("a", "z", 1, 1);
-    told.listing = HostListing {
+    let mut received = view("a", "z", 1, 1);
+    received.listing = HostListing {
         from: 0,
         to: 1,
         hosts: vec![KnownHost {
@@ -224,7 +224,7 @@
             silent: Duration::from_millis(100),
         }],
     };
-    table.observe_view(&told, now);
+    table.observe_view(&received, now);
     let live = table.live_hosts("z", now);
     assert_eq!(
         live.iter().map(|host| &**host).collect::<Vec<_>>(),
@@ -256,7 +256,7 @@
 /// from it. Sequence: the first host of a zone loses the log, all others read
 /// it themselves. Cause: nobody stood in for the first host.
 #[test]
-fn a_few_hosts_stand_in_for_the_first_in_the_order_of_names() {
+fn next_hosts_in_the_ranking_replace_the_first_reader() {
     let now = Instant::now();
     let mut table = GossipTable::new(
         "d".into(),
@@ -281,7 +281,7 @@
 /// Symptom: loads of a moment ago come back. Sequence: two views of a host
 /// cross on the way. Cause: the later one to arrive was believed.
 #[test]
-fn an_overtaken_view_is_no_news() {
+fn reordered_view_is_ignored() {
     let now = Instant::now();
     let mut table = table(&[]);
     assert!(table.observe_view(&view("a", "z", 1, 5), now));
@@ -293,14 +293,14 @@
 }
 
 /// A writer that takes nothing until it is told to.
-struct StuckWriter {
-    go_on: mpsc::Receiver<()>,
+struct BlockedWriter {
+    release: mpsc::Receiver<()>,
     written: mpsc::Sender<Vec<u8>>,
 }
 
-impl Write for StuckWriter {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let _ = self.go_on.recv();
+        let _ = self.release.recv();
         let _ = self.written.send(bytes.to_vec());
         Ok(bytes.len())
     }
@@ -314,15 +314,15 @@
 /// reading, the pipe fills up. Cause: log lines were written by the thread
 /// that serves requests.
 #[test]
-fn a_log_reader_that_does_not_read_blocks_nothing() {
-    let (go_on_sender, go_on) = mpsc::channel();
+fn blocked_log_output_does_not_block_writers() {
+    let (release_sender, release) = mpsc::channel();
     let (written, lines) = mpsc::channel();
-    let mut writer = BoundedWriter::spawn(StuckWriter { go_on, written });
+    let mut writer = BoundedWriter::spawn(BlockedWriter { release, written });
     for line in 0..100_000 {
         writeln!(writer, "{line}").expect("never fails");
     }
     drop(writer);
-    drop(go_on_sender);
+    drop(release_sender);
     let text = lines.iter().flatten().collect::<Vec<_>>();
     let text = String::from_utf8(text).expect("text");
     assert!(text.starts_with("0\n"));
@@ -331,11 +331,11 @@
 
 /// A storm of decisions is bounded, and what was left out is counted.
 #[test]
-fn lines_left_out_are_counted() {
-    let (go_on_sender, go_on) = mpsc::channel();
+fn dropped_lines_are_counted() {
+    let (release_sender, release) = mpsc::channel();
     let (written, lines) = mpsc::channel();
-    drop(go_on_sender);
-    let mut writer = BoundedWriter::spawn(StuckWriter { go_on, written });
+    drop(release_sender);
+    let mut writer = BoundedWriter::spawn(BlockedWriter { release, written });
     for line in 0..5_000 {
         writeln!(writer, "{line}").expect("never fails");
     }
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -74,7 +74,7 @@
     }
 }
 
-fn noted(number: u64) -> PoisonEvidence {
+fn evidence_item(number: u64) -> PoisonEvidence {
     PoisonEvidence {
         request: u64::MAX - number,
         event: match number {
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn a_view_arrives_as_it_was_sent() {
+async fn view_is_received_as_sent() {
     let (caller, callee) = (spawn(), spawn());
     let sent = HostView {
         scope: UseScope::Group,
@@ -147,7 +147,7 @@
             hosts: 39,
         }],
         poison: PoisonDelta {
-            evidence: (0..3).map(noted).collect(),
+            evidence: (0..3).map(evidence_item).collect(),
             ..view("").poison
         },
         limits: LimitListing {
@@ -180,7 +180,7 @@
 }
 
 #[tokio::test]
-async fn permits_are_asked_for_and_answered() {
+async fn permit_requests_and_replies_keep_their_fields() {
     const WAIT: Duration = Duration::from_secs(20);
     let (caller, callee) = (spawn(), spawn());
     let address = callee.local_address();
@@ -223,7 +223,7 @@
 /// The slopes on which the budget of control bytes in docs/design/scale.md and
 /// the games in memory rest.
 #[tokio::test]
-async fn the_bytes_of_an_exchange_stay_within_their_slopes() {
+async fn exchange_bytes_per_item_are_bounded() {
     const ITEMS: usize = 20;
     let both_ways = 2 * ITEMS as u64;
     let empty = exchange_bytes(&view("front-saburtalo-1")).await;
@@ -239,9 +239,9 @@
         },
         ..view("front-saburtalo-1")
     };
-    let with_notes = HostView {
+    let with_evidence = HostView {
         poison: PoisonDelta {
-            evidence: (0..ITEMS as u64).map(noted).collect(),
+            evidence: (0..ITEMS as u64).map(evidence_item).collect(),
             ..view("").poison
         },
         ..view("front-saburtalo-1")
@@ -255,8 +255,8 @@
     };
     let by_word = (exchange_bytes(&with_limits).await - empty) / both_ways;
     assert!(by_word <= 28, "{by_word}");
-    let by_note = (exchange_bytes(&with_notes).await - empty) / both_ways;
-    assert!(by_note <= 20, "{by_note}");
+    let by_evidence = (exchange_bytes(&with_evidence).await - empty) / both_ways;
+    assert!(by_evidence <= 20, "{by_evidence}");
     let by_use = (exchange_bytes(&with_uses).await - empty) / both_ways;
     let by_host = (exchange_bytes(&with_hosts).await - empty) / both_ways;
     assert!((400..=840).contains(&empty), "{empty}");
--- a/tests/kept_records.rs
+++ b/tests/kept_records.rs
@@ -14,7 +14,7 @@
     kept.observe(&id(name), offset, Bytes::from_static(b"ready"), true);
 }
 
-fn take(kept: &mut KeptRecords, change: &TargetChange) {
+fn apply(kept: &mut KeptRecords, change: &TargetChange) {
     match &change.value {
         Some(value) => kept.observe(&change.id, change.offset, value.clone(), true),
         None => {
@@ -39,7 +39,7 @@
 /// still holds the target, since lapsed entries may come back after its own
 /// outage. Cause: whatever the other host listed was taken in.
 #[test]
-fn a_target_that_left_is_not_taken_back_from_a_host_that_lags() {
+fn left_target_is_not_restored_by_a_lagging_host() {
     let mut lagging = KeptRecords::default();
     observe(&mut lagging, "a", 3);
     observe(&mut lagging, "b", 4);
@@ -48,14 +48,14 @@
     observe(&mut own, "b", 4);
     assert!(own.remove("b", 9));
     for change in lagging.all() {
-        take(&mut own, &change);
+        apply(&mut own, &change);
     }
     assert_eq!(names(&own), ["a"]);
 }
 
 /// An entry that lapsed in an outage comes back with a later record.
 #[test]
-fn a_target_that_writes_again_is_back() {
+fn target_returns_with_a_later_record() {
     let mut kept = KeptRecords::default();
     observe(&mut kept, "a", 3);
     assert!(kept.remove("a", 5));
@@ -68,7 +68,7 @@
 /// read less does not hold it. Cause: a list says nothing of what comes after
 /// the offset up to which it was read.
 #[test]
-fn a_list_says_nothing_of_later_records() {
+fn list_does_not_cover_later_records() {
     let mut kept = KeptRecords::default();
     observe(&mut kept, "a", 3);
     observe(&mut kept, "b", 8);
@@ -79,54 +79,54 @@
     /// In whatever order two readers pass on the records of one log, and with
     /// repeats, what is left is what the log says last.
     #[test]
-    fn any_order_gives_the_newest(
+    fn any_order_of_changes_gives_the_newest_records(
         log in prop::collection::vec((0..4_u8, any::<bool>()), 1..40),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..80),
     ) {
-        let change = |(offset, (name, there)): (usize, &(u8, bool))| TargetChange {
+        let change = |(offset, (name, is_present)): (usize, &(u8, bool))| TargetChange {
             id: id(&name.to_string()),
             offset: offset as u64,
-            value: there.then(|| Bytes::from_static(b"ready")),
+            value: is_present.then(|| Bytes::from_static(b"ready")),
             dropped_at: None,
         };
         let log = log.iter().enumerate().map(change).collect::<Vec<_>>();
-        let mut straight = KeptRecords::default();
-        log.iter().for_each(|change| take(&mut straight, change));
-        let mut mixed = KeptRecords::default();
+        let mut in_order = KeptRecords::default();
+        log.iter().for_each(|change| apply(&mut in_order, change));
+        let mut shuffled = KeptRecords::default();
         for index in &order {
-            take(&mut mixed, index.get(&log));
+            apply(&mut shuffled, index.get(&log));
         }
         for change in log.iter().rev() {
-            take(&mut mixed, change);
+            apply(&mut shuffled, change);
         }
-        prop_assert_eq!(names(&mixed), names(&straight));
+        prop_assert_eq!(names(&shuffled), names(&in_order));
     }
 
     /// A host that follows another's changes ends up with the same targets.
     #[test]
-    fn changes_lead_to_the_same(
+    fn followed_changes_give_the_same_targets(
         log in prop::collection::vec((0..4_u8, any::<bool>()), 1..40),
-        asked in 0..40_usize,
+        poll_at in 0..40_usize,
     ) {
-        let mut lead = KeptRecords::default();
+        let mut leader = KeptRecords::default();
         let mut follower = KeptRecords::default();
         let mut from = 0;
-        for (offset, (name, there)) in log.iter().enumerate() {
+        for (offset, (name, is_present)) in log.iter().enumerate() {
             let name = name.to_string();
-            match there {
-                true => observe(&mut lead, &name, offset as u64),
+            match is_present {
+                true => observe(&mut leader, &name, offset as u64),
                 false => {
-                    lead.remove(&name, offset as u64);
+                    leader.remove(&name, offset as u64);
                 }
             }
-            if offset == asked {
-                let changes = lead.changes_since(from).expect("kept");
-                changes.iter().for_each(|change| take(&mut follower, change));
-                from = lead.next_change();
+            if offset == poll_at {
+                let changes = leader.changes_since(from).expect("kept");
+                changes.iter().for_each(|change| apply(&mut follower, change));
+                from = leader.next_change();
             }
         }
-        let changes = lead.changes_since(from).expect("kept");
-        changes.iter().for_each(|change| take(&mut follower, change));
-        prop_assert_eq!(names(&follower), names(&lead));
+        let changes = leader.changes_since(from).expect("kept");
+        changes.iter().for_each(|change| apply(&mut follower, change));
+        prop_assert_eq!(names(&follower), names(&leader));
     }
 }
--- a/tests/log_continuity.rs
+++ b/tests/log_continuity.rs
@@ -6,28 +6,28 @@
 use jackdawwick::ids::ZoneId;
 use jackdawwick::peer::LogAges;
 
-const LAPSE: Duration = Duration::from_millis(2400);
+const EXPIRY: Duration = Duration::from_millis(2400);
 /// Time within which entries that lapsed are back once the log is.
 const RETURN_TIME: Duration = Duration::from_secs(2);
 /// Time after which a host that is back counts as sound: targets that left then get
 /// nothing more.
-const CONTACT_TIME: Duration = Duration::from_secs(3);
+const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
 /// A host's own reads and what other hosts tell it, on one clock.
-struct Story {
+struct Scenario {
     start: Instant,
     continuity: LogContinuity,
 }
 
-impl Story {
+impl Scenario {
     /// A host that has read the log for ten seconds.
-    fn of_a_reader() -> Self {
+    fn with_reader() -> Self {
         let mut continuity = LogContinuity::default();
-        continuity.set_expiry(LAPSE);
+        continuity.set_expiry(EXPIRY);
         let start = Instant::now() + Duration::from_secs(60);
-        let mut story = Self { start, continuity };
-        story.read_from_to(0, 10_000);
-        story
+        let mut scenario = Self { start, continuity };
+        scenario.read_from_to(0, 10_000);
+        scenario
     }
 
     fn at(&self, ms: u64) -> Instant {
@@ -47,7 +47,7 @@
     }
 
     /// A host of a zone says at `now` that it read the log from `since` to `read`.
-    fn hear(&mut self, zone: &str, since: u64, read: u64, now: u64) {
+    fn receive_report(&mut self, zone: &str, since: u64, read: u64, now: u64) {
         let ages = LogAges {
             since: Duration::from_millis(now - since),
             read: Duration::from_millis(now - read),
@@ -68,99 +68,101 @@
 /// the while. Cause: one answer was given for all targets, whose zone decides which of
 /// them could write.
 #[test]
-fn the_targets_own_zone_decides_whether_its_entry_can_have_lapsed() {
-    let mut story = Story::of_a_reader();
-    let gap = story.read_again(16_000);
+fn reads_in_the_targets_zone_rule_out_expiry() {
+    let mut scenario = Scenario::with_reader();
+    let gap = scenario.read_again(16_000);
     let mut suspects = SuspectTargets::default();
     suspects.suspect("left", zone("far"), 7, gap);
     suspects.suspect("cut", zone("own"), 8, gap);
-    assert!(suspects.take_confirmed(&story.continuity).is_empty());
-    story.hear("far", 0, 15_900, 16_400);
-    let removals = suspects.take_confirmed(&story.continuity);
+    assert!(suspects.take_confirmed(&scenario.continuity).is_empty());
+    scenario.receive_report("far", 0, 15_900, 16_400);
+    let removals = suspects.take_confirmed(&scenario.continuity);
     assert_eq!(removals.len(), 1);
     assert_eq!((&*removals[0].id, removals[0].offset), ("left", 7));
     assert!(suspects.gap("cut").is_some());
     // A neighbour that was cut off as well proves nothing.
-    story.hear("own", 16_100, 16_300, 16_400);
-    assert!(suspects.take_confirmed(&story.continuity).is_empty());
+    scenario.receive_report("own", 16_100, 16_300, 16_400);
+    assert!(suspects.take_confirmed(&scenario.continuity).is_empty());
 }
 
 /// A host that was cut off alone hears from its neighbours that its own zone had the log.
 #[test]
-fn a_neighbour_that_read_all_the_while_ends_a_doubt() {
-    let mut story = Story::of_a_reader();
-    story.hear("own", 0, 9_900, 10_000);
-    let gap = story.read_again(16_000);
+fn neighbour_without_a_gap_ends_a_suspicion() {
+    let mut scenario = Scenario::with_reader();
+    scenario.receive_report("own", 0, 9_900, 10_000);
+    let gap = scenario.read_again(16_000);
     // What was heard before the cut says nothing of it.
-    assert!(!story.continuity.had_log("own", gap));
-    story.hear("own", 0, 15_800, 16_100);
-    assert!(story.continuity.had_log("own", gap));
+    assert!(!scenario.continuity.had_log("own", gap));
+    scenario.receive_report("own", 0, 15_800, 16_100);
+    assert!(scenario.continuity.had_log("own", gap));
 }
 
 /// Symptom: targets that left are used until a later read, up to 3.7 s after the log is
 /// back. Cause: the doubt lasted longer than entries need, and ended with the next read.
 #[test]
-fn a_doubt_outlasts_the_return_of_entries_and_ends_before_the_host_counts_as_sound() {
-    let mut story = Story::of_a_reader();
-    let gap = story.read_again(16_000);
+fn suspicion_ends_between_the_return_of_entries_and_the_hosts_recovery() {
+    let mut scenario = Scenario::with_reader();
+    let gap = scenario.read_again(16_000);
     let mut suspects = SuspectTargets::default();
     suspects.suspect("a", zone("own"), 7, gap);
-    let due = suspects.next_due(&story.continuity).expect("a doubt");
+    let due = suspects.next_due(&scenario.continuity).expect("a doubt");
     assert!(due > gap.until + RETURN_TIME);
-    assert!(due + Duration::from_millis(600) < gap.until + CONTACT_TIME);
-    story.read_from_to(16_600, 17_800);
-    story.read_from_to(18_199, 18_199);
-    assert!(suspects.take_due(&story.continuity).is_empty());
-    assert_eq!(story.continuity.observe_read(due, false), None);
-    assert_eq!(suspects.take_due(&story.continuity).len(), 1);
-    assert_eq!(suspects.next_due(&story.continuity), None);
+    assert!(due + Duration::from_millis(600) < gap.until + RECOVERY_TIME);
+    scenario.read_from_to(16_600, 17_800);
+    scenario.read_from_to(18_199, 18_199);
+    assert!(suspects.take_due(&scenario.continuity).is_empty());
+    assert_eq!(scenario.continuity.observe_read(due, false), None);
+    assert_eq!(suspects.take_due(&scenario.continuity).len(), 1);
+    assert_eq!(suspects.next_due(&scenario.continuity), None);
 }
 
 /// Symptom: sound targets are dropped, and with them all requests that they run. Sequence:
 /// the log is away, back for a second, and away again. Cause: the time for entries to come
 /// back ran on while nobody could write.
 #[test]
-fn a_second_outage_begins_the_doubt_anew() {
-    let mut story = Story::of_a_reader();
-    let first = story.read_again(16_000);
+fn second_outage_restarts_the_suspicion() {
+    let mut scenario = Scenario::with_reader();
+    let first = scenario.read_again(16_000);
     let mut suspects = SuspectTargets::default();
     suspects.suspect("a", zone("own"), 7, first);
     // Without the log no doubt ends.
-    assert!(suspects.take_due(&story.continuity).is_empty());
-    let second = story.read_again(20_000);
+    assert!(suspects.take_due(&scenario.continuity).is_empty());
+    let second = scenario.read_again(20_000);
     suspects.extend(second);
-    assert!(suspects.take_due(&story.continuity).is_empty());
+    assert!(suspects.take_due(&scenario.continuity).is_empty());
     assert!(
         suspects
-            .next_due(&story.continuity)
+            .next_due(&scenario.continuity)
             .is_some_and(|due| due > second.until + RETURN_TIME)
     );
     // Hosts that had the log through the first outage only prove nothing.
-    story.hear("own", 0, 17_000, 20_100);
-    assert!(suspects.take_confirmed(&story.continuity).is_empty());
+    scenario.receive_report("own", 0, 17_000, 20_100);
+    assert!(suspects.take_confirmed(&scenario.continuity).is_empty());
 }
 
 /// Two hosts that took turns in reading had the log between them; a pause in which
 /// entries can lapse stays one, whoever tells of the times before and after it.
 #[test]
-fn words_of_a_zone_join_where_no_entry_can_have_lapsed_between_them() {
-    let mut story = Story::of_a_reader();
-    let gap = story.read_again(16_000);
-    story.hear("far", 0, 12_000, 16_100);
-    story.hear("far", 13_000, 15_900, 16_100);
-    assert!(story.continuity.had_log("far", gap));
-    story.hear("third", 0, 12_000, 16_100);
-    story.hear("third", 14_500, 15_900, 16_100);
-    assert!(!story.continuity.had_log("third", gap));
+fn reports_of_a_zone_merge_unless_entries_can_expire_in_between() {
+    let mut scenario = Scenario::with_reader();
+    let gap = scenario.read_again(16_000);
+    scenario.receive_report("far", 0, 12_000, 16_100);
+    scenario.receive_report("far", 13_000, 15_900, 16_100);
+    assert!(scenario.continuity.had_log("far", gap));
+    scenario.receive_report("third", 0, 12_000, 16_100);
+    scenario.receive_report("third", 14_500, 15_900, 16_100);
+    assert!(!scenario.continuity.had_log("third", gap));
 }
 
 /// A host that stood still has no outage to doubt, and yet cannot vouch for that time.
 #[test]
-fn a_host_that_stood_still_doubts_nothing_and_vouches_for_nothing() {
-    let mut story = Story::of_a_reader();
-    let woken = story.at(16_000);
-    assert_eq!(story.continuity.observe_read(woken, false), None);
-    let ages = story.continuity.ages(woken + Duration::from_millis(100));
+fn suspended_host_has_no_gap_and_starts_a_new_span() {
+    let mut scenario = Scenario::with_reader();
+    let resumed = scenario.at(16_000);
+    assert_eq!(scenario.continuity.observe_read(resumed, false), None);
+    let ages = scenario
+        .continuity
+        .ages(resumed + Duration::from_millis(100));
     assert_eq!(
         ages.map(|ages| ages.since),
         Some(Duration::from_millis(100))
--- a/tests/log_reader.rs
+++ b/tests/log_reader.rs
@@ -17,7 +17,7 @@
     answer: Duration::from_millis(150),
     newest: Duration::from_millis(150),
 };
-const USUAL_PACE: TargetTiming = TargetTiming {
+const USUAL_TIMING: TargetTiming = TargetTiming {
     drain: Duration::from_millis(600),
     heartbeat: Duration::from_millis(1200),
 };
@@ -28,17 +28,17 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
-        for answers in connections {
+        for responses in connections {
             let Ok((mut stream, _)) = listener.accept().await else {
                 return;
             };
             tokio::spawn(async move {
                 let mut part = [0; 4096];
-                for answer in answers {
+                for response in responses {
                     if !matches!(stream.read(&mut part).await, Ok(1..)) {
                         return;
                     }
-                    let _ = stream.write_all(&answer).await;
+                    let _ = stream.write_all(&response).await;
                 }
                 while matches!(stream.read(&mut part).await, Ok(1..)) {}
             });
@@ -47,7 +47,7 @@
     address
 }
 
-fn answer(status: &str, body: &[u8]) -> Vec<u8> {
+fn response(status: &str, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n",
         body.len()
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn records_are_read_with_their_keys_and_dropped_keys_have_no_value() {
     let body = read_body(7, 2, &[record("a", b"one"), record("b", b"")]);
-    let address = spawn_log(vec![vec![answer("200 OK", &body)]]).await;
+    let address = spawn_log(vec![vec![response("200 OK", &body)]]).await;
     let mut reader = LogClient::open(address, LIMIT);
     let read = reader
         .read("keyed.servers", 5, Duration::ZERO)
@@ -94,12 +94,12 @@
 }
 
 #[tokio::test]
-async fn the_newest_of_each_key_come_page_by_page() {
+async fn newest_records_are_read_page_by_page() {
     let first =
         br#"{"items":[{"key":"a","value":"b25l","offset":4}],"has_more":true,"end_offset":6}"#;
     let second =
         br#"{"items":[{"key":"b","value":"dHdv","offset":7}],"has_more":false,"end_offset":9}"#;
-    let pages = vec![answer("200 OK", first), answer("200 OK", second)];
+    let pages = vec![response("200 OK", first), response("200 OK", second)];
     let mut reader = LogClient::open(spawn_log(vec![pages]).await, LIMIT);
     let read = reader.newest("keyed.op").await.expect("records");
     // Going on from the first page's end misses nothing that later pages lack.
@@ -109,11 +109,11 @@
 }
 
 #[tokio::test]
-async fn deleted_history_is_told_either_way() {
-    let gone = answer("410 Gone", br#"{"first_offset":9}"#);
-    let skipped = answer("200 OK", &read_body(12, 9, &[]));
-    for answers in [vec![gone], vec![skipped]] {
-        let mut reader = LogClient::open(spawn_log(vec![answers]).await, LIMIT);
+async fn deleted_history_is_reported_in_both_forms() {
+    let gone = response("410 Gone", br#"{"first_offset":9}"#);
+    let skipped = response("200 OK", &read_body(12, 9, &[]));
+    for responses in [vec![gone], vec![skipped]] {
+        let mut reader = LogClient::open(spawn_log(vec![responses]).await, LIMIT);
         let read = reader.read("keyed.op", 5, Duration::ZERO).await;
         assert_eq!(read, Err(LogError::Deleted));
     }
@@ -124,11 +124,11 @@
 /// ones work. Cause: the host waited on the old one for as long as a read may
 /// wait, and used it again.
 #[tokio::test]
-async fn a_silent_connection_is_left_after_the_time_limit() {
+async fn silent_connection_is_replaced_after_the_timeout() {
     let body = read_body(6, 0, &[record("config", b"{}")]);
-    let silent = vec![answer("200 OK", &read_body(5, 0, &[]))];
-    let sound = vec![answer("200 OK", &body)];
-    let mut reader = LogClient::open(spawn_log(vec![silent, sound]).await, LIMIT);
+    let silent = vec![response("200 OK", &read_body(5, 0, &[]))];
+    let healthy = vec![response("200 OK", &body)];
+    let mut reader = LogClient::open(spawn_log(vec![silent, healthy]).await, LIMIT);
     let wait = Duration::from_millis(50);
     assert!(reader.read("keyed.op", 5, wait).await.is_ok());
     let lost = reader.read("keyed.op", 5, wait).await;
@@ -141,8 +141,8 @@
 }
 
 #[tokio::test]
-async fn refusals_carry_their_status() {
-    let busy = vec![answer("503 Busy", b"")];
+async fn error_responses_carry_their_status() {
+    let busy = vec![response("503 Busy", b"")];
     let mut reader = LogClient::open(spawn_log(vec![busy]).await, LIMIT);
     assert_eq!(reader.newest("keyed.op").await, Err(LogError::Status(503)));
 }
@@ -169,10 +169,10 @@
 
 /// Follows a log that gives these answers, for as long as the sender says so.
 async fn spawn_follower(
-    answers: Vec<Vec<u8>>,
-    pace: TargetTiming,
+    responses: Vec<Vec<u8>>,
+    timing: TargetTiming,
 ) -> (Arc<ServingTables>, tokio::sync::watch::Sender<LogRole>) {
-    let reader = LogClient::open(spawn_log(vec![answers]).await, LIMIT);
+    let reader = LogClient::open(spawn_log(vec![responses]).await, LIMIT);
     let budget = WindowSettings {
         window: LIMIT.answer,
         ratio: 0.0,
@@ -180,9 +180,9 @@
     };
     let tables = Arc::new(ServingTables::new("h".into(), "z".into(), budget));
     let copy = Arc::new(LogCopy::new(tables.clone()));
-    let (direct, reads) = tokio::sync::watch::channel(LogRole::Reader);
-    tokio::spawn(follow_targets(copy, reader, pace, reads));
-    (tables, direct)
+    let (role, role_receiver) = tokio::sync::watch::channel(LogRole::Reader);
+    tokio::spawn(follow_targets(copy, reader, timing, role_receiver));
+    (tables, role)
 }
 
 async fn until<F>(holds: F)
@@ -218,19 +218,19 @@
 /// the host kept every target whose entry was dropped. Yet what the first read
 /// tells has to be kept, else all targets are gone after an outage.
 #[tokio::test]
-async fn only_the_first_read_after_an_outage_is_doubted() {
+async fn only_the_first_read_after_an_outage_makes_suspects() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
-    let lapsed = read_body(3, 0, &[record("a", b"")]);
+    let expired = read_body(3, 0, &[record("a", b"")]);
     let left = read_body(4, 0, &[record("b", b"")]);
-    let first = vec![answer("200 OK", &all), answer("503 Busy", b"")];
-    let later = vec![answer("200 OK", &lapsed), answer("200 OK", &left)];
-    let answers = [first, later].concat();
-    let pace = TargetTiming {
+    let first = vec![response("200 OK", &all), response("503 Busy", b"")];
+    let later = vec![response("200 OK", &expired), response("200 OK", &left)];
+    let responses = [first, later].concat();
+    let timing = TargetTiming {
         drain: Duration::from_millis(60),
         // The outage of one read lasts longer than two of these.
         heartbeat: Duration::from_millis(10),
     };
-    let (tables, _direct) = spawn_follower(answers, pace).await;
+    let (tables, _role) = spawn_follower(responses, timing).await;
     wait_until_known(&tables, "b").await;
     wait_until_gone(&tables, "b").await;
     assert!(
@@ -241,18 +241,18 @@
 
 /// Symptom: requests reach a target three seconds after it left (a hunted day;
 /// the cause was read). Sequence: one answer of the log is lost, the next read
-/// tells that a target left. Cause: entries were taken to have lapsed, which
+/// tells that a target left. Cause: entries were taken to have expired, which
 /// they do only after three heartbeats without a word.
 #[tokio::test]
-async fn one_lost_answer_is_no_outage() {
+async fn one_failed_read_is_no_outage() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
     let left = read_body(3, 0, &[record("b", b"")]);
-    let answers = vec![
-        answer("200 OK", &all),
-        answer("503 Busy", b""),
-        answer("200 OK", &left),
+    let responses = vec![
+        response("200 OK", &all),
+        response("503 Busy", b""),
+        response("200 OK", &left),
     ];
-    let (tables, _direct) = spawn_follower(answers, USUAL_PACE).await;
+    let (tables, _role) = spawn_follower(responses, USUAL_TIMING).await;
     wait_until_known(&tables, "b").await;
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
@@ -263,15 +263,15 @@
 /// leaves, the others begin to read for themselves. Cause: what their first
 /// read did not list was kept for as long as entries may come back.
 #[tokio::test]
-async fn a_host_that_begins_to_read_drops_what_has_left() {
+async fn new_reader_drops_targets_that_left() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
     let left = newest_body(&[("a", heartbeat(1))]);
-    let answers = vec![answer("200 OK", &all), answer("200 OK", &left)];
-    let (tables, direct) = spawn_follower(answers, USUAL_PACE).await;
+    let responses = vec![response("200 OK", &all), response("200 OK", &left)];
+    let (tables, role) = spawn_follower(responses, USUAL_TIMING).await;
     wait_until_known(&tables, "b").await;
-    direct.send(LogRole::Follower).expect("a reader");
+    role.send(LogRole::Follower).expect("a reader");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    direct.send(LogRole::Reader).expect("a reader");
+    role.send(LogRole::Reader).expect("a reader");
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
 }
@@ -281,20 +281,20 @@
 /// for itself again after that one died. Cause: it took the outage of long ago
 /// to have ended with this read, and kept what the log no longer lists.
 #[tokio::test]
-async fn an_outage_before_another_host_was_followed_is_over() {
+async fn outage_before_following_another_host_is_over() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
     let left = newest_body(&[("a", heartbeat(1))]);
-    let answers = vec![
-        answer("200 OK", &all),
-        answer("503 Busy", b""),
-        answer("200 OK", &left),
+    let responses = vec![
+        response("200 OK", &all),
+        response("503 Busy", b""),
+        response("200 OK", &left),
     ];
-    let (tables, direct) = spawn_follower(answers, USUAL_PACE).await;
+    let (tables, role) = spawn_follower(responses, USUAL_TIMING).await;
     wait_until_known(&tables, "b").await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    direct.send(LogRole::Follower).expect("a reader");
+    role.send(LogRole::Follower).expect("a reader");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    direct.send(LogRole::Reader).expect("a reader");
+    role.send(LogRole::Reader).expect("a reader");
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
 }
@@ -306,15 +306,15 @@
 /// eight hosts had a line on deleted history, none on a lost log, and dropped the targets
 /// 2.5 s later, as missing.
 #[tokio::test]
-async fn a_log_that_forgets_its_history_was_not_away() {
+async fn deleted_history_is_no_outage() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
     let left = newest_body(&[("a", heartbeat(1))]);
-    let answers = vec![
-        answer("200 OK", &all),
-        answer("410 Gone", br#"{"first_offset":2}"#),
-        answer("200 OK", &left),
+    let responses = vec![
+        response("200 OK", &all),
+        response("410 Gone", br#"{"first_offset":2}"#),
+        response("200 OK", &left),
     ];
-    let (tables, _direct) = spawn_follower(answers, USUAL_PACE).await;
+    let (tables, _role) = spawn_follower(responses, USUAL_TIMING).await;
     wait_until_known(&tables, "b").await;
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
@@ -325,17 +325,17 @@
 /// just dropped the target; both had started in the same microsecond. Cause:
 /// the first host took the number of the second one's changes for its own.
 #[test]
-fn the_number_of_one_hosts_changes_is_not_asked_of_another() {
+fn change_positions_are_kept_per_host() {
     let mut cursor = FollowCursor::default();
     let (first, second) = ("a".into(), "b".into());
     assert_eq!(cursor.request(&second, 3).incarnation, 0);
     cursor.advance(&second, 7, 41);
     assert_eq!(cursor.request(&second, 3).from, 41);
-    let asked = cursor.request(&first, 3);
-    assert_ne!(asked.incarnation, 7);
+    let request = cursor.request(&first, 3);
+    assert_ne!(request.incarnation, 7);
     // Not the first question: the asking host has targets.
-    assert_ne!(asked.incarnation, 0);
-    assert_eq!((asked.from, asked.configuration_version), (0, 3));
+    assert_ne!(request.incarnation, 0);
+    assert_eq!((request.from, request.configuration_version), (0, 3));
 }
 
 proptest! {
@@ -343,11 +343,11 @@
 
     /// Whatever the service sends, it is records or an error, never a panic.
     #[test]
-    fn any_bytes_are_judged(bytes in prop::collection::vec(any::<u8>(), 0..120)) {
+    fn any_response_bytes_give_records_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..120)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.expect("a runtime");
         let read = runtime.block_on(async {
-            let address = spawn_log(vec![vec![answer("200 OK", &bytes)]]).await;
+            let address = spawn_log(vec![vec![response("200 OK", &bytes)]]).await;
             let mut reader = LogClient::open(address, LIMIT);
             reader.read("keyed.op", 0, Duration::ZERO).await
         });
@@ -362,7 +362,7 @@
 /// itself as soon as that one has nothing new. Cause: each tried again as often
 /// as those that read for others.
 #[test]
-fn hosts_that_nobody_follows_try_less_often_while_the_log_is_down() {
+fn fallback_readers_retry_less_often() {
     let usual = Duration::from_millis(600);
     assert_eq!(LogRole::FallbackReader.retry_pause(usual, 0), usual);
     assert_eq!(LogRole::FallbackReader.retry_pause(usual, 1), usual);
@@ -376,7 +376,7 @@
 /// takes longer than an answer may; each gives up and begins again. Cause: one
 /// limit for a short answer and for hundreds of kilobytes.
 #[tokio::test]
-async fn the_newest_records_may_take_longer_than_a_short_answer() {
+async fn newest_records_have_a_longer_timeout() {
     let body =
         br#"{"items":[{"key":"a","value":"b25l","offset":4}],"has_more":false,"end_offset":6}"#;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -386,7 +386,7 @@
         let mut part = [0; 4096];
         let _ = stream.read(&mut part).await;
         tokio::time::sleep(2 * LIMIT.answer).await;
-        let _ = stream.write_all(&answer("200 OK", body)).await;
+        let _ = stream.write_all(&response("200 OK", body)).await;
     });
     let limits = CallLimits {
         newest: Duration::from_secs(20),
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -19,7 +19,7 @@
     body: b"select",
 };
 /// Most requests that a table remembers, as its memory is worked out from.
-const MOST_RECORDS: usize = 256;
+const MAX_RECORDS: usize = 256;
 
 fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_third_target_that_ends_under_a_request_proves_it() {
+fn third_target_end_makes_a_request_poison() {
     let now = Instant::now();
     let mut table = PoisonTable::default();
     assert_eq!(table.observe_end(7, 1, now), PoisonVerdict::Suspect(1));
@@ -104,7 +104,7 @@
 /// runs on three engines that are lost for other reasons, within an hour, and is
 /// answered in between. Cause: an answer was no reason to drop the suspicion.
 #[test]
-fn an_answer_clears_a_request_of_what_came_before() {
+fn survival_clears_earlier_evidence() {
     let now = Instant::now();
     let mut table = PoisonTable::default();
     table.observe_end(7, 1, now);
@@ -113,8 +113,8 @@
     let last = table.observe_end(7, 3, now + seconds(60));
     assert_eq!(last, PoisonVerdict::Suspect(1));
     // Late word of ends before the answer, from another host.
-    let late = [ended(7, 4, seconds(60)), ended(7, 5, seconds(60))];
-    let refused = table.merge(&late, now + seconds(61));
+    let late_evidence = [ended(7, 4, seconds(60)), ended(7, 5, seconds(60))];
+    let refused = table.merge(&late_evidence, now + seconds(61));
     assert!(refused.is_empty());
     assert!(!table.is_poison(7, now + seconds(61)));
 }
@@ -123,14 +123,14 @@
 /// engines were lost as it began to run there. Cause: what is refused never runs, and
 /// so never shows that engines survive it. It is tried again, ever more rarely.
 #[test]
-fn a_refused_request_is_tried_again_ever_more_rarely() {
+fn refused_request_is_retried_at_growing_intervals() {
     let minute = seconds(60);
     let mut now = Instant::now();
     let mut table = table_with_poison(7, now);
     let hour = 60 * minute;
     let week = 7 * 24 * hour;
-    let refusals = [10 * minute, hour, 24 * hour, week, week];
-    for (target, refused_for) in (4..).zip(refusals) {
+    let refusal_times = [10 * minute, hour, 24 * hour, week, week];
+    for (target, refused_for) in (4..).zip(refusal_times) {
         assert!(table.is_poison(7, now + refused_for - seconds(1)));
         now += refused_for;
         assert!(!table.is_poison(7, now));
@@ -146,7 +146,7 @@
 /// request; all targets of its service end at once, each as it begins to run it. Cause:
 /// that it was answered a moment before was forgotten.
 #[test]
-fn a_request_that_was_answered_a_moment_ago_is_not_suspected() {
+fn recently_survived_request_is_not_suspected() {
     let now = Instant::now();
     let mut table = PoisonTable::default();
     table.observe_survival(7, now);
@@ -164,14 +164,14 @@
 /// there is a suspect. Cause: the table is bounded, and the newest records pushed out
 /// the older ones, whatever they said.
 #[test]
-fn a_flood_of_suspects_pushes_out_no_proof() {
+fn suspects_do_not_evict_poison_requests() {
     let now = Instant::now();
     let mut table = table_with_poison(7, now);
     table.observe_end(8, 1, now);
     table.observe_end(8, 2, now);
     for request in 100..10_000 {
         table.observe_end(request, 9, now + seconds(1));
-        assert!(table.len() <= MOST_RECORDS);
+        assert!(table.len() <= MAX_RECORDS);
     }
     assert!(table.is_poison(7, now + seconds(2)));
     let third = table.observe_end(8, 3, now + seconds(2));
@@ -182,7 +182,7 @@
 /// draft runs for seconds on an engine that is lost, is taken up at the next one and
 /// runs there for seconds too. Cause: whatever had the request when it ended counted.
 #[test]
-fn targets_that_ran_a_request_for_seconds_did_not_end_of_it() {
+fn request_that_runs_for_seconds_is_not_suspected() {
     let now = Instant::now();
     let mut start = RunStart::default();
     assert!(start.is_suspect(now + seconds(9)), "it never began");
@@ -195,13 +195,13 @@
 }
 
 /// A host's table, and what its present start goes by.
-struct Speaker {
+struct Peer {
     address: SocketAddr,
     incarnation: IncarnationId,
     table: PoisonTable,
 }
 
-impl Speaker {
+impl Peer {
     fn start(port: u16, incarnation: IncarnationId) -> Self {
         Self {
             address: ([127, 0, 0, 1], port).into(),
@@ -210,81 +210,81 @@
         }
     }
 
-    fn hear(&mut self, other: &Self, listing: &PoisonDelta, now: Instant) {
+    fn receive(&mut self, other: &Self, delta: &PoisonDelta, now: Instant) {
         let (address, incarnation) = (other.address, other.incarnation);
-        self.table.apply_delta(address, incarnation, listing, now);
+        self.table.apply_delta(address, incarnation, delta, now);
     }
 }
 
 /// One call and its answer.
-fn exchange(caller: &mut Speaker, callee: &mut Speaker, now: Instant) {
-    let question = caller.table.delta_for(callee.address, now);
-    callee.hear(caller, &question, now);
-    let answer = callee.table.delta_for(caller.address, now);
-    caller.hear(callee, &answer, now);
+fn exchange(caller: &mut Peer, callee: &mut Peer, now: Instant) {
+    let request_delta = caller.table.delta_for(callee.address, now);
+    callee.receive(caller, &request_delta, now);
+    let reply_delta = callee.table.delta_for(caller.address, now);
+    caller.receive(callee, &reply_delta, now);
 }
 
 /// Symptom: a host that starts again never hears of what is refused. Sequence: the
 /// other one calls first, with what changed since it last told; that is nothing. Cause:
 /// the start took itself to have heard everything up to there.
 #[test]
-fn a_start_is_told_what_the_one_before_had_heard() {
+fn restarted_host_receives_the_whole_table() {
     let now = Instant::now();
-    let (mut one, mut other) = (Speaker::start(1, 1), Speaker::start(2, 2));
-    one.table = table_with_poison(7, now);
-    exchange(&mut one, &mut other, now);
-    assert!(other.table.is_poison(7, now));
-    exchange(&mut one, &mut other, now);
-    other = Speaker::start(2, 3);
-    exchange(&mut one, &mut other, now);
-    exchange(&mut one, &mut other, now);
-    assert!(other.table.is_poison(7, now));
+    let (mut first, mut second) = (Peer::start(1, 1), Peer::start(2, 2));
+    first.table = table_with_poison(7, now);
+    exchange(&mut first, &mut second, now);
+    assert!(second.table.is_poison(7, now));
+    exchange(&mut first, &mut second, now);
+    second = Peer::start(2, 3);
+    exchange(&mut first, &mut second, now);
+    exchange(&mut first, &mut second, now);
+    assert!(second.table.is_poison(7, now));
 }
 
 /// The same the other way round: versions of a start begin anew, and what it notes is
 /// not old for having a low one.
 #[test]
-fn what_a_start_notes_is_news_whatever_its_version() {
+fn evidence_of_a_restarted_host_is_applied_despite_low_versions() {
     let now = Instant::now();
-    let (mut one, mut other) = (Speaker::start(1, 1), Speaker::start(2, 2));
-    other.table = table_with_poison(7, now);
+    let (mut first, mut second) = (Peer::start(1, 1), Peer::start(2, 2));
+    second.table = table_with_poison(7, now);
     for _ in 0..3 {
-        exchange(&mut one, &mut other, now);
+        exchange(&mut first, &mut second, now);
     }
-    other = Speaker::start(2, 3);
-    other.table = table_with_poison(8, now);
+    second = Peer::start(2, 3);
+    second.table = table_with_poison(8, now);
     for _ in 0..2 {
-        exchange(&mut one, &mut other, now);
+        exchange(&mut first, &mut second, now);
     }
-    assert!(one.table.is_poison(8, now));
+    assert!(first.table.is_poison(8, now));
 }
 
 /// A full table arrives in listings that are bounded, and then nothing more is sent.
 #[test]
-fn a_full_table_arrives_in_bounded_listings() {
-    const MOST_NOTES: usize = 64;
+fn full_table_is_sent_in_bounded_deltas() {
+    const MAX_EVIDENCE: usize = 64;
     let now = Instant::now();
-    let (mut one, mut other) = (Speaker::start(1, 1), Speaker::start(2, 2));
-    for request in 0..MOST_RECORDS as u64 {
-        one.table.observe_end(request, 1, now);
-        one.table.observe_end(request, 2, now);
+    let (mut first, mut second) = (Peer::start(1, 1), Peer::start(2, 2));
+    for request in 0..MAX_RECORDS as u64 {
+        first.table.observe_end(request, 1, now);
+        first.table.observe_end(request, 2, now);
     }
     let mut exchanges = 0;
     loop {
-        let listing = one.table.delta_for(other.address, now);
-        assert!(listing.evidence.len() <= MOST_NOTES);
-        if listing.evidence.is_empty() {
+        let delta = first.table.delta_for(second.address, now);
+        assert!(delta.evidence.len() <= MAX_EVIDENCE);
+        if delta.evidence.is_empty() {
             break;
         }
-        exchange(&mut one, &mut other, now);
+        exchange(&mut first, &mut second, now);
         exchanges += 1;
     }
-    assert_eq!(other.table.len(), MOST_RECORDS);
+    assert_eq!(second.table.len(), MAX_RECORDS);
     // Two notes a record.
-    assert_eq!(exchanges, 2 * MOST_RECORDS / MOST_NOTES);
+    assert_eq!(exchanges, 2 * MAX_RECORDS / MAX_EVIDENCE);
 }
 
-fn any_note() -> impl Strategy<Value = PoisonEvidence> {
+fn any_evidence() -> impl Strategy<Value = PoisonEvidence> {
     let event = prop_oneof![
         6 => (1..6_u64).prop_map(PoisonEvent::Ended),
         1 => Just(PoisonEvent::Survived),
@@ -301,27 +301,27 @@
     /// Hosts that hear the same notes refuse the same requests, in whatever order
     /// and however often they hear them: a naive version looks at all notes at once.
     #[test]
-    fn hosts_conclude_the_same_from_the_same_notes(
-        notes in proptest::collection::vec(any_note(), 0..24),
+    fn merge_is_independent_of_order_and_repetition(
+        evidence in proptest::collection::vec(any_evidence(), 0..24),
         seed in any::<u64>(),
     ) {
         let now = Instant::now() + seconds(1000);
-        let mut shuffled = notes.clone();
-        shuffled.extend(notes.clone());
-        let places = shuffled.len().max(1) as u64;
-        for place in 0..shuffled.len() {
-            let other = (seed.rotate_left(place as u32 * 7) % places) as usize;
-            shuffled.swap(place, other);
+        let mut shuffled = evidence.clone();
+        shuffled.extend(evidence.clone());
+        let length = shuffled.len().max(1) as u64;
+        for index in 0..shuffled.len() {
+            let other = (seed.rotate_left(index as u32 * 7) % length) as usize;
+            shuffled.swap(index, other);
         }
         let mut table = PoisonTable::default();
         table.merge(&shuffled, now);
         for request in 1..4 {
-            let of = notes.iter().filter(|note| note.request == request);
-            let survived = of.clone().filter(|note| note.event == PoisonEvent::Survived);
-            let survived = survived.map(|note| note.age).min();
-            let mut targets = of
-                .filter(|note| survived.is_none_or(|age| note.age < age))
-                .filter_map(|note| match note.event {
+            let of_request = evidence.iter().filter(|item| item.request == request);
+            let survived = of_request.clone().filter(|item| item.event == PoisonEvent::Survived);
+            let survived = survived.map(|item| item.age).min();
+            let mut targets = of_request
+                .filter(|item| survived.is_none_or(|age| item.age < age))
+                .filter_map(|item| match item.event {
                     PoisonEvent::Ended(target) => Some(target),
                     PoisonEvent::Survived => None,
                 })
--- a/tests/target_starts.rs
+++ b/tests/target_starts.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_platform_is_told_the_id_without_the_start() {
+fn platform_id_omits_the_start() {
     let entry = entry(1_700_000_000_000);
     assert_eq!(platform_id(&entry.id), "i-1");
     assert_ne!(&*entry.id, "i-1");
@@ -61,7 +61,7 @@
 /// Sequence: it fails, crashes with requests on it, and starts under its id.
 /// Cause: what was known of the start before was taken to be true of the new.
 #[test]
-fn a_new_start_has_no_requests_failures_or_layers_of_the_one_before() {
+fn new_start_has_no_state_of_the_previous_one() {
     let (tables, copy) = open_copy();
     let now = Instant::now();
     observe(&copy, "i-1", 4, &heartbeat(Some(100)));
@@ -99,7 +99,7 @@
 /// engine starts again; a heartbeat of before, under way when it crashed, is
 /// written after the first one of the new start. Cause: the newest record won.
 #[test]
-fn a_late_record_of_the_start_before_is_passed_over() {
+fn late_record_of_a_previous_start_is_ignored() {
     let (tables, copy) = open_copy();
     observe(&copy, "i-1", 4, &heartbeat(Some(900)));
     observe(&copy, "i-1", 5, &heartbeat(Some(100)));
@@ -109,7 +109,7 @@
 /// Symptom: an engine is never used again. Sequence: its clock is set back,
 /// then it starts again. Cause: its new start looks older than the one before.
 #[test]
-fn a_start_with_a_clock_set_back_is_believed_in_the_end() {
+fn start_with_an_earlier_clock_is_accepted_after_three_records() {
     let mut starts = TargetStarts::default();
     assert_eq!(starts.observe("i-1", &entry(900)), StartVerdict::Current);
     assert_eq!(starts.observe("i-1", &entry(100)), StartVerdict::Ended);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_target_that_leaves_takes_its_newest_start_along() {
+fn leaving_target_removes_its_newest_start() {
     let (tables, copy) = open_copy();
     observe(&copy, "i-1", 4, &heartbeat(Some(100)));
     observe(&copy, "i-1", 5, &heartbeat(Some(900)));
@@ -136,21 +136,21 @@
 /// Sequence: something other than an engine writes an entry. Cause: fields
 /// that are missing, of another type or with words that nobody knows.
 #[test]
-fn a_record_of_another_writer_names_no_target_and_the_others_hold() {
+fn unreadable_records_name_no_target_and_others_stay() {
     let (tables, copy) = open_copy();
     observe(&copy, "i-1", 0, &heartbeat(None));
-    let mut alien = vec![b"\xff\xfe".to_vec(), b"null".to_vec()];
-    alien.push("[".repeat(100_000).into_bytes());
-    alien.push(heartbeat(None).to_string().as_bytes()[..40].to_vec());
+    let mut foreign = vec![b"\xff\xfe".to_vec(), b"null".to_vec()];
+    foreign.push("[".repeat(100_000).into_bytes());
+    foreign.push(heartbeat(None).to_string().as_bytes()[..40].to_vec());
     let required = [
         "service", "address", "zone", "state", "version", "slots", "sequence",
     ];
     for field in required {
         let mut missing = heartbeat(None);
         missing.as_object_mut().expect("fields").remove(field);
-        alien.push(missing.to_string().into_bytes());
+        foreign.push(missing.to_string().into_bytes());
     }
-    let odd = [
+    let invalid = [
         ("service", json!([1])),
         ("address", json!("nowhere")),
         ("slots", json!("many")),
@@ -161,12 +161,12 @@
         ("layers", json!({"from": -1, "to": 3})),
         ("kind", json!(7)),
     ];
-    for (field, word) in odd {
+    for (field, content) in invalid {
         let mut value = heartbeat(None);
-        value[field] = word;
-        alien.push(value.to_string().into_bytes());
+        value[field] = content;
+        foreign.push(value.to_string().into_bytes());
     }
-    for (offset, bytes) in (1..).zip(&alien) {
+    for (offset, bytes) in (1..).zip(&foreign) {
         copy.observe_target(&format!("x-{offset}"), offset, bytes);
         assert_eq!(known_ids(&tables), ["i-1"], "after record {offset}");
     }
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn an_entry_that_becomes_unreadable_names_no_target_until_the_next_heartbeat() {
+fn unreadable_record_removes_its_target_until_the_next_heartbeat() {
     let (tables, copy) = open_copy();
     observe(&copy, "i-1", 0, &heartbeat(Some(100)));
     copy.observe_target("i-1", 1, b"{}");
@@ -210,15 +210,15 @@
     /// Whatever stands in the place of one field, the record is an entry or an
     /// error, and another target's entry stays.
     #[test]
-    fn any_field_of_a_heartbeat_may_be_anything(
+    fn any_field_value_gives_an_entry_or_an_error(
         field in 0_usize..11,
-        word in any_json(),
+        content in any_json(),
     ) {
         let (tables, copy) = open_copy();
         observe(&copy, "i-1", 0, &heartbeat(Some(100)));
         let mut value = heartbeat(Some(100));
         let names = value.as_object().expect("fields").keys().cloned().collect::<Vec<_>>();
-        value[&names[field]] = word;
+        value[&names[field]] = content;
         observe(&copy, "i-2", 1, &value);
         prop_assert!(known_ids(&tables).contains(&entry(100).id.to_string()));
         let _ = parse_report(value.to_string().as_bytes());
@@ -226,7 +226,7 @@
     }
 
     #[test]
-    fn any_bytes_are_an_entry_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_give_an_entry_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let (tables, copy) = open_copy();
         observe(&copy, "i-1", 0, &heartbeat(Some(100)));
         copy.observe_target("i-2", 1, &bytes);
@@ -240,7 +240,7 @@
 /// in while another thread answers a peer. Cause: one held the lock of the copy
 /// and waited for that of the targets, the other the reverse.
 #[test]
-fn no_lock_is_held_while_another_is_waited_for() {
+fn locks_are_not_held_while_waiting_for_another() {
     let (tables, copy) = open_copy();
     let copy = Arc::new(copy);
     observe(&copy, "i-1", 4, &heartbeat(Some(100)));
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_report_tells_the_start() {
+fn report_contains_the_start() {
     let report = parse_report(br#"{"born": 77}"#).expect("a report");
     assert_eq!(report.started_ms, Some(77));
     let address = "10.0.0.1:80".parse::<SocketAddr>().expect("an address");
