--- a/tests/entry_decisions.rs
+++ b/tests/entry_decisions.rs
@@ -1,4 +1,4 @@
-//! Small decisions of an entry host: events, refusals, known hosts, log lines.
+//! Decisions of an entry host: event splitting, refusals, known hosts and log output.
 
 use std::io::Write;
 use std::sync::mpsc;
@@ -15,9 +15,8 @@
 use jackdawwick::retry::{WindowBudget, WindowSettings};
 use proptest::prelude::*;
 
-/// Symptom: a caller gets half an event and then a whole one. Sequence: an
-/// engine breaks off in the middle of an event, the stream goes on elsewhere.
-/// Cause: bytes were passed on as they came.
+/// Guards against a caller that gets half an event and then a whole one, when an engine
+/// fails in the middle of an event and the stream continues on another engine.
 #[test]
 fn partial_event_is_held_back() {
     let mut splitter = EventSplitter::default();
@@ -41,7 +40,7 @@
 }
 
 proptest! {
-    /// However the bytes are cut, whole events come out in order.
+    /// Whole events are returned in order, however the bytes are split.
     #[test]
     fn events_do_not_depend_on_fragmentation(count in 1_usize..20, lengths in prop::collection::vec(1_usize..40, 1..60)) {
         let text = (0..count).map(|id| format!("id: {id}\ndata: {}\n\n", "t".repeat(id % 7)));
@@ -94,9 +93,9 @@
     assert!(gauge.count_refusal(later_start, 0.0) < later);
 }
 
-/// Callers that were never served, of those that come while engines are lost:
-/// 100 a second come, and for six seconds 60 a second find a place. Each caller
-/// comes back once, when it was told to.
+/// Counts the callers that are never served while engines are lost. 100 callers a second
+/// arrive, and for six seconds only 60 a second can be served; each refused caller retries
+/// once after the delay that it was given.
 fn count_lost_callers() -> usize {
     const TICK: Duration = Duration::from_millis(10);
     let start = Instant::now();
@@ -126,20 +125,17 @@
     lost
 }
 
-/// Symptom: callers are refused twice and lost. Sequence: engines are lost for
-/// some seconds; callers that were refused come back in the middle of that.
-/// Cause: they were told to come back after half a second.
-///
-/// Lost callers: 147 before, 52 after.
+/// Guards against callers that are refused twice and lost: with a retry delay of half a
+/// second, refused callers return in the middle of a loss of engines that lasts for
+/// seconds, and 147 of them are lost.
 #[test]
 fn retry_delay_outlasts_a_shortage() {
     let lost = count_lost_callers();
     assert!(lost <= 60, "{lost} lost");
 }
 
-/// Symptom: the platform counts more retries than it allows. Sequence: an
-/// engine is lost, all hosts send its requests once more. Cause: the bound was
-/// kept on average and not within each window.
+/// Guards against more retries than the platform allows in a window: when an engine is
+/// lost, all hosts resend its requests at once, and a bound on the average does not hold.
 #[test]
 fn retries_stay_within_the_bound_of_every_window() {
     let settings = WindowSettings {
@@ -232,8 +228,8 @@
     );
 }
 
-/// Symptom: two hosts order the same engines about. Sequence: the first host
-/// of a zone dies. Cause: the dead host still counts as the first.
+/// Guards against two hosts that order the same engines: the first host of a zone dies and
+/// must not count as the first any more.
 #[test]
 fn silent_hosts_no_longer_count_as_live() {
     let now = Instant::now();
@@ -252,9 +248,8 @@
     assert_eq!(table.live_count(later), 1);
 }
 
-/// Symptom: calls to the log grow fourfold for as long as one host is cut off
-/// from it. Sequence: the first host of a zone loses the log, all others read
-/// it themselves. Cause: nobody stood in for the first host.
+/// Guards against a fourfold increase of calls to the log while one host is cut off from
+/// it: only a few hosts may replace the first host of a zone as reader, not all of them.
 #[test]
 fn next_hosts_in_the_ranking_replace_the_first_reader() {
     let now = Instant::now();
@@ -278,8 +273,8 @@
     assert!(!table.is_lead(now));
 }
 
-/// Symptom: loads of a moment ago come back. Sequence: two views of a host
-/// cross on the way. Cause: the later one to arrive was believed.
+/// Guards against outdated loads: two views of a host overtake each other on the way, and
+/// the older one, which arrives last, must be ignored.
 #[test]
 fn reordered_view_is_ignored() {
     let now = Instant::now();
@@ -292,7 +287,7 @@
     assert!(!table.observe_view(&view("a", "z", 1, 6), now));
 }
 
-/// A writer that takes nothing until it is told to.
+/// A writer that blocks until it is released.
 struct BlockedWriter {
     release: mpsc::Receiver<()>,
     written: mpsc::Sender<Vec<u8>>,
@@ -310,9 +305,8 @@
     }
 }
 
-/// Symptom: a host stops answering. Sequence: whoever reads its log stops
-/// reading, the pipe fills up. Cause: log lines were written by the thread
-/// that serves requests.
+/// Guards against a host that stops serving requests because the process that reads its log
+/// output stops and the pipe fills up.
 #[test]
 fn blocked_log_output_does_not_block_writers() {
     let (release_sender, release) = mpsc::channel();
@@ -329,7 +323,7 @@
     assert!(text.lines().count() < 10_000);
 }
 
-/// A storm of decisions is bounded, and what was left out is counted.
+/// A burst of log lines is bounded, and the dropped lines are counted.
 #[test]
 fn dropped_lines_are_counted() {
     let (release_sender, release) = mpsc::channel();
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -1,4 +1,5 @@
-//! Calls between entry hosts over loopback: what arrives, and how many bytes.
+//! Calls between entry hosts over loopback: the content that arrives and the number of
+//! bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -105,7 +106,7 @@
     }
 }
 
-/// The answer tells what was asked.
+/// Returns a reply that repeats fields of the request.
 fn answer_permit(question: &PermitQuestion) -> PermitAnswer {
     match question.wanted {
         0 => PermitAnswer::Unlimited,
@@ -121,7 +122,7 @@
     }
 }
 
-/// A host that answers each view with the same view.
+/// Starts a host that replies to each view with the same view.
 fn spawn() -> PeerHandle {
     let handlers = EntryHandlers {
         exchange: Arc::new(|view| view),
@@ -199,7 +200,7 @@
     callee.shutdown().await;
 }
 
-/// Bytes on the wire of one view and the same view as its answer.
+/// Returns the bytes on the wire of one view and the same view as its reply.
 async fn exchange_bytes(view: &HostView) -> u64 {
     const CALLS: u64 = 16;
     let (caller, callee) = (spawn(), spawn());
@@ -220,8 +221,8 @@
     bytes
 }
 
-/// The slopes on which the budget of control bytes in docs/design/scale.md and
-/// the games in memory rest.
+/// Checks the bytes per item on which the budget of control bytes in docs/design/scale.md
+/// and the simulations in memory rest.
 #[tokio::test]
 async fn exchange_bytes_per_item_are_bounded() {
     const ITEMS: usize = 20;
--- a/tests/kept_records.rs
+++ b/tests/kept_records.rs
@@ -1,4 +1,4 @@
-//! The newest record of each target, where it comes from several readers.
+//! The newest record of each target, merged from several readers.
 
 use bytes::Bytes;
 use jackdawwick::entry::KeptRecords;
@@ -33,11 +33,9 @@
     names
 }
 
-/// Symptom: requests reach a target 2.5 s after its entry was dropped.
-/// Sequence: a host reads the log itself and sees the target leave; the host
-/// that it followed before is back and answers with all that it knows, which
-/// still holds the target, since lapsed entries may come back after its own
-/// outage. Cause: whatever the other host listed was taken in.
+/// Guards against requests to a target 2.5 s after its entry was dropped: a host reads the
+/// log itself and sees the target leave, and then a host that it followed before relays its
+/// own list, which still holds the target because expired entries may return.
 #[test]
 fn left_target_is_not_restored_by_a_lagging_host() {
     let mut lagging = KeptRecords::default();
@@ -53,7 +51,7 @@
     assert_eq!(names(&own), ["a"]);
 }
 
-/// An entry that lapsed in an outage comes back with a later record.
+/// An entry that expired in an outage returns with a later record.
 #[test]
 fn target_returns_with_a_later_record() {
     let mut kept = KeptRecords::default();
@@ -63,10 +61,9 @@
     assert_eq!(names(&kept), ["a"]);
 }
 
-/// Symptom: a target that has just started is dropped and taken in by turns.
-/// Sequence: this host has seen its first record; the list of a host that has
-/// read less does not hold it. Cause: a list says nothing of what comes after
-/// the offset up to which it was read.
+/// Guards against a new target that is dropped and added in turns: this host has seen its
+/// first record, and the list of a host that has read less lacks it. A list says nothing of
+/// records after the offset up to which it was read.
 #[test]
 fn list_does_not_cover_later_records() {
     let mut kept = KeptRecords::default();
@@ -76,8 +73,8 @@
 }
 
 proptest! {
-    /// In whatever order two readers pass on the records of one log, and with
-    /// repeats, what is left is what the log says last.
+    /// In whatever order and however often two readers relay the records of a log, the
+    /// result is what the log says last.
     #[test]
     fn any_order_of_changes_gives_the_newest_records(
         log in prop::collection::vec((0..4_u8, any::<bool>()), 1..40),
@@ -102,7 +99,7 @@
         prop_assert_eq!(names(&shuffled), names(&in_order));
     }
 
-    /// A host that follows another's changes ends up with the same targets.
+    /// A host that follows the changes of another ends up with the same targets.
     #[test]
     fn followed_changes_give_the_same_targets(
         log in prop::collection::vec((0..4_u8, any::<bool>()), 1..40),
--- a/tests/log_continuity.rs
+++ b/tests/log_continuity.rs
@@ -1,4 +1,4 @@
-//! Which targets that the log lists no more may live, and for how long that is believed.
+//! Which targets that the log no longer lists may be alive, and for how long they are kept.
 
 use std::time::{Duration, Instant};
 
@@ -7,20 +7,20 @@
 use jackdawwick::peer::LogAges;
 
 const EXPIRY: Duration = Duration::from_millis(2400);
-/// Time within which entries that lapsed are back once the log is.
+/// Time within which expired entries return once the log is back.
 const RETURN_TIME: Duration = Duration::from_secs(2);
-/// Time after which a host that is back counts as sound: targets that left then get
-/// nothing more.
+/// Time after which a host that is back counts as healthy: targets that left must get no
+/// requests from then on.
 const RECOVERY_TIME: Duration = Duration::from_secs(3);
 
-/// A host's own reads and what other hosts tell it, on one clock.
+/// A host's own reads and the reports of other hosts, on one clock.
 struct Scenario {
     start: Instant,
     continuity: LogContinuity,
 }
 
 impl Scenario {
-    /// A host that has read the log for ten seconds.
+    /// Creates a host that has read the log for ten seconds.
     fn with_reader() -> Self {
         let mut continuity = LogContinuity::default();
         continuity.set_expiry(EXPIRY);
@@ -40,13 +40,14 @@
         }
     }
 
-    /// The first read after `from`, which failed reads went before.
+    /// Records the first read after failed ones, and returns the gap that it ends.
     fn read_again(&mut self, at: u64) -> LogGap {
         let gap = self.continuity.observe_read(self.at(at), true);
         gap.expect("a gap")
     }
 
-    /// A host of a zone says at `now` that it read the log from `since` to `read`.
+    /// Records a report at `now` by a host of a zone that read the log from `since` to
+    /// `read`.
     fn receive_report(&mut self, zone: &str, since: u64, read: u64, now: u64) {
         let ages = LogAges {
             since: Duration::from_millis(now - since),
@@ -61,12 +62,10 @@
     name.into()
 }
 
-/// Symptom: a request reaches a target 3.3 s after the log had acknowledged that it
-/// leaves; or, the other way, a zone that was cut off serves nothing for a second when it
-/// is back. Sequence: a zone is cut off; one target of another zone leaves, and all entries
-/// of the own zone lapse; the cut heals, hosts of the other zone tell that they read all
-/// the while. Cause: one answer was given for all targets, whose zone decides which of
-/// them could write.
+/// Guards against a request to a target 3.3 s after the log acknowledged that it leaves,
+/// and against a zone that serves nothing for a second after it was cut off. During the cut
+/// one target of another zone leaves and all entries of the own zone expire; the reads of a
+/// target's own zone decide which of them could write.
 #[test]
 fn reads_in_the_targets_zone_rule_out_expiry() {
     let mut scenario = Scenario::with_reader();
@@ -85,27 +84,30 @@
     assert!(suspects.take_confirmed(&scenario.continuity).is_empty());
 }
 
-/// A host that was cut off alone hears from its neighbours that its own zone had the log.
+/// A host that was cut off alone learns from its neighbours that its own zone had the log.
 #[test]
 fn neighbour_without_a_gap_ends_a_suspicion() {
     let mut scenario = Scenario::with_reader();
     scenario.receive_report("own", 0, 9_900, 10_000);
     let gap = scenario.read_again(16_000);
-    // What was heard before the cut says nothing of it.
+    // A report from before the cut says nothing of it.
     assert!(!scenario.continuity.had_log("own", gap));
     scenario.receive_report("own", 0, 15_800, 16_100);
     assert!(scenario.continuity.had_log("own", gap));
 }
 
-/// Symptom: targets that left are used until a later read, up to 3.7 s after the log is
-/// back. Cause: the doubt lasted longer than entries need, and ended with the next read.
+/// Guards against requests to targets that left, up to 3.7 s after the log is back: a
+/// suspicion must last no longer than entries need to return, and must not wait for the
+/// next read.
 #[test]
 fn suspicion_ends_between_the_return_of_entries_and_the_hosts_recovery() {
     let mut scenario = Scenario::with_reader();
     let gap = scenario.read_again(16_000);
     let mut suspects = SuspectTargets::default();
     suspects.suspect("a", zone("own"), 7, gap);
-    let due = suspects.next_due(&scenario.continuity).expect("a doubt");
+    let due = suspects
+        .next_due(&scenario.continuity)
+        .expect("a suspicion");
     assert!(due > gap.until + RETURN_TIME);
     assert!(due + Duration::from_millis(600) < gap.until + RECOVERY_TIME);
     scenario.read_from_to(16_600, 17_800);
@@ -116,16 +118,16 @@
     assert_eq!(suspects.next_due(&scenario.continuity), None);
 }
 
-/// Symptom: sound targets are dropped, and with them all requests that they run. Sequence:
-/// the log is away, back for a second, and away again. Cause: the time for entries to come
-/// back ran on while nobody could write.
+/// Guards against dropping live targets with all their requests: the log is lost, back for
+/// a second and lost again, and the time for entries to return must not run while no target
+/// can write.
 #[test]
 fn second_outage_restarts_the_suspicion() {
     let mut scenario = Scenario::with_reader();
     let first = scenario.read_again(16_000);
     let mut suspects = SuspectTargets::default();
     suspects.suspect("a", zone("own"), 7, first);
-    // Without the log no doubt ends.
+    // Without the log no suspicion ends.
     assert!(suspects.take_due(&scenario.continuity).is_empty());
     let second = scenario.read_again(20_000);
     suspects.extend(second);
@@ -135,13 +137,13 @@
             .next_due(&scenario.continuity)
             .is_some_and(|due| due > second.until + RETURN_TIME)
     );
-    // Hosts that had the log through the first outage only prove nothing.
+    // Hosts that had the log only through the first outage prove nothing.
     scenario.receive_report("own", 0, 17_000, 20_100);
     assert!(suspects.take_confirmed(&scenario.continuity).is_empty());
 }
 
-/// Two hosts that took turns in reading had the log between them; a pause in which
-/// entries can lapse stays one, whoever tells of the times before and after it.
+/// Two hosts of a zone that read in turns had the log together; a pause in which entries
+/// can expire stays a gap, whichever hosts report the times before and after it.
 #[test]
 fn reports_of_a_zone_merge_unless_entries_can_expire_in_between() {
     let mut scenario = Scenario::with_reader();
@@ -154,7 +156,8 @@
     assert!(!scenario.continuity.had_log("third", gap));
 }
 
-/// A host that stood still has no outage to doubt, and yet cannot vouch for that time.
+/// A host that was suspended has no outage, and yet cannot report that it had the log
+/// meanwhile.
 #[test]
 fn suspended_host_has_no_gap_and_starts_a_new_span() {
     let mut scenario = Scenario::with_reader();
--- a/tests/log_reader.rs
+++ b/tests/log_reader.rs
@@ -1,4 +1,4 @@
-//! The reader of the platform's log: its formats, and a service that fails.
+//! The reader of the platform's log: its formats, and failures of the log service.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,8 +22,8 @@
     heartbeat: Duration::from_millis(1200),
 };
 
-/// Answers the requests of each connection in turn; a connection whose answers
-/// are used up goes silent and stays open.
+/// Serves the responses of each connection in turn. A connection whose responses are used
+/// up goes silent and stays open.
 async fn spawn_log(connections: Vec<Vec<Vec<u8>>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -102,7 +102,7 @@
     let pages = vec![response("200 OK", first), response("200 OK", second)];
     let mut reader = LogClient::open(spawn_log(vec![pages]).await, LIMIT);
     let read = reader.newest("keyed.op").await.expect("records");
-    // Going on from the first page's end misses nothing that later pages lack.
+    // Reading on from the end of the first page covers what the later pages lack.
     assert_eq!(read.next, 6);
     assert_eq!(read.records.len(), 2);
     assert_eq!(read.records[1].value.as_deref(), Some(&b"two"[..]));
@@ -119,10 +119,9 @@
     }
 }
 
-/// Symptom: a host serves an old configuration for ten seconds after a cut has
-/// healed. Sequence: the connection to the log goes silent without a reset, new
-/// ones work. Cause: the host waited on the old one for as long as a read may
-/// wait, and used it again.
+/// Guards against an old configuration for ten seconds after a network cut has healed: a
+/// connection goes silent without a reset while new ones work, and the host must not keep
+/// waiting on it.
 #[tokio::test]
 async fn silent_connection_is_replaced_after_the_timeout() {
     let body = read_body(6, 0, &[record("config", b"{}")]);
@@ -167,7 +166,7 @@
         .into_bytes()
 }
 
-/// Follows a log that gives these answers, for as long as the sender says so.
+/// Follows a log that gives these responses, in the role that the sender sets.
 async fn spawn_follower(
     responses: Vec<Vec<u8>>,
     timing: TargetTiming,
@@ -194,8 +193,8 @@
     }
 }
 
-/// Bound on what comes within milliseconds; below the time for which an entry
-/// that may come back is kept.
+/// Bound on events that take milliseconds; shorter than the time for which a suspect target
+/// is kept.
 const WAIT_LIMIT: Duration = Duration::from_secs(2);
 
 fn is_known(tables: &ServingTables, id: &str) -> bool {
@@ -212,11 +211,9 @@
     assert!(gone.is_ok(), "a target that left was kept");
 }
 
-/// Symptom: requests reach a target two seconds after it had said that it
-/// leaves. Sequence: a host is cut off from the log, comes back, and a target
-/// leaves a second later. Cause: for as long as lapsed entries may come back,
-/// the host kept every target whose entry was dropped. Yet what the first read
-/// tells has to be kept, else all targets are gone after an outage.
+/// Guards against requests to a target two seconds after it announced that it leaves: a
+/// host reaches the log again, and a target leaves a second later. Only targets missing
+/// from the first read may be kept as suspects, else all targets are gone after an outage.
 #[tokio::test]
 async fn only_the_first_read_after_an_outage_makes_suspects() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
@@ -227,7 +224,7 @@
     let responses = [first, later].concat();
     let timing = TargetTiming {
         drain: Duration::from_millis(60),
-        // The outage of one read lasts longer than two of these.
+        // The outage of one read is longer than two of these.
         heartbeat: Duration::from_millis(10),
     };
     let (tables, _role) = spawn_follower(responses, timing).await;
@@ -239,10 +236,9 @@
     );
 }
 
-/// Symptom: requests reach a target three seconds after it left (a hunted day;
-/// the cause was read). Sequence: one answer of the log is lost, the next read
-/// tells that a target left. Cause: entries were taken to have expired, which
-/// they do only after three heartbeats without a word.
+/// Guards against requests to a target three seconds after it left: one response of the log
+/// is lost, and the next read reports that a target left. Entries expire only after three
+/// missed heartbeats, so that this one cannot have expired.
 #[tokio::test]
 async fn one_failed_read_is_no_outage() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
@@ -258,10 +254,9 @@
     assert!(is_known(&tables, "a"));
 }
 
-/// Symptom: one request reaches a target after it has left (seen once, on a
-/// hunted day). Sequence: the host that read the log for others dies, a target
-/// leaves, the others begin to read for themselves. Cause: what their first
-/// read did not list was kept for as long as entries may come back.
+/// Guards against requests to a target that left: the host that reads the log for others
+/// dies, a target leaves, and the others begin to read for themselves. Targets missing from
+/// their first read must not be kept as suspects.
 #[tokio::test]
 async fn new_reader_drops_targets_that_left() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
@@ -276,10 +271,9 @@
     assert!(is_known(&tables, "a"));
 }
 
-/// Symptom: requests reach a target that left, for 2.5 s (found by reading).
-/// Sequence: a host loses the log, follows another host for a while, and reads
-/// for itself again after that one died. Cause: it took the outage of long ago
-/// to have ended with this read, and kept what the log no longer lists.
+/// Guards against requests for 2.5 s to a target that left: a host loses the log, follows
+/// another host for a while and reads for itself again. The first outage must not count as
+/// ending with that read.
 #[tokio::test]
 async fn outage_before_following_another_host_is_over() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
@@ -299,12 +293,10 @@
     assert!(is_known(&tables, "a"));
 }
 
-/// Symptom: all hosts send requests to a target for 3.2 s after its entry was dropped.
-/// Sequence: the log forgets its history while a target leaves; nothing else is wrong.
-/// Cause: a read whose records are deleted was taken for the end of an outage, after which
-/// entries that the log lists no more may only have lapsed. Evidence: on a played day all
-/// eight hosts had a line on deleted history, none on a lost log, and dropped the targets
-/// 2.5 s later, as missing.
+/// Guards against requests from all hosts for 3.2 s to a target whose entry was dropped:
+/// the log deletes its history while a target leaves. A read of deleted records is no
+/// outage, so that targets missing from the newest records must not be kept as suspects for
+/// 2.5 s.
 #[tokio::test]
 async fn deleted_history_is_no_outage() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
@@ -320,10 +312,10 @@
     assert!(is_known(&tables, "a"));
 }
 
-/// Symptom: requests reach a target 2.9 s after it left. Sequence: a host
-/// follows the second host of its zone, then the first one again, which had
-/// just dropped the target; both had started in the same microsecond. Cause:
-/// the first host took the number of the second one's changes for its own.
+/// Guards against requests to a target 2.9 s after it left: a host follows the second host
+/// of its zone and then the first one again, which had just dropped the target. Both
+/// started in the same microsecond, so that the incarnation does not tell their change
+/// numbers apart.
 #[test]
 fn change_positions_are_kept_per_host() {
     let mut cursor = FollowCursor::default();
@@ -333,7 +325,7 @@
     assert_eq!(cursor.request(&second, 3).from, 41);
     let request = cursor.request(&first, 3);
     assert_ne!(request.incarnation, 7);
-    // Not the first question: the asking host has targets.
+    // Incarnation 0 would mean that the requesting host knows no targets.
     assert_ne!(request.incarnation, 0);
     assert_eq!((request.from, request.configuration_version), (0, 3));
 }
@@ -341,7 +333,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Whatever the service sends, it is records or an error, never a panic.
+    /// Whatever bytes the service sends, the result is records or an error, never a panic.
     #[test]
     fn any_response_bytes_give_records_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..120)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -357,10 +349,8 @@
     }
 }
 
-/// Symptom: 195 hosts make six hundred calls a second to a log that is down.
-/// Sequence: the log is lost for all; whoever follows another host reads for
-/// itself as soon as that one has nothing new. Cause: each tried again as often
-/// as those that read for others.
+/// Guards against six hundred calls a second from 195 hosts to a log that is down: hosts
+/// that read only for themselves must retry less often than those that read for others.
 #[test]
 fn fallback_readers_retry_less_often() {
     let usual = Duration::from_millis(600);
@@ -371,10 +361,9 @@
     assert_eq!(LogRole::Reader.retry_pause(usual, 90), usual);
 }
 
-/// Symptom: for 1.6 s after a start of 195 hosts many have no configuration and
-/// refuse every caller. Sequence: all read the newest records at once, which
-/// takes longer than an answer may; each gives up and begins again. Cause: one
-/// limit for a short answer and for hundreds of kilobytes.
+/// Guards against hosts without a configuration for 1.6 s after a start of 195: all read
+/// the newest records at once, hundreds of kilobytes, which takes longer than the timeout
+/// of a short response, and each gives up and starts over.
 #[tokio::test]
 async fn newest_records_have_a_longer_timeout() {
     let body =
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -1,5 +1,5 @@
-//! Poison requests: which attempts are the same request, and what hosts conclude
-//! from the targets that ended under them.
+//! Poison requests: the keys of requests, and what hosts conclude from the targets that
+//! ended under them.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
     organisation: Some("acme"),
     body: b"select",
 };
-/// Most requests that a table remembers, as its memory is worked out from.
+/// Maximum number of requests that a table remembers, on which its memory budget rests.
 const MAX_RECORDS: usize = 256;
 
 fn seconds(seconds: u64) -> Duration {
@@ -33,7 +33,7 @@
     }
 }
 
-/// A table in which three targets ended under a request.
+/// Returns a table in which three targets ended under a request.
 fn table_with_poison(request: RequestKey, now: Instant) -> PoisonTable {
     let mut table = PoisonTable::default();
     for target in 1..=3 {
@@ -74,7 +74,7 @@
             body: b"selec",
             ..DRAFT
         },
-        // The end of one part is not the beginning of the next one.
+        // The end of one part must not be read as the start of the next.
         RequestIdentity {
             organisation: Some("acmes"),
             body: b"elect",
@@ -92,7 +92,7 @@
     let mut table = PoisonTable::default();
     assert_eq!(table.observe_end(7, 1, now), PoisonVerdict::Suspect(1));
     assert_eq!(table.observe_end(7, 2, now), PoisonVerdict::Suspect(2));
-    // Seen once more, by another attempt that ran there.
+    // Another attempt that ran on the same target adds nothing.
     assert_eq!(table.observe_end(7, 2, now), PoisonVerdict::Suspect(2));
     assert!(!table.is_poison(7, now));
     assert_eq!(table.observe_end(7, 3, now), PoisonVerdict::Poison);
@@ -100,9 +100,9 @@
     assert!(!table.is_poison(8, now));
 }
 
-/// Symptom: a request that nothing is wrong with is refused for a day. Sequence: it
-/// runs on three engines that are lost for other reasons, within an hour, and is
-/// answered in between. Cause: an answer was no reason to drop the suspicion.
+/// Guards against refusing a harmless request for a day: it runs on three engines that are
+/// lost for other reasons within an hour and gets a response in between, which has to clear
+/// it.
 #[test]
 fn survival_clears_earlier_evidence() {
     let now = Instant::now();
@@ -112,16 +112,15 @@
     assert!(table.observe_survival(7, now + seconds(2)));
     let last = table.observe_end(7, 3, now + seconds(60));
     assert_eq!(last, PoisonVerdict::Suspect(1));
-    // Late word of ends before the answer, from another host.
+    // Evidence of ends before the response arrives late from another host.
     let late_evidence = [ended(7, 4, seconds(60)), ended(7, 5, seconds(60))];
     let refused = table.merge(&late_evidence, now + seconds(61));
     assert!(refused.is_empty());
     assert!(!table.is_poison(7, now + seconds(61)));
 }
 
-/// Symptom: a request that nothing is wrong with is refused for good. Sequence: three
-/// engines were lost as it began to run there. Cause: what is refused never runs, and
-/// so never shows that engines survive it. It is tried again, ever more rarely.
+/// Guards against refusing a harmless request forever after three engines were lost as it
+/// began to run there: a refused request never runs, so that nothing can clear it.
 #[test]
 fn refused_request_is_retried_at_growing_intervals() {
     let minute = seconds(60);
@@ -142,9 +141,8 @@
     assert_eq!(after, PoisonVerdict::Suspect(1));
 }
 
-/// Symptom: a status page is refused for everybody. Sequence: all callers send the same
-/// request; all targets of its service end at once, each as it begins to run it. Cause:
-/// that it was answered a moment before was forgotten.
+/// Guards against refusing a status page for everybody: all callers send the same request,
+/// and all targets of its service end at once as each begins to run it.
 #[test]
 fn recently_survived_request_is_not_suspected() {
     let now = Instant::now();
@@ -159,10 +157,9 @@
     assert_eq!(later, PoisonVerdict::Suspect(1));
 }
 
-/// Symptom: a request that is refused reaches engines again, and crashes them.
-/// Sequence: a large zone loses its power, and every request that had just begun
-/// there is a suspect. Cause: the table is bounded, and the newest records pushed out
-/// the older ones, whatever they said.
+/// Guards against a poison request that reaches engines again: when a large zone loses
+/// power, every request that had just begun there becomes a suspect, and new records must
+/// not evict poison requests from the bounded table.
 #[test]
 fn suspects_do_not_evict_poison_requests() {
     let now = Instant::now();
@@ -178,9 +175,9 @@
     assert_eq!(third, PoisonVerdict::Poison);
 }
 
-/// Symptom: long drafts are refused after a rack has lost its power. Sequence: a
-/// draft runs for seconds on an engine that is lost, is taken up at the next one and
-/// runs there for seconds too. Cause: whatever had the request when it ended counted.
+/// Guards against refusing long drafts after a rack lost power: a draft that runs for
+/// seconds on one engine is moved to the next and runs for seconds there too. Neither end
+/// is evidence.
 #[test]
 fn request_that_runs_for_seconds_is_not_suspected() {
     let now = Instant::now();
@@ -191,10 +188,10 @@
     assert!(!start.is_suspect(now + Duration::from_millis(500)));
     assert!(!start.has_survived(now + seconds(1)));
     assert!(start.has_survived(now + seconds(2)));
-    assert!(!start.has_survived(now + seconds(3)), "told once");
+    assert!(!start.has_survived(now + seconds(3)), "reported once");
 }
 
-/// A host's table, and what its present start goes by.
+/// A host's table and its current incarnation.
 struct Peer {
     address: SocketAddr,
     incarnation: IncarnationId,
@@ -216,7 +213,7 @@
     }
 }
 
-/// One call and its answer.
+/// Exchanges one request and its reply.
 fn exchange(caller: &mut Peer, callee: &mut Peer, now: Instant) {
     let request_delta = caller.table.delta_for(callee.address, now);
     callee.receive(caller, &request_delta, now);
@@ -224,9 +221,9 @@
     caller.receive(callee, &reply_delta, now);
 }
 
-/// Symptom: a host that starts again never hears of what is refused. Sequence: the
-/// other one calls first, with what changed since it last told; that is nothing. Cause:
-/// the start took itself to have heard everything up to there.
+/// Guards against a restarted host that never receives the refused requests: its peer calls
+/// first and sends only what changed since the last exchange, which is nothing. The new
+/// incarnation must not count that delta as the whole table.
 #[test]
 fn restarted_host_receives_the_whole_table() {
     let now = Instant::now();
@@ -241,8 +238,8 @@
     assert!(second.table.is_poison(7, now));
 }
 
-/// The same the other way round: versions of a start begin anew, and what it notes is
-/// not old for having a low one.
+/// The reverse: a new incarnation counts its versions from zero, and its evidence must not
+/// be ignored because of the low versions.
 #[test]
 fn evidence_of_a_restarted_host_is_applied_despite_low_versions() {
     let now = Instant::now();
@@ -259,7 +256,7 @@
     assert!(first.table.is_poison(8, now));
 }
 
-/// A full table arrives in listings that are bounded, and then nothing more is sent.
+/// A full table arrives in bounded deltas, and then nothing more is sent.
 #[test]
 fn full_table_is_sent_in_bounded_deltas() {
     const MAX_EVIDENCE: usize = 64;
@@ -280,7 +277,7 @@
         exchanges += 1;
     }
     assert_eq!(second.table.len(), MAX_RECORDS);
-    // Two notes a record.
+    // Each record has two items of evidence.
     assert_eq!(exchanges, 2 * MAX_RECORDS / MAX_EVIDENCE);
 }
 
@@ -292,14 +289,14 @@
     (1..4_u64, event, 0..20_u64).prop_map(|(request, event, age)| PoisonEvidence {
         request,
         event,
-        // Moments that differ do so by more than messages take.
+        // Distinct moments differ by more than the tolerance for transit times.
         age: seconds(age * 10),
     })
 }
 
 proptest! {
-    /// Hosts that hear the same notes refuse the same requests, in whatever order
-    /// and however often they hear them: a naive version looks at all notes at once.
+    /// Hosts that receive the same evidence refuse the same requests, in whatever order and
+    /// however often they receive it. The reference evaluates all evidence at once.
     #[test]
     fn merge_is_independent_of_order_and_repetition(
         evidence in proptest::collection::vec(any_evidence(), 0..24),
--- a/tests/target_starts.rs
+++ b/tests/target_starts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their id, and records of other writers.
+//! Targets that restart under their id, and records of other writers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -57,9 +57,9 @@
     assert_ne!(&*entry.id, "i-1");
 }
 
-/// Symptom: an engine that started again is left alone, or counted as busy.
-/// Sequence: it fails, crashes with requests on it, and starts under its id.
-/// Cause: what was known of the start before was taken to be true of the new.
+/// Guards against a restarted engine that gets no requests or counts as busy: it fails,
+/// crashes with requests on it and starts under the same id. State of the previous start
+/// must not apply to the new one.
 #[test]
 fn new_start_has_no_state_of_the_previous_one() {
     let (tables, copy) = open_copy();
@@ -88,16 +88,15 @@
     assert!(state.is_usable(now) && !state.is_full(now));
     assert!((state.pace(now) - 1.0).abs() < f64::EPSILON);
     drop(fleet);
-    // What ends only now was never on the new start.
+    // A request that ends only now never ran on the new start.
     drop(guard);
     let fleet = tables.fleet.lock();
     let state = fleet.get(&entry(900).id).expect("the new start");
     assert_eq!(state.load().requests, 0);
 }
 
-/// Symptom: requests are sent over layers that nobody holds. Sequence: an
-/// engine starts again; a heartbeat of before, under way when it crashed, is
-/// written after the first one of the new start. Cause: the newest record won.
+/// Guards against requests over layers that no engine holds: a heartbeat that was in flight
+/// when an engine crashed is written after the first one of the new start.
 #[test]
 fn late_record_of_a_previous_start_is_ignored() {
     let (tables, copy) = open_copy();
@@ -106,8 +105,8 @@
     assert_eq!(known_ids(&tables), [entry(900).id.to_string()]);
 }
 
-/// Symptom: an engine is never used again. Sequence: its clock is set back,
-/// then it starts again. Cause: its new start looks older than the one before.
+/// Guards against an engine that is never used again: its clock is set back before it
+/// restarts, so that the new start looks older than the previous one.
 #[test]
 fn start_with_an_earlier_clock_is_accepted_after_three_records() {
     let mut starts = TargetStarts::default();
@@ -132,9 +131,9 @@
     assert!(known_ids(&tables).is_empty());
 }
 
-/// Symptom: a host without targets, or requests to what is no engine.
-/// Sequence: something other than an engine writes an entry. Cause: fields
-/// that are missing, of another type or with words that nobody knows.
+/// Guards against a host that loses its targets, or sends requests to something that is no
+/// engine, after another writer left an entry whose fields are missing, of another type or
+/// unknown.
 #[test]
 fn unreadable_records_name_no_target_and_others_stay() {
     let (tables, copy) = open_copy();
@@ -207,8 +206,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// Whatever stands in the place of one field, the record is an entry or an
-    /// error, and another target's entry stays.
+    /// Whatever the value of one field, the record is an entry or an error, and another
+    /// target's entry stays.
     #[test]
     fn any_field_value_gives_an_entry_or_an_error(
         field in 0_usize..11,
@@ -236,9 +235,9 @@
     }
 }
 
-/// Symptom: a host hangs for good (found by reading). Sequence: it takes a record
-/// in while another thread answers a peer. Cause: one held the lock of the copy
-/// and waited for that of the targets, the other the reverse.
+/// Guards against a deadlock: a host applies a record while another thread replies to a
+/// peer. Neither may hold the lock of the copy while it waits for that of the targets, or
+/// the reverse.
 #[test]
 fn locks_are_not_held_while_waiting_for_another() {
     let (tables, copy) = open_copy();
@@ -250,7 +249,7 @@
     std::thread::sleep(Duration::from_millis(50));
     let (done, waiting) = std::sync::mpsc::channel();
     let reading = std::thread::spawn(move || {
-        // Old news: only the copy is asked.
+        // An outdated record needs only the lock of the copy.
         observe(&copy, "i-1", 1, &heartbeat(Some(100)));
         done.send(())
     });
