--- a/src/entry/relaying.rs
+++ b/src/entry/relaying.rs
@@ -50,7 +50,7 @@
     /// A neighbour that had the log when no leader did.
     followed_neighbour: Option<HostId>,
     /// Index of the next neighbour to try, in rotation.
-    next_index: usize,
+    neighbours_tried: usize,
     /// When the first request without a useful reply was sent.
     without_log_since: Option<Instant>,
 }
@@ -71,7 +71,7 @@
         leader: None,
         reads_for_others: false,
         followed_neighbour: None,
-        next_index: 0,
+        neighbours_tried: 0,
         without_log_since: None,
     };
     if is_first_start {
@@ -223,8 +223,8 @@
         let others = neighbours
             .get(skipped..)
             .filter(|others| !others.is_empty())?;
-        self.next_index += 1;
-        others.get(self.next_index % others.len()).cloned()
+        self.neighbours_tried += 1;
+        others.get(self.neighbours_tried % others.len()).cloned()
     }
 
     /// Returns whether no host has had the log for too long.
