--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -141,7 +141,7 @@
         self.add_limits(request, address, now)
     }
 
-    /// Adds this host's load of targets, configuration version and reads of the log.
+    /// Adds the usage of targets, the configuration version and the reads of the log.
     fn complete(
         &self,
         view: HostView,
@@ -213,8 +213,8 @@
         }
     }
 
-    /// Returns the hosts that read the log for this zone, the first of the ranking first;
-    /// empty if this host is the first.
+    /// Returns up to `most` hosts of this zone that rank before this one and read the log
+    /// for it; empty if this host is the first.
     pub(super) fn leaders(&self, now: Instant, most: usize) -> Vec<(HostId, SocketAddr)> {
         self.gossip.lock().leads(now, most)
     }
--- a/src/entry/permitting.rs
+++ b/src/entry/permitting.rs
@@ -11,7 +11,7 @@
 use crate::permits::{PermitAnswer, PermitQuestion};
 
 /// Timeout of a request for permits: the links take a few milliseconds, and a host that has
-/// used up its CPU quota resumes within 100.
+/// used up its CPU quota resumes within 100 ms.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 /// Reply to a request that could not be served. The pause is about the time in which hosts
 /// detect which of them are alive.
--- a/src/entry/relaying.rs
+++ b/src/entry/relaying.rs
@@ -49,7 +49,7 @@
     reads_for_others: bool,
     /// A neighbour that had the log when no leader did.
     followed_neighbour: Option<HostId>,
-    /// Index of the next neighbour to try, in rotation.
+    /// Number of neighbours tried, which selects the next one in rotation.
     neighbours_tried: usize,
     /// When the first request without a useful reply was sent.
     without_log_since: Option<Instant>,
--- a/tests/log_continuity.rs
+++ b/tests/log_continuity.rs
@@ -63,9 +63,8 @@
 }
 
 /// Guards against a request to a target 3.3 s after the log acknowledged that it leaves,
-/// and against a zone that serves nothing for a second after it was cut off. During the cut
-/// one target of another zone leaves and all entries of the own zone expire; the reads of a
-/// target's own zone decide which of them could write.
+/// and against a zone that serves nothing for a second after it was cut off: the reads in a
+/// target's own zone decide whether it could write during the cut.
 #[test]
 fn reads_in_the_targets_zone_rule_out_expiry() {
     let mut scenario = Scenario::with_reader();
--- a/tests/log_reader.rs
+++ b/tests/log_reader.rs
@@ -293,10 +293,9 @@
     assert!(is_known(&tables, "a"));
 }
 
-/// Guards against requests from all hosts for 3.2 s to a target whose entry was dropped:
-/// the log deletes its history while a target leaves. A read of deleted records is no
-/// outage, so that targets missing from the newest records must not be kept as suspects for
-/// 2.5 s.
+/// Guards against requests for 3.2 s to a target whose entry was dropped: the log deletes
+/// its history while a target leaves. This is no outage, so that missing targets must not
+/// be kept as suspects for 2.5 s.
 #[tokio::test]
 async fn deleted_history_is_no_outage() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
@@ -313,9 +312,8 @@
 }
 
 /// Guards against requests to a target 2.9 s after it left: a host follows the second host
-/// of its zone and then the first one again, which had just dropped the target. Both
-/// started in the same microsecond, so that the incarnation does not tell their change
-/// numbers apart.
+/// of its zone and then the first again. Both started in the same microsecond, so that the
+/// incarnation does not tell their change numbers apart.
 #[test]
 fn change_positions_are_kept_per_host() {
     let mut cursor = FollowCursor::default();
