--- a/src/entry/configuring.rs
+++ b/src/entry/configuring.rs
@@ -1,53 +1,56 @@
-//! Follows the operators' configuration.
+//! Follows the operators' configuration in the log.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use tokio::sync::watch;
 
-use crate::entry::LogDuty;
+use crate::entry::LogRole;
 use crate::entry::log_copy::{LogCopy, LogTopic};
-use crate::entry::log_duty::wait_to_read;
+use crate::entry::log_role::wait_for_reader_role;
 use crate::ids::LogOffset;
 use crate::platform::log_calls::{KeyedRead, LogClient, LogError};
 use crate::platform::names;
 
-/// How long a read waits for a change. A connection can go silent for good
-/// without a reset; with a wait of ten seconds a host, and all that follow it,
-/// served an old configuration for as long. With this and the time limit of a
-/// call, that is noticed after 1.2 s; a configuration has to be in force within
-/// two.
+/// Maximum time that a read waits for a change. A connection can go silent without a reset;
+/// with a wait of ten seconds, a host and all that follow it would serve an old
+/// configuration for as long. With this wait and the timeout of a call, a silent connection
+/// is noticed after 1.2 s; a configuration has to take effect within two seconds.
 const READ_WAIT: Duration = Duration::from_millis(600);
-/// Pause after a failed read: a configuration has to be in force within two
-/// seconds of the store's return.
+/// Pause after a failed read: a configuration has to take effect within two seconds of the
+/// log's return.
 const RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// The same while no configuration is known: every caller is refused meanwhile.
+/// Pause after a failed read while no configuration is known, as every caller is refused
+/// until then.
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Keeps the configuration in force up to date while it is this host's duty, for
-/// ever.
+/// Keeps the configuration up to date while this host is a reader; runs forever.
 pub(super) async fn follow_configuration(
     copy: Arc<LogCopy>,
     mut reader: LogClient,
-    mut duty: watch::Receiver<LogDuty>,
+    mut role: watch::Receiver<LogRole>,
 ) {
     let mut next: Option<LogOffset> = None;
     let mut failures = 0;
     loop {
-        if !duty.borrow().is_reader() {
+        if !role.borrow().is_reader() {
             next = None;
         }
-        let Some(current) = wait_to_read(&mut duty).await else {
+        let Some(current) = wait_for_reader_role(&mut role).await else {
             return;
         };
         let started = Instant::now();
-        let read = read_on(&mut reader, next).await;
-        // A read that waits for a change says nothing about the store's time.
+        let read = read_next(&mut reader, next).await;
+        // A read that waits for a change says nothing about the latency of the log.
         let answered = matches!(read, Ok(_) | Err(LogError::Deleted));
         let now = Instant::now();
-        let took = now.saturating_duration_since(started);
-        let took = if next.is_none() { took } else { Duration::ZERO };
-        copy.note_call(LogTopic::Configuration, took, answered, now);
+        let elapsed = now.saturating_duration_since(started);
+        let elapsed = if next.is_none() {
+            elapsed
+        } else {
+            Duration::ZERO
+        };
+        copy.record_call(LogTopic::Configuration, elapsed, answered, now);
         match read {
             Ok(read) => {
                 if std::mem::take(&mut failures) > 0 {
@@ -56,7 +59,7 @@
                 next = Some(read.next);
                 apply(&copy, &read);
             }
-            // The history is gone: start over from the newest of each key.
+            // The history has been deleted: start over from the newest record of each key.
             Err(LogError::Deleted) => next = None,
             Err(error) => {
                 if failures == 0 {
@@ -73,7 +76,7 @@
     }
 }
 
-async fn read_on(reader: &mut LogClient, next: Option<LogOffset>) -> Result<KeyedRead, LogError> {
+async fn read_next(reader: &mut LogClient, next: Option<LogOffset>) -> Result<KeyedRead, LogError> {
     match next {
         None => reader.newest(names::CONFIGURATION_TOPIC).await,
         Some(next) => {
--- a/src/entry/permitting.rs
+++ b/src/entry/permitting.rs
@@ -1,4 +1,4 @@
-//! Permits to send to targets that limit their rate, among the entry hosts.
+//! Requests among the entry hosts for permits to send to targets that limit their rate.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,59 +6,57 @@
 
 use futures::future::BoxFuture;
 
-use crate::entry::peering::PeerDesk;
+use crate::entry::peering::PeerState;
 use crate::forward::PermitSource;
 use crate::permits::{PermitReply, PermitRequest};
 
-/// How long another host may take to answer: the links take a few milliseconds, and a
-/// host whose share of the processor is used up comes back within 100.
-const ANSWER_LIMIT: Duration = Duration::from_millis(150);
-/// Pause after a question that was not answered: about the time in which hosts find
-/// out who lives.
+/// Timeout of a request for permits: the links take a few milliseconds, and a host that has
+/// used up its CPU quota resumes within 100 ms.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
+/// Reply to a request that could not be served. The pause is about the time in which hosts
+/// detect which of them are alive.
 const UNANSWERED: PermitReply = PermitReply::Withheld {
     retry_after: Duration::from_millis(500),
 };
 
-/// Asks the host that hands out the permits for a target, which may be this one.
-pub(super) fn permit_source(desk: Arc<PeerDesk>) -> PermitSource {
-    Arc::new(move |question| desk.clone().ask_permit(question))
+/// Returns a source that requests permits from the host that issues them for a target,
+/// which may be this one.
+pub(super) fn permit_source(state: Arc<PeerState>) -> PermitSource {
+    Arc::new(move |request| state.clone().request_permit(request))
 }
 
-impl PeerDesk {
-    /// Answers a question for permits, or asks the host that can.
+impl PeerState {
+    /// Issues permits, or requests them from the host that can.
     ///
-    /// Hosts of other zones may know the first host of a target's zone alone, which then
-    /// passes their questions on.
-    pub(super) fn ask_permit(
+    /// Hosts of other zones may know only the first host of a target's zone, which then
+    /// relays their requests.
+    pub(super) fn request_permit(
         self: Arc<Self>,
-        question: PermitRequest,
+        request: PermitRequest,
     ) -> BoxFuture<'static, PermitReply> {
         Box::pin(async move {
             let now = Instant::now();
-            match self.permit_address(&question, now) {
+            match self.permit_address(&request, now) {
                 Some(address) if address == self.address() => {
-                    let part = self.permit_part(&question.zone, now);
-                    self.tables().issue_permits(&question, part, now)
+                    let part = self.permit_part(&request.zone, now);
+                    self.tables().issue_permits(&request, part, now)
                 }
-                Some(address) if !question.relayed => self.pass_on(address, question).await,
+                Some(address) if !request.relayed => self.relay(address, request).await,
                 _ => UNANSWERED,
             }
         })
     }
 
-    async fn pass_on(&self, address: SocketAddr, question: PermitRequest) -> PermitReply {
+    async fn relay(&self, address: SocketAddr, request: PermitRequest) -> PermitReply {
         let Some(handle) = self.handle() else {
             return UNANSWERED;
         };
-        let relayed = question.host != *self.host();
-        let question = PermitRequest {
-            relayed,
-            ..question
-        };
-        match handle.permit(address, question, ANSWER_LIMIT).await {
-            Ok(answer) => answer,
+        let relayed = request.host != *self.host();
+        let request = PermitRequest { relayed, ..request };
+        match handle.permit(address, request, REPLY_TIMEOUT).await {
+            Ok(reply) => reply,
             Err(error) => {
-                log::debug!("no permits from {address}: {error}");
+                log::debug!("permit request to {address} failed: {error}");
                 UNANSWERED
             }
         }
--- a/src/entry/placing.rs
+++ b/src/entry/placement.rs
@@ -1,4 +1,4 @@
-//! Keeps the engines' layers as planned.
+//! Keeps the layers on the engines as planned.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 
 use crate::collections::FastMap;
-use crate::entry::peering::PeerDesk;
+use crate::entry::peering::PeerState;
 use crate::fleet::{FleetTable, LayerRange};
 use crate::forward::{ServingTables, call_target, fetch_report};
 use crate::ids::TargetId;
@@ -18,36 +18,37 @@
 use crate::platform::target_record::platform_id;
 use crate::platform::{names, order};
 
-/// How long a host that starts leaves its zone's engines alone: until then it
-/// may not know the hosts that come before it, and after a start of all hosts
-/// each of 195 planned every zone. Engines keep their layers meanwhile.
-const START_PATIENCE: Duration = Duration::from_secs(2);
-/// The same for the engines of a zone in which it knows no host.
-const STRANGE_ZONE_PATIENCE: Duration = Duration::from_secs(6);
-/// Pause between two looks at the plan.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
-/// The engines count as seen once no new one has shown up for this long; each
+/// Time after its start before a host plans its own zone: until then it may not know the
+/// hosts that rank before it, and after a start of all 195 hosts each would plan every
+/// zone. Engines keep their layers meanwhile.
+const START_DELAY: Duration = Duration::from_secs(2);
+/// Time after its start before a host plans a zone in which it knows no host.
+const OTHER_ZONE_START_DELAY: Duration = Duration::from_secs(6);
+/// Interval between two checks of the plan.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Heartbeats without a new engine after which all engines are considered known; each
 /// writes a heartbeat every 1.2 s.
-const SETTLE_HEARTBEATS: f64 = 1.3;
-/// A first plan is not put off for longer than this many heartbeats.
-const MOST_HEARTBEATS: f64 = 3.5;
-/// After this time an order whose effect does not show is given again.
-const ORDER_PATIENCE: Duration = Duration::from_secs(8);
-/// How long an engine may take to accept an order.
-const ORDER_LIMIT: Duration = Duration::from_secs(1);
+const STABLE_HEARTBEATS: f64 = 1.3;
+/// Heartbeats after which the first plan is made in any case.
+const MAX_WAIT_HEARTBEATS: f64 = 3.5;
+/// Time after which an order without visible effect is issued again.
+const ORDER_VALIDITY: Duration = Duration::from_secs(8);
+/// Timeout for an engine to accept an order.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An order that was given, by this host or by another.
+/// An order that was issued by this or another host.
 #[derive(Debug, Clone, Copy)]
-struct GivenOrder {
+struct IssuedOrder {
     layers: LayerRange,
     at: Instant,
 }
 
-/// A zone for which no order was due.
+/// The engines of a zone as last planned.
 #[derive(Debug, PartialEq)]
-struct SettledZone {
+struct ZoneSnapshot {
     engines: Vec<EngineView>,
-    /// Whether it lacked layers for so long that it may be planned anew.
+    /// Whether layers have been missing for so long that the zone may be replanned from
+    /// scratch.
     overdue: bool,
 }
 
@@ -56,51 +57,51 @@
 struct PlanningTask {
     service: Arc<ServiceSpec>,
     zone: ZoneId,
-    zone_view: SettledZone,
-    holed_for: Duration,
+    snapshot: ZoneSnapshot,
+    incomplete_for: Duration,
 }
 
-struct PlacingWorker {
+struct PlacementWorker {
     started: Instant,
     tables: Arc<ServingTables>,
-    desk: Arc<PeerDesk>,
-    given: FastMap<TargetId, GivenOrder>,
-    /// Views of zones that needed no change when last looked at.
-    settled: FastMap<ZoneId, SettledZone>,
-    /// Since when zones have lacked layers.
-    holed_since: FastMap<ZoneId, Instant>,
+    peer_state: Arc<PeerState>,
+    issued: FastMap<TargetId, IssuedOrder>,
+    /// Snapshots of zones that needed no change at the last check.
+    unchanged_zones: FastMap<ZoneId, ZoneSnapshot>,
+    /// Since when zones have been missing layers.
+    incomplete_since: FastMap<ZoneId, Instant>,
     known: usize,
     first_seen: Option<Instant>,
     changed_at: Instant,
     heartbeat: Duration,
 }
 
-/// Orders engines to hold what is planned, for ever.
-pub(super) async fn keep_placed(
+/// Orders engines to hold the planned layers; runs forever.
+pub(super) async fn run_placement(
     tables: Arc<ServingTables>,
-    desk: Arc<PeerDesk>,
+    peer_state: Arc<PeerState>,
     heartbeat: Duration,
 ) {
-    let mut worker = PlacingWorker {
+    let mut worker = PlacementWorker {
         started: Instant::now(),
         tables,
-        desk,
-        given: FastMap::default(),
-        settled: FastMap::default(),
-        holed_since: FastMap::default(),
+        peer_state,
+        issued: FastMap::default(),
+        unchanged_zones: FastMap::default(),
+        incomplete_since: FastMap::default(),
         known: 0,
         first_seen: None,
         changed_at: Instant::now(),
         heartbeat,
     };
     loop {
-        tokio::time::sleep(LOOK_PAUSE).await;
-        worker.look(Instant::now()).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        worker.check(Instant::now()).await;
     }
 }
 
-impl PlacingWorker {
-    async fn look(&mut self, now: Instant) {
+impl PlacementWorker {
+    async fn check(&mut self, now: Instant) {
         let configuration = self.tables.configuration.load_full();
         let Some(configuration) = configuration else {
             return;
@@ -116,11 +117,11 @@
             self.changed_at = now;
             self.first_seen.get_or_insert(now);
         }
-        if !placed && !self.is_settled(now) {
+        if !placed && !self.is_fleet_stable(now) {
             return;
         }
-        self.given
-            .retain(|_, order| now < order.at + ORDER_PATIENCE);
+        self.issued
+            .retain(|_, order| now < order.at + ORDER_VALIDITY);
         let tasks = {
             let tables = self.tables.clone();
             let fleet = tables.fleet.lock();
@@ -128,19 +129,20 @@
         };
         for task in tasks {
             let planned = self.plan(task).await;
-            self.give_orders(planned, Instant::now()).await;
+            self.issue_orders(planned, Instant::now()).await;
         }
     }
 
-    /// Nothing is held anywhere: a plan from a third of the engines would have
-    /// to be made again, so it waits until all have shown up.
-    fn is_settled(&self, now: Instant) -> bool {
-        let quiet = now >= self.changed_at + self.heartbeat.mul_f64(SETTLE_HEARTBEATS);
+    /// Returns whether the first plan can be made. While no engine holds layers, a plan
+    /// from a third of the engines would have to be redone, so it waits until all are
+    /// known.
+    fn is_fleet_stable(&self, now: Instant) -> bool {
+        let quiet = now >= self.changed_at + self.heartbeat.mul_f64(STABLE_HEARTBEATS);
         let first = self.first_seen.unwrap_or(now);
-        quiet || now >= first + self.heartbeat.mul_f64(MOST_HEARTBEATS)
+        quiet || now >= first + self.heartbeat.mul_f64(MAX_WAIT_HEARTBEATS)
     }
 
-    /// The zones that this host has to plan now.
+    /// Returns the zones that this host has to plan now.
     fn due_tasks(
         &mut self,
         configuration: &IngressConfiguration,
@@ -153,7 +155,7 @@
                 continue;
             };
             for (zone, engines) in self.engine_views(service, model, fleet) {
-                if self.knows_hosts(&zone, now) && self.desk.places_zone(&zone, now) {
+                if self.knows_hosts(&zone, now) && self.peer_state.plans_zone(&zone, now) {
                     tasks.extend(self.task(service, model, zone, engines, now));
                 }
             }
@@ -161,16 +163,16 @@
         tasks
     }
 
-    /// Whether this host has had the time to find the hosts of a zone.
+    /// Returns whether this host has had enough time to discover the hosts of a zone.
     fn knows_hosts(&self, zone: &ZoneId, now: Instant) -> bool {
         let patience = match *zone == self.tables.zone {
-            true => START_PATIENCE,
-            false => STRANGE_ZONE_PATIENCE,
+            true => START_DELAY,
+            false => OTHER_ZONE_START_DELAY,
         };
         now >= self.started + patience
     }
 
-    /// The engines of a service by their zones, as the planner sees them.
+    /// Returns the engines of a service by zone, as the planner sees them.
     fn engine_views(
         &self,
         service: &ServiceSpec,
@@ -179,16 +181,16 @@
     ) -> FastMap<ZoneId, Vec<EngineView>> {
         let mut zones = FastMap::<ZoneId, Vec<EngineView>>::default();
         let members = fleet.members(&service.name).into_iter();
-        // Hosts take engines out each by what it saw itself; a plan made from
-        // that would differ from host to host, and their orders would undo each
-        // other.
+        // Ejected engines are included: each host ejects engines by its own observations,
+        // so that plans without them would differ between hosts and their orders would undo
+        // each other.
         let members = members.flat_map(|members| members.values());
         for state in members.filter(|state| !state.entry.draining) {
             let kind = state.entry.kind.as_deref();
             let Some(kind) = kind.and_then(|kind| model.kinds.get(kind)) else {
                 continue;
             };
-            let ordered = self.given.get(&state.entry.id).map(|order| order.layers);
+            let ordered = self.issued.get(&state.entry.id).map(|order| order.layers);
             let engine = EngineView {
                 id: state.entry.id.clone(),
                 kind: *kind,
@@ -202,8 +204,8 @@
         zones
     }
 
-    /// A zone is planned anew only when something has changed: a plan takes
-    /// milliseconds of the processor's share.
+    /// Returns a task only if the zone has changed, as a plan takes milliseconds of the CPU
+    /// quota.
     fn task(
         &mut self,
         service: &Arc<ServiceSpec>,
@@ -212,67 +214,72 @@
         engines: Vec<EngineView>,
         now: Instant,
     ) -> Option<PlanningTask> {
-        let holed_for = self.holed_for(model, &zone, &engines, now);
-        let overdue = holed_for >= REPLAN_DELAY;
-        let zone_view = SettledZone { engines, overdue };
-        (self.settled.get(&zone) != Some(&zone_view)).then(|| PlanningTask {
+        let incomplete_for = self.incomplete_for(model, &zone, &engines, now);
+        let overdue = incomplete_for >= REPLAN_DELAY;
+        let snapshot = ZoneSnapshot { engines, overdue };
+        (self.unchanged_zones.get(&zone) != Some(&snapshot)).then(|| PlanningTask {
             service: service.clone(),
             zone,
-            zone_view,
-            holed_for,
+            snapshot,
+            incomplete_for,
         })
     }
 
-    /// Plans on a thread of its own.
+    /// Plans a zone on a blocking thread.
     ///
-    /// The first plan of a zone of 38 engines takes 0.2 s of a whole core, and a
-    /// host has an eighth of one. On the thread that carries requests
-    /// it would answer nobody for as long, in the middle of a loss; it shows as
-    /// pauses of all streams of one host at once.
+    /// The first plan of a zone of 38 engines takes 0.2 s of a whole core, and a host has
+    /// an eighth of one. On the thread that carries requests it would pause all streams of
+    /// the host for that long, in the middle of a loss of engines.
     async fn plan(&mut self, task: PlanningTask) -> Vec<PlannedRange> {
-        let (service, engines) = (task.service.clone(), task.zone_view.engines.clone());
+        let (service, engines) = (task.service.clone(), task.snapshot.engines.clone());
         let started = Instant::now();
         let planned = tokio::task::spawn_blocking(move || {
             let model = service.engine.as_ref();
-            model.map_or_else(Vec::new, |model| plan_zone(model, &engines, task.holed_for))
+            model.map_or_else(Vec::new, |model| {
+                plan_zone(model, &engines, task.incomplete_for)
+            })
         });
         let planned = planned.await.unwrap_or_else(|error| {
-            log::error!(zone:% = task.zone, error:% = error; "planning ended");
+            log::error!(zone:% = task.zone, error:% = error; "planning task failed");
             Vec::new()
         });
         log::info!(
             zone:% = task.zone,
-            engines = task.zone_view.engines.len(),
-            holed_ms = task.holed_for.as_millis() as u64,
+            engines = task.snapshot.engines.len(),
+            holed_ms = task.incomplete_for.as_millis() as u64,
             changes = planned.len(),
             took_ms = started.elapsed().as_millis() as u64;
             "zone planned"
         );
         match planned.is_empty() {
             true => {
-                self.settled.insert(task.zone, task.zone_view);
+                self.unchanged_zones.insert(task.zone, task.snapshot);
                 planned
             }
-            false => self.unchanged(&task.zone_view.engines, planned),
+            false => self.still_applicable(&task.snapshot.engines, planned),
         }
     }
 
-    /// Those changes of a plan whose engines still hold what the plan was made
-    /// for: another host may have ordered them meanwhile.
-    fn unchanged(&self, engines: &[EngineView], planned: Vec<PlannedRange>) -> Vec<PlannedRange> {
+    /// Returns the changes of a plan whose engines still hold what the plan assumed;
+    /// another host may have issued orders meanwhile.
+    fn still_applicable(
+        &self,
+        engines: &[EngineView],
+        planned: Vec<PlannedRange>,
+    ) -> Vec<PlannedRange> {
         let fleet = self.tables.fleet.lock();
-        let is_as_seen = |range: &PlannedRange| {
+        let is_unchanged = |range: &PlannedRange| {
             let seen = engines.iter().find(|engine| engine.id == range.id);
             let now = fleet.get(&range.id).map(|state| state.entry.layers);
-            let ordered = self.given.get(&range.id).map(|order| order.layers);
+            let ordered = self.issued.get(&range.id).map(|order| order.layers);
             now.zip(seen)
                 .is_some_and(|(now, seen)| ordered.or(now) == seen.layers)
         };
-        planned.into_iter().filter(is_as_seen).collect()
+        planned.into_iter().filter(is_unchanged).collect()
     }
 
-    /// For how long a zone has lacked layers.
-    fn holed_for(
+    /// Returns for how long a zone has been missing layers.
+    fn incomplete_for(
         &mut self,
         model: &EngineModel,
         zone: &ZoneId,
@@ -280,32 +287,32 @@
         now: Instant,
     ) -> Duration {
         if !has_uncovered_layers(model, engines) {
-            self.holed_since.remove(zone);
+            self.incomplete_since.remove(zone);
             return Duration::ZERO;
         }
-        let since = *self.holed_since.entry(zone.clone()).or_insert(now);
+        let since = *self.incomplete_since.entry(zone.clone()).or_insert(now);
         now.saturating_duration_since(since)
     }
 
-    async fn give_orders(&mut self, planned: Vec<PlannedRange>, now: Instant) {
+    async fn issue_orders(&mut self, planned: Vec<PlannedRange>, now: Instant) {
         let orders = planned.into_iter().map(|range| {
             let tables = self.tables.clone();
             async move {
-                let taken = give_order(&tables, &range.id, range.layers, now).await;
-                (range.id, taken)
+                let accepted = issue_order(&tables, &range.id, range.layers, now).await;
+                (range.id, accepted)
             }
         });
-        for (id, taken) in futures::future::join_all(orders).await {
-            if let Some(layers) = taken {
-                self.given.insert(id, GivenOrder { layers, at: now });
+        for (id, accepted) in futures::future::join_all(orders).await {
+            if let Some(layers) = accepted {
+                self.issued.insert(id, IssuedOrder { layers, at: now });
             }
         }
     }
 }
 
-/// Orders an engine to hold `layers`, unless it does or has an order already.
-/// Gives the layers that the engine is taken to hold from now on.
-async fn give_order(
+/// Orders an engine to hold `layers`, unless it already holds them or is executing an
+/// order. Returns the layers that the engine is assumed to hold from now on.
+async fn issue_order(
     tables: &ServingTables,
     id: &TargetId,
     layers: LayerRange,
@@ -318,7 +325,7 @@
         return Some(layers);
     }
     if report.order_busy {
-        // Another host was first; its order shows in the next heartbeat.
+        // Another host was first; the effect of its order shows in the next heartbeat.
         return Some(layers);
     }
     let body = order::place_body(layers, report.order_sequence);
@@ -328,24 +335,24 @@
         .header(names::TARGET_INSTANCE, platform_id(id))
         .body(Full::new(Bytes::from(body)))
         .ok()?;
-    let answer = call_target(address, request, ORDER_LIMIT).await;
+    let response = call_target(address, request, ORDER_TIMEOUT).await;
     log::info!(
         target_id:% = id,
         from = layers.from,
         to = layers.to,
         held:? = report.layers,
         expected = report.order_sequence,
-        answer:? = answer.as_ref().map(|(status, _)| status.as_u16());
+        answer:? = response.as_ref().map(|(status, _)| status.as_u16());
         "order given"
     );
-    tables.metrics.ordered(match answer {
+    tables.metrics.ordered(match response {
         Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => "accepted",
         Ok(_) => "refused",
         Err(_) => "unanswered",
     });
-    match answer {
+    match response {
         Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => Some(layers),
-        // May have been accepted, or may be carried out later.
+        // The order may have been accepted, or may still be executed.
         Err(_) => Some(layers),
         Ok(_) => None,
     }
--- a/src/entry/poison_log.rs
+++ b/src/entry/poison_log.rs
@@ -1,53 +1,52 @@
-//! Keeps poison requests in the platform's log, so that they outlive a restart of all
-//! hosts, and are known in a zone that reaches the log and no other zone.
+//! Keeps poison requests in the platform's log, so that they outlive a restart of all hosts
+//! and are known in a zone that reaches the log but no other zone.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
 use tokio::sync::watch;
 
-use crate::entry::LogDuty;
-use crate::entry::log_duty::wait_to_read;
+use crate::entry::LogRole;
+use crate::entry::log_role::wait_for_reader_role;
 use crate::forward::ServingTables;
 use crate::ids::{LogOffset, RequestKey};
 use crate::platform::log_calls::{KeyedRead, KeyedRecord, LogClient};
 use crate::platform::{names, poison_record};
 use crate::poison::{LogChange, key_text};
 
-/// How long a read waits for a record. Records are rare; each read is priced, and a
-/// connection that went silent is noticed after this.
+/// Maximum time that a read waits for a record. Records are rare, each read costs money,
+/// and a silent connection is noticed after this time.
 const READ_WAIT: Duration = Duration::from_secs(10);
-/// Pause after a failed call: hosts that started anew have to know what is refused
-/// within three seconds of the log's return.
+/// Pause after a failed call: restarted hosts have to know what is refused within three
+/// seconds of the log's return.
 const RETRY_PAUSE: Duration = Duration::from_millis(600);
-/// How long a host has to be a reader before it reads. After a start of all hosts each
-/// reads the log for itself until it knows another one, within a second; what is refused
-/// has to be known after three.
-const SETTLED: Duration = Duration::from_secs(1);
-/// How long a host waits before it writes what another one may be writing: the readers
-/// of all zones hear of a poison request within 1.3 s of each other, and a record that
-/// one has written reaches the others within milliseconds.
+/// Time for which a host has to be a reader before it reads. After a start of all hosts
+/// each reads the log for itself until it knows another host, within a second; what is
+/// refused has to be known after three.
+const START_DELAY: Duration = Duration::from_secs(1);
+/// Upper bound of the random delay before a write that another host may also make: the
+/// readers of all zones receive a poison request within 1.3 s of each other, and a record
+/// that one has written reaches the others within milliseconds.
 const WRITE_PAUSE: Duration = Duration::from_millis(1500);
 
-/// Takes in what the log says of poison requests while reading it is this host's duty,
-/// for ever.
+/// Applies the poison requests in the log while this host is a reader; runs forever.
 pub(super) async fn follow_poison(
     tables: Arc<ServingTables>,
     mut client: LogClient,
-    mut duty: watch::Receiver<LogDuty>,
+    mut role: watch::Receiver<LogRole>,
 ) {
     let mut next: Option<LogOffset> = None;
     let mut failures = 0;
     loop {
-        if !duty.borrow().is_reader() {
+        if !role.borrow().is_reader() {
             next = None;
         }
-        let Some(current) = wait_to_read(&mut duty).await else {
+        let Some(current) = wait_for_reader_role(&mut role).await else {
             return;
         };
         if next.is_none() {
-            tokio::time::sleep(SETTLED).await;
-            if !duty.borrow().is_reader() {
+            tokio::time::sleep(START_DELAY).await;
+            if !role.borrow().is_reader() {
                 continue;
             }
         }
@@ -60,11 +59,11 @@
                 failures = 0;
                 take_records(&tables, &read);
                 next = Some(read.next);
-                // What this host has to write, it knows only now.
+                // Only now is it known which changes the log lacks.
                 tables.poison_updates.notify_waiters();
             }
             Err(error) => {
-                // Where the history is gone the newest records are read.
+                // The newest records are read again, also if the history has been deleted.
                 next = None;
                 if failures == 0 {
                     log::warn!(error:% = error; "poison requests: log lost");
@@ -87,41 +86,41 @@
 
 fn take_record(tables: &ServingTables, record: &KeyedRecord) -> Result<(), String> {
     let request = poison_record::parse_key(&record.key)?;
-    let notes = match &record.value {
+    let evidence = match &record.value {
         None => Vec::new(),
         Some(value) => poison_record::parse_poison(request, value, SystemTime::now())?,
     };
     let mut poison = tables.poison.lock();
-    let refused = poison.merge(&notes, Instant::now());
-    poison.set_in_log(request, notes.len());
+    let refused = poison.merge(&evidence, Instant::now());
+    poison.set_in_log(request, evidence.len());
     drop(poison);
-    note_poison(tables, &refused, "log");
+    log_refused(tables, &refused, "log");
     Ok(())
 }
 
-/// Writes to the log what it has to say of poison requests and does not, while reading
-/// it is this host's duty, for ever.
+/// Writes to the log what it lacks on poison requests while this host is a reader; runs
+/// forever.
 pub(super) async fn write_poison(
     tables: Arc<ServingTables>,
     mut client: LogClient,
-    mut duty: watch::Receiver<LogDuty>,
+    mut role: watch::Receiver<LogRole>,
 ) {
     loop {
-        let news = tables.poison_updates.notified();
+        let updates = tables.poison_updates.notified();
         if tables.poison.lock().log_changes(Instant::now()).is_empty() {
-            news.await;
+            updates.await;
         }
-        if wait_to_read(&mut duty).await.is_none() {
+        if wait_for_reader_role(&mut role).await.is_none() {
             return;
         }
-        // Not all readers at the same moment.
+        // The random delay keeps the readers from writing at the same moment.
         tokio::time::sleep(WRITE_PAUSE.mul_f64(rand::random())).await;
         let changes = tables.poison.lock().log_changes(Instant::now());
         for change in changes {
             if let Err(error) = write_change(&tables, &mut client, &change).await {
                 log::warn!(
                     key:% = key_text(change.request), error:% = error;
-                    "poison request is not in the log yet"
+                    "poison request not written to the log yet"
                 );
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
@@ -147,8 +146,8 @@
     Ok(())
 }
 
-/// One line a request that is refused from now on, on word of `source`.
-pub(super) fn note_poison(tables: &ServingTables, refused: &[RequestKey], source: &str) {
+/// Logs the requests that are refused from now on because of evidence from `source`.
+pub(super) fn log_refused(tables: &ServingTables, refused: &[RequestKey], source: &str) {
     for request in refused {
         log::info!(
             key:% = key_text(*request), source:% = source;
--- a/src/entry/readiness.rs
+++ b/src/entry/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer's question whether this host takes callers.
+//! Endpoints for the load balancer's readiness checks and for the metrics.
 
 use std::convert::Infallible;
 use std::io;
@@ -18,13 +18,13 @@
 use crate::forward::ServingTables;
 use crate::platform::names;
 
-/// Path under which the metrics are served.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Pause after a failed accept, for instance while descriptors are used up.
+/// Pause after a failed accept, for instance when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Whether callers can be served: a configuration is in force and some service
-/// has a target, or engines that hold every layer.
+/// Returns whether callers can be served: there is a configuration, and some service has a
+/// usable target or engines that hold every layer.
 pub(super) fn is_ready(tables: &ServingTables, now: Instant) -> bool {
     let configuration = tables.configuration.load();
     let Some(configuration) = configuration.as_ref() else {
@@ -34,7 +34,7 @@
         return false;
     }
     let fleet = tables.fleet.lock();
-    let served = |service: &crate::ingress::ServiceSpec| match &service.engine {
+    let is_served = |service: &crate::ingress::ServiceSpec| match &service.engine {
         None => fleet.has_usable(&service.name, now),
         Some(model) => fleet.members(&service.name).is_some_and(|members| {
             let size = RequestSize {
@@ -53,56 +53,56 @@
     configuration
         .services
         .values()
-        .any(|service| served(service))
+        .any(|service| is_served(service))
 }
 
-/// Answers the balancer on `address`, for ever.
+/// Serves readiness checks on `address`, forever; returns the bound address.
 ///
 /// # Errors
 ///
 /// If the address cannot be listened on.
-pub(super) fn answer_readiness(
+pub(super) fn serve_readiness(
     tables: Arc<ServingTables>,
     address: SocketAddr,
 ) -> io::Result<SocketAddr> {
-    answer_questions(address, move |path| match path {
+    serve_paths(address, move |path| match path {
         names::READY_PATH if is_ready(&tables, Instant::now()) => (StatusCode::OK, String::new()),
         names::READY_PATH => (StatusCode::SERVICE_UNAVAILABLE, String::new()),
         _ => (StatusCode::NOT_FOUND, String::new()),
     })
 }
 
-/// Serves the metrics on `address`, for ever.
+/// Serves the metrics on `address`, forever; returns the bound address.
 ///
 /// # Errors
 ///
 /// If the address cannot be listened on.
-pub(super) fn answer_metrics(
+pub(super) fn serve_metrics(
     tables: Arc<ServingTables>,
     address: SocketAddr,
 ) -> io::Result<SocketAddr> {
-    answer_questions(address, move |path| match path {
+    serve_paths(address, move |path| match path {
         METRICS_PATH => (StatusCode::OK, tables.metrics.encode()),
         _ => (StatusCode::NOT_FOUND, String::new()),
     })
 }
 
-/// Answers each question by a function of its path; gives the address in use.
-fn answer_questions<F>(address: SocketAddr, answer: F) -> io::Result<SocketAddr>
+/// Serves each request by a function of its path; returns the bound address.
+fn serve_paths<F>(address: SocketAddr, respond: F) -> io::Result<SocketAddr>
 where
     F: Fn(&str) -> (StatusCode, String) + Send + Sync + 'static,
 {
     let listener = crate::forward::socket::bind(address)?;
     let address = listener.local_addr()?;
-    let answer = Arc::new(answer);
+    let respond = Arc::new(respond);
     tokio::spawn(async move {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(answer_connection(stream, answer.clone()));
+                    tokio::spawn(serve_stream(stream, respond.clone()));
                 }
                 Err(error) => {
-                    log::warn!(error:% = error; "cannot take a connection");
+                    log::warn!(error:% = error; "cannot accept a connection");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -111,12 +111,12 @@
     Ok(address)
 }
 
-async fn answer_connection<F>(stream: TcpStream, answer: Arc<F>)
+async fn serve_stream<F>(stream: TcpStream, respond: Arc<F>)
 where
     F: Fn(&str) -> (StatusCode, String),
 {
     let service = service_fn(|request: Request<Incoming>| {
-        let (status, text) = answer(request.uri().path());
+        let (status, text) = respond(request.uri().path());
         let mut response = Response::new(Full::new(Bytes::from(text)));
         *response.status_mut() = status;
         async { Ok::<_, Infallible>(response) }
@@ -125,6 +125,6 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!("a question's connection ended: {error}");
+        log::debug!("connection to the readiness or metrics endpoint failed: {error}");
     }
 }
--- a/src/entry/retry_share.rs
+++ b/src/entry/retry_share.rs
@@ -1,29 +1,28 @@
-//! Divides the retries that the platform allows over the entry hosts.
+//! Divides the retries that the platform allows among the entry hosts.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use crate::entry::EntryBounds;
-use crate::entry::peering::PeerDesk;
+use crate::entry::peering::PeerState;
 use crate::forward::ServingTables;
 use crate::retry::WindowSettings;
 
-/// Hosts that the slack is divided among until others are known.
-const FEWEST_HOSTS: usize = 12;
-/// Part of the allowed retries that is used: hosts count each other a little
-/// late.
+/// Number of hosts that the slack is divided among until others are known.
+const MIN_HOSTS: usize = 12;
+/// Fraction of the allowed retries that is used, as hosts count each other with a delay.
 const USED_SHARE: f64 = 0.9;
-/// Part of that in the first window after a start: the process before this one
-/// may have used its part already.
+/// Fraction of this host's share in the first window after a start: the previous process
+/// may have used its share already.
 const START_SHARE: f64 = 0.3;
-/// Pause between two counts of the hosts, and time after a start in which
-/// they become known.
-const COUNT_PAUSE: Duration = Duration::from_secs(1);
+/// Interval between two counts of the hosts, and time after a start in which they become
+/// known.
+const COUNT_INTERVAL: Duration = Duration::from_secs(1);
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// This host's part right after its start.
+/// Returns this host's share right after its start.
 pub(super) fn first_share(bounds: EntryBounds) -> WindowSettings {
-    share(bounds, FEWEST_HOSTS, START_SHARE)
+    share(bounds, MIN_HOSTS, START_SHARE)
 }
 
 fn share(bounds: EntryBounds, hosts: usize, part: f64) -> WindowSettings {
@@ -34,21 +33,21 @@
     }
 }
 
-/// Keeps this host's part in line with the hosts that are known, for ever. A
-/// host that hears nobody still counts those heard of lately.
+/// Adjusts this host's share to the number of known hosts; runs forever. An isolated host
+/// still counts the hosts that it heard from recently.
 pub(super) async fn share_retries(
     tables: Arc<ServingTables>,
-    desk: Arc<PeerDesk>,
+    peer_state: Arc<PeerState>,
     bounds: EntryBounds,
 ) {
     let started = Instant::now();
     loop {
-        tokio::time::sleep(COUNT_PAUSE).await;
+        tokio::time::sleep(COUNT_INTERVAL).await;
         let age = started.elapsed();
-        let known = desk.known_count();
+        let known = peer_state.known_count();
         let hosts = match known {
             2.. if age >= SETTLE_TIME => known,
-            _ => known.max(FEWEST_HOSTS),
+            _ => known.max(MIN_HOSTS),
         };
         let part = match age >= bounds.retry_window {
             true => 1.0,
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -9,7 +9,7 @@
 use crate::membership::gossip_member::{DEAD_AFTER, GossipMember};
 use crate::peer::{HostListing, HostView, KnownHost, SeenListing, ZoneCount};
 use crate::permits::LimitDelta;
-use crate::poison::PoisonListing;
+use crate::poison::PoisonDelta;
 
 impl GossipTable {
     /// Creates the view to send to the host at an address. The caller adds the requests,
@@ -86,7 +86,7 @@
             seen,
             counts,
             log: None,
-            poison: PoisonListing::default(),
+            poison: PoisonDelta::default(),
             limits: LimitDelta::default(),
         }
     }
--- a/src/permits/table.rs
+++ b/src/permits/table.rs
@@ -6,8 +6,8 @@
 use super::observation::LimitObservation;
 use super::rate::RateLimit;
 use crate::collections::FastMap;
+use crate::delta_sync::{DeltaBounds, DeltaProgress};
 use crate::ids::{IncarnationId, TargetKey};
-use crate::spread::{ListingBounds, SpreadProgress};
 
 /// Targets that are remembered at most; an entry takes about 60 bytes.
 const MAX_ENTRIES: usize = 4096;
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct LimitDelta {
     /// The versions that the delta covers.
-    pub bounds: ListingBounds,
+    pub bounds: DeltaBounds,
     /// The limits that changed in between.
     pub records: Vec<LimitRecord>,
 }
@@ -71,7 +71,7 @@
     entries: FastMap<TargetKey, LimitEntry>,
     /// Incremented by each change of a limit.
     version: u64,
-    progress: SpreadProgress,
+    progress: DeltaProgress,
 }
 
 impl LimitTable {
--- a/src/poison/table.rs
+++ b/src/poison/table.rs
@@ -1,31 +1,32 @@
-//! The targets that ended under requests, and the requests that are refused for it.
+//! The table of targets that ended under requests, which decides what is refused.
 
 use std::time::Instant;
 
-use super::note::{PoisonEvent, PoisonNote};
-use super::record::{PROOFS, PoisonRecord, TargetEnd};
+use super::evidence::{PoisonEvent, PoisonEvidence};
+use super::record::{ENDS_TO_REFUSE, PoisonRecord, TargetEnd};
 use super::survivors::RecentSurvivors;
 use crate::collections::FastMap;
+use crate::delta_sync::DeltaProgress;
 use crate::ids::{RequestKey, TargetKey};
-use crate::spread::SpreadProgress;
 
-/// Most requests that are remembered. An engine takes 192 requests at once, so that
-/// all that ran on one fit beside 64 requests that are refused. A record takes some
-/// 120 bytes: 31 KB in all, whatever the size of the fleet.
-const MOST_RECORDS: usize = 256;
-/// What a table knows of a request that a target ended under.
+/// Maximum number of remembered requests. An engine takes 192 requests at once, so that all
+/// that ran on one fit beside 64 refused requests. A record takes about 120 bytes, 31 KB in
+/// all, whatever the size of the fleet.
+const MAX_RECORDS: usize = 256;
+
+/// The conclusion on a request after a target ended under it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PoisonVerdict {
-    /// A target ran it a moment ago and lives on: nothing speaks against it.
+    /// A target survived the request recently, which clears it.
     Survived,
-    /// So many different targets have ended under it.
+    /// This number of different targets has ended under it.
     Suspect(usize),
-    /// It is refused from now on.
+    /// The request is refused from now on.
     Poison,
 }
 
 impl PoisonVerdict {
-    /// The name used in metrics and logs.
+    /// Returns the name used in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Survived => "survived",
@@ -35,37 +36,37 @@
     }
 }
 
-/// What is known of requests that targets ended under.
+/// The evidence on requests that targets ended under.
 ///
-/// A record is a set of targets, and a moment before which nothing counts. Hosts
-/// that take in each other's notes, in any order and more than once, come to the
-/// same record, without a word on who is right.
+/// A record is a set of targets and a moment before which no evidence counts. Hosts that
+/// merge each other's evidence, in any order and more than once, arrive at the same record
+/// without further coordination.
 #[derive(Debug, Default)]
 pub struct PoisonTable {
     pub(super) records: FastMap<RequestKey, PoisonRecord>,
-    /// Grows with each change of a record.
+    /// Incremented with each change of a record.
     pub(super) version: u64,
-    pub(super) progress: SpreadProgress,
+    pub(super) progress: DeltaProgress,
     survivors: RecentSurvivors,
 }
 
-/// What the platform's log has to say of a request, and does not yet.
+/// A change that the platform's log lacks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogChange {
     /// The request.
     pub request: RequestKey,
-    /// The targets that ended under it; empty if the log has to forget it.
-    pub ends: Vec<PoisonNote>,
+    /// The targets that ended under it; empty if the log has to drop the request.
+    pub ends: Vec<PoisonEvidence>,
 }
 
 impl PoisonTable {
-    /// Whether a request is refused. Asked before every attempt.
+    /// Returns whether a request is refused. Called before every attempt.
     pub fn is_poison(&self, request: RequestKey, now: Instant) -> bool {
         let record = self.records.get(&request);
         record.is_some_and(|record| record.is_poison(now))
     }
 
-    /// The process of a target ended as a request began to run there.
+    /// Records that the process of a target ended as a request began to run there.
     pub fn observe_end(
         &mut self,
         request: RequestKey,
@@ -75,47 +76,49 @@
         if self.survivors.contains(request, now) {
             return PoisonVerdict::Survived;
         }
-        self.note(request, PoisonEvent::Ended(target), now, now);
+        self.observe(request, PoisonEvent::Ended(target), now, now);
         let record = self.records.get(&request);
         match record.map_or(0, |record| record.ends.len()) {
-            PROOFS.. => PoisonVerdict::Poison,
+            ENDS_TO_REFUSE.. => PoisonVerdict::Poison,
             ends => PoisonVerdict::Suspect(ends),
         }
     }
 
-    /// A target ran a request and lives on. Says whether anything spoke against it.
+    /// Records that a target survived a request; returns whether there was evidence against
+    /// it.
     pub fn observe_survival(&mut self, request: RequestKey, now: Instant) -> bool {
         self.survivors.insert(request, now);
         let record = self.records.get(&request);
         let suspected = record.is_some_and(|record| !record.ends.is_empty());
         if suspected {
-            self.note(request, PoisonEvent::Survived, now, now);
+            self.observe(request, PoisonEvent::Survived, now, now);
         }
         suspected
     }
 
-    /// Takes in what others saw; gives the requests that are refused from now on.
-    pub fn merge(&mut self, notes: &[PoisonNote], now: Instant) -> Vec<RequestKey> {
+    /// Merges evidence from other hosts or the log and returns the requests that are
+    /// refused from now on.
+    pub fn merge(&mut self, evidence: &[PoisonEvidence], now: Instant) -> Vec<RequestKey> {
         let mut refused = Vec::new();
-        for note in notes {
-            let before = self.is_poison(note.request, now);
-            let at = now.checked_sub(note.age).unwrap_or(now);
-            self.note(note.request, note.event, at, now);
-            if !before && self.is_poison(note.request, now) {
-                refused.push(note.request);
+        for item in evidence {
+            let before = self.is_poison(item.request, now);
+            let at = now.checked_sub(item.age).unwrap_or(now);
+            self.observe(item.request, item.event, at, now);
+            if !before && self.is_poison(item.request, now) {
+                refused.push(item.request);
             }
         }
         refused
     }
 
-    fn note(&mut self, request: RequestKey, event: PoisonEvent, at: Instant, now: Instant) {
+    fn observe(&mut self, request: RequestKey, event: PoisonEvent, at: Instant, now: Instant) {
         if !self.records.contains_key(&request) {
             self.make_room(now);
         }
         let record = self.records.entry(request).or_default();
         let changed = match event {
-            PoisonEvent::Ended(target) => record.note_end(TargetEnd { target, at }),
-            PoisonEvent::Survived => record.note_survival(at),
+            PoisonEvent::Ended(target) => record.observe_end(TargetEnd { target, at }),
+            PoisonEvent::Survived => record.observe_survival(at),
         };
         if changed {
             self.version += 1;
@@ -123,52 +126,56 @@
         }
     }
 
-    /// Drops what has lapsed, and what says least if that is not enough: a flood of
-    /// requests that ran on one lost engine must not push out those that are refused.
+    /// Removes expired records and, if that is not enough, the one with the least evidence:
+    /// a flood of requests that ran on one lost engine must not evict those that are
+    /// refused.
     fn make_room(&mut self, now: Instant) {
-        if self.records.len() < MOST_RECORDS {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
-        // What the log still says has to be taken back there first.
+        // A record that the log still lists has to be removed from the log first.
         self.records
-            .retain(|_, record| record.in_log > 0 || !record.has_lapsed(now));
-        if self.records.len() < MOST_RECORDS {
+            .retain(|_, record| record.in_log > 0 || !record.has_expired(now));
+        if self.records.len() < MAX_RECORDS {
             return;
         }
-        let weight = |record: &PoisonRecord| (record.ends.len(), record.changed);
-        let least = self.records.iter().min_by_key(|(_, record)| weight(record));
+        let priority = |record: &PoisonRecord| (record.ends.len(), record.changed);
+        let least = self
+            .records
+            .iter()
+            .min_by_key(|(_, record)| priority(record));
         if let Some(request) = least.map(|(request, _)| *request) {
             self.records.remove(&request);
         }
     }
 
-    /// How many targets the platform's log names that ended under a request.
+    /// Sets the number of targets that the platform's log names for a request.
     pub fn set_in_log(&mut self, request: RequestKey, in_log: usize) {
         if let Some(record) = self.records.get_mut(&request) {
             record.in_log = in_log;
         }
     }
 
-    /// What the platform's log has to be told.
+    /// Returns the changes that have to be written to the platform's log.
     pub fn log_changes(&self, now: Instant) -> Vec<LogChange> {
         let records = self.records.iter();
-        let behind = records.filter(|(_, record)| record.wanted_in_log(now) != record.in_log);
+        let behind = records.filter(|(_, record)| record.required_in_log(now) != record.in_log);
         let changes = behind.map(|(request, record)| LogChange {
             request: *request,
-            ends: match record.wanted_in_log(now) {
+            ends: match record.required_in_log(now) {
                 0 => Vec::new(),
-                _ => record.end_notes(*request, now).collect(),
+                _ => record.end_evidence(*request, now).collect(),
             },
         });
         changes.collect()
     }
 
-    /// Requests that are remembered.
+    /// Returns the number of remembered requests.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing speaks against any request.
+    /// Returns whether there is no evidence on any request.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/tests/entry_decisions.rs
+++ b/tests/entry_decisions.rs
@@ -1,4 +1,4 @@
-//! Small decisions of an entry host: events, refusals, known hosts, log lines.
+//! Decisions of an entry host: event splitting, refusals, known hosts and log output.
 
 use std::io::Write;
 use std::sync::mpsc;
@@ -11,15 +11,14 @@
 use jackdawwick::membership::GossipTable;
 use jackdawwick::peer::{HostListing, HostView, KnownHost, SeenListing};
 use jackdawwick::permits::LimitDelta;
-use jackdawwick::poison::PoisonListing;
+use jackdawwick::poison::PoisonDelta;
 use jackdawwick::retry::{WindowBudget, WindowSettings};
 use proptest::prelude::*;
 
-/// Symptom: a caller gets half an event and then a whole one. Sequence: an
-/// engine breaks off in the middle of an event, the stream goes on elsewhere.
-/// Cause: bytes were passed on as they came.
+/// Guards against a caller that gets half an event and then a whole one, when an engine
+/// fails in the middle of an event and the stream continues on another engine.
 #[test]
-fn half_an_event_is_held_back() {
+fn partial_event_is_held_back() {
     let mut splitter = EventSplitter::default();
     let whole = splitter
         .push(b"id: 1\ndata: a\n\nid: 2\nda")
@@ -34,25 +33,25 @@
 }
 
 #[test]
-fn an_endless_event_is_an_error() {
+fn oversized_event_is_an_error() {
     let mut splitter = EventSplitter::default();
     let pushed = (0..200).try_for_each(|_| splitter.push(&[b'x'; 1024]).map(|_| ()));
     assert!(pushed.is_err());
 }
 
 proptest! {
-    /// However the bytes are cut, whole events come out in order.
+    /// Whole events are returned in order, however the bytes are split.
     #[test]
-    fn cuts_do_not_matter(count in 1_usize..20, cuts in prop::collection::vec(1_usize..40, 1..60)) {
+    fn events_do_not_depend_on_fragmentation(count in 1_usize..20, lengths in prop::collection::vec(1_usize..40, 1..60)) {
         let text = (0..count).map(|id| format!("id: {id}\ndata: {}\n\n", "t".repeat(id % 7)));
         let text = text.collect::<String>();
         let mut splitter = EventSplitter::default();
         let mut rest = text.as_bytes();
         let mut seen = Vec::new();
-        let mut cuts = cuts.iter().cycle();
+        let mut lengths = lengths.iter().cycle();
         while !rest.is_empty() {
-            let cut = (*cuts.next().expect("endless")).min(rest.len());
-            let (part, tail) = rest.split_at(cut);
+            let length = (*lengths.next().expect("endless")).min(rest.len());
+            let (part, tail) = rest.split_at(length);
             rest = tail;
             if let Some(events) = splitter.push(part).expect("no overflow") {
                 prop_assert!(events.ends_with(b"\n\n"));
@@ -65,14 +64,14 @@
     }
 
     #[test]
-    fn any_bytes_are_taken_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn any_bytes_are_accepted_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut splitter = EventSplitter::default();
         let _ = splitter.push(&bytes);
     }
 }
 
 #[test]
-fn refused_callers_come_back_later_the_more_are_refused() {
+fn retry_delay_grows_with_refusals() {
     let now = Instant::now();
     let mut gauge = OverloadGauge::default();
     for _ in 0..50 {
@@ -87,32 +86,32 @@
     assert!(later <= Duration::from_secs(5));
     let jittered = gauge.count_refusal(now, 1.0);
     assert!(jittered > later);
-    let calm = now + Duration::from_secs(60);
+    let later_start = now + Duration::from_secs(60);
     for _ in 0..50 {
-        gauge.count_start(calm);
+        gauge.count_start(later_start);
     }
-    assert!(gauge.count_refusal(calm, 0.0) < later);
+    assert!(gauge.count_refusal(later_start, 0.0) < later);
 }
 
-/// Callers that were never served, of those that come while engines are lost:
-/// 100 a second come, and for six seconds 60 a second find a place. Each caller
-/// comes back once, when it was told to.
-fn lost_in_a_shortage() -> usize {
+/// Counts the callers that are never served while engines are lost. 100 callers a second
+/// arrive, and for six seconds only 60 a second can be served; each refused caller retries
+/// once after the delay that it was given.
+fn count_lost_callers() -> usize {
     const TICK: Duration = Duration::from_millis(10);
     let start = Instant::now();
     let mut gauge = OverloadGauge::default();
     let mut returning: Vec<Instant> = Vec::new();
-    let mut places = 0.0_f64;
+    let mut capacity = 0.0_f64;
     let mut lost = 0;
     for tick in 0..1_500_u32 {
         let now = start + TICK * tick;
         let is_short = (200..800).contains(&tick);
-        places = (places + if is_short { 0.6 } else { 1.15 }).min(3.0);
+        capacity = (capacity + if is_short { 0.6 } else { 1.15 }).min(3.0);
         let due = returning.extract_if(.., |at| *at <= now).count();
         for is_first in std::iter::repeat_n(false, due).chain([true]) {
-            match (places >= 1.0, is_first) {
+            match (capacity >= 1.0, is_first) {
                 (true, _) => {
-                    places -= 1.0;
+                    capacity -= 1.0;
                     gauge.count_start(now);
                 }
                 (false, true) => {
@@ -126,20 +125,17 @@
     lost
 }
 
-/// Symptom: callers are refused twice and lost. Sequence: engines are lost for
-/// some seconds; callers that were refused come back in the middle of that.
-/// Cause: they were told to come back after half a second.
-///
-/// Lost callers: 147 before, 52 after.
+/// Guards against callers that are refused twice and lost: with a retry delay of half a
+/// second, refused callers return in the middle of a loss of engines that lasts for
+/// seconds, and 147 of them are lost.
 #[test]
-fn callers_come_back_when_a_shortage_may_have_ended() {
-    let lost = lost_in_a_shortage();
+fn retry_delay_outlasts_a_shortage() {
+    let lost = count_lost_callers();
     assert!(lost <= 60, "{lost} lost");
 }
 
-/// Symptom: the platform counts more retries than it allows. Sequence: an
-/// engine is lost, all hosts send its requests once more. Cause: the bound was
-/// kept on average and not within each window.
+/// Guards against more retries than the platform allows in a window: when an engine is
+/// lost, all hosts resend its requests at once, and a bound on the average does not hold.
 #[test]
 fn retries_stay_within_the_bound_of_every_window() {
     let settings = WindowSettings {
@@ -181,7 +177,7 @@
         seen: SeenListing::default(),
         counts: Vec::new(),
         log: None,
-        poison: PoisonListing::default(),
+        poison: PoisonDelta::default(),
         limits: LimitDelta::default(),
     }
 }
@@ -197,7 +193,7 @@
 }
 
 #[test]
-fn seeds_are_called_until_they_are_known_and_never_oneself() {
+fn seeds_are_called_until_known_and_the_host_itself_never() {
     let now = Instant::now();
     let mut table = table(&[1, 2]);
     assert_eq!(table.due_calls(now), [([10, 0, 0, 1], 1).into()]);
@@ -211,8 +207,8 @@
 fn hosts_become_known_through_others() {
     let now = Instant::now();
     let mut table = table(&[]);
-    let mut told = view("a", "z", 1, 1);
-    told.listing = HostListing {
+    let mut received = view("a", "z", 1, 1);
+    received.listing = HostListing {
         from: 0,
         to: 1,
         hosts: vec![KnownHost {
@@ -224,7 +220,7 @@
             silent: Duration::from_millis(100),
         }],
     };
-    table.observe_view(&told, now);
+    table.observe_view(&received, now);
     let live = table.live_hosts("z", now);
     assert_eq!(
         live.iter().map(|host| &**host).collect::<Vec<_>>(),
@@ -232,8 +228,8 @@
     );
 }
 
-/// Symptom: two hosts order the same engines about. Sequence: the first host
-/// of a zone dies. Cause: the dead host still counts as the first.
+/// Guards against two hosts that order the same engines: the first host of a zone dies and
+/// must not count as the first any more.
 #[test]
 fn silent_hosts_no_longer_count_as_live() {
     let now = Instant::now();
@@ -252,11 +248,10 @@
     assert_eq!(table.live_count(later), 1);
 }
 
-/// Symptom: calls to the log grow fourfold for as long as one host is cut off
-/// from it. Sequence: the first host of a zone loses the log, all others read
-/// it themselves. Cause: nobody stood in for the first host.
+/// Guards against a fourfold increase of calls to the log while one host is cut off from
+/// it: only a few hosts may replace the first host of a zone as reader, not all of them.
 #[test]
-fn a_few_hosts_stand_in_for_the_first_in_the_order_of_names() {
+fn next_hosts_in_the_ranking_replace_the_first_reader() {
     let now = Instant::now();
     let mut table = GossipTable::new(
         "d".into(),
@@ -280,10 +275,10 @@
     assert!(!table.is_leader(now));
 }
 
-/// Symptom: loads of a moment ago come back. Sequence: two views of a host
-/// cross on the way. Cause: the later one to arrive was believed.
+/// Guards against outdated loads: two views of a host overtake each other on the way, and
+/// the older one, which arrives last, must be ignored.
 #[test]
-fn an_overtaken_view_is_no_news() {
+fn reordered_view_is_ignored() {
     let now = Instant::now();
     let mut table = table(&[]);
     assert!(table.observe_view(&view("a", "z", 1, 5), now));
@@ -294,15 +289,15 @@
     assert!(!table.observe_view(&view("a", "z", 1, 6), now));
 }
 
-/// A writer that takes nothing until it is told to.
-struct StuckWriter {
-    go_on: mpsc::Receiver<()>,
+/// A writer that blocks until it is released.
+struct BlockedWriter {
+    release: mpsc::Receiver<()>,
     written: mpsc::Sender<Vec<u8>>,
 }
 
-impl Write for StuckWriter {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let _ = self.go_on.recv();
+        let _ = self.release.recv();
         let _ = self.written.send(bytes.to_vec());
         Ok(bytes.len())
     }
@@ -312,32 +307,31 @@
     }
 }
 
-/// Symptom: a host stops answering. Sequence: whoever reads its log stops
-/// reading, the pipe fills up. Cause: log lines were written by the thread
-/// that serves requests.
+/// Guards against a host that stops serving requests because the process that reads its log
+/// output stops and the pipe fills up.
 #[test]
-fn a_log_reader_that_does_not_read_blocks_nothing() {
-    let (go_on_sender, go_on) = mpsc::channel();
+fn blocked_log_output_does_not_block_writers() {
+    let (release_sender, release) = mpsc::channel();
     let (written, lines) = mpsc::channel();
-    let mut writer = BoundedWriter::spawn(StuckWriter { go_on, written });
+    let mut writer = BoundedWriter::spawn(BlockedWriter { release, written });
     for line in 0..100_000 {
         writeln!(writer, "{line}").expect("never fails");
     }
     drop(writer);
-    drop(go_on_sender);
+    drop(release_sender);
     let text = lines.iter().flatten().collect::<Vec<_>>();
     let text = String::from_utf8(text).expect("text");
     assert!(text.starts_with("0\n"));
     assert!(text.lines().count() < 10_000);
 }
 
-/// A storm of decisions is bounded, and what was left out is counted.
+/// A burst of log lines is bounded, and the dropped lines are counted.
 #[test]
-fn lines_left_out_are_counted() {
-    let (go_on_sender, go_on) = mpsc::channel();
+fn dropped_lines_are_counted() {
+    let (release_sender, release) = mpsc::channel();
     let (written, lines) = mpsc::channel();
-    drop(go_on_sender);
-    let mut writer = BoundedWriter::spawn(StuckWriter { go_on, written });
+    drop(release_sender);
+    let mut writer = BoundedWriter::spawn(BlockedWriter { release, written });
     for line in 0..5_000 {
         writeln!(writer, "{line}").expect("never fails");
     }
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -1,18 +1,19 @@
-//! Calls between entry hosts over loopback: what arrives, and how many bytes.
+//! Calls between entry hosts over loopback: the content that arrives and the number of
+//! bytes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
 use futures::FutureExt;
+use jackdawwick::delta_sync::DeltaBounds;
 use jackdawwick::fleet::{TargetLoad, TargetUsage, UsageScope, ZoneUsage, target_key};
 use jackdawwick::peer::{
     self, EntryHandlers, FollowAnswer, FollowQuestion, HostListing, HostView, KnownHost, LogAges,
     PeerHandle, PeerSettings, SeenListing, ZoneCount,
 };
 use jackdawwick::permits::{LimitDelta, LimitRecord, PermitReply, PermitRequest, RateLimit};
-use jackdawwick::poison::{PoisonEvent, PoisonListing, PoisonNote};
-use jackdawwick::spread::ListingBounds;
+use jackdawwick::poison::{PoisonDelta, PoisonEvent, PoisonEvidence};
 
 fn loopback(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -40,13 +41,13 @@
             since: Duration::from_secs(90_000),
             read: Duration::from_millis(640),
         }),
-        poison: PoisonListing {
-            bounds: ListingBounds {
+        poison: PoisonDelta {
+            bounds: DeltaBounds {
                 from: 3,
                 to: 5,
                 seen_to: 4,
             },
-            notes: Vec::new(),
+            evidence: Vec::new(),
         },
         limits: LimitDelta::default(),
     }
@@ -74,8 +75,8 @@
     }
 }
 
-fn noted(number: u64) -> PoisonNote {
-    PoisonNote {
+fn evidence_item(number: u64) -> PoisonEvidence {
+    PoisonEvidence {
         request: u64::MAX - number,
         event: match number {
             0 => PoisonEvent::Survived,
@@ -105,7 +106,7 @@
     }
 }
 
-/// The answer tells what was asked.
+/// Returns a reply that repeats fields of the request.
 fn answer_permit(question: &PermitRequest) -> PermitReply {
     match question.wanted {
         0 => PermitReply::Unlimited,
@@ -121,7 +122,7 @@
     }
 }
 
-/// A host that answers each view with the same view.
+/// Starts a host that replies to each view with the same view.
 fn spawn() -> PeerHandle {
     let handlers = EntryHandlers {
         exchange: Arc::new(|view| view),
@@ -132,7 +133,7 @@
 }
 
 #[tokio::test]
-async fn a_view_arrives_as_it_was_sent() {
+async fn view_is_received_as_sent() {
     let (caller, callee) = (spawn(), spawn());
     let sent = HostView {
         scope: UsageScope::Group,
@@ -146,8 +147,8 @@
             zone: "vake".into(),
             hosts: 39,
         }],
-        poison: PoisonListing {
-            notes: (0..3).map(noted).collect(),
+        poison: PoisonDelta {
+            evidence: (0..3).map(evidence_item).collect(),
             ..view("").poison
         },
         limits: LimitDelta {
@@ -180,7 +181,7 @@
 }
 
 #[tokio::test]
-async fn permits_are_asked_for_and_answered() {
+async fn permit_requests_and_replies_keep_their_fields() {
     const WAIT: Duration = Duration::from_secs(20);
     let (caller, callee) = (spawn(), spawn());
     let address = callee.local_address();
@@ -199,7 +200,7 @@
     callee.shutdown().await;
 }
 
-/// Bytes on the wire of one view and the same view as its answer.
+/// Returns the bytes on the wire of one view and the same view as its reply.
 async fn exchange_bytes(view: &HostView) -> u64 {
     const CALLS: u64 = 16;
     let (caller, callee) = (spawn(), spawn());
@@ -220,10 +221,10 @@
     bytes
 }
 
-/// The slopes on which the budget of control bytes in docs/design/scale.md and
-/// the games in memory rest.
+/// Checks the bytes per item on which the budget of control bytes in docs/design/scale.md
+/// and the simulations in memory rest.
 #[tokio::test]
-async fn the_bytes_of_an_exchange_stay_within_their_slopes() {
+async fn exchange_bytes_per_item_are_bounded() {
     const ITEMS: usize = 20;
     let both_ways = 2 * ITEMS as u64;
     let empty = exchange_bytes(&view("front-saburtalo-1")).await;
@@ -239,9 +240,9 @@
         },
         ..view("front-saburtalo-1")
     };
-    let with_notes = HostView {
-        poison: PoisonListing {
-            notes: (0..ITEMS as u64).map(noted).collect(),
+    let with_evidence = HostView {
+        poison: PoisonDelta {
+            evidence: (0..ITEMS as u64).map(evidence_item).collect(),
             ..view("").poison
         },
         ..view("front-saburtalo-1")
@@ -255,8 +256,8 @@
     };
     let by_word = (exchange_bytes(&with_limits).await - empty) / both_ways;
     assert!(by_word <= 28, "{by_word}");
-    let by_note = (exchange_bytes(&with_notes).await - empty) / both_ways;
-    assert!(by_note <= 20, "{by_note}");
+    let by_evidence = (exchange_bytes(&with_evidence).await - empty) / both_ways;
+    assert!(by_evidence <= 20, "{by_evidence}");
     let by_use = (exchange_bytes(&with_uses).await - empty) / both_ways;
     let by_host = (exchange_bytes(&with_hosts).await - empty) / both_ways;
     assert!((400..=840).contains(&empty), "{empty}");
--- a/tests/fleet_in_memory/mod.rs
+++ b/tests/fleet_in_memory/mod.rs
@@ -248,7 +248,7 @@
     ) -> HostView {
         let host = &self.hosts[index];
         let usage = host.fleet.usage(view.scope, listener);
-        let poison = host.poison.listing_for(address, self.now);
+        let poison = host.poison.delta_for(address, self.now);
         HostView {
             uses: usage,
             poison,
@@ -263,7 +263,7 @@
             return;
         }
         host.poison
-            .take_listing(view.address, view.incarnation, &view.poison, now);
+            .apply_delta(view.address, view.incarnation, &view.poison, now);
         let source = UsageSource::of(view.scope, &view.host, &view.zone, &host.zone);
         if let Some(source) = source {
             host.fleet.observe_usage(source, view.uses.clone(), now);
@@ -277,5 +277,5 @@
         + USAGE_BYTES * view.uses.len()
         + LISTED_BYTES * view.listing.hosts.len()
         + COUNT_BYTES * view.counts.len()
-        + EVIDENCE_BYTES * view.poison.notes.len()
+        + EVIDENCE_BYTES * view.poison.evidence.len()
 }
--- a/tests/log_reader.rs
+++ b/tests/log_reader.rs
@@ -1,10 +1,10 @@
-//! The reader of the platform's log: its formats, and a service that fails.
+//! The reader of the platform's log: its formats, and failures of the log service.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use jackdawwick::entry::{FollowCursor, LogCopy, LogDuty, TargetPace, follow_targets};
+use jackdawwick::entry::{FollowCursor, LogCopy, LogRole, TargetTiming, follow_targets};
 use jackdawwick::forward::ServingTables;
 use jackdawwick::platform::log_calls::{CallLimits, LogClient, LogError};
 use jackdawwick::retry::WindowSettings;
@@ -17,28 +17,28 @@
     answer: Duration::from_millis(150),
     newest: Duration::from_millis(150),
 };
-const USUAL_PACE: TargetPace = TargetPace {
+const USUAL_TIMING: TargetTiming = TargetTiming {
     drain: Duration::from_millis(600),
     heartbeat: Duration::from_millis(1200),
 };
 
-/// Answers the requests of each connection in turn; a connection whose answers
-/// are used up goes silent and stays open.
+/// Serves the responses of each connection in turn. A connection whose responses are used
+/// up goes silent and stays open.
 async fn spawn_log(connections: Vec<Vec<Vec<u8>>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
-        for answers in connections {
+        for responses in connections {
             let Ok((mut stream, _)) = listener.accept().await else {
                 return;
             };
             tokio::spawn(async move {
                 let mut part = [0; 4096];
-                for answer in answers {
+                for response in responses {
                     if !matches!(stream.read(&mut part).await, Ok(1..)) {
                         return;
                     }
-                    let _ = stream.write_all(&answer).await;
+                    let _ = stream.write_all(&response).await;
                 }
                 while matches!(stream.read(&mut part).await, Ok(1..)) {}
             });
@@ -47,7 +47,7 @@
     address
 }
 
-fn answer(status: &str, body: &[u8]) -> Vec<u8> {
+fn response(status: &str, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "HTTP/1.1 {status}\r\ncontent-length: {}\r\n\r\n",
         body.len()
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn records_are_read_with_their_keys_and_dropped_keys_have_no_value() {
     let body = read_body(7, 2, &[record("a", b"one"), record("b", b"")]);
-    let address = spawn_log(vec![vec![answer("200 OK", &body)]]).await;
+    let address = spawn_log(vec![vec![response("200 OK", &body)]]).await;
     let mut reader = LogClient::open(address, LIMIT);
     let read = reader
         .read("keyed.servers", 5, Duration::ZERO)
@@ -94,41 +94,40 @@
 }
 
 #[tokio::test]
-async fn the_newest_of_each_key_come_page_by_page() {
+async fn newest_records_are_read_page_by_page() {
     let first =
         br#"{"items":[{"key":"a","value":"b25l","offset":4}],"has_more":true,"end_offset":6}"#;
     let second =
         br#"{"items":[{"key":"b","value":"dHdv","offset":7}],"has_more":false,"end_offset":9}"#;
-    let pages = vec![answer("200 OK", first), answer("200 OK", second)];
+    let pages = vec![response("200 OK", first), response("200 OK", second)];
     let mut reader = LogClient::open(spawn_log(vec![pages]).await, LIMIT);
     let read = reader.newest("keyed.op").await.expect("records");
-    // Going on from the first page's end misses nothing that later pages lack.
+    // Reading on from the end of the first page covers what the later pages lack.
     assert_eq!(read.next, 6);
     assert_eq!(read.records.len(), 2);
     assert_eq!(read.records[1].value.as_deref(), Some(&b"two"[..]));
 }
 
 #[tokio::test]
-async fn deleted_history_is_told_either_way() {
-    let gone = answer("410 Gone", br#"{"first_offset":9}"#);
-    let skipped = answer("200 OK", &read_body(12, 9, &[]));
-    for answers in [vec![gone], vec![skipped]] {
-        let mut reader = LogClient::open(spawn_log(vec![answers]).await, LIMIT);
+async fn deleted_history_is_reported_in_both_forms() {
+    let gone = response("410 Gone", br#"{"first_offset":9}"#);
+    let skipped = response("200 OK", &read_body(12, 9, &[]));
+    for responses in [vec![gone], vec![skipped]] {
+        let mut reader = LogClient::open(spawn_log(vec![responses]).await, LIMIT);
         let read = reader.read("keyed.op", 5, Duration::ZERO).await;
         assert_eq!(read, Err(LogError::Deleted));
     }
 }
 
-/// Symptom: a host serves an old configuration for ten seconds after a cut has
-/// healed. Sequence: the connection to the log goes silent without a reset, new
-/// ones work. Cause: the host waited on the old one for as long as a read may
-/// wait, and used it again.
+/// Guards against an old configuration for ten seconds after a network cut has healed: a
+/// connection goes silent without a reset while new ones work, and the host must not keep
+/// waiting on it.
 #[tokio::test]
-async fn a_silent_connection_is_left_after_the_time_limit() {
+async fn silent_connection_is_replaced_after_the_timeout() {
     let body = read_body(6, 0, &[record("config", b"{}")]);
-    let silent = vec![answer("200 OK", &read_body(5, 0, &[]))];
-    let sound = vec![answer("200 OK", &body)];
-    let mut reader = LogClient::open(spawn_log(vec![silent, sound]).await, LIMIT);
+    let silent = vec![response("200 OK", &read_body(5, 0, &[]))];
+    let healthy = vec![response("200 OK", &body)];
+    let mut reader = LogClient::open(spawn_log(vec![silent, healthy]).await, LIMIT);
     let wait = Duration::from_millis(50);
     assert!(reader.read("keyed.op", 5, wait).await.is_ok());
     let lost = reader.read("keyed.op", 5, wait).await;
@@ -141,8 +140,8 @@
 }
 
 #[tokio::test]
-async fn refusals_carry_their_status() {
-    let busy = vec![answer("503 Busy", b"")];
+async fn error_responses_carry_their_status() {
+    let busy = vec![response("503 Busy", b"")];
     let mut reader = LogClient::open(spawn_log(vec![busy]).await, LIMIT);
     assert_eq!(reader.newest("keyed.op").await, Err(LogError::Status(503)));
 }
@@ -167,12 +166,12 @@
         .into_bytes()
 }
 
-/// Follows a log that gives these answers, for as long as the sender says so.
+/// Follows a log that gives these responses, in the role that the sender sets.
 async fn spawn_follower(
-    answers: Vec<Vec<u8>>,
-    pace: TargetPace,
-) -> (Arc<ServingTables>, tokio::sync::watch::Sender<LogDuty>) {
-    let reader = LogClient::open(spawn_log(vec![answers]).await, LIMIT);
+    responses: Vec<Vec<u8>>,
+    timing: TargetTiming,
+) -> (Arc<ServingTables>, tokio::sync::watch::Sender<LogRole>) {
+    let reader = LogClient::open(spawn_log(vec![responses]).await, LIMIT);
     let budget = WindowSettings {
         window: LIMIT.answer,
         ratio: 0.0,
@@ -180,9 +179,9 @@
     };
     let tables = Arc::new(ServingTables::new("h".into(), "z".into(), budget));
     let copy = Arc::new(LogCopy::new(tables.clone()));
-    let (direct, reads) = tokio::sync::watch::channel(LogDuty::Reads);
-    tokio::spawn(follow_targets(copy, reader, pace, reads));
-    (tables, direct)
+    let (role, role_receiver) = tokio::sync::watch::channel(LogRole::Reader);
+    tokio::spawn(follow_targets(copy, reader, timing, role_receiver));
+    (tables, role)
 }
 
 async fn until<F>(holds: F)
@@ -194,8 +193,8 @@
     }
 }
 
-/// Bound on what comes within milliseconds; below the time for which an entry
-/// that may come back is kept.
+/// Bound on events that take milliseconds; shorter than the time for which a suspect target
+/// is kept.
 const WAIT_LIMIT: Duration = Duration::from_secs(2);
 
 fn is_known(tables: &ServingTables, id: &str) -> bool {
@@ -212,25 +211,23 @@
     assert!(gone.is_ok(), "a target that left was kept");
 }
 
-/// Symptom: requests reach a target two seconds after it had said that it
-/// leaves. Sequence: a host is cut off from the log, comes back, and a target
-/// leaves a second later. Cause: for as long as lapsed entries may come back,
-/// the host kept every target whose entry was dropped. Yet what the first read
-/// tells has to be kept, else all targets are gone after an outage.
+/// Guards against requests to a target two seconds after it announced that it leaves: a
+/// host reaches the log again, and a target leaves a second later. Only targets missing
+/// from the first read may be kept as suspects, else all targets are gone after an outage.
 #[tokio::test]
-async fn only_the_first_read_after_an_outage_is_doubted() {
+async fn only_the_first_read_after_an_outage_makes_suspects() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
-    let lapsed = read_body(3, 0, &[record("a", b"")]);
+    let expired = read_body(3, 0, &[record("a", b"")]);
     let left = read_body(4, 0, &[record("b", b"")]);
-    let first = vec![answer("200 OK", &all), answer("503 Busy", b"")];
-    let later = vec![answer("200 OK", &lapsed), answer("200 OK", &left)];
-    let answers = [first, later].concat();
-    let pace = TargetPace {
+    let first = vec![response("200 OK", &all), response("503 Busy", b"")];
+    let later = vec![response("200 OK", &expired), response("200 OK", &left)];
+    let responses = [first, later].concat();
+    let timing = TargetTiming {
         drain: Duration::from_millis(60),
-        // The outage of one read lasts longer than two of these.
+        // The outage of one read is longer than two of these.
         heartbeat: Duration::from_millis(10),
     };
-    let (tables, _direct) = spawn_follower(answers, pace).await;
+    let (tables, _role) = spawn_follower(responses, timing).await;
     wait_until_known(&tables, "b").await;
     wait_until_gone(&tables, "b").await;
     assert!(
@@ -239,115 +236,108 @@
     );
 }
 
-/// Symptom: requests reach a target three seconds after it left (a hunted day;
-/// the cause was read). Sequence: one answer of the log is lost, the next read
-/// tells that a target left. Cause: entries were taken to have lapsed, which
-/// they do only after three heartbeats without a word.
+/// Guards against requests to a target three seconds after it left: one response of the log
+/// is lost, and the next read reports that a target left. Entries expire only after three
+/// missed heartbeats, so that this one cannot have expired.
 #[tokio::test]
-async fn one_lost_answer_is_no_outage() {
+async fn one_failed_read_is_no_outage() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
     let left = read_body(3, 0, &[record("b", b"")]);
-    let answers = vec![
-        answer("200 OK", &all),
-        answer("503 Busy", b""),
-        answer("200 OK", &left),
+    let responses = vec![
+        response("200 OK", &all),
+        response("503 Busy", b""),
+        response("200 OK", &left),
     ];
-    let (tables, _direct) = spawn_follower(answers, USUAL_PACE).await;
+    let (tables, _role) = spawn_follower(responses, USUAL_TIMING).await;
     wait_until_known(&tables, "b").await;
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
 }
 
-/// Symptom: one request reaches a target after it has left (seen once, on a
-/// hunted day). Sequence: the host that read the log for others dies, a target
-/// leaves, the others begin to read for themselves. Cause: what their first
-/// read did not list was kept for as long as entries may come back.
+/// Guards against requests to a target that left: the host that reads the log for others
+/// dies, a target leaves, and the others begin to read for themselves. Targets missing from
+/// their first read must not be kept as suspects.
 #[tokio::test]
-async fn a_host_that_begins_to_read_drops_what_has_left() {
+async fn new_reader_drops_targets_that_left() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
     let left = newest_body(&[("a", heartbeat(1))]);
-    let answers = vec![answer("200 OK", &all), answer("200 OK", &left)];
-    let (tables, direct) = spawn_follower(answers, USUAL_PACE).await;
+    let responses = vec![response("200 OK", &all), response("200 OK", &left)];
+    let (tables, role) = spawn_follower(responses, USUAL_TIMING).await;
     wait_until_known(&tables, "b").await;
-    direct.send(LogDuty::Follows).expect("a reader");
+    role.send(LogRole::Follower).expect("a reader");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    direct.send(LogDuty::Reads).expect("a reader");
+    role.send(LogRole::Reader).expect("a reader");
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
 }
 
-/// Symptom: requests reach a target that left, for 2.5 s (found by reading).
-/// Sequence: a host loses the log, follows another host for a while, and reads
-/// for itself again after that one died. Cause: it took the outage of long ago
-/// to have ended with this read, and kept what the log no longer lists.
+/// Guards against requests for 2.5 s to a target that left: a host loses the log, follows
+/// another host for a while and reads for itself again. The first outage must not count as
+/// ending with that read.
 #[tokio::test]
-async fn an_outage_before_another_host_was_followed_is_over() {
+async fn outage_before_following_another_host_is_over() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
     let left = newest_body(&[("a", heartbeat(1))]);
-    let answers = vec![
-        answer("200 OK", &all),
-        answer("503 Busy", b""),
-        answer("200 OK", &left),
+    let responses = vec![
+        response("200 OK", &all),
+        response("503 Busy", b""),
+        response("200 OK", &left),
     ];
-    let (tables, direct) = spawn_follower(answers, USUAL_PACE).await;
+    let (tables, role) = spawn_follower(responses, USUAL_TIMING).await;
     wait_until_known(&tables, "b").await;
     tokio::time::sleep(Duration::from_millis(300)).await;
-    direct.send(LogDuty::Follows).expect("a reader");
+    role.send(LogRole::Follower).expect("a reader");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    direct.send(LogDuty::Reads).expect("a reader");
+    role.send(LogRole::Reader).expect("a reader");
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
 }
 
-/// Symptom: all hosts send requests to a target for 3.2 s after its entry was dropped.
-/// Sequence: the log forgets its history while a target leaves; nothing else is wrong.
-/// Cause: a read whose records are deleted was taken for the end of an outage, after which
-/// entries that the log lists no more may only have lapsed. Evidence: on a played day all
-/// eight hosts had a line on deleted history, none on a lost log, and dropped the targets
-/// 2.5 s later, as missing.
+/// Guards against requests for 3.2 s to a target whose entry was dropped: the log deletes
+/// its history while a target leaves. This is no outage, so that missing targets must not
+/// be kept as suspects for 2.5 s.
 #[tokio::test]
-async fn a_log_that_forgets_its_history_was_not_away() {
+async fn deleted_history_is_no_outage() {
     let all = newest_body(&[("a", heartbeat(1)), ("b", heartbeat(2))]);
     let left = newest_body(&[("a", heartbeat(1))]);
-    let answers = vec![
-        answer("200 OK", &all),
-        answer("410 Gone", br#"{"first_offset":2}"#),
-        answer("200 OK", &left),
+    let responses = vec![
+        response("200 OK", &all),
+        response("410 Gone", br#"{"first_offset":2}"#),
+        response("200 OK", &left),
     ];
-    let (tables, _direct) = spawn_follower(answers, USUAL_PACE).await;
+    let (tables, _role) = spawn_follower(responses, USUAL_TIMING).await;
     wait_until_known(&tables, "b").await;
     wait_until_gone(&tables, "b").await;
     assert!(is_known(&tables, "a"));
 }
 
-/// Symptom: requests reach a target 2.9 s after it left. Sequence: a host
-/// follows the second host of its zone, then the first one again, which had
-/// just dropped the target; both had started in the same microsecond. Cause:
-/// the first host took the number of the second one's changes for its own.
+/// Guards against requests to a target 2.9 s after it left: a host follows the second host
+/// of its zone and then the first again. Both started in the same microsecond, so that the
+/// incarnation does not tell their change numbers apart.
 #[test]
-fn the_number_of_one_hosts_changes_is_not_asked_of_another() {
+fn change_positions_are_kept_per_host() {
     let mut cursor = FollowCursor::default();
     let (first, second) = ("a".into(), "b".into());
-    assert_eq!(cursor.question(&second, 3).incarnation, 0);
+    assert_eq!(cursor.request(&second, 3).incarnation, 0);
     cursor.advance(&second, 7, 41);
-    assert_eq!(cursor.question(&second, 3).from, 41);
-    let asked = cursor.question(&first, 3);
-    assert_ne!(asked.incarnation, 7);
-    // Not the first question: the asking host has targets.
-    assert_ne!(asked.incarnation, 0);
-    assert_eq!((asked.from, asked.configuration_version), (0, 3));
+    assert_eq!(cursor.request(&second, 3).from, 41);
+    let request = cursor.request(&first, 3);
+    assert_ne!(request.incarnation, 7);
+    // Incarnation 0 would mean that the requesting host knows no targets.
+    assert_ne!(request.incarnation, 0);
+    assert_eq!((request.from, request.configuration_version), (0, 3));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Whatever the service sends, it is records or an error, never a panic.
+    /// Whatever bytes the service sends, the result is records or an error, never a panic.
     #[test]
-    fn any_bytes_are_judged(bytes in prop::collection::vec(any::<u8>(), 0..120)) {
+    fn any_response_bytes_give_records_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..120)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         let runtime = runtime.expect("a runtime");
         let read = runtime.block_on(async {
-            let address = spawn_log(vec![vec![answer("200 OK", &bytes)]]).await;
+            let address = spawn_log(vec![vec![response("200 OK", &bytes)]]).await;
             let mut reader = LogClient::open(address, LIMIT);
             reader.read("keyed.op", 0, Duration::ZERO).await
         });
@@ -357,26 +347,23 @@
     }
 }
 
-/// Symptom: 195 hosts make six hundred calls a second to a log that is down.
-/// Sequence: the log is lost for all; whoever follows another host reads for
-/// itself as soon as that one has nothing new. Cause: each tried again as often
-/// as those that read for others.
+/// Guards against six hundred calls a second from 195 hosts to a log that is down: hosts
+/// that read only for themselves must retry less often than those that read for others.
 #[test]
-fn hosts_that_nobody_follows_try_less_often_while_the_log_is_down() {
+fn fallback_readers_retry_less_often() {
     let usual = Duration::from_millis(600);
-    assert_eq!(LogDuty::StandsIn.retry_pause(usual, 0), usual);
-    assert_eq!(LogDuty::StandsIn.retry_pause(usual, 1), usual);
-    assert_eq!(LogDuty::StandsIn.retry_pause(usual, 2), usual * 2);
-    assert_eq!(LogDuty::StandsIn.retry_pause(usual, 90), usual * 8);
-    assert_eq!(LogDuty::Reads.retry_pause(usual, 90), usual);
+    assert_eq!(LogRole::FallbackReader.retry_pause(usual, 0), usual);
+    assert_eq!(LogRole::FallbackReader.retry_pause(usual, 1), usual);
+    assert_eq!(LogRole::FallbackReader.retry_pause(usual, 2), usual * 2);
+    assert_eq!(LogRole::FallbackReader.retry_pause(usual, 90), usual * 8);
+    assert_eq!(LogRole::Reader.retry_pause(usual, 90), usual);
 }
 
-/// Symptom: for 1.6 s after a start of 195 hosts many have no configuration and
-/// refuse every caller. Sequence: all read the newest records at once, which
-/// takes longer than an answer may; each gives up and begins again. Cause: one
-/// limit for a short answer and for hundreds of kilobytes.
+/// Guards against hosts without a configuration for 1.6 s after a start of 195: all read
+/// the newest records at once, hundreds of kilobytes, which takes longer than the timeout
+/// of a short response, and each gives up and starts over.
 #[tokio::test]
-async fn the_newest_records_may_take_longer_than_a_short_answer() {
+async fn newest_records_have_a_longer_timeout() {
     let body =
         br#"{"items":[{"key":"a","value":"b25l","offset":4}],"has_more":false,"end_offset":6}"#;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -386,7 +373,7 @@
         let mut part = [0; 4096];
         let _ = stream.read(&mut part).await;
         tokio::time::sleep(2 * LIMIT.answer).await;
-        let _ = stream.write_all(&answer("200 OK", body)).await;
+        let _ = stream.write_all(&response("200 OK", body)).await;
     });
     let limits = CallLimits {
         newest: Duration::from_secs(20),
--- a/tests/target_starts.rs
+++ b/tests/target_starts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under their id, and records of other writers.
+//! Targets that restart under their id, and records of other writers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -51,17 +51,17 @@
 }
 
 #[test]
-fn the_platform_is_told_the_id_without_the_start() {
+fn platform_id_omits_the_start() {
     let entry = entry(1_700_000_000_000);
     assert_eq!(platform_id(&entry.id), "i-1");
     assert_ne!(&*entry.id, "i-1");
 }
 
-/// Symptom: an engine that started again is left alone, or counted as busy.
-/// Sequence: it fails, crashes with requests on it, and starts under its id.
-/// Cause: what was known of the start before was taken to be true of the new.
+/// Guards against a restarted engine that gets no requests or counts as busy: it fails,
+/// crashes with requests on it and starts under the same id. State of the previous start
+/// must not apply to the new one.
 #[test]
-fn a_new_start_has_no_requests_failures_or_layers_of_the_one_before() {
+fn new_start_has_no_state_of_the_previous_one() {
     let (tables, copy) = open_copy();
     let now = Instant::now();
     observe(&copy, "i-1", 4, &heartbeat(Some(100)));
@@ -88,28 +88,27 @@
     assert!(state.is_usable(now) && !state.is_full(now));
     assert!((state.pace(now) - 1.0).abs() < f64::EPSILON);
     drop(fleet);
-    // What ends only now was never on the new start.
+    // A request that ends only now never ran on the new start.
     drop(guard);
     let fleet = tables.fleet.lock();
     let state = fleet.get(&entry(900).id).expect("the new start");
     assert_eq!(state.load().requests, 0);
 }
 
-/// Symptom: requests are sent over layers that nobody holds. Sequence: an
-/// engine starts again; a heartbeat of before, under way when it crashed, is
-/// written after the first one of the new start. Cause: the newest record won.
+/// Guards against requests over layers that no engine holds: a heartbeat that was in flight
+/// when an engine crashed is written after the first one of the new start.
 #[test]
-fn a_late_record_of_the_start_before_is_passed_over() {
+fn late_record_of_a_previous_start_is_ignored() {
     let (tables, copy) = open_copy();
     observe(&copy, "i-1", 4, &heartbeat(Some(900)));
     observe(&copy, "i-1", 5, &heartbeat(Some(100)));
     assert_eq!(known_ids(&tables), [entry(900).id.to_string()]);
 }
 
-/// Symptom: an engine is never used again. Sequence: its clock is set back,
-/// then it starts again. Cause: its new start looks older than the one before.
+/// Guards against an engine that is never used again: its clock is set back before it
+/// restarts, so that the new start looks older than the previous one.
 #[test]
-fn a_start_with_a_clock_set_back_is_believed_in_the_end() {
+fn start_with_an_earlier_clock_is_accepted_after_three_records() {
     let mut starts = TargetStarts::default();
     assert_eq!(starts.observe("i-1", &entry(900)), StartVerdict::Current);
     assert_eq!(starts.observe("i-1", &entry(100)), StartVerdict::Ended);
@@ -124,7 +123,7 @@
 }
 
 #[test]
-fn a_target_that_leaves_takes_its_newest_start_along() {
+fn leaving_target_removes_its_newest_start() {
     let (tables, copy) = open_copy();
     observe(&copy, "i-1", 4, &heartbeat(Some(100)));
     observe(&copy, "i-1", 5, &heartbeat(Some(900)));
@@ -132,25 +131,25 @@
     assert!(known_ids(&tables).is_empty());
 }
 
-/// Symptom: a host without targets, or requests to what is no engine.
-/// Sequence: something other than an engine writes an entry. Cause: fields
-/// that are missing, of another type or with words that nobody knows.
+/// Guards against a host that loses its targets, or sends requests to something that is no
+/// engine, after another writer left an entry whose fields are missing, of another type or
+/// unknown.
 #[test]
-fn a_record_of_another_writer_names_no_target_and_the_others_hold() {
+fn unreadable_records_name_no_target_and_others_stay() {
     let (tables, copy) = open_copy();
     observe(&copy, "i-1", 0, &heartbeat(None));
-    let mut alien = vec![b"\xff\xfe".to_vec(), b"null".to_vec()];
-    alien.push("[".repeat(100_000).into_bytes());
-    alien.push(heartbeat(None).to_string().as_bytes()[..40].to_vec());
+    let mut foreign = vec![b"\xff\xfe".to_vec(), b"null".to_vec()];
+    foreign.push("[".repeat(100_000).into_bytes());
+    foreign.push(heartbeat(None).to_string().as_bytes()[..40].to_vec());
     let required = [
         "service", "address", "zone", "state", "version", "slots", "sequence",
     ];
     for field in required {
         let mut missing = heartbeat(None);
         missing.as_object_mut().expect("fields").remove(field);
-        alien.push(missing.to_string().into_bytes());
+        foreign.push(missing.to_string().into_bytes());
     }
-    let odd = [
+    let invalid = [
         ("service", json!([1])),
         ("address", json!("nowhere")),
         ("slots", json!("many")),
@@ -161,12 +160,12 @@
         ("layers", json!({"from": -1, "to": 3})),
         ("kind", json!(7)),
     ];
-    for (field, word) in odd {
+    for (field, content) in invalid {
         let mut value = heartbeat(None);
-        value[field] = word;
-        alien.push(value.to_string().into_bytes());
+        value[field] = content;
+        foreign.push(value.to_string().into_bytes());
     }
-    for (offset, bytes) in (1..).zip(&alien) {
+    for (offset, bytes) in (1..).zip(&foreign) {
         copy.observe_target(&format!("x-{offset}"), offset, bytes);
         assert_eq!(known_ids(&tables), ["i-1"], "after record {offset}");
     }
@@ -176,7 +175,7 @@
 }
 
 #[test]
-fn an_entry_that_becomes_unreadable_names_no_target_until_the_next_heartbeat() {
+fn unreadable_record_removes_its_target_until_the_next_heartbeat() {
     let (tables, copy) = open_copy();
     observe(&copy, "i-1", 0, &heartbeat(Some(100)));
     copy.observe_target("i-1", 1, b"{}");
@@ -207,18 +206,18 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
-    /// Whatever stands in the place of one field, the record is an entry or an
-    /// error, and another target's entry stays.
+    /// Whatever the value of one field, the record is an entry or an error, and another
+    /// target's entry stays.
     #[test]
-    fn any_field_of_a_heartbeat_may_be_anything(
+    fn any_field_value_gives_an_entry_or_an_error(
         field in 0_usize..11,
-        word in any_json(),
+        content in any_json(),
     ) {
         let (tables, copy) = open_copy();
         observe(&copy, "i-1", 0, &heartbeat(Some(100)));
         let mut value = heartbeat(Some(100));
         let names = value.as_object().expect("fields").keys().cloned().collect::<Vec<_>>();
-        value[&names[field]] = word;
+        value[&names[field]] = content;
         observe(&copy, "i-2", 1, &value);
         prop_assert!(known_ids(&tables).contains(&entry(100).id.to_string()));
         let _ = parse_report(value.to_string().as_bytes());
@@ -226,7 +225,7 @@
     }
 
     #[test]
-    fn any_bytes_are_an_entry_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_give_an_entry_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let (tables, copy) = open_copy();
         observe(&copy, "i-1", 0, &heartbeat(Some(100)));
         copy.observe_target("i-2", 1, &bytes);
@@ -236,11 +235,11 @@
     }
 }
 
-/// Symptom: a host hangs for good (found by reading). Sequence: it takes a record
-/// in while another thread answers a peer. Cause: one held the lock of the copy
-/// and waited for that of the targets, the other the reverse.
+/// Guards against a deadlock: a host applies a record while another thread replies to a
+/// peer. Neither may hold the lock of the copy while it waits for that of the targets, or
+/// the reverse.
 #[test]
-fn no_lock_is_held_while_another_is_waited_for() {
+fn locks_are_not_held_while_waiting_for_another() {
     let (tables, copy) = open_copy();
     let copy = Arc::new(copy);
     observe(&copy, "i-1", 4, &heartbeat(Some(100)));
@@ -250,7 +249,7 @@
     std::thread::sleep(Duration::from_millis(50));
     let (done, waiting) = std::sync::mpsc::channel();
     let reading = std::thread::spawn(move || {
-        // Old news: only the copy is asked.
+        // An outdated record needs only the lock of the copy.
         observe(&copy, "i-1", 1, &heartbeat(Some(100)));
         done.send(())
     });
@@ -262,7 +261,7 @@
 }
 
 #[test]
-fn a_report_tells_the_start() {
+fn report_contains_the_start() {
     let report = parse_report(br#"{"born": 77}"#).expect("a report");
     assert_eq!(report.started_ms, Some(77));
     let address = "10.0.0.1:80".parse::<SocketAddr>().expect("an address");
