--- a/src/api/explain.rs
+++ b/src/api/explain.rs
@@ -9,19 +9,19 @@
     /// Shows what the journal knows about a subject. What is left out is
     /// shown too, so that a part is not taken for the whole.
     pub fn new(subject: &JournalSubject, explanation: &Explanation) -> Self {
-        let left_out = explanation
+        let dropped = explanation
             .entries
             .first()
-            .filter(|_| explanation.left_out > 0)
+            .filter(|_| explanation.dropped > 0)
             .map(|first| ExplainEntry {
                 at_ms: unix_millis(first.at),
                 subject: subject.to_string(),
-                text: format!("{} earlier decisions left out", explanation.left_out),
+                text: format!("{} earlier decisions left out", explanation.dropped),
             });
         let kept = explanation.entries.iter().map(shown_entry);
         Self {
             subject: subject.to_string(),
-            entries: left_out.into_iter().chain(kept).collect(),
+            entries: dropped.into_iter().chain(kept).collect(),
         }
     }
 }
--- a/src/daemon/readiness.rs
+++ b/src/daemon/readiness.rs
@@ -39,12 +39,15 @@
 
     /// Learns that records up to an end offset exist.
     pub(super) fn learn(&self, end_offset: LogOffset, now: Instant) {
-        self.state.lock().tracker.learn(end_offset, now);
+        self.state
+            .lock()
+            .tracker
+            .observe_end_offset(end_offset, now);
     }
 
     /// Takes note of what the table has applied.
     pub(super) fn advance(&self, table: &DeclarationTable, now: Instant) {
-        self.state.lock().tracker.advance(table, now);
+        self.state.lock().tracker.observe_applied(table, now);
     }
 
     /// Notes that the host has heard of what exists.
--- a/src/daemon/relaying.rs
+++ b/src/daemon/relaying.rs
@@ -116,7 +116,7 @@
     range: RelayedRange,
 ) -> Result<(), RelayError> {
     let records = range.records;
-    declarations.follow(&RelayRange {
+    declarations.apply_range(&RelayRange {
         first_offset: range.first_offset,
         end_offset: range.end_offset,
         checkpoint: range.checkpoint,
--- a/src/entry/placing.rs
+++ b/src/entry/placing.rs
@@ -338,7 +338,7 @@
         answer:? = answer.as_ref().map(|(status, _)| status.as_u16());
         "order given"
     );
-    tables.metrics.ordered(match answer {
+    tables.metrics.order_sent(match answer {
         Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => "accepted",
         Ok(_) => "refused",
         Err(_) => "unanswered",
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -77,7 +77,7 @@
             LimitChange::Named(rate) => ("named", Some(rate.per_second())),
             LimitChange::Ended => ("ended", None),
         };
-        self.metrics.limit_said(name);
+        self.metrics.limit_reported(name);
         log::info!(
             target_id:% = target,
             change:% = name,
@@ -88,7 +88,7 @@
     }
 
     fn record_unusable_limit(&self, target: &TargetId, headers: &HeaderMap) {
-        self.metrics.limit_said("unusable");
+        self.metrics.limit_reported("unusable");
         log::warn!(
             target_id:% = target,
             value:? = headers.get(names::SERVER_LIMIT);
--- a/src/forward/permit_wait.rs
+++ b/src/forward/permit_wait.rs
@@ -60,7 +60,7 @@
                 excluded.extend(self.withheld_targets(chosen.ids()));
             }
         }
-        self.tables.metrics.permit("refused");
+        self.tables.metrics.permit_requested("refused");
         let jitter = 1.0 + RETRY_JITTER * rand::random::<f64>();
         let retry_after = retry_after.unwrap_or_default().mul_f64(jitter);
         Err(Refusal::not_run(RefusalReason::NoPermit, retry_after))
--- a/src/forward/permits.rs
+++ b/src/forward/permits.rs
@@ -122,7 +122,7 @@
         };
         match self.request_permits(request).await {
             PermitReply::Withheld { retry_after } => {
-                self.metrics.permit("withheld");
+                self.metrics.permit_requested("withheld");
                 Err(withheld(retry_after))
             }
             PermitReply::Unlimited => Ok(HeldPermit {
@@ -130,7 +130,7 @@
                 from: Instant::now(),
             }),
             granted => {
-                self.metrics.permit("granted");
+                self.metrics.permit_requested("granted");
                 self.permits.lock().put(target, granted, Instant::now());
                 take().ok_or_else(|| withheld(RETRY_PAUSE))
             }
--- a/src/journal/commands.rs
+++ b/src/journal/commands.rs
@@ -42,7 +42,7 @@
             self.entries.pop_back();
         } else if self.entries.len() == bound {
             self.entries.pop_front();
-            self.left_out += 1;
+            self.dropped += 1;
         }
         self.entries.push_back(entry);
     }
--- a/src/journal/queries.rs
+++ b/src/journal/queries.rs
@@ -9,7 +9,7 @@
     /// Decisions, oldest first.
     pub entries: Vec<JournalEntry>,
     /// Older decisions that are no longer kept.
-    pub left_out: u64,
+    pub dropped: u64,
 }
 
 impl JournalTable {
@@ -19,7 +19,7 @@
             None => Explanation::default(),
             Some(log) => Explanation {
                 entries: log.entries.iter().cloned().collect(),
-                left_out: log.left_out,
+                dropped: log.dropped,
             },
         }
     }
--- a/src/journal/table.rs
+++ b/src/journal/table.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Default)]
 pub(super) struct SubjectLog {
     pub(super) entries: VecDeque<JournalEntry>,
-    pub(super) left_out: u64,
+    pub(super) dropped: u64,
     pub(super) last_write: u64,
 }
 
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -6,7 +6,7 @@
 
 mod bounded_writer;
 mod format;
-mod join;
+mod slog_bridge;
 
 use std::io::Write;
 
@@ -16,7 +16,7 @@
 
 pub use bounded_writer::BoundedWriter;
 
-pub use join::dropshot_logger;
+pub use slog_bridge::dropshot_logger;
 
 /// Key of the pair that carries a request's id.
 pub const REQUEST_KEY: &str = "request";
--- a/src/metrics/serving.rs
+++ b/src/metrics/serving.rs
@@ -183,7 +183,7 @@
     }
 
     /// Counts an order to an engine.
-    pub fn ordered(&self, answer: &'static str) {
+    pub fn order_sent(&self, answer: &'static str) {
         count(&self.orders, answer);
     }
 
@@ -199,12 +199,12 @@
 
     /// Counts an answer that changes what is known of a target's limit, or says
     /// something unusable of it.
-    pub fn limit_said(&self, what: &'static str) {
+    pub fn limit_reported(&self, what: &'static str) {
         count(&self.limits, what);
     }
 
     /// Counts a question for permits, or a request that was refused for want of one.
-    pub fn permit(&self, answer: &'static str) {
+    pub fn permit_requested(&self, answer: &'static str) {
         count(&self.permits, answer);
     }
 
--- a/src/records.rs
+++ b/src/records.rs
@@ -5,7 +5,7 @@
 mod raw;
 
 pub use checkpoint::{
-    CheckpointResource, CheckpointTombstone, DeclaredResource, RecentRecord, RecordFate,
+    CheckpointResource, CheckpointTombstone, DeclaredResource, RecentRecord, RecordResult,
     ResourceTombstone, STATE_HASH_BYTES, StateCheckpoint, StateHash,
 };
 pub use declaration::{ChangeAction, DeclarationBody, ResourceChange};
--- a/src/records/checkpoint.rs
+++ b/src/records/checkpoint.rs
@@ -93,14 +93,15 @@
     /// Its id.
     pub id: RecordId,
     /// How it was judged.
-    pub fate: RecordFate,
+    #[serde(rename = "fate")]
+    pub result: RecordResult,
 }
 
 /// How a record was judged, as far as every reader judges it alike. What a
 /// reader found when comparing a checkpoint is its own affair and left out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum RecordFate {
+pub enum RecordResult {
     /// The change stands, or stood until a later one.
     Accepted,
     /// The change was not based on the latest one.
--- a/src/replay.rs
+++ b/src/replay.rs
@@ -24,6 +24,6 @@
 pub use judgement::{ApplyError, InvalidChange, Judgement, RecordOutcome};
 pub use queries::{DeclaredEntry, LatestChange, OrganisationEntry, TargetEntry};
 pub use readiness::{NotReadyReason, Readiness, ReadinessTracker};
-pub use relay::{FollowedRecord, RecordRelay, RelayError, RelayLimits, RelayRange};
-pub use start::{StartDecision, StartObstacle, StartPlanner};
+pub use relay::{AppliedRecord, RecordRelay, RelayError, RelayLimits, RelayRange};
+pub use start::{StartDecision, StartError, StartPlanner};
 pub use table::{DeclarationTable, WindowRules};
--- a/src/replay/judgement.rs
+++ b/src/replay/judgement.rs
@@ -1,7 +1,7 @@
 //! What applying a record can come to.
 
 use crate::ids::{LogOffset, OperatorId};
-use crate::records::{RecordFate, StateHash};
+use crate::records::{RecordResult, StateHash};
 use crate::resources::{ResourceKey, ResourceKind, SpecError};
 
 /// How a record was judged. Apart from the results of comparing a
@@ -162,35 +162,35 @@
 
 impl Judgement {
     /// The part that all readers judge alike, kept in checkpoints.
-    pub(super) fn fate(&self) -> RecordFate {
+    pub(super) fn result(&self) -> RecordResult {
         match self {
-            Self::Accepted => RecordFate::Accepted,
-            Self::Lost { winner, operator } => RecordFate::Lost {
+            Self::Accepted => RecordResult::Accepted,
+            Self::Lost { winner, operator } => RecordResult::Lost {
                 winner: *winner,
                 operator: operator.clone(),
             },
-            Self::Invalid(_) => RecordFate::Invalid,
+            Self::Invalid(_) => RecordResult::Invalid,
             Self::Malformed | Self::Duplicate { .. } | Self::AlreadyApplied => {
-                RecordFate::Malformed
+                RecordResult::Malformed
             }
             Self::CheckpointMatched
             | Self::CheckpointDiffers { .. }
             | Self::CheckpointDamaged { .. }
-            | Self::CheckpointSkipped { .. } => RecordFate::Checkpoint,
+            | Self::CheckpointSkipped { .. } => RecordResult::Checkpoint,
         }
     }
 
     /// The judgement as far as a checkpoint tells it.
-    pub(super) fn from_fate(offset: LogOffset, fate: &RecordFate) -> Self {
-        match fate {
-            RecordFate::Accepted => Self::Accepted,
-            RecordFate::Lost { winner, operator } => Self::Lost {
+    pub(super) fn from_result(offset: LogOffset, result: &RecordResult) -> Self {
+        match result {
+            RecordResult::Accepted => Self::Accepted,
+            RecordResult::Lost { winner, operator } => Self::Lost {
                 winner: *winner,
                 operator: operator.clone(),
             },
-            RecordFate::Invalid => Self::Invalid(InvalidChange::ReasonUnknown),
-            RecordFate::Malformed => Self::Malformed,
-            RecordFate::Checkpoint => Self::CheckpointSkipped { as_of: offset },
+            RecordResult::Invalid => Self::Invalid(InvalidChange::ReasonUnknown),
+            RecordResult::Malformed => Self::Malformed,
+            RecordResult::Checkpoint => Self::CheckpointSkipped { as_of: offset },
         }
     }
 }
--- a/src/replay/readiness.rs
+++ b/src/replay/readiness.rs
@@ -73,13 +73,13 @@
     }
 
     /// Learns that records up to an end offset exist.
-    pub fn learn(&mut self, end_offset: LogOffset, now: Instant) {
+    pub fn observe_end_offset(&mut self, end_offset: LogOffset, now: Instant) {
         self.highest_known = self.highest_known.max(end_offset);
         self.update(now);
     }
 
     /// Takes note of what the table has applied.
-    pub fn advance(&mut self, table: &DeclarationTable, now: Instant) {
+    pub fn observe_applied(&mut self, table: &DeclarationTable, now: Instant) {
         self.applied = table.applied();
         self.stopped = table.stopped().is_some();
         self.highest_known = self.highest_known.max(self.applied);
--- a/src/replay/recent.rs
+++ b/src/replay/recent.rs
@@ -28,7 +28,7 @@
         let record = RecentRecord {
             offset: outcome.offset,
             id: id.clone(),
-            fate: outcome.judgement.fate(),
+            result: outcome.judgement.result(),
         };
         sum.add(&HashedEntry::Recent(&record));
         self.by_offset.push_back(record);
@@ -38,7 +38,7 @@
     pub(super) fn restore(&mut self, record: &RecentRecord, sum: &mut HashSum) {
         let outcome = RecordOutcome {
             offset: record.offset,
-            judgement: Judgement::from_fate(record.offset, &record.fate),
+            judgement: Judgement::from_result(record.offset, &record.result),
         };
         sum.add(&HashedEntry::Recent(record));
         self.by_offset.push_back(record.clone());
--- a/src/replay/relay.rs
+++ b/src/replay/relay.rs
@@ -56,7 +56,7 @@
 
 /// A record that was applied, and how it was judged.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FollowedRecord {
+pub struct AppliedRecord {
     /// Its offset.
     pub offset: LogOffset,
     /// Its judgement.
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     /// An unusable checkpoint or record; what came before it stays applied.
-    pub fn follow(&mut self, range: &RelayRange) -> Result<Vec<FollowedRecord>, RelayError> {
+    pub fn apply_range(&mut self, range: &RelayRange) -> Result<Vec<AppliedRecord>, RelayError> {
         if let Some(text) = &range.checkpoint {
             let checkpoint: StateCheckpoint = serde_json::from_str(text)?;
             if checkpoint.as_of > self.applied {
@@ -146,7 +146,7 @@
         let mut followed = Vec::with_capacity(range.records.len());
         for record in &range.records {
             let judgement = self.apply_raw(record.offset, &record.body)?;
-            followed.push(FollowedRecord {
+            followed.push(AppliedRecord {
                 offset: record.offset,
                 judgement,
             });
--- a/src/replay/start.rs
+++ b/src/replay/start.rs
@@ -17,12 +17,12 @@
     Started(Box<DeclarationTable>),
     /// The log does not give a usable state. Peers may; so may the log later,
     /// when another host has appended a checkpoint.
-    NotReady(StartObstacle),
+    NotReady(StartError),
 }
 
 /// Why the log does not give a usable state.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum StartObstacle {
+pub enum StartError {
     /// Records have expired and no checkpoint covers them.
     #[error("records below {first_offset} have expired and no checkpoint covers them")]
     NoUsableCheckpoint {
@@ -96,7 +96,7 @@
             return self.replay(DeclarationTable::new(self.windows));
         }
         if scan_from <= answer.first_offset {
-            return StartDecision::NotReady(StartObstacle::NoUsableCheckpoint {
+            return StartDecision::NotReady(StartError::NoUsableCheckpoint {
                 first_offset: answer.first_offset,
             });
         }
@@ -139,7 +139,7 @@
     fn replay(&self, mut table: DeclarationTable) -> StartDecision {
         for (offset, body) in self.held.range(table.applied()..) {
             if let Err(error) = table.apply_raw(*offset, body) {
-                return StartDecision::NotReady(StartObstacle::Stopped(error));
+                return StartDecision::NotReady(StartError::Stopped(error));
             }
         }
         StartDecision::Started(Box::new(table))
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -107,7 +107,7 @@
     let mut kept: Vec<(u8, Vec<usize>, u64)> = Vec::new();
     for (index, (subject, delivered)) in written.iter().enumerate() {
         let at = kept.iter().position(|(known, ..)| known == subject);
-        let (_, mut entries, mut left_out) = match at {
+        let (_, mut entries, mut dropped) = match at {
             Some(at) => kept.remove(at),
             None => (*subject, Vec::new(), 0),
         };
@@ -118,9 +118,9 @@
         entries.push(index);
         if entries.len() > bounds.subject_entries {
             entries.remove(0);
-            left_out += 1;
+            dropped += 1;
         }
-        kept.push((*subject, entries, left_out));
+        kept.push((*subject, entries, dropped));
         while kept
             .iter()
             .map(|(_, entries, _)| entries.len())
@@ -132,7 +132,7 @@
     }
     kept.into_iter()
         .find(|(known, ..)| *known == wanted)
-        .map(|(_, entries, left_out)| (entries, left_out))
+        .map(|(_, entries, dropped)| (entries, dropped))
         .unwrap_or_default()
 }
 
@@ -165,14 +165,14 @@
         }
         for subject in 0..6 {
             let found = table.explain(&JournalSubject::from_text(&format!("r-{subject}")));
-            let (indices, left_out) = naive_explain(&written, subject, bounds);
+            let (indices, dropped) = naive_explain(&written, subject, bounds);
             let expected: Vec<_> = indices
                 .iter()
                 .map(|index| SystemTime::UNIX_EPOCH + Duration::from_millis(*index as u64))
                 .collect();
             let times: Vec<_> = found.entries.iter().map(|entry| entry.at).collect();
             prop_assert_eq!(times, expected);
-            prop_assert_eq!(found.left_out, left_out);
+            prop_assert_eq!(found.dropped, dropped);
         }
     }
 }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -10,7 +10,7 @@
 use jackdawwick::replay::{
     ApplyError, CheckpointError, CheckpointSchedule, DeclarationTable, Judgement, LogHorizon,
     NotReadyReason, Readiness, ReadinessTracker, RecordRelay, RelayLimits, StartDecision,
-    StartObstacle, StartPlanner, WindowRules,
+    StartError, StartPlanner, WindowRules,
 };
 use jackdawwick::resources::{ResourceKey, ResourceKind, TargetKind};
 use replay_fixtures::*;
@@ -147,7 +147,7 @@
     let mut table = replayed(&raises(2));
     let mut tracker = ReadinessTracker::new(GRACE);
     let now = Instant::now();
-    tracker.advance(&table, now);
+    tracker.observe_applied(&table, now);
     assert_eq!(tracker.readiness(now), Readiness::Ready);
     let newer = format!(
         r#"{{"id":"x","rules":{},"body":{{"rename":1}}}}"#,
@@ -163,7 +163,7 @@
     assert_eq!(table.apply(3, &next), Err(stopped.clone()));
     assert_eq!(table.apply(2, &next), Err(stopped.clone()));
     assert_eq!(table.applied(), 2);
-    tracker.advance(&table, now);
+    tracker.observe_applied(&table, now);
     assert_eq!(
         tracker.readiness(now),
         Readiness::NotReady(NotReadyReason::UnknownRules)
@@ -171,7 +171,7 @@
 
     let mut log = raises(2);
     log.push(newer);
-    let obstacle = StartObstacle::Stopped(stopped);
+    let obstacle = StartError::Stopped(stopped);
     assert!(matches!(start(&log, 0), StartDecision::NotReady(found) if found == obstacle));
     let mut newer_state = replayed(&raises(2)).checkpoint();
     newer_state.rules = JUDGING_RULES + 1;
@@ -250,7 +250,7 @@
     let mut log = raises(5);
     log.push(text(&checkpoint("old", replayed(&log[..2]).checkpoint())));
     assert_eq!(bought(&started(start(&log, 2))), 5);
-    let obstacle = StartObstacle::NoUsableCheckpoint { first_offset: 4 };
+    let obstacle = StartError::NoUsableCheckpoint { first_offset: 4 };
     let decision = start(&log, 4);
     assert!(
         matches!(&decision, StartDecision::NotReady(found) if *found == obstacle),
@@ -306,20 +306,26 @@
         tracker.readiness(now),
         Readiness::NotReady(NotReadyReason::NoConfiguration)
     );
-    tracker.learn(9, now);
-    tracker.learn(5, now);
+    tracker.observe_end_offset(9, now);
+    tracker.observe_end_offset(5, now);
     let mut table = DeclarationTable::default();
-    table.follow(&relay.range(0, 10, &older)).expect("usable");
-    tracker.advance(&table, now);
+    table
+        .apply_range(&relay.range(0, 10, &older))
+        .expect("usable");
+    tracker.observe_applied(&table, now);
     let behind = NotReadyReason::Behind {
         applied: 5,
         highest_known: 9,
     };
     assert_eq!(tracker.readiness(now), Readiness::NotReady(behind));
-    table.follow(&relay.range(5, 10, &newer)).expect("usable");
-    tracker.advance(&table, now);
+    table
+        .apply_range(&relay.range(5, 10, &newer))
+        .expect("usable");
+    tracker.observe_applied(&table, now);
     assert_eq!(tracker.readiness(now), Readiness::Ready);
-    table.follow(&relay.range(0, 10, &older)).expect("ignored");
+    table
+        .apply_range(&relay.range(0, 10, &older))
+        .expect("ignored");
     assert_eq!(bought(&table), 9);
 }
 
@@ -339,24 +345,26 @@
         peer.apply_raw(offset as LogOffset, body).expect("no gap");
         relay.push(offset as LogOffset, body.clone());
         if offset == 1 {
-            table.follow(&relay.range(0, 10, &peer)).expect("usable");
-            tracker.advance(&table, now);
+            table
+                .apply_range(&relay.range(0, 10, &peer))
+                .expect("usable");
+            tracker.observe_applied(&table, now);
         }
     }
-    tracker.learn(9, now);
+    tracker.observe_end_offset(9, now);
     assert_eq!(tracker.readiness(now + GRACE), Readiness::Ready);
     let late = now + GRACE + Duration::from_millis(1);
     assert!(matches!(tracker.readiness(late), Readiness::NotReady(_)));
-    let gap = table.follow(&jackdawwick::replay::RelayRange {
+    let gap = table.apply_range(&jackdawwick::replay::RelayRange {
         records: relay.range(7, 10, &peer).records,
         ..Default::default()
     });
     assert!(gap.is_err(), "a gap was passed over");
     let range = relay.range(table.applied(), 10, &peer);
     assert!(range.checkpoint.is_some(), "offset 2 is no longer kept");
-    table.follow(&range).expect("usable");
+    table.apply_range(&range).expect("usable");
     assert_eq!((table.hash(), bought(&table)), (peer.hash(), 9));
-    tracker.advance(&table, late);
+    tracker.observe_applied(&table, late);
     assert_eq!(tracker.readiness(late), Readiness::Ready);
     assert_eq!(relay.range(6, 2, &peer).records.len(), 2);
 }
@@ -377,7 +385,7 @@
     for asked_from in [1, 3, 5] {
         let mut behind = replayed(&log[..asked_from as usize]);
         let range = relay.range(asked_from, 10, &peer);
-        behind.follow(&range).expect("usable");
+        behind.apply_range(&range).expect("usable");
         assert_eq!(behind.applied(), 8, "asked from {asked_from}");
         assert_eq!(bought(&behind), 8);
     }
@@ -395,11 +403,11 @@
     let log = raises(20);
     let begin = Instant::now();
     let mut tracker = ReadinessTracker::new(GRACE);
-    tracker.advance(&replayed(&log[..1]), begin);
+    tracker.observe_applied(&replayed(&log[..1]), begin);
     for second in 1..20 {
         let now = begin + Duration::from_secs(second as u64);
-        tracker.learn(second as LogOffset + 1, now);
-        tracker.advance(&replayed(&log[..second]), now);
+        tracker.observe_end_offset(second as LogOffset + 1, now);
+        tracker.observe_applied(&replayed(&log[..second]), now);
         assert_eq!(tracker.readiness(now), Readiness::Ready, "second {second}");
     }
 }
