--- a/src/replay/check.rs
+++ b/src/replay/check.rs
@@ -30,8 +30,8 @@
         return Err(InvalidChange::NotDeclared { key: key.clone() });
     }
     match key.kind {
-        ResourceKind::Model => unused(table, |spec| serves_model(spec, &key.name)),
-        ResourceKind::Target => unused(table, |spec| names_target(spec, &key.name)),
+        ResourceKind::Model => require_unused(table, |spec| serves_model(spec, &key.name)),
+        ResourceKind::Target => require_unused(table, |spec| references_target(spec, &key.name)),
         ResourceKind::Pipeline | ResourceKind::Service | ResourceKind::Organisation => Ok(()),
     }
 }
@@ -59,8 +59,8 @@
 }
 
 fn check_name(name: &str) -> Result<(), InvalidChange> {
-    let legal = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    match NAME_LENGTH.contains(&name.len()) && name.bytes().all(legal) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    match NAME_LENGTH.contains(&name.len()) && name.bytes().all(is_allowed) {
         true => Ok(()),
         false => Err(InvalidChange::BadName {
             name: name.to_owned(),
@@ -75,7 +75,7 @@
     key: &ResourceKey,
     model: &ModelSpec,
 ) -> Result<(), InvalidChange> {
-    unused(table, |spec| match spec {
+    require_unused(table, |spec| match spec {
         ResourceSpec::Pipeline(pipeline) if pipeline.model == key.name => {
             check_layers(model, pipeline).is_err()
         }
@@ -85,11 +85,11 @@
 
 fn check_pipeline(table: &DeclarationTable, pipeline: &PipelineSpec) -> Result<(), InvalidChange> {
     let Some(model) = table.model(&pipeline.model) else {
-        return Err(missing(ResourceKind::Model, &pipeline.model));
+        return Err(missing_resource(ResourceKind::Model, &pipeline.model));
     };
     check_layers(model, pipeline)?;
     let mut targets = pipeline.stages.iter().flat_map(|stage| &stage.targets);
-    targets.try_for_each(|target| check_named_target(table, target, TargetKind::Engine))
+    targets.try_for_each(|target| check_target_reference(table, target, TargetKind::Engine))
 }
 
 fn check_layers(model: &ModelSpec, pipeline: &PipelineSpec) -> Result<(), InvalidChange> {
@@ -109,16 +109,16 @@
 
 fn check_service(table: &DeclarationTable, service: &ServiceSpec) -> Result<(), InvalidChange> {
     let mut targets = service.targets.iter();
-    targets.try_for_each(|target| check_named_target(table, target, TargetKind::Service))
+    targets.try_for_each(|target| check_target_reference(table, target, TargetKind::Service))
 }
 
-fn check_named_target(
+fn check_target_reference(
     table: &DeclarationTable,
     name: &TargetId,
     kind: TargetKind,
 ) -> Result<(), InvalidChange> {
     match table.target(name) {
-        None => Err(missing(ResourceKind::Target, name)),
+        None => Err(missing_resource(ResourceKind::Target, name)),
         Some(target) if target.kind != kind => Err(InvalidChange::WrongTargetKind {
             target: ResourceKey::new(ResourceKind::Target, name.clone()),
         }),
@@ -146,12 +146,14 @@
     target: &TargetSpec,
 ) -> Result<(), InvalidChange> {
     match table.target(&key.name) {
-        Some(old) if old.kind != target.kind => unused(table, |spec| names_target(spec, &key.name)),
+        Some(old) if old.kind != target.kind => {
+            require_unused(table, |spec| references_target(spec, &key.name))
+        }
         _ => Ok(()),
     }
 }
 
-fn missing(kind: ResourceKind, name: &str) -> InvalidChange {
+fn missing_resource(kind: ResourceKind, name: &str) -> InvalidChange {
     InvalidChange::Missing {
         missing: ResourceKey::new(kind, name),
     }
@@ -161,7 +163,7 @@
     matches!(spec, ResourceSpec::Pipeline(pipeline) if &*pipeline.model == model)
 }
 
-fn names_target(spec: &ResourceSpec, target: &str) -> bool {
+fn references_target(spec: &ResourceSpec, target: &str) -> bool {
     match spec {
         ResourceSpec::Pipeline(pipeline) => pipeline
             .stages
@@ -175,7 +177,7 @@
 
 /// Finds the first pipeline or service, by kind and name, that needs
 /// something, and refuses if there is one.
-fn unused<F>(table: &DeclarationTable, needs: F) -> Result<(), InvalidChange>
+fn require_unused<F>(table: &DeclarationTable, needs: F) -> Result<(), InvalidChange>
 where
     F: Fn(&ResourceSpec) -> bool,
 {
--- a/src/replay/checkpoint.rs
+++ b/src/replay/checkpoint.rs
@@ -114,12 +114,12 @@
             table.put(&entry.key, entry.resource.clone());
         }
         for entry in &checkpoint.tombstones {
-            table.mark_deleted(&entry.key, entry.tombstone.clone());
+            table.insert_tombstone(&entry.key, entry.tombstone.clone());
         }
         for record in &checkpoint.recent {
             table.recent.restore(record, &mut table.sum);
         }
-        table.keep_hash();
+        table.push_hash();
         // The hash is taken of the table built, not of the text: an entry
         // that was cut off, doubled or altered on the way shows here.
         match table.hash() == checkpoint.hash {
--- a/src/replay/commands.rs
+++ b/src/replay/commands.rs
@@ -26,7 +26,7 @@
 }
 
 /// Whether a record is to be judged at all.
-enum OffsetStep {
+enum OffsetPosition {
     Next,
     Past,
 }
@@ -41,7 +41,7 @@
         offset: LogOffset,
         record: &LogRecord<DeclarationBody>,
     ) -> Result<Judgement, ApplyError> {
-        if let OffsetStep::Past = self.step(offset)? {
+        if let OffsetPosition::Past = self.check_offset(offset)? {
             return Ok(Judgement::AlreadyApplied);
         }
         self.require_known_rules(offset, record.rules)?;
@@ -54,11 +54,11 @@
     /// # Errors
     /// A gap before the record, or rules that this program does not know.
     pub fn apply_raw(&mut self, offset: LogOffset, body: &str) -> Result<Judgement, ApplyError> {
-        if let OffsetStep::Past = self.step(offset)? {
+        if let OffsetPosition::Past = self.check_offset(offset)? {
             return Ok(Judgement::AlreadyApplied);
         }
         let Ok(envelope) = serde_json::from_str::<RecordEnvelope>(body) else {
-            self.finish(offset);
+            self.advance_applied(offset);
             return Ok(Judgement::Malformed);
         };
         self.require_known_rules(offset, envelope.rules)?;
@@ -67,15 +67,15 @@
         Ok(self.judge(offset, envelope.rules, &envelope.id, body))
     }
 
-    fn step(&self, offset: LogOffset) -> Result<OffsetStep, ApplyError> {
+    fn check_offset(&self, offset: LogOffset) -> Result<OffsetPosition, ApplyError> {
         match &self.stopped {
-            _ if offset < self.applied => Ok(OffsetStep::Past),
+            _ if offset < self.applied => Ok(OffsetPosition::Past),
             Some(error) => Err(error.clone()),
             None if offset > self.applied => Err(ApplyError::Gap {
                 expected: self.applied,
                 found: offset,
             }),
-            None => Ok(OffsetStep::Next),
+            None => Ok(OffsetPosition::Next),
         }
     }
 
@@ -101,22 +101,22 @@
     ) -> Judgement {
         if let Some(outcome) = self.recent.outcome(id) {
             let first = outcome.offset;
-            self.finish(offset);
+            self.advance_applied(offset);
             return Judgement::Duplicate { first };
         }
         let judgement = match body {
             Some(_) if rules < FIRST_RULES => Judgement::Malformed,
             None => Judgement::Malformed,
             Some(DeclarationBody::Change(change)) => self.judge_change(offset, change),
-            Some(DeclarationBody::Checkpoint(checkpoint)) => self.compare(checkpoint),
+            Some(DeclarationBody::Checkpoint(checkpoint)) => self.compare_checkpoint(checkpoint),
         };
         let outcome = RecordOutcome {
             offset,
             judgement: judgement.clone(),
         };
-        self.recent.remember(outcome, id, &mut self.sum);
+        self.recent.insert(outcome, id, &mut self.sum);
         self.rules = self.rules.max(rules);
-        self.finish(offset);
+        self.advance_applied(offset);
         judgement
     }
 
@@ -134,11 +134,11 @@
         if let Err(error) = check_change(self, change) {
             return Judgement::Invalid(error);
         }
-        self.carry_out(offset, change);
+        self.apply_change(offset, change);
         Judgement::Accepted
     }
 
-    fn carry_out(&mut self, version: LogOffset, change: &ResourceChange) {
+    fn apply_change(&mut self, version: LogOffset, change: &ResourceChange) {
         let operator = change.operator.clone();
         match &change.action {
             ChangeAction::Put(spec) => {
@@ -151,7 +151,7 @@
             }
             ChangeAction::Delete => {
                 self.remove(&change.key);
-                self.mark_deleted(&change.key, ResourceTombstone { version, operator });
+                self.insert_tombstone(&change.key, ResourceTombstone { version, operator });
             }
         }
     }
@@ -159,7 +159,7 @@
     /// Compares a checkpoint in the log and ignores what it carries. A writer
     /// that was paused appends an old state; taking it would revert
     /// configuration that is in force.
-    fn compare(&mut self, checkpoint: &StateCheckpoint) -> Judgement {
+    fn compare_checkpoint(&mut self, checkpoint: &StateCheckpoint) -> Judgement {
         let as_of = checkpoint.as_of;
         let Some(ours) = self.hash_at(as_of) else {
             return Judgement::CheckpointSkipped { as_of };
@@ -180,10 +180,10 @@
         Judgement::CheckpointMatched
     }
 
-    fn finish(&mut self, offset: LogOffset) {
+    fn advance_applied(&mut self, offset: LogOffset) {
         self.applied = offset + 1;
         let floor = self.applied.saturating_sub(self.windows.id_window);
-        self.recent.forget_below(floor, &mut self.sum);
-        self.keep_hash();
+        self.recent.remove_below(floor, &mut self.sum);
+        self.push_hash();
     }
 }
--- a/src/replay/readiness.rs
+++ b/src/replay/readiness.rs
@@ -47,13 +47,13 @@
     stopped: bool,
     /// Whether the host ever held all that it knew of.
     caught_up: bool,
-    behind: Option<BehindMark>,
+    behind: Option<Lag>,
 }
 
 /// An offset that is known but not applied, and since when.
 #[derive(Debug, Clone, Copy)]
-struct BehindMark {
-    target: LogOffset,
+struct Lag {
+    offset: LogOffset,
     since: Instant,
 }
 
@@ -75,7 +75,7 @@
     /// Learns that records up to an end offset exist.
     pub fn observe_end_offset(&mut self, end_offset: LogOffset, now: Instant) {
         self.highest_known = self.highest_known.max(end_offset);
-        self.update(now);
+        self.update_lag(now);
     }
 
     /// Takes note of what the table has applied.
@@ -83,7 +83,7 @@
         self.applied = table.applied();
         self.stopped = table.stopped().is_some();
         self.highest_known = self.highest_known.max(self.applied);
-        self.update(now);
+        self.update_lag(now);
     }
 
     /// The highest offset known to exist.
@@ -102,9 +102,7 @@
             _ if self.applied == 0 => Readiness::NotReady(NotReadyReason::NoConfiguration),
             None => Readiness::Ready,
             Some(_) if !self.caught_up => Readiness::NotReady(behind),
-            Some(mark) if now.duration_since(mark.since) > self.grace => {
-                Readiness::NotReady(behind)
-            }
+            Some(lag) if now.duration_since(lag.since) > self.grace => Readiness::NotReady(behind),
             Some(_) => Readiness::Ready,
         }
     }
@@ -112,16 +110,16 @@
     /// Moves the mark. When its target is reached while later records are
     /// known, it starts again at those: under a steady stream of changes the
     /// host is always some records behind, and yet none of them is late.
-    fn update(&mut self, now: Instant) {
+    fn update_lag(&mut self, now: Instant) {
         if self.applied >= self.highest_known {
             self.behind = None;
             self.caught_up |= self.applied > 0;
             return;
         }
-        let reached = self.behind.is_none_or(|mark| self.applied >= mark.target);
+        let reached = self.behind.is_none_or(|lag| self.applied >= lag.offset);
         if reached {
-            self.behind = Some(BehindMark {
-                target: self.highest_known,
+            self.behind = Some(Lag {
+                offset: self.highest_known,
                 since: now,
             });
         }
--- a/src/replay/recent.rs
+++ b/src/replay/recent.rs
@@ -24,7 +24,7 @@
         self.by_offset.iter()
     }
 
-    pub(super) fn remember(&mut self, outcome: RecordOutcome, id: &RecordId, sum: &mut HashSum) {
+    pub(super) fn insert(&mut self, outcome: RecordOutcome, id: &RecordId, sum: &mut HashSum) {
         let record = RecentRecord {
             offset: outcome.offset,
             id: id.clone(),
@@ -48,7 +48,7 @@
     /// Forgets what lies below an offset. The window follows the offsets and
     /// nothing else: a reader that forgot by time or by count of its own
     /// would take a repeated append for a new record where others do not.
-    pub(super) fn forget_below(&mut self, floor: LogOffset, sum: &mut HashSum) {
+    pub(super) fn remove_below(&mut self, floor: LogOffset, sum: &mut HashSum) {
         while self
             .by_offset
             .front()
--- a/src/replay/relay.rs
+++ b/src/replay/relay.rs
@@ -96,7 +96,7 @@
     /// most `limit` records, or the state of `table` if their texts are gone.
     /// `table` is the one whose records were pushed.
     pub fn range(&self, from: LogOffset, limit: usize, table: &DeclarationTable) -> RelayRange {
-        let first_offset = self.first_joined(table);
+        let first_offset = self.first_contiguous(table);
         let mut range = RelayRange {
             first_offset,
             end_offset: table.applied(),
@@ -116,7 +116,7 @@
     /// A table that went on from a checkpoint is ahead of the texts until its
     /// next record. A peer that was handed these, or none, would take itself
     /// for caught up and stay behind.
-    fn first_joined(&self, table: &DeclarationTable) -> LogOffset {
+    fn first_contiguous(&self, table: &DeclarationTable) -> LogOffset {
         let applied = table.applied();
         match (self.records.front(), self.records.back()) {
             (Some(first), Some(last)) if last.offset + 1 == applied => first.offset,
@@ -143,14 +143,14 @@
                 self.supersede(Self::restore(self.windows, &checkpoint)?)?;
             }
         }
-        let mut followed = Vec::with_capacity(range.records.len());
+        let mut applied_records = Vec::with_capacity(range.records.len());
         for record in &range.records {
             let judgement = self.apply_raw(record.offset, &record.body)?;
-            followed.push(AppliedRecord {
+            applied_records.push(AppliedRecord {
                 offset: record.offset,
                 judgement,
             });
         }
-        Ok(followed)
+        Ok(applied_records)
     }
 }
--- a/src/replay/start.rs
+++ b/src/replay/start.rs
@@ -46,7 +46,7 @@
     windows: WindowRules,
     lookback: u64,
     scan_from: Option<LogOffset>,
-    held: BTreeMap<LogOffset, String>,
+    bodies: BTreeMap<LogOffset, String>,
 }
 
 impl StartPlanner {
@@ -57,7 +57,7 @@
             windows,
             lookback: lookback.max(1),
             scan_from: None,
-            held: BTreeMap::new(),
+            bodies: BTreeMap::new(),
         }
     }
 
@@ -65,11 +65,11 @@
     /// is needed for its bounds.
     pub fn on_read(&mut self, answer: &ReadAnswer) -> StartDecision {
         for record in &answer.records {
-            self.held.insert(record.offset, record.body.clone());
+            self.bodies.insert(record.offset, record.body.clone());
         }
         let mut scan_from = match self.scan_from {
             Some(scan_from) => scan_from,
-            None => self.look_back(answer),
+            None => self.lookback_start(answer),
         };
         if let Some(missing) = self.first_missing(scan_from, answer.end_offset) {
             if missing >= answer.first_offset {
@@ -89,7 +89,7 @@
 
     /// Decides when every record from `scan_from` to the end is held.
     fn decide(&mut self, scan_from: LogOffset, answer: &ReadAnswer) -> StartDecision {
-        if let Some(table) = self.newest_usable(scan_from) {
+        if let Some(table) = self.restore_newest_checkpoint(scan_from) {
             return self.replay(table);
         }
         if scan_from == 0 {
@@ -101,12 +101,12 @@
             });
         }
         self.lookback = self.lookback.saturating_mul(2);
-        let scan_from = self.look_back(answer);
+        let scan_from = self.lookback_start(answer);
         self.scan_from = Some(scan_from);
         StartDecision::ReadFrom(scan_from)
     }
 
-    fn look_back(&self, answer: &ReadAnswer) -> LogOffset {
+    fn lookback_start(&self, answer: &ReadAnswer) -> LogOffset {
         let wanted = answer.end_offset.saturating_sub(self.lookback);
         wanted.max(answer.first_offset)
     }
@@ -114,7 +114,7 @@
     fn first_missing(&self, from: LogOffset, end: LogOffset) -> Option<LogOffset> {
         let mut next = from;
         for offset in self
-            .held
+            .bodies
             .range(from..end.max(from))
             .map(|(offset, _)| *offset)
         {
@@ -126,8 +126,8 @@
         (next < end).then_some(next)
     }
 
-    fn newest_usable(&self, scan_from: LogOffset) -> Option<DeclarationTable> {
-        let mut newest_first = self.held.range(scan_from..).rev();
+    fn restore_newest_checkpoint(&self, scan_from: LogOffset) -> Option<DeclarationTable> {
+        let mut newest_first = self.bodies.range(scan_from..).rev();
         newest_first.find_map(|(offset, body)| {
             let checkpoint = read_checkpoint(body)?;
             let covered = scan_from <= checkpoint.as_of && checkpoint.as_of <= *offset;
@@ -137,7 +137,7 @@
     }
 
     fn replay(&self, mut table: DeclarationTable) -> StartDecision {
-        for (offset, body) in self.held.range(table.applied()..) {
+        for (offset, body) in self.bodies.range(table.applied()..) {
             if let Err(error) = table.apply_raw(*offset, body) {
                 return StartDecision::NotReady(StartError::Stopped(error));
             }
--- a/src/replay/table.rs
+++ b/src/replay/table.rs
@@ -32,7 +32,7 @@
 }
 
 /// Hashes of recent states that are kept for comparing checkpoints.
-pub(super) const KEPT_HASHES: usize = 1_024;
+pub(super) const MAX_HASHES: usize = 1_024;
 
 /// Lowest judging rules that ever were.
 pub(super) const FIRST_RULES: u32 = 1;
@@ -83,13 +83,13 @@
             newest_checkpoint: None,
             stopped: None,
         };
-        table.keep_hash();
+        table.push_hash();
         table
     }
 
     pub(super) fn put(&mut self, key: &ResourceKey, resource: Arc<DeclaredResource>) {
         self.remove(key);
-        self.forget_tombstone(key);
+        self.remove_tombstone(key);
         self.sum.add(&HashedEntry::Resource {
             key,
             resource: &resource,
@@ -113,7 +113,7 @@
         });
     }
 
-    pub(super) fn mark_deleted(&mut self, key: &ResourceKey, tombstone: ResourceTombstone) {
+    pub(super) fn insert_tombstone(&mut self, key: &ResourceKey, tombstone: ResourceTombstone) {
         self.sum.add(&HashedEntry::Tombstone {
             key,
             tombstone: &tombstone,
@@ -123,7 +123,7 @@
     }
 
     /// Forgets the tombstone of a resource, if there is one.
-    fn forget_tombstone(&mut self, key: &ResourceKey) {
+    fn remove_tombstone(&mut self, key: &ResourceKey) {
         if let Some(tombstone) = self.tombstones.remove(key) {
             self.sum.remove(&HashedEntry::Tombstone {
                 key,
@@ -142,14 +142,14 @@
             .min_by_key(|(_, tombstone)| tombstone.version)
             .map(|(key, _)| key.clone());
         if let Some(key) = oldest {
-            self.forget_tombstone(&key);
+            self.remove_tombstone(&key);
         }
     }
 
-    pub(super) fn keep_hash(&mut self) {
+    pub(super) fn push_hash(&mut self) {
         let hash = self.sum.finish(self.applied, self.rules);
         self.hashes.push_back(hash);
-        if self.hashes.len() > KEPT_HASHES {
+        if self.hashes.len() > MAX_HASHES {
             self.hashes.pop_front();
         }
     }
