--- a/src/replay.rs
+++ b/src/replay.rs
@@ -1,11 +1,11 @@
-//! Log records to state: every reader of the stream of declarations ends up
-//! with the same resources, versions and judgements.
+//! Replays the declaration stream into a table of resources. Every reader of the same
+//! records computes the same resources, versions and judgements.
 //!
-//! [`DeclarationTable`] holds the state. Records are applied in the order of
-//! the log, each judged by what came before it and by nothing else: no clock,
-//! no host, no order of arrival. [`StartPlanner`] finds a checkpoint to start
-//! from, [`RecordRelay`] hands records on to peers that cannot read the log,
-//! and [`ReadinessTracker`] says whether the host may take work.
+//! [`DeclarationTable`] holds the state. Records are applied in log order, and the
+//! judgement of a record depends only on the records before it: not on a clock, a host or
+//! the order of arrival. [`StartPlanner`] finds a checkpoint to start from,
+//! [`RecordRelay`] passes records to peers that cannot read the log, and
+//! [`ReadinessTracker`] determines whether the host may accept work.
 
 mod check;
 mod checkpoint;
--- a/src/replay/check.rs
+++ b/src/replay/check.rs
@@ -1,7 +1,7 @@
-//! Whether a change can stand beside the other resources.
+//! Validates a change against the other declared resources.
 //!
-//! Judged when the record is applied, against the state at that offset, so
-//! that all readers come to the same result.
+//! The check runs when the record is applied, against the state at that offset, so that
+//! all readers reach the same result.
 
 use super::judgement::InvalidChange;
 use super::table::DeclarationTable;
@@ -14,7 +14,7 @@
 
 const NAME_LENGTH: std::ops::RangeInclusive<usize> = 1..=128;
 
-/// Checks a change whose `based_on` is the latest.
+/// Checks a change whose `based_on` is the latest version.
 pub(super) fn check_change(
     table: &DeclarationTable,
     change: &ResourceChange,
@@ -68,8 +68,8 @@
     }
 }
 
-/// Refuses to take away a version, or to change the layers of one, that a
-/// pipeline serves: its stages would no longer tile the model.
+/// Rejects a change that removes a version used by a pipeline or changes its number of
+/// layers, because the stages would no longer cover the model.
 fn check_model(
     table: &DeclarationTable,
     key: &ResourceKey,
@@ -139,7 +139,7 @@
     }
 }
 
-/// Refuses to make a service of an engine in use, and the other way round.
+/// Rejects a change of kind, between engine and service, of a target that is in use.
 fn check_target(
     table: &DeclarationTable,
     key: &ResourceKey,
@@ -175,8 +175,8 @@
     }
 }
 
-/// Finds the first pipeline or service, by kind and name, that needs
-/// something, and refuses if there is one.
+/// Returns an error that names the first pipeline or service, by kind and name, for which
+/// `needs` is true.
 fn require_unused<F>(table: &DeclarationTable, needs: F) -> Result<(), InvalidChange>
 where
     F: Fn(&ResourceSpec) -> bool,
--- a/src/replay/checkpoint.rs
+++ b/src/replay/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Writing checkpoints, and starting from one.
+//! Creates checkpoints and restores tables from them.
 
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 };
 use crate::resources::ResourceKey;
 
-/// Why a checkpoint cannot be started from.
+/// Why a checkpoint cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CheckpointError {
-    /// The content does not belong to the hash.
-    #[error("the checkpoint as of {as_of} is damaged: its content has another hash")]
+    /// The content does not match the hash.
+    #[error("the checkpoint as of {as_of} is damaged: its content does not match its hash")]
     Damaged {
         /// Offset of the state.
         as_of: LogOffset,
     },
-    /// The state was judged by rules of a newer program.
-    #[error("the checkpoint needs judging rules {rules}, this program knows none above {known}")]
+    /// The state was computed under the rules of a newer program.
+    #[error("the checkpoint requires judging rules {rules}, this program supports up to {known}")]
     UnknownRules {
-        /// Rules that it needs.
+        /// Rules version that the checkpoint requires.
         rules: u32,
-        /// Highest rules known.
+        /// Highest rules version that this program supports.
         known: u32,
     },
-    /// The state is not newer than the one held, which therefore stays.
-    #[error("the state as of {as_of} is not newer than the one held, as of {applied}")]
+    /// The state is not newer than the current one, which is kept.
+    #[error("the state as of {as_of} is not newer than the current one as of {applied}")]
     NotNewer {
-        /// Offset of the state refused.
+        /// Offset of the rejected state.
         as_of: LogOffset,
-        /// Offset of the state held.
+        /// Offset of the current state.
         applied: LogOffset,
     },
 }
@@ -40,25 +40,26 @@
 /// When a new checkpoint is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CheckpointSchedule {
-    /// Records after the newest checkpoint, so that a start replays few.
+    /// Maximum number of records after the newest checkpoint; bounds how many records a
+    /// start replays.
     pub max_records: u64,
-    /// Age of the newest checkpoint: well under the time for which the log
-    /// keeps a record, because a quiet log expires too.
+    /// Maximum age of the newest checkpoint. It must be well below the retention time of
+    /// the log, because the records of an idle log expire too.
     pub max_age: Duration,
 }
 
-/// What is known of the log when a checkpoint may be due.
+/// Bounds of the log that determine whether a checkpoint is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogHorizon {
-    /// Oldest offset that the log still keeps.
+    /// Oldest offset that the log retains.
     pub first_offset: LogOffset,
-    /// Time since the newest checkpoint was seen to be appended; `None` if
-    /// this host was not there to see it, which counts as too old.
+    /// Time since the append of the newest checkpoint; `None` if this host did not
+    /// observe the append, which counts as too old.
     pub newest_age: Option<Duration>,
 }
 
 impl DeclarationTable {
-    /// The state as a checkpoint.
+    /// Returns the state as a checkpoint.
     pub fn checkpoint(&self) -> StateCheckpoint {
         let resources = self.resources.iter().flat_map(|(kind, named)| {
             named.iter().map(|(name, resource)| CheckpointResource {
@@ -83,19 +84,20 @@
         }
     }
 
-    /// The table at a checkpoint. Records from `as_of` on are to be applied
-    /// next, all of them.
+    /// Restores a table from a checkpoint. The next record to apply is the one at
+    /// `as_of`, followed by all later ones.
     ///
     /// # Errors
-    /// A damaged checkpoint, or one of a newer program.
+    /// If the checkpoint is damaged or was written by a newer program.
     pub fn from_checkpoint(checkpoint: &StateCheckpoint) -> Result<Self, CheckpointError> {
         Self::restore(WindowRules::CURRENT, checkpoint)
     }
 
-    /// As [`Self::from_checkpoint`], under other windows: for trials.
+    /// Restores a table as [`Self::from_checkpoint`] does, with other window sizes, for
+    /// tests and simulations.
     ///
     /// # Errors
-    /// A damaged checkpoint, or one of a newer program.
+    /// If the checkpoint is damaged or was written by a newer program.
     pub fn restore(
         windows: WindowRules,
         checkpoint: &StateCheckpoint,
@@ -120,8 +122,8 @@
             table.recent.restore(record, &mut table.sum);
         }
         table.push_hash();
-        // The hash is taken of the table built, not of the text: an entry
-        // that was cut off, doubled or altered on the way shows here.
+        // The hash is computed from the restored table, not from the text, so that a
+        // truncated, duplicated or altered entry is detected.
         match table.hash() == checkpoint.hash {
             true => Ok(table),
             false => Err(CheckpointError::Damaged {
@@ -130,12 +132,12 @@
         }
     }
 
-    /// Puts a newer table, started from a checkpoint, in the place of this
-    /// one, when the records in between have expired.
+    /// Replaces this table with a newer one that was started from a checkpoint, when the
+    /// records in between have expired.
     ///
     /// # Errors
-    /// The other table is not newer: this one stays, so that configuration in
-    /// force is never reverted.
+    /// If the other table is not newer. This one is kept then, so that active
+    /// configuration is never reverted.
     pub fn supersede(&mut self, newer: Self) -> Result<(), CheckpointError> {
         if newer.applied <= self.applied {
             return Err(CheckpointError::NotNewer {
@@ -147,12 +149,12 @@
         Ok(())
     }
 
-    /// Whether records that this table needs next have expired.
+    /// Returns whether records that this table has yet to apply have expired.
     pub fn missed_records(&self, first_offset: LogOffset) -> bool {
         first_offset > self.applied
     }
 
-    /// Whether a checkpoint of this table should be appended now.
+    /// Returns whether a checkpoint of this table should be appended now.
     pub fn should_checkpoint(&self, horizon: &LogHorizon, schedule: &CheckpointSchedule) -> bool {
         match self.newest_checkpoint {
             _ if self.applied == 0 || self.stopped.is_some() => false,
@@ -163,12 +165,12 @@
         }
     }
 
-    /// Oldest state whose checkpoint is not about to become useless.
+    /// Returns the lowest `as_of` for which a checkpoint is still safe from expiry.
     ///
-    /// A checkpoint is of no use once its `as_of` has expired. If the next one
-    /// were due only then, no host could start from the log until it is there,
-    /// and with all hosts lost meanwhile the configuration would be lost too.
-    /// So it is due when only a quarter of the kept records lie before it.
+    /// A checkpoint is unusable once its `as_of` has expired. If the next one were due
+    /// only then, no host could start from the log in the meantime, and a loss of all
+    /// hosts would lose the configuration. A checkpoint is therefore due once less than
+    /// a quarter of the retained records lie before the `as_of` of the newest one.
     fn safe_offset(&self, first_offset: LogOffset) -> LogOffset {
         match first_offset {
             0 => 0,
@@ -176,7 +178,7 @@
         }
     }
 
-    /// The hash of the state at an offset, if it is still kept.
+    /// Returns the hash of the state at an offset, if it is still kept.
     pub(super) fn hash_at(&self, as_of: LogOffset) -> Option<StateHash> {
         let back = usize::try_from(self.applied.checked_sub(as_of)?).ok()?;
         let position = self.hashes.len().checked_sub(back + 1)?;
@@ -184,7 +186,8 @@
     }
 }
 
-/// The hash of what a checkpoint carries, whatever hash it claims.
+/// Computes the hash of the content of a checkpoint, regardless of the hash that the
+/// checkpoint states.
 pub(super) fn content_hash(checkpoint: &StateCheckpoint) -> StateHash {
     let mut sum = HashSum::default();
     for entry in &checkpoint.resources {
--- a/src/replay/commands.rs
+++ b/src/replay/commands.rs
@@ -1,4 +1,4 @@
-//! Applying records.
+//! Applies records to the table.
 
 use std::sync::Arc;
 
@@ -16,16 +16,16 @@
 
 /// The part of a record that every version of the program can read.
 ///
-/// Read before the body: a body of newer rules may have parts that this
-/// program does not know, and must then stop the table instead of passing
-/// for a malformed one.
+/// It is parsed before the body: a body of newer rules may contain parts that this
+/// program does not know. Such a record must stop the table and must not be treated as
+/// malformed.
 #[derive(Deserialize)]
 struct RecordEnvelope {
     id: RecordId,
     rules: u32,
 }
 
-/// Whether a record is to be judged at all.
+/// Position of a record relative to the next offset to apply.
 enum OffsetPosition {
     Next,
     Past,
@@ -35,7 +35,8 @@
     /// Applies the record at an offset.
     ///
     /// # Errors
-    /// A gap before the record, or rules that this program does not know.
+    /// If records before this one are missing, or if it requires rules that this program
+    /// does not support.
     pub fn apply(
         &mut self,
         offset: LogOffset,
@@ -48,11 +49,12 @@
         Ok(self.judge(offset, record.rules, &record.id, Some(&record.body)))
     }
 
-    /// Applies the text of the record at an offset. Text that is not a record
-    /// is judged [`Judgement::Malformed`] and skipped, by all readers alike.
+    /// Applies the text of the record at an offset. Every reader judges text that is not
+    /// a record as [`Judgement::Malformed`] and skips it.
     ///
     /// # Errors
-    /// A gap before the record, or rules that this program does not know.
+    /// If records before this one are missing, or if it requires rules that this program
+    /// does not support.
     pub fn apply_raw(&mut self, offset: LogOffset, body: &str) -> Result<Judgement, ApplyError> {
         if let OffsetPosition::Past = self.check_offset(offset)? {
             return Ok(Judgement::AlreadyApplied);
@@ -120,9 +122,9 @@
         judgement
     }
 
-    /// Accepts a change only if it is based on the latest one. Of two
-    /// operators who changed what both had seen, the first in the log wins on
-    /// every host, and the other learns to whom it lost.
+    /// Accepts a change only if it is based on the latest version. If two operators
+    /// change the same version, the first change in the log wins on every host, and the
+    /// judgement of the other one names the winner.
     fn judge_change(&mut self, offset: LogOffset, change: &ResourceChange) -> Judgement {
         let latest = self.latest_change(&change.key);
         if latest.map(|latest| latest.version) != change.based_on {
@@ -156,16 +158,16 @@
         }
     }
 
-    /// Compares a checkpoint in the log and ignores what it carries. A writer
-    /// that was paused appends an old state; taking it would revert
-    /// configuration that is in force.
+    /// Compares a checkpoint in the log with this table and does not adopt its state. A
+    /// writer that was paused appends an old state; adopting it would revert active
+    /// configuration.
     fn compare_checkpoint(&mut self, checkpoint: &StateCheckpoint) -> Judgement {
         let as_of = checkpoint.as_of;
         let Some(ours) = self.hash_at(as_of) else {
             return Judgement::CheckpointSkipped { as_of };
         };
-        // The hash is computed again: one that does not belong to the content
-        // would pass here and fail only on the host that starts from it.
+        // The hash is recomputed: a checkpoint whose hash does not match its content
+        // would otherwise pass here and fail only on the host that starts from it.
         if content_hash(checkpoint) != checkpoint.hash {
             return Judgement::CheckpointDamaged { as_of };
         }
--- a/src/replay/hash.rs
+++ b/src/replay/hash.rs
@@ -1,9 +1,9 @@
-//! A hash of the whole state that is kept up to date in constant time.
+//! An incremental hash of the whole state that is updated in constant time.
 //!
-//! Every entry (resource, tombstone, remembered id) is hashed by itself and
-//! the entries' hashes are added up, so that a change costs two hashes
-//! however large the state is. The sum tells faults, not attackers: the
-//! records come from the system's own daemons.
+//! Each entry (resource, tombstone, remembered id) is hashed separately and the hashes
+//! are added, so that a change costs two hashes regardless of the size of the state. The
+//! sum detects faults and does not resist attackers: the records come from the system's
+//! own daemons.
 
 use serde::Serialize;
 use sha2::{Digest, Sha256};
@@ -17,11 +17,11 @@
 const LANES: usize = 4;
 const LANE_BYTES: usize = STATE_HASH_BYTES / LANES;
 
-/// One entry of the state, in the form that is hashed: its compact JSON.
+/// One entry of the state. Its compact JSON is the text that is hashed.
 ///
-/// A field added to a resource must leave the JSON of old resources as it is
-/// (`skip_serializing_if`), else a new program would take every checkpoint of
-/// the old one for a damaged one.
+/// A new field of a resource must leave the JSON of existing resources unchanged
+/// (`skip_serializing_if`); otherwise a new program would reject every checkpoint of the
+/// old one as damaged.
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum HashedEntry<'a> {
@@ -36,7 +36,7 @@
     Recent(&'a RecentRecord),
 }
 
-/// Sum of the hashes of all entries, lane by lane.
+/// Lane-wise wrapping sum of the hashes of all entries.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct HashSum([u64; LANES]);
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The hash of the state at an offset.
+    /// Returns the hash of the state at an offset.
     pub(super) fn finish(&self, as_of: LogOffset, rules: u32) -> StateHash {
         let mut hasher = Sha256::new();
         hasher.update(as_of.to_le_bytes());
@@ -68,8 +68,9 @@
 }
 
 fn entry_lanes(entry: &HashedEntry<'_>) -> [u64; LANES] {
-    // Cannot fail: the entries have no maps with keys other than text. Should
-    // it ever, the hash of nothing would hide a difference, so hash the error.
+    // Serialization cannot fail, because no entry has a map with non-string keys. If it
+    // did, the hash of an empty text would hide a difference, so the error text is
+    // hashed.
     let text = serde_json::to_vec(entry).unwrap_or_else(|error| error.to_string().into_bytes());
     let digest: [u8; STATE_HASH_BYTES] = Sha256::digest(&text).into();
     let mut lanes = [0; LANES];
--- a/src/replay/index.rs
+++ b/src/replay/index.rs
@@ -1,4 +1,4 @@
-//! Look-ups that requests need without a scan.
+//! Indexes for the lookups on the request path.
 
 use crate::collections::FastMap;
 use crate::ids::{ModelId, OrganisationId, PipelineId, VersionId};
@@ -16,7 +16,7 @@
         self.organisations.get(digest)
     }
 
-    /// Names of the pipelines that serve a version, sorted.
+    /// Returns the names of the pipelines that serve a version, sorted.
     pub(super) fn pipelines(&self, model: &str, version: &str) -> &[PipelineId] {
         self.pipelines
             .get(model)
--- a/src/replay/judgement.rs
+++ b/src/replay/judgement.rs
@@ -1,62 +1,61 @@
-//! What applying a record can come to.
+//! The outcomes of applying a record.
 
 use crate::ids::{LogOffset, OperatorId};
 use crate::records::{RecordResult, StateHash};
 use crate::resources::{ResourceKey, ResourceKind, SpecError};
 
-/// How a record was judged. Apart from the results of comparing a
-/// checkpoint, every reader judges a record alike.
+/// The judgement of a record. All readers judge a record alike, except for the comparison
+/// of a checkpoint with their own state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Judgement {
-    /// The change stands.
+    /// The change is in effect.
     Accepted,
-    /// Another change of the resource came first.
+    /// Another change of the resource came first in the log.
     Lost {
         /// The latest change; `None` if the resource has none.
         winner: Option<LogOffset>,
-        /// Who made it.
+        /// Operator who made it.
         operator: Option<OperatorId>,
     },
-    /// A record with this id came before; this one has no effect.
+    /// An earlier record has the same id; this one has no effect.
     Duplicate {
-        /// Where it was first.
+        /// Offset of the earlier record.
         first: LogOffset,
     },
-    /// The change cannot stand.
+    /// The change is not valid.
     Invalid(InvalidChange),
-    /// The record cannot be read; it has no effect.
+    /// The record cannot be parsed; it has no effect.
     Malformed,
-    /// The checkpoint says what this reader held at the same offset.
+    /// The checkpoint equals this reader's state at the same offset.
     CheckpointMatched,
-    /// The checkpoint differs from what this reader held at the same offset:
-    /// one of the two hosts has a wrong state, which must be looked into.
+    /// The checkpoint differs from this reader's state at the same offset: one of the two
+    /// hosts has a wrong state, which an operator must investigate.
     CheckpointDiffers {
         /// Offset of the state compared.
         as_of: LogOffset,
-        /// What this reader held.
+        /// Hash of this reader's state.
         ours: StateHash,
-        /// What the checkpoint says.
+        /// Hash in the checkpoint.
         theirs: StateHash,
     },
-    /// The checkpoint's content does not belong to its hash; no host can
-    /// start from it.
+    /// The content of the checkpoint does not match its hash; no host can start from it.
     CheckpointDamaged {
         /// Offset of the state.
         as_of: LogOffset,
     },
-    /// The checkpoint is of an offset whose hash this reader does not hold.
+    /// The checkpoint is for an offset whose hash this reader does not keep.
     CheckpointSkipped {
         /// Offset of the state.
         as_of: LogOffset,
     },
-    /// The record was applied before; nothing was done.
+    /// The record was already applied; nothing changed.
     AlreadyApplied,
 }
 
-/// Why a change cannot stand.
+/// Why a change is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidChange {
-    /// A value is outside its legal range.
+    /// A value is outside its allowed range.
     #[error(transparent)]
     Spec(#[from] SpecError),
     /// The resource is declared under a key of another kind.
@@ -64,19 +63,19 @@
     KindMismatch {
         /// Kind in the key.
         expected: ResourceKind,
-        /// Kind of what was declared.
+        /// Kind of the declared resource.
         found: ResourceKind,
     },
-    /// The name is empty, too long or has characters outside the legal set.
+    /// The name is empty, too long or contains a character that is not allowed.
     #[error("name {name:?}: 1 to 128 ASCII letters, digits, '-', '_' or '.' are allowed")]
     BadName {
         /// The name.
         name: String,
     },
-    /// A resource that is referred to is not declared.
+    /// A referenced resource is not declared.
     #[error("{missing} is not declared")]
     Missing {
-        /// What is missing.
+        /// The missing resource.
         missing: ResourceKey,
     },
     /// The model has no such version.
@@ -95,73 +94,74 @@
         /// Last layer of the last stage.
         found: u32,
     },
-    /// A target is named where one of the other kind is needed.
-    #[error("{target} is not of the kind of target that is needed here")]
+    /// The referenced target is of the wrong kind.
+    #[error("{target} is of the wrong kind for this reference")]
     WrongTargetKind {
         /// The target.
         target: ResourceKey,
     },
-    /// Another organisation is declared with the same token digest, so a
-    /// caller could not be told apart.
+    /// Another organisation is declared with the same token digest, so that the two could
+    /// not be distinguished by their tokens.
     #[error("the token digest belongs to {owner}")]
     DigestTaken {
         /// The other organisation.
         owner: ResourceKey,
     },
-    /// Another resource needs what the change takes away.
+    /// Another resource depends on what the change removes.
     #[error("in use by {user}")]
     InUse {
-        /// One that needs it.
+        /// A resource that depends on it.
         user: ResourceKey,
     },
-    /// There is nothing to delete.
+    /// The resource to delete is not declared.
     #[error("{key} is not declared")]
     NotDeclared {
-        /// What was to be deleted.
+        /// The resource to delete.
         key: ResourceKey,
     },
-    /// The reason was lost: the state comes from a checkpoint, which says
+    /// The reason is unknown: the state was restored from a checkpoint, which records
     /// only that the change was invalid.
-    #[error("the change was refused; the reason is no longer known")]
+    #[error("the change was invalid; the reason is no longer known")]
     ReasonUnknown,
 }
 
-/// Why a record was not applied. The table is unchanged, but for
-/// [`ApplyError::UnknownRules`], after which it applies nothing more.
+/// Why a record was not applied. The table is unchanged, except that it applies nothing
+/// more after [`ApplyError::UnknownRules`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// Records between the last applied and this one are missing.
-    #[error("record {found} cannot be applied: {expected} comes next")]
+    /// Records between the last applied one and this one are missing.
+    #[error("record {found} cannot be applied: the next offset is {expected}")]
     Gap {
-        /// Offset that comes next.
+        /// Next offset to apply.
         expected: LogOffset,
-        /// Offset that was given.
+        /// Offset of the given record.
         found: LogOffset,
     },
-    /// The record is to be judged by rules of a newer program. Guessing would
-    /// give this host another state than the others.
-    #[error("record {offset} needs judging rules {rules}, this program knows none above {known}")]
+    /// The record requires the rules of a newer program. Applying it under other rules
+    /// would make this host's state diverge from the others'.
+    #[error("record {offset} requires judging rules {rules}, this program supports up to {known}")]
     UnknownRules {
         /// Offset of the record.
         offset: LogOffset,
-        /// Rules that it needs.
+        /// Rules version that the record requires.
         rules: u32,
-        /// Highest rules known.
+        /// Highest rules version that this program supports.
         known: u32,
     },
 }
 
-/// Where a record first appeared and what became of it.
+/// Offset and judgement of the first appearance of a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordOutcome {
-    /// Offset of its first appearance; the version, if accepted.
+    /// Offset of its first appearance; the version of the resource, if the change was
+    /// accepted.
     pub offset: LogOffset,
-    /// How it was judged there.
+    /// Judgement at that offset.
     pub judgement: Judgement,
 }
 
 impl Judgement {
-    /// The part that all readers judge alike, kept in checkpoints.
+    /// Returns the part on which all readers agree and which checkpoints contain.
     pub(super) fn result(&self) -> RecordResult {
         match self {
             Self::Accepted => RecordResult::Accepted,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The judgement as far as a checkpoint tells it.
+    /// Restores a judgement from the part that a checkpoint contains.
     pub(super) fn from_result(offset: LogOffset, result: &RecordResult) -> Self {
         match result {
             RecordResult::Accepted => Self::Accepted,
--- a/src/replay/queries.rs
+++ b/src/replay/queries.rs
@@ -1,4 +1,4 @@
-//! Reading the state.
+//! Read access to the state.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
     pub kind: ResourceKind,
     /// Its name.
     pub name: &'a Arc<str>,
-    /// What stands.
+    /// The resource as declared.
     pub resource: &'a DeclaredResource,
 }
 
@@ -34,7 +34,7 @@
 pub struct TargetEntry<'a> {
     /// Its name.
     pub name: &'a TargetId,
-    /// What was declared.
+    /// The declaration.
     pub spec: &'a TargetSpec,
     /// Offset of the change that declared it.
     pub version: LogOffset,
@@ -45,49 +45,49 @@
 pub struct OrganisationEntry<'a> {
     /// Its name.
     pub name: &'a OrganisationId,
-    /// What was declared.
+    /// The declaration.
     pub spec: &'a OrganisationSpec,
 }
 
-/// The latest accepted change of a resource, deletions included.
+/// The latest accepted change of a resource, including deletions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LatestChange<'a> {
-    /// Its offset: what the next change must be based on.
+    /// Offset of the change; the next change must be based on it.
     pub version: LogOffset,
-    /// Who made it.
+    /// Operator who made it.
     pub operator: &'a OperatorId,
 }
 
 impl DeclarationTable {
-    /// Offset after the last record applied.
+    /// Returns the offset after the last record applied.
     pub fn applied(&self) -> LogOffset {
         self.applied
     }
 
-    /// Hash of the state at [`Self::applied`].
+    /// Returns the hash of the state at [`Self::applied`].
     pub fn hash(&self) -> StateHash {
         self.sum.finish(self.applied, self.rules)
     }
 
-    /// Why nothing more is applied, if so; the host is then not ready.
+    /// Returns the error that stopped the table, if any; the host is then not ready.
     pub fn stopped(&self) -> Option<&ApplyError> {
         self.stopped.as_ref()
     }
 
-    /// Offset of the state in the newest checkpoint in the log that
-    /// matched this table.
+    /// Returns the offset of the state in the newest checkpoint in the log that matched
+    /// this table.
     pub fn newest_checkpoint(&self) -> Option<LogOffset> {
         self.newest_checkpoint
     }
 
-    /// What became of a recent record, by its first appearance. `None` if it
-    /// has not been seen or is older than the window of ids.
+    /// Returns offset and judgement of the first appearance of a recent record; `None` if
+    /// no record with this id was applied or if it is older than the id window.
     pub fn judgement_of(&self, id: &str) -> Option<&RecordOutcome> {
         self.recent.outcome(id)
     }
 
-    /// The latest change of a resource. A new change must be based on it,
-    /// also when it is a deletion.
+    /// Returns the latest change of a resource, including a deletion. A new change must
+    /// be based on it.
     pub fn latest_change(&self, key: &ResourceKey) -> Option<LatestChange<'_>> {
         if let Some(resource) = self.get(key) {
             return Some(LatestChange {
@@ -102,12 +102,12 @@
         })
     }
 
-    /// A declared resource.
+    /// Returns a declared resource.
     pub fn get(&self, key: &ResourceKey) -> Option<&DeclaredResource> {
         self.find(key.kind, &key.name)
     }
 
-    /// Every declared resource of a kind, sorted by name.
+    /// Returns all declared resources of a kind, sorted by name.
     pub fn list(&self, kind: ResourceKind) -> impl Iterator<Item = DeclaredEntry<'_>> {
         let named = self.resources.get(&kind).into_iter().flatten();
         named.map(move |(name, resource)| DeclaredEntry {
@@ -117,7 +117,7 @@
         })
     }
 
-    /// A declared model.
+    /// Returns a declared model.
     pub fn model(&self, name: &str) -> Option<&ModelSpec> {
         match &self.find(ResourceKind::Model, name)?.spec {
             ResourceSpec::Model(model) => Some(model),
@@ -125,12 +125,12 @@
         }
     }
 
-    /// The version that new requests for a model get.
+    /// Returns the version that new requests for a model use.
     pub fn offered_version(&self, model: &str) -> Option<&VersionId> {
         self.model(model).map(|model| &model.offered)
     }
 
-    /// A declared pipeline.
+    /// Returns a declared pipeline.
     pub fn pipeline(&self, name: &str) -> Option<&PipelineSpec> {
         match &self.find(ResourceKind::Pipeline, name)?.spec {
             ResourceSpec::Pipeline(pipeline) => Some(pipeline),
@@ -138,12 +138,12 @@
         }
     }
 
-    /// Names of the pipelines that serve a version of a model, sorted.
+    /// Returns the names of the pipelines that serve a version of a model, sorted.
     pub fn pipelines_of(&self, model: &str, version: &str) -> &[PipelineId] {
         self.index.pipelines(model, version)
     }
 
-    /// A declared service.
+    /// Returns a declared service.
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         match &self.find(ResourceKind::Service, name)?.spec {
             ResourceSpec::Service(service) => Some(service),
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A declared organisation.
+    /// Returns a declared organisation.
     pub fn organisation(&self, name: &str) -> Option<&OrganisationSpec> {
         match &self.find(ResourceKind::Organisation, name)?.spec {
             ResourceSpec::Organisation(organisation) => Some(organisation),
@@ -159,15 +159,15 @@
         }
     }
 
-    /// The organisation with a token digest. The caller compares the digest
-    /// once more in constant time.
+    /// Returns the organisation with a token digest. The caller compares the digest again
+    /// in constant time.
     pub fn organisation_by_digest(&self, digest: &str) -> Option<OrganisationEntry<'_>> {
         let name = self.index.organisation(digest)?;
         let spec = self.organisation(name)?;
         Some(OrganisationEntry { name, spec })
     }
 
-    /// A declared target.
+    /// Returns a declared target.
     pub fn target(&self, name: &str) -> Option<&TargetSpec> {
         match &self.find(ResourceKind::Target, name)?.spec {
             ResourceSpec::Target(target) => Some(target),
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Every declared target, sorted by name.
+    /// Returns all declared targets, sorted by name.
     pub fn targets(&self) -> impl Iterator<Item = TargetEntry<'_>> {
         self.list(ResourceKind::Target)
             .filter_map(|entry| match &entry.resource.spec {
--- a/src/replay/readiness.rs
+++ b/src/replay/readiness.rs
@@ -1,56 +1,56 @@
-//! Whether a host's configuration is good enough to take work.
+//! Determines whether a host's configuration is recent enough to accept work.
 
 use std::time::{Duration, Instant};
 
 use super::table::DeclarationTable;
 use crate::ids::LogOffset;
 
-/// Whether the host may take work.
+/// Whether the host may accept work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Readiness {
-    /// It may.
+    /// The host accepts work.
     Ready,
-    /// It may not.
+    /// The host does not accept work.
     NotReady(NotReadyReason),
 }
 
-/// Why the host may not take work.
+/// Why the host does not accept work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NotReadyReason {
-    /// Nothing was replayed yet.
+    /// No record has been applied yet.
     #[error("no configuration yet")]
     NoConfiguration,
-    /// A newer configuration is known to exist.
+    /// The configuration is older than one that is known to exist.
     #[error("configuration as of {applied}, {highest_known} is known to exist")]
     Behind {
         /// Offset after the last record applied.
         applied: LogOffset,
-        /// Highest such offset known.
+        /// Highest end offset known to exist.
         highest_known: LogOffset,
     },
-    /// The log has a record that only a newer program can judge.
-    #[error("a record needs a newer program")]
+    /// The log contains a record that requires a newer program.
+    #[error("a record requires a newer program")]
     UnknownRules,
 }
 
-/// Follows what the host has applied and what it knows to exist.
+/// Tracks the offset that the host has applied and the highest offset known to exist.
 ///
-/// What exists is known from the end of the log and from the applied offsets
-/// in peers' heartbeats. That knowledge only grows: a log that answers with
-/// an older end, or a peer that starts afresh, does not make an older
-/// configuration good again.
+/// Offsets are learned from the end of the log and from the applied offsets in the
+/// heartbeats of peers. The highest known offset never decreases: a log that replies with
+/// an older end, or a peer that restarts, does not make an older configuration
+/// acceptable.
 #[derive(Debug, Clone)]
 pub struct ReadinessTracker {
     grace: Duration,
     applied: LogOffset,
     highest_known: LogOffset,
     stopped: bool,
-    /// Whether the host ever held all that it knew of.
+    /// Whether the host has ever applied everything that it knew of.
     caught_up: bool,
     behind: Option<Lag>,
 }
 
-/// An offset that is known but not applied, and since when.
+/// A known offset that is not yet applied, and since when.
 #[derive(Debug, Clone, Copy)]
 struct Lag {
     offset: LogOffset,
@@ -58,9 +58,9 @@
 }
 
 impl ReadinessTracker {
-    /// A host that knows nothing yet. Once it has caught up, it may be behind
-    /// for `grace`, which covers the time that a new record takes to arrive;
-    /// before that, it may not.
+    /// Creates a tracker without any known offset. Once the host has caught up, it may
+    /// lag for `grace`, which covers the arrival time of a new record; before that, it is
+    /// not ready while it lags.
     pub fn new(grace: Duration) -> Self {
         Self {
             grace,
@@ -72,13 +72,13 @@
         }
     }
 
-    /// Learns that records up to an end offset exist.
+    /// Records that the log reaches up to `end_offset`.
     pub fn observe_end_offset(&mut self, end_offset: LogOffset, now: Instant) {
         self.highest_known = self.highest_known.max(end_offset);
         self.update_lag(now);
     }
 
-    /// Takes note of what the table has applied.
+    /// Records the offset that the table has applied and whether the table has stopped.
     pub fn observe_applied(&mut self, table: &DeclarationTable, now: Instant) {
         self.applied = table.applied();
         self.stopped = table.stopped().is_some();
@@ -86,12 +86,12 @@
         self.update_lag(now);
     }
 
-    /// The highest offset known to exist.
+    /// Returns the highest offset known to exist.
     pub fn highest_known(&self) -> LogOffset {
         self.highest_known
     }
 
-    /// Whether the host may take work now.
+    /// Returns whether the host may accept work at `now`.
     pub fn readiness(&self, now: Instant) -> Readiness {
         let behind = NotReadyReason::Behind {
             applied: self.applied,
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Moves the mark. When its target is reached while later records are
-    /// known, it starts again at those: under a steady stream of changes the
-    /// host is always some records behind, and yet none of them is late.
+    /// Updates the lag. When its offset is reached while later records are known, it
+    /// restarts at the latest of these: under steady changes the host always lags by some
+    /// records, although each is applied in time.
     fn update_lag(&mut self, now: Instant) {
         if self.applied >= self.highest_known {
             self.behind = None;
--- a/src/replay/recent.rs
+++ b/src/replay/recent.rs
@@ -1,4 +1,4 @@
-//! The ids of recent records, so that a repeated append has no effect.
+//! The ids of recent records, by which a repeated append is detected.
 
 use std::collections::VecDeque;
 
@@ -8,7 +8,7 @@
 use crate::ids::{LogOffset, RecordId};
 use crate::records::RecentRecord;
 
-/// The records in a window of offsets, by offset and by id.
+/// The records within a window of offsets, by offset and by id.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RecentRecords {
     by_offset: VecDeque<RecentRecord>,
@@ -45,9 +45,9 @@
         self.by_id.insert(record.id.clone(), outcome);
     }
 
-    /// Forgets what lies below an offset. The window follows the offsets and
-    /// nothing else: a reader that forgot by time or by count of its own
-    /// would take a repeated append for a new record where others do not.
+    /// Removes the records below an offset. The window depends only on offsets: a reader
+    /// that evicted by time or by a count of its own would accept a repeated append that
+    /// other readers reject.
     pub(super) fn remove_below(&mut self, floor: LogOffset, sum: &mut HashSum) {
         while self
             .by_offset
--- a/src/replay/relay.rs
+++ b/src/replay/relay.rs
@@ -1,4 +1,4 @@
-//! Handing records on to peers, and following a peer in place of the log.
+//! Passes records to peers, and applies the records that a peer passes.
 
 use std::collections::VecDeque;
 
@@ -9,12 +9,12 @@
 use crate::platform::wire::StoredRecord;
 use crate::records::StateCheckpoint;
 
-/// How much a relay keeps.
+/// Limits of a relay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RelayLimits {
-    /// Records.
+    /// Maximum number of records.
     pub records: usize,
-    /// Bytes of their texts together.
+    /// Maximum total size of their texts, in bytes.
     pub bytes: usize,
 }
 
@@ -26,35 +26,35 @@
     bytes: usize,
 }
 
-/// What a peer is handed.
+/// A range of records, or a checkpoint, for a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RelayRange {
-    /// Oldest offset of which the sender keeps the text.
+    /// Oldest offset whose text the sender keeps.
     pub first_offset: LogOffset,
     /// Offset after the last record that the sender has applied.
     pub end_offset: LogOffset,
-    /// Records without gaps, from the offset asked for.
+    /// Contiguous records from the requested offset.
     pub records: Vec<StoredRecord>,
-    /// JSON text of the sender's state, if it no longer keeps the offset
-    /// asked for.
+    /// JSON text of the sender's state, if the sender no longer keeps the requested
+    /// offset.
     pub checkpoint: Option<String>,
 }
 
-/// Why a range could not be followed to its end.
+/// Why a range was not applied completely.
 #[derive(Debug, thiserror::Error)]
 pub enum RelayError {
-    /// The checkpoint is not readable.
+    /// The checkpoint cannot be parsed.
     #[error("the peer's checkpoint is not readable: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// The checkpoint cannot be started from.
+    /// The checkpoint is damaged, too new for this program or older than the table.
     #[error(transparent)]
     Checkpoint(#[from] CheckpointError),
-    /// A record was not applied; those before it were.
+    /// A record was not applied; the records before it were.
     #[error(transparent)]
     Apply(#[from] ApplyError),
 }
 
-/// A record that was applied, and how it was judged.
+/// An applied record and its judgement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AppliedRecord {
     /// Its offset.
@@ -64,7 +64,7 @@
 }
 
 impl RecordRelay {
-    /// An empty relay.
+    /// Creates an empty relay.
     pub fn new(limits: RelayLimits) -> Self {
         Self {
             limits,
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Keeps the text of a record that was just applied.
+    /// Adds the text of a record that was just applied.
     pub fn push(&mut self, offset: LogOffset, body: String) {
         match self.records.back() {
             Some(last) if offset <= last.offset => return,
-            // The table went on from a checkpoint. Kept texts that do not
-            // join would be handed to a peer as if nothing were missing.
+            // The table continued from a checkpoint. Texts with a gap between them would
+            // appear complete to a peer.
             Some(last) if offset > last.offset + 1 => self.clear(),
             _ => {}
         }
@@ -92,8 +92,8 @@
         }
     }
 
-    /// What to hand to a peer that has applied everything below `from`: at
-    /// most `limit` records, or the state of `table` if their texts are gone.
+    /// Returns what a peer needs that has applied everything below `from`: at most
+    /// `limit` records, or the state of `table` if their texts are no longer kept.
     /// `table` is the one whose records were pushed.
     pub fn range(&self, from: LogOffset, limit: usize, table: &DeclarationTable) -> RelayRange {
         let first_offset = self.first_contiguous(table);
@@ -111,11 +111,12 @@
         range
     }
 
-    /// Oldest kept offset from which every text up to the table's is held.
+    /// Returns the oldest offset from which the texts are contiguous up to the table's
+    /// offset.
     ///
-    /// A table that went on from a checkpoint is ahead of the texts until its
-    /// next record. A peer that was handed these, or none, would take itself
-    /// for caught up and stay behind.
+    /// A table that continued from a checkpoint is ahead of the texts until its next
+    /// record. A peer that received these texts, or none, would count itself as caught up
+    /// and stay behind.
     fn first_contiguous(&self, table: &DeclarationTable) -> LogOffset {
         let applied = table.applied();
         match (self.records.front(), self.records.back()) {
@@ -131,11 +132,11 @@
 }
 
 impl DeclarationTable {
-    /// Applies what a peer handed over. A checkpoint is taken only if it is
-    /// newer than this table: the peer may itself be behind.
+    /// Applies a range received from a peer. A checkpoint is used only if it is newer
+    /// than this table, because the peer may lag itself.
     ///
     /// # Errors
-    /// An unusable checkpoint or record; what came before it stays applied.
+    /// If the checkpoint or a record is unusable; the records before it stay applied.
     pub fn apply_range(&mut self, range: &RelayRange) -> Result<Vec<AppliedRecord>, RelayError> {
         if let Some(text) = &range.checkpoint {
             let checkpoint: StateCheckpoint = serde_json::from_str(text)?;
--- a/src/replay/start.rs
+++ b/src/replay/start.rs
@@ -1,4 +1,4 @@
-//! Finding the state to start from in a log whose old records have expired.
+//! Finds the state to start from in a log whose old records have expired.
 
 use std::collections::BTreeMap;
 
@@ -8,39 +8,39 @@
 use crate::platform::wire::ReadAnswer;
 use crate::records::{DeclarationBody, LogRecord, StateCheckpoint};
 
-/// What to do next to start.
+/// Next step of a start.
 #[derive(Debug)]
 pub enum StartDecision {
-    /// Read from an offset and hand over the answer.
+    /// Read the log from this offset and pass the answer to the planner.
     ReadFrom(LogOffset),
-    /// The state after every record up to the end of the last answer.
+    /// The state after all records up to the end of the last answer.
     Started(Box<DeclarationTable>),
-    /// The log does not give a usable state. Peers may; so may the log later,
-    /// when another host has appended a checkpoint.
+    /// The log contains no usable state. Peers may have one, and so may the log once
+    /// another host has appended a checkpoint.
     NotReady(StartError),
 }
 
-/// Why the log does not give a usable state.
+/// Why the log contains no usable state.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
     /// Records have expired and no checkpoint covers them.
     #[error("records below {first_offset} have expired and no checkpoint covers them")]
     NoUsableCheckpoint {
-        /// Oldest offset that the log keeps.
+        /// Oldest offset that the log retains.
         first_offset: LogOffset,
     },
-    /// A record that cannot be judged.
+    /// A record cannot be applied.
     #[error(transparent)]
     Stopped(#[from] ApplyError),
 }
 
-/// Reads the end of the log, further and further back, until it holds a
-/// usable checkpoint and every record after its state.
+/// Reads the log backwards from its end, in growing steps, until it has a usable
+/// checkpoint and all records from the state of that checkpoint on.
 ///
-/// A checkpoint is usable if it is whole and every record from its `as_of`
-/// on is held. The record of the checkpoint itself comes later than `as_of`;
-/// to take the state and go on behind that record would lose the changes in
-/// between, and the host would serve a reverted configuration.
+/// A checkpoint is usable if it is undamaged and every record from its `as_of` on is
+/// available. The record of the checkpoint comes later in the log than `as_of`; a start
+/// that continued after that record would lose the changes in between, and the host would
+/// serve a reverted configuration.
 #[derive(Debug, Clone)]
 pub struct StartPlanner {
     windows: WindowRules,
@@ -50,8 +50,8 @@
 }
 
 impl StartPlanner {
-    /// A planner that first looks `lookback` records back from the end: a
-    /// little more than the records between two checkpoints, at least one.
+    /// Creates a planner that starts `lookback` records before the end of the log:
+    /// slightly more than the number of records between two checkpoints, at least one.
     pub fn new(windows: WindowRules, lookback: u64) -> Self {
         Self {
             windows,
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Takes an answer of the log. The first may be of any offset, since it
-    /// is needed for its bounds.
+    /// Processes an answer of the log and returns the next step. The first answer may
+    /// start at any offset, because only its bounds are needed.
     pub fn on_read(&mut self, answer: &ReadAnswer) -> StartDecision {
         for record in &answer.records {
             self.bodies.insert(record.offset, record.body.clone());
@@ -76,8 +76,8 @@
                 self.scan_from = Some(scan_from);
                 return StartDecision::ReadFrom(missing);
             }
-            // What is missing has expired meanwhile. What is held below it
-            // no longer joins what can be read.
+            // The missing records have expired in the meantime, so the records below them
+            // are no longer contiguous with what can be read.
             scan_from = answer.first_offset;
         }
         self.scan_from = Some(scan_from);
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Decides when every record from `scan_from` to the end is held.
+    /// Returns the next step when all records from `scan_from` to the end are available.
     fn decide(&mut self, scan_from: LogOffset, answer: &ReadAnswer) -> StartDecision {
         if let Some(table) = self.restore_newest_checkpoint(scan_from) {
             return self.replay(table);
--- a/src/replay/table.rs
+++ b/src/replay/table.rs
@@ -1,4 +1,4 @@
-//! The state that replay builds, and the steps that change it.
+//! The replayed state and the operations that modify it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -11,36 +11,36 @@
 use crate::records::{DeclaredResource, ResourceTombstone, StateHash};
 use crate::resources::{ResourceKey, ResourceKind};
 
-/// How much of the past decides on a record. Part of the judging rules: a
-/// program with other figures needs a higher [`crate::records::JUDGING_RULES`], or its hosts
-/// would drop duplicates that the others do not.
+/// Window sizes that affect judgements. They are part of the judging rules: a program
+/// with other values needs a higher [`crate::records::JUDGING_RULES`], or its hosts would
+/// reject duplicates that others accept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WindowRules {
-    /// Offsets back from the present one over which ids are remembered.
+    /// Number of offsets below the next one within which record ids are kept.
     pub id_window: u64,
-    /// Tombstones kept; the oldest go first.
+    /// Maximum number of tombstones; the oldest are evicted first.
     pub tombstone_limit: usize,
 }
 
 impl WindowRules {
-    /// The figures of judging rules 1: at 1,600 records a day the ids of
-    /// the last 15 hours, and the last 1,024 deletions.
+    /// The windows of judging rules 1: the last 1,024 deletions, and the ids of the last
+    /// 1,024 offsets, which is 15 hours at 1,600 records a day.
     pub const CURRENT: Self = Self {
         id_window: 1_024,
         tombstone_limit: 1_024,
     };
 }
 
-/// Hashes of recent states that are kept for comparing checkpoints.
+/// Maximum number of recent state hashes kept for comparison with checkpoints.
 pub(super) const MAX_HASHES: usize = 1_024;
 
-/// Lowest judging rules that ever were.
+/// Lowest version of the judging rules.
 pub(super) const FIRST_RULES: u32 = 1;
 
-/// The declared state after a prefix of the stream of declarations.
+/// The declared state after a prefix of the declaration stream.
 ///
-/// Equal prefixes give equal tables, whether replayed from the first record
-/// or from any checkpoint on the way.
+/// Equal prefixes yield equal tables, whether replayed from the first record or from any
+/// checkpoint.
 #[derive(Debug, Clone)]
 pub struct DeclarationTable {
     pub(super) windows: WindowRules,
@@ -51,11 +51,11 @@
     pub(super) recent: RecentRecords,
     pub(super) index: ResourceIndex,
     pub(super) sum: HashSum,
-    /// Hashes after the latest records; the last is that of `applied`.
+    /// Hashes after each of the latest records; the last one belongs to `applied`.
     pub(super) hashes: VecDeque<StateHash>,
-    /// Highest `as_of` of the checkpoints in the log that matched.
+    /// Highest `as_of` of the checkpoints in the log that matched this table.
     pub(super) newest_checkpoint: Option<LogOffset>,
-    /// Why nothing more is applied.
+    /// The error after which no record is applied.
     pub(super) stopped: Option<ApplyError>,
 }
 
@@ -66,9 +66,9 @@
 }
 
 impl DeclarationTable {
-    /// The state before the first record. Daemons use
-    /// [`WindowRules::CURRENT`]; other figures are for trials, since every
-    /// reader of a log must use the same.
+    /// Creates the state before the first record. Daemons use [`WindowRules::CURRENT`];
+    /// other values are for tests and simulations, since all readers of a log must use
+    /// the same.
     pub fn new(windows: WindowRules) -> Self {
         let mut table = Self {
             windows,
@@ -122,7 +122,7 @@
         self.trim_tombstones();
     }
 
-    /// Forgets the tombstone of a resource, if there is one.
+    /// Removes the tombstone of a resource, if there is one.
     fn remove_tombstone(&mut self, key: &ResourceKey) {
         if let Some(tombstone) = self.tombstones.remove(key) {
             self.sum.remove(&HashedEntry::Tombstone {
