--- a/src/records.rs
+++ b/src/records.rs
@@ -1,4 +1,4 @@
-//! The envelope of every record that the system keeps in the platform's log.
+//! The envelope of all records that the system keeps in the platform's log.
 
 mod checkpoint;
 mod declaration;
@@ -15,31 +15,32 @@
 
 use crate::ids::{HostId, IncarnationId, RecordId};
 
-/// Stream with declared changes and checkpoints of them.
+/// Stream of declared changes and checkpoints of the declared state.
 pub const DECLARATION_STREAM: &str = "declarations";
-/// Stream with leases.
+/// Stream of leases.
 pub const LEASE_STREAM: &str = "leases";
-/// Stream with claims on idempotency keys.
+/// Stream of claims on idempotency keys.
 pub const CLAIM_STREAM: &str = "claims";
-/// Stream with the split of bought capacity over availability zones.
+/// Stream of the allocation of bought capacity to availability zones.
 pub const ALLOTMENT_STREAM: &str = "allotments";
 
-/// Version of the rules by which records are judged. A record with a higher
-/// version than the reader knows stops the reader from being ready, because
-/// it would judge differently from the others.
+/// Version of the rules by which records are judged. A record with a higher version stops
+/// its reader, which is then not ready, because it would judge the record differently
+/// from other hosts.
 pub const JUDGING_RULES: u32 = 1;
 
-/// A record: who wrote it, under which unique id, and its body.
+/// A log record: its unique id, its writer and its body.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord<B> {
-    /// Chosen by the writer before the first append; a repeated append has the same id.
+    /// Chosen by the writer before the first append; a repeated append carries the same
+    /// id.
     pub id: RecordId,
-    /// Rules by which the record is to be judged.
+    /// Version of the rules by which the record is judged.
     pub rules: u32,
-    /// Host that wrote it.
+    /// Host that wrote the record.
     pub writer: HostId,
-    /// The writer's incarnation.
+    /// Incarnation of the writer.
     pub incarnation: IncarnationId,
-    /// What it says.
+    /// Content of the record.
     pub body: B,
 }
--- a/src/records/checkpoint.rs
+++ b/src/records/checkpoint.rs
@@ -1,4 +1,4 @@
-//! The state of the declarations, as written to the log and sent to peers.
+//! Checkpoints of the declared state, as written to the log and sent to peers.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,11 +11,11 @@
 use crate::ids::{LogOffset, OperatorId, RecordId};
 use crate::resources::{ResourceKey, ResourceSpec};
 
-/// Bytes in a [`StateHash`].
+/// Size of a [`StateHash`] in bytes.
 pub const STATE_HASH_BYTES: usize = 32;
 
-/// Hash over everything that a checkpoint carries; equal states have equal
-/// hashes. Written as lower-case hex.
+/// Hash of the whole content of a checkpoint; equal states have equal hashes. Serialized
+/// as lower-case hex.
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
@@ -29,31 +29,31 @@
     }
 }
 
-/// The state after every record below `as_of`.
+/// The declared state after all records below `as_of`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StateCheckpoint {
-    /// Offset after the last record included.
+    /// Offset after the last included record.
     pub as_of: LogOffset,
-    /// Highest judging rules of the records included.
+    /// Highest rules version of the included records.
     pub rules: u32,
     /// Declared resources, sorted by key.
     pub resources: Vec<CheckpointResource>,
-    /// Deleted resources whose last version is still remembered, sorted by key.
+    /// Deleted resources whose last version is still kept, sorted by key.
     pub tombstones: Vec<CheckpointTombstone>,
-    /// Records whose ids are still remembered, sorted by offset.
+    /// Records whose ids are still kept, sorted by offset.
     pub recent: Vec<RecentRecord>,
-    /// Hash over all of the above.
+    /// Hash of all of the above.
     pub hash: StateHash,
 }
 
-/// A declared resource: what stands and since which change.
+/// A declared resource and the change that declared it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DeclaredResource {
-    /// What was declared.
+    /// The declaration.
     pub spec: ResourceSpec,
-    /// Offset of the accepted change: version, ETag and fencing number.
+    /// Offset of the accepted change; used as version, ETag and fencing number.
     pub version: LogOffset,
-    /// Operator who made it.
+    /// Operator who made the change.
     pub operator: OperatorId,
 }
 
@@ -62,12 +62,12 @@
 pub struct CheckpointResource {
     /// Kind and name.
     pub key: ResourceKey,
-    /// What stands.
+    /// The declared resource.
     pub resource: Arc<DeclaredResource>,
 }
 
-/// The deletion of a resource, remembered so that a change based on what
-/// stood before it is not taken for a first declaration.
+/// The deletion of a resource, kept so that a change based on a version before the
+/// deletion is not mistaken for a first declaration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResourceTombstone {
     /// Offset of the accepted deletion.
@@ -81,39 +81,39 @@
 pub struct CheckpointTombstone {
     /// Kind and name.
     pub key: ResourceKey,
-    /// Its deletion.
+    /// The deletion.
     pub tombstone: ResourceTombstone,
 }
 
-/// A record whose id is remembered.
+/// A record whose id is kept to detect a repeated append.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecentRecord {
     /// Offset of its first appearance.
     pub offset: LogOffset,
-    /// Its id.
+    /// Id of the record.
     pub id: RecordId,
-    /// How it was judged.
+    /// Its judgement.
     #[serde(rename = "fate")]
     pub result: RecordResult,
 }
 
-/// How a record was judged, as far as every reader judges it alike. What a
-/// reader found when comparing a checkpoint is its own affair and left out.
+/// The part of a judgement on which all readers agree. The result of comparing a
+/// checkpoint is specific to a reader and left out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordResult {
-    /// The change stands, or stood until a later one.
+    /// The change was accepted; a later change may have replaced it.
     Accepted,
-    /// The change was not based on the latest one.
+    /// The change was not based on the latest version.
     Lost {
-        /// The latest change at the time; `None` if there was none.
+        /// Version that was the latest at the time; `None` if there was none.
         winner: Option<LogOffset>,
-        /// Who made it.
+        /// Operator who made that change.
         operator: Option<OperatorId>,
     },
     /// The change was not valid.
     Invalid,
-    /// The record could not be read.
+    /// The record could not be parsed.
     Malformed,
     /// The record is a checkpoint.
     Checkpoint,
--- a/src/records/declaration.rs
+++ b/src/records/declaration.rs
@@ -1,4 +1,4 @@
-//! What records in the stream of declarations say.
+//! The bodies of the records in the declaration stream.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,30 +12,30 @@
 pub enum DeclarationBody {
     /// An operator's change of one resource.
     Change(ResourceChange),
-    /// The state after a prefix of the stream, kept because records expire.
+    /// The state after a prefix of the stream, written because records expire.
     Checkpoint(StateCheckpoint),
 }
 
 /// An operator's change of one resource.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ResourceChange {
-    /// The resource.
+    /// The changed resource.
     pub key: ResourceKey,
-    /// Offset of the resource's latest accepted change that the operator saw,
-    /// deletions included; `None` if it saw none.
+    /// Offset of the latest accepted change of the resource, including a deletion, that
+    /// the operator saw; `None` if it saw none.
     pub based_on: Option<LogOffset>,
-    /// Who asked for the change.
+    /// Operator who requested the change.
     pub operator: OperatorId,
-    /// What to do.
+    /// The action.
     pub action: ChangeAction,
 }
 
-/// What a change does to its resource.
+/// The action of a change on its resource.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeAction {
-    /// Create or replace it.
+    /// Creates or replaces the resource.
     Put(ResourceSpec),
-    /// Delete it.
+    /// Deletes the resource.
     Delete,
 }
--- a/src/records/raw.rs
+++ b/src/records/raw.rs
@@ -1,23 +1,23 @@
-//! Reading the text of a record whose rules may be newer than this program.
+//! Parses records whose rules may be newer than this program.
 
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
 use super::{JUDGING_RULES, LogRecord};
 
-/// The text of a record, as far as it can be read.
+/// A record, parsed as far as this program can.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RawRecord<B> {
-    /// A record under rules that this program knows.
+    /// A record whose rules version this program supports.
     Known(LogRecord<B>),
-    /// A record under newer rules, whose body may have parts unknown here. It
-    /// must stop the reader from judging, not pass for a malformed one.
+    /// A record of a newer rules version, whose body may have parts unknown to this
+    /// program. It must stop the reader and must not be treated as malformed.
     NewerRules,
-    /// No record. All readers skip it alike.
+    /// Text that is not a record. All readers skip it.
     Malformed,
 }
 
-/// The part of a record that every version of the program can read.
+/// The part of a record that every program version can parse.
 #[derive(Deserialize)]
 struct RulesPart {
     rules: u32,
@@ -27,7 +27,7 @@
 where
     B: DeserializeOwned,
 {
-    /// Reads the text of a record.
+    /// Parses the text of a record.
     pub fn read(text: &str) -> Self {
         match serde_json::from_str::<RulesPart>(text) {
             Ok(part) if part.rules > JUDGING_RULES => Self::NewerRules,
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -1,4 +1,4 @@
-//! The resources that operators declare, as checked, presentation-free structs.
+//! The resources that operators declare, as plain structs with their checks.
 
 mod key;
 mod model;
--- a/src/resources/key.rs
+++ b/src/resources/key.rs
@@ -1,4 +1,4 @@
-//! Names of declared resources.
+//! Kinds and names of declared resources.
 
 use std::fmt;
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 pub enum ResourceKind {
     /// A model and its versions.
     Model,
-    /// Stages over targets that serve one version of a model.
+    /// Stages of targets that serve one version of a model.
     Pipeline,
-    /// A plain service beside the engines.
+    /// A plain service, not a model engine.
     Service,
     /// An organisation that buys capacity.
     Organisation,
@@ -25,7 +25,7 @@
 }
 
 impl ResourceKind {
-    /// Every kind; what comes later may refer to what comes before.
+    /// All kinds; a kind refers only to kinds before it.
     pub const ALL: [Self; 5] = [
         Self::Target,
         Self::Model,
@@ -34,7 +34,7 @@
         Self::Organisation,
     ];
 
-    /// The name used in URLs, TOML and tables.
+    /// Returns the name used in URLs, TOML and tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Model => "model",
@@ -59,7 +59,7 @@
 }
 
 impl ResourceKey {
-    /// Builds a key.
+    /// Creates a key.
     pub fn new(kind: ResourceKind, name: impl Into<Arc<str>>) -> Self {
         Self {
             kind,
--- a/src/resources/organisation.rs
+++ b/src/resources/organisation.rs
@@ -7,19 +7,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationSpec {
-    /// Lower-case hex SHA-256 digest of the bearer token; the token itself is
-    /// never declared.
+    /// Lower-case hex SHA-256 digest of the bearer token; the token itself is never
+    /// declared.
     pub token_digest: String,
-    /// The capacity bought.
+    /// Capacity bought.
     pub capacity: CapacitySpec,
 }
 
-/// Capacity bought by an organisation, over the whole system.
+/// Capacity that an organisation bought, for the whole system.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CapacitySpec {
-    /// Requests in flight at once.
+    /// Maximum number of concurrent requests.
     pub concurrent_requests: u32,
-    /// Requests started per second.
+    /// Maximum number of requests started per second.
     pub requests_per_second: u32,
 }
--- a/src/resources/pipeline.rs
+++ b/src/resources/pipeline.rs
@@ -1,11 +1,11 @@
-//! Pipelines: ordered stages that together hold every layer of a version.
+//! Pipelines: ordered stages that together hold all layers of a model version.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{LayerIndex, ModelId, TargetId, VersionId};
 
-/// Stages over targets that serve one version of one model.
+/// Stages of targets that serve one version of one model.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PipelineSpec {
@@ -13,11 +13,11 @@
     pub model: ModelId,
     /// Version served.
     pub version: VersionId,
-    /// Stages in order; their layer ranges tile the model.
+    /// Stages in order; their layer ranges cover the model without gap or overlap.
     pub stages: Vec<StageSpec>,
 }
 
-/// One stage: a layer range and the targets that each hold it.
+/// One stage: a layer range and the targets of which each holds the whole range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct StageSpec {
--- a/src/resources/spec.rs
+++ b/src/resources/spec.rs
@@ -1,4 +1,4 @@
-//! A declared resource of any kind, and the checks on one taken by itself.
+//! The declaration of a resource of any kind, and the checks that need no other resource.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,7 @@
     ModelSpec, OrganisationSpec, PipelineSpec, ResourceKind, ServiceSpec, StageSpec, TargetSpec,
 };
 
-/// What an operator declares about one resource.
+/// The declaration of one resource.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ResourceSpec {
@@ -23,26 +23,26 @@
     Target(TargetSpec),
 }
 
-/// Why a declared resource is not valid by itself.
+/// Why a declaration is not valid by itself.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SpecError {
-    /// A value is outside its legal range.
+    /// A value is outside its allowed range.
     #[error("{field}: {found} is not allowed, {legal}")]
     BadValue {
         /// Path of the field.
         field: String,
-        /// What was found.
+        /// Value found.
         found: String,
-        /// The legal range.
+        /// Description of the allowed range.
         legal: &'static str,
     },
 }
 
-/// Hex characters in a SHA-256 digest.
+/// Number of hex characters in a SHA-256 digest.
 const DIGEST_HEX_LENGTH: usize = 64;
 
 impl ResourceSpec {
-    /// The kind of this resource.
+    /// Returns the kind of this resource.
     pub fn kind(&self) -> ResourceKind {
         match self {
             Self::Model(_) => ResourceKind::Model,
@@ -53,10 +53,10 @@
         }
     }
 
-    /// Checks the values that can be judged without other resources.
+    /// Checks the values that can be checked without other resources.
     ///
     /// # Errors
-    /// The first field whose value is outside its legal range.
+    /// If a value is outside its allowed range; the error names the first such field.
     pub fn check(&self) -> Result<(), SpecError> {
         match self {
             Self::Model(model) => check_model(model),
@@ -86,10 +86,10 @@
     }
 }
 
-/// Checks that layer ranges start at zero and follow without gap or overlap.
+/// Checks that the layer ranges start at zero and are contiguous, without gap or overlap.
 ///
-/// A gap would leave a layer out of every answer and an overlap would run one
-/// twice; both show only as wrong text, so they are refused when declared.
+/// A gap would skip a layer and an overlap would run one twice. Both would be visible
+/// only as wrong output, so they are rejected at declaration.
 fn check_stages(stages: &[StageSpec]) -> Result<(), SpecError> {
     if stages.is_empty() {
         return Err(bad("stages", "none", "at least one stage"));
--- a/src/resources/target.rs
+++ b/src/resources/target.rs
@@ -1,4 +1,4 @@
-//! Targets: the engines and services that carry work.
+//! Targets: the engine and service processes that carry work.
 
 use std::net::SocketAddr;
 
@@ -11,26 +11,26 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct TargetSpec {
-    /// What it is.
+    /// Kind of the target.
     pub kind: TargetKind,
-    /// Availability zone in which it stands.
+    /// Availability zone of the target.
     pub zone: ZoneId,
     /// IP address and port.
     #[schemars(with = "String")]
     pub address: SocketAddr,
-    /// Accelerator kind, for display and grouping.
+    /// Kind of accelerator, for display and grouping.
     #[serde(default)]
     pub accelerator: String,
-    /// Tokens a second that the stage can carry when saturated (declared rate).
+    /// Declared rate: tokens per second that the stage handles at saturation.
     #[serde(default = "default_rate")]
     pub tokens_per_second: f64,
-    /// Steps or calls that the target runs at once.
+    /// Maximum number of concurrent steps or calls.
     #[serde(default = "default_concurrency")]
     pub concurrency: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether the target rejects orders with an old fencing number.
     #[serde(default)]
     pub fencing: FencingSupport,
-    /// Whether it takes new work.
+    /// Whether the target accepts new work.
     #[serde(default)]
     pub phase: TargetPhase,
 }
@@ -43,7 +43,7 @@
     8
 }
 
-/// The kinds of target.
+/// Kind of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetKind {
@@ -57,9 +57,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum FencingSupport {
-    /// It refuses an order whose fencing number is older than one it has seen.
+    /// The target rejects an order whose fencing number is lower than one it has seen.
     Checks,
-    /// It carries out any order.
+    /// The target executes every order.
     #[default]
     Ignores,
 }
@@ -68,9 +68,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetPhase {
-    /// It takes new work.
+    /// The target accepts new work.
     #[default]
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// The target finishes its current work and accepts no new work.
     Draining,
 }
