--- a/src/journal/commands.rs
+++ b/src/journal/commands.rs
@@ -9,25 +9,25 @@
     /// of the same subject, then whole subjects, those first about which
     /// nothing has been decided for longest.
     pub fn record(&mut self, entry: JournalEntry) {
-        self.writes += 1;
+        self.write_count += 1;
         let subject = entry.subject.clone();
         let log = self.logs.entry(subject.clone()).or_default();
-        self.ages.remove(&log.last_write);
-        self.ages.insert(self.writes, subject);
-        log.last_write = self.writes;
+        self.by_last_write.remove(&log.last_write);
+        self.by_last_write.insert(self.write_count, subject);
+        log.last_write = self.write_count;
         let before = log.entries.len();
         log.push(entry, self.bounds.subject_entries);
-        self.kept += log.entries.len() - before;
+        self.entry_total += log.entries.len() - before;
         self.evict();
     }
 
     fn evict(&mut self) {
-        while self.kept > self.bounds.entries {
-            let Some((_, subject)) = self.ages.pop_first() else {
+        while self.entry_total > self.bounds.entries {
+            let Some((_, subject)) = self.by_last_write.pop_first() else {
                 return;
             };
             let evicted = self.logs.remove(&subject).unwrap_or_default();
-            self.kept -= evicted.entries.len();
+            self.entry_total -= evicted.entries.len();
         }
     }
 }
@@ -36,8 +36,9 @@
     /// Adds an entry. A growing count of delivered tokens replaces the one
     /// before, else a long answer would push its own routing out.
     fn push(&mut self, entry: JournalEntry, bound: usize) {
-        let counts = |entry: &JournalEntry| matches!(entry.event, JournalEvent::Delivered { .. });
-        let replaces = counts(&entry) && self.entries.back().is_some_and(counts);
+        let is_delivery =
+            |entry: &JournalEntry| matches!(entry.event, JournalEvent::Delivered { .. });
+        let replaces = is_delivery(&entry) && self.entries.back().is_some_and(is_delivery);
         if replaces {
             self.entries.pop_back();
         } else if self.entries.len() == bound {
--- a/src/journal/event.rs
+++ b/src/journal/event.rs
@@ -153,13 +153,13 @@
                 reason,
                 verdict,
                 retry_after,
-            } => refused(*reason, *verdict, *retry_after),
+            } => refused_text(*reason, *verdict, *retry_after),
             Self::Routed {
                 pipeline,
                 version,
                 targets,
                 score,
-            } => routed(pipeline, version, targets, score),
+            } => routed_text(pipeline, version, targets, score),
             Self::ServiceRouted { target } => format!("routed to {target}"),
             Self::Retried {
                 stage,
@@ -170,12 +170,12 @@
                 stage,
                 target,
                 reason,
-            } => replaced(*stage, target.as_ref(), *reason),
+            } => replaced_text(*stage, target.as_ref(), *reason),
             Self::CacheMoved {
                 from,
                 to,
                 next_position,
-            } => moved(from, to, *next_position),
+            } => cache_moved_text(from, to, *next_position),
             Self::AnswerDropped { target, cause } => {
                 format!("answer of {target} dropped ({})", cause.name())
             }
@@ -184,14 +184,14 @@
                 verdict,
                 delivered,
                 reason,
-            } => finished(*verdict, *delivered, *reason),
+            } => finished_text(*verdict, *delivered, *reason),
             Self::ClaimWon { offset } => format!("claim won at offset {offset}"),
             Self::ClaimLost { holder } => format!("claim lost: {holder} holds the key"),
             Self::ClaimWithdrawn => "claim withdrawn: it did not show in time".to_owned(),
             Self::ChangeAccepted { version, operator } => {
                 format!("change by {operator} accepted as version {version}")
             }
-            Self::ChangeLost { winner, operator } => lost(*winner, operator),
+            Self::ChangeLost { winner, operator } => change_lost_text(*winner, operator),
             Self::OrderSent { target, fencing } => {
                 format!("order sent to {target} with fencing number {fencing}")
             }
@@ -203,12 +203,20 @@
     }
 }
 
-fn refused(reason: RefusalReason, verdict: RunVerdict, retry_after: Option<Duration>) -> String {
+fn refused_text(
+    reason: RefusalReason,
+    verdict: RunVerdict,
+    retry_after: Option<Duration>,
+) -> String {
     let wait = retry_after.map_or_else(String::new, |wait| format!(", to come back in {wait:.1?}"));
-    format!("refused ({}): {}{wait}", reason.name(), told(verdict))
+    format!(
+        "refused ({}): {}{wait}",
+        reason.name(),
+        verdict_text(verdict)
+    )
 }
 
-fn replaced(stage: StageIndex, target: Option<&TargetId>, reason: RetryReason) -> String {
+fn replaced_text(stage: StageIndex, target: Option<&TargetId>, reason: RetryReason) -> String {
     let reason = reason.name();
     match target {
         Some(target) => format!("stage {stage} moved to {target} ({reason})"),
@@ -216,7 +224,11 @@
     }
 }
 
-fn moved(from: &TargetId, to: &TargetId, next_position: Option<TokenPosition>) -> String {
+fn cache_moved_text(
+    from: &TargetId,
+    to: &TargetId,
+    next_position: Option<TokenPosition>,
+) -> String {
     match next_position {
         Some(next) => {
             format!("KV cache moved from {from} to {to}, which goes on at position {next}")
@@ -225,25 +237,25 @@
     }
 }
 
-fn finished(verdict: RunVerdict, delivered: u64, reason: Option<RefusalReason>) -> String {
+fn finished_text(verdict: RunVerdict, delivered: u64, reason: Option<RefusalReason>) -> String {
     match reason {
         None => format!("finished whole with {delivered} tokens"),
         Some(reason) => format!(
             "given up ({}) after {delivered} tokens: {}",
             reason.name(),
-            told(verdict)
+            verdict_text(verdict)
         ),
     }
 }
 
-fn lost(winner: Option<LogOffset>, operator: &OperatorId) -> String {
+fn change_lost_text(winner: Option<LogOffset>, operator: &OperatorId) -> String {
     match winner {
         Some(winner) => format!("change by {operator} lost to version {winner}"),
         None => format!("change by {operator} lost: no such resource"),
     }
 }
 
-fn told(verdict: RunVerdict) -> &'static str {
+fn verdict_text(verdict: RunVerdict) -> &'static str {
     match verdict {
         RunVerdict::NotRun => "it did not run",
         RunVerdict::MayHaveRun => "it may have run",
@@ -251,7 +263,7 @@
     }
 }
 
-fn routed(
+fn routed_text(
     pipeline: &PipelineId,
     version: &VersionId,
     targets: &[TargetId],
--- a/src/journal/queries.rs
+++ b/src/journal/queries.rs
@@ -26,6 +26,6 @@
 
     /// Entries kept in all.
     pub fn entry_count(&self) -> usize {
-        self.kept
+        self.entry_total
     }
 }
--- a/src/journal/table.rs
+++ b/src/journal/table.rs
@@ -34,9 +34,9 @@
     pub(super) bounds: JournalBounds,
     pub(super) logs: FastMap<JournalSubject, SubjectLog>,
     /// Subjects by their last write; the first one goes first.
-    pub(super) ages: BTreeMap<u64, JournalSubject>,
-    pub(super) writes: u64,
-    pub(super) kept: usize,
+    pub(super) by_last_write: BTreeMap<u64, JournalSubject>,
+    pub(super) write_count: u64,
+    pub(super) entry_total: usize,
 }
 
 /// The decisions about one subject, oldest first.
--- a/src/logging/bounded_writer.rs
+++ b/src/logging/bounded_writer.rs
@@ -24,9 +24,9 @@
 pub struct BoundedWriter {
     queue: SyncSender<Vec<u8>>,
     line: Vec<u8>,
-    left_out: u64,
+    dropped_lines: u64,
     allowance: f64,
-    counted_at: Instant,
+    refilled_at: Instant,
 }
 
 impl BoundedWriter {
@@ -40,32 +40,32 @@
         Self {
             queue,
             line: Vec::new(),
-            left_out: 0,
+            dropped_lines: 0,
             allowance: BURST_LINES,
-            counted_at: Instant::now(),
+            refilled_at: Instant::now(),
         }
     }
 
     fn send_line(&mut self, now: Instant) {
         let mut line = std::mem::take(&mut self.line);
-        let passed = now.saturating_duration_since(self.counted_at);
-        self.counted_at = now;
-        let earned = passed.as_secs_f64() * LINES_PER_S;
-        self.allowance = (self.allowance + earned).min(BURST_LINES);
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        self.refilled_at = now;
+        let refill = elapsed.as_secs_f64() * LINES_PER_S;
+        self.allowance = (self.allowance + refill).min(BURST_LINES);
         if self.allowance < 1.0 {
-            self.left_out += 1;
+            self.dropped_lines += 1;
             return;
         }
         self.allowance -= 1.0;
-        if self.left_out > 0 {
-            let count = self.left_out;
+        if self.dropped_lines > 0 {
+            let count = self.dropped_lines;
             line.extend_from_slice(
                 format!("{{\"message\":\"lines left out\",\"count\":\"{count}\"}}\n").as_bytes(),
             );
         }
         match self.queue.try_send(line) {
-            Ok(()) => self.left_out = 0,
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.left_out += 1,
+            Ok(()) => self.dropped_lines = 0,
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => self.dropped_lines += 1,
         }
     }
 }
--- a/src/logging/format.rs
+++ b/src/logging/format.rs
@@ -22,20 +22,20 @@
     let message = record.args().to_string();
     let level = record.level();
     let target = record.target();
-    let mut line = format!("{time} {level:<5} {target}: {}", one_line(&message));
+    let mut line = format!("{time} {level:<5} {target}: {}", escape_control(&message));
     for (key, value) in pairs(record) {
         // Writing to a string cannot fail.
-        let _ = write!(line, " {key}={}", one_line(&value));
+        let _ = write!(line, " {key}={}", escape_control(&value));
     }
     line
 }
 
 /// Escapes control characters: a line break in a text that came from outside
 /// would let its sender write log lines of his own.
-fn one_line(text: &str) -> String {
-    let escape = |letter: char| match letter.is_control() {
-        true => letter.escape_default().to_string(),
-        false => letter.to_string(),
+fn escape_control(text: &str) -> String {
+    let escape = |character: char| match character.is_control() {
+        true => character.escape_default().to_string(),
+        false => character.to_string(),
     };
     text.chars().map(escape).collect()
 }
--- a/src/logging/slog_bridge.rs
+++ b/src/logging/slog_bridge.rs
@@ -13,19 +13,19 @@
 
 /// A logger for dropshot whose lines come out with all others.
 pub fn dropshot_logger() -> Logger {
-    Logger::root(JoinDrain, o!())
+    Logger::root(LogDrain, o!())
 }
 
 /// Passes each record on to the process's `log` logger.
-struct JoinDrain;
+struct LogDrain;
 
-impl Drain for JoinDrain {
+impl Drain for LogDrain {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, record: &slog::Record<'_>, values: &OwnedKVList) -> Result<(), Never> {
         let metadata = Metadata::builder()
-            .level(joined_level(record.level()))
+            .level(log_level(record.level()))
             .target(record.module())
             .build();
         if metadata.level() > log::max_level() || !log::logger().enabled(&metadata) {
@@ -46,7 +46,7 @@
     }
 }
 
-fn joined_level(level: slog::Level) -> Level {
+fn log_level(level: slog::Level) -> Level {
     match level {
         slog::Level::Critical | slog::Level::Error => Level::Error,
         slog::Level::Warning => Level::Warn,
--- a/src/metrics/serving.rs
+++ b/src/metrics/serving.rs
@@ -19,14 +19,14 @@
     registry: Registry,
     answers: Family<CauseLabel, Counter>,
     refusals: Family<ReasonLabel, Counter>,
-    failures: Family<CauseLabel, Counter>,
+    attempt_failures: Family<CauseLabel, Counter>,
     ejections: Family<CauseLabel, Counter>,
     repairs: Family<CauseLabel, Counter>,
     orders: Family<CauseLabel, Counter>,
     store_errors: Family<CauseLabel, Counter>,
-    unreadable: Family<CauseLabel, Counter>,
+    unreadable_records: Family<CauseLabel, Counter>,
     ends_under_requests: Family<CauseLabel, Counter>,
-    limits: Family<CauseLabel, Counter>,
+    target_limits: Family<CauseLabel, Counter>,
     permits: Family<CauseLabel, Counter>,
     first_event: Histogram,
     between_events: Histogram,
@@ -40,14 +40,14 @@
             registry: Registry::with_prefix(PREFIX),
             answers: Family::default(),
             refusals: Family::default(),
-            failures: Family::default(),
+            attempt_failures: Family::default(),
             ejections: Family::default(),
             repairs: Family::default(),
             orders: Family::default(),
             store_errors: Family::default(),
-            unreadable: Family::default(),
+            unreadable_records: Family::default(),
             ends_under_requests: Family::default(),
-            limits: Family::default(),
+            target_limits: Family::default(),
             permits: Family::default(),
             first_event: latency_histogram(),
             between_events: latency_histogram(),
@@ -74,7 +74,7 @@
             (
                 "attempt_failures",
                 "Attempts without a usable answer, by cause",
-                &self.failures,
+                &self.attempt_failures,
             ),
             (
                 "ejections",
@@ -95,7 +95,7 @@
             (
                 "unreadable_records",
                 "Records of the log that were passed over, by topic",
-                &self.unreadable,
+                &self.unreadable_records,
             ),
             (
                 "ends_under_requests",
@@ -105,7 +105,7 @@
             (
                 "target_limits",
                 "Limits that targets named, by what was said",
-                &self.limits,
+                &self.target_limits,
             ),
             (
                 "permits",
@@ -169,7 +169,7 @@
 
     /// Counts an attempt without a usable answer.
     pub fn attempt_failed(&self, cause: &'static str) {
-        count(&self.failures, cause);
+        count(&self.attempt_failures, cause);
     }
 
     /// Counts a target that is taken out for a while.
@@ -189,7 +189,7 @@
 
     /// Counts a record of a topic that cannot be read.
     pub fn unreadable_record(&self, topic: &'static str) {
-        count(&self.unreadable, topic);
+        count(&self.unreadable_records, topic);
     }
 
     /// Counts a target that ended as a request began to run there.
@@ -200,7 +200,7 @@
     /// Counts an answer that changes what is known of a target's limit, or says
     /// something unusable of it.
     pub fn limit_reported(&self, what: &'static str) {
-        count(&self.limits, what);
+        count(&self.target_limits, what);
     }
 
     /// Counts a question for permits, or a request that was refused for want of one.
--- a/src/metrics/set.rs
+++ b/src/metrics/set.rs
@@ -155,33 +155,33 @@
     /// Brings every series of every closed set into being at 0.
     fn create_series(&self) {
         for kind in RequestKind::ALL.map(RequestKind::name) {
-            create(&self.in_flight, &KindLabel { kind });
+            init_series(&self.in_flight, &KindLabel { kind });
             for outcome in RequestOutcome::ALL.map(RequestOutcome::name) {
-                create(&self.requests, &RequestLabels { kind, outcome });
+                init_series(&self.requests, &RequestLabels { kind, outcome });
             }
         }
         for reason in RefusalReason::ALL.map(RefusalReason::name) {
-            create(&self.refusals, &ReasonLabel { reason });
+            init_series(&self.refusals, &ReasonLabel { reason });
         }
         for reason in RetryReason::ALL.map(RetryReason::name) {
-            create(&self.retries, &ReasonLabel { reason });
+            init_series(&self.retries, &ReasonLabel { reason });
         }
         for cause in DropCause::ALL.map(DropCause::name) {
-            create(&self.dropped_answers, &CauseLabel { cause });
+            init_series(&self.dropped_answers, &CauseLabel { cause });
         }
         for result in ClaimResult::ALL.map(ClaimResult::name) {
-            create(&self.claims, &ClaimLabel { result });
+            init_series(&self.claims, &ClaimLabel { result });
         }
         for stream in STREAMS {
             for outcome in AppendOutcome::ALL.map(AppendOutcome::name) {
-                create(&self.appends, &AppendLabels { stream, outcome });
+                init_series(&self.appends, &AppendLabels { stream, outcome });
             }
         }
     }
 }
 
 /// Brings one series into being.
-fn create<L, M>(family: &Family<L, M>, labels: &L)
+fn init_series<L, M>(family: &Family<L, M>, labels: &L)
 where
     L: Clone + Eq + Hash,
     M: Default,
--- a/src/resources/spec.rs
+++ b/src/resources/spec.rs
@@ -68,7 +68,7 @@
     }
 }
 
-fn bad<V: ToString + ?Sized>(field: &str, found: &V, legal: &'static str) -> SpecError {
+fn invalid_value<V: ToString + ?Sized>(field: &str, found: &V, legal: &'static str) -> SpecError {
     SpecError::BadValue {
         field: field.to_owned(),
         found: found.to_string(),
@@ -78,10 +78,14 @@
 
 fn check_model(model: &ModelSpec) -> Result<(), SpecError> {
     if model.version(&model.offered).is_none() {
-        return Err(bad("offered", &model.offered, "one of the versions listed"));
+        return Err(invalid_value(
+            "offered",
+            &model.offered,
+            "one of the versions listed",
+        ));
     }
     match model.versions.iter().find(|version| version.layers == 0) {
-        Some(_) => Err(bad("versions.layers", &0, "at least 1")),
+        Some(_) => Err(invalid_value("versions.layers", &0, "at least 1")),
         None => Ok(()),
     }
 }
@@ -92,26 +96,30 @@
 /// only as wrong output, so they are rejected at declaration.
 fn check_stages(stages: &[StageSpec]) -> Result<(), SpecError> {
     if stages.is_empty() {
-        return Err(bad("stages", "none", "at least one stage"));
+        return Err(invalid_value("stages", "none", "at least one stage"));
     }
     let mut expected = 0;
     for stage in stages {
         if stage.first_layer != expected {
-            return Err(bad(
+            return Err(invalid_value(
                 "stages.first_layer",
                 &stage.first_layer,
                 "the layer after the stage before",
             ));
         }
         if stage.last_layer < stage.first_layer {
-            return Err(bad(
+            return Err(invalid_value(
                 "stages.last_layer",
                 &stage.last_layer,
                 "at least first_layer",
             ));
         }
         if stage.targets.is_empty() {
-            return Err(bad("stages.targets", "none", "at least one target"));
+            return Err(invalid_value(
+                "stages.targets",
+                "none",
+                "at least one target",
+            ));
         }
         expected = stage.last_layer + 1;
     }
@@ -120,7 +128,7 @@
 
 fn check_service(service: &ServiceSpec) -> Result<(), SpecError> {
     match service.targets.is_empty() {
-        true => Err(bad("targets", "none", "at least one target")),
+        true => Err(invalid_value("targets", "none", "at least one target")),
         false => Ok(()),
     }
 }
@@ -131,27 +139,39 @@
         .bytes()
         .all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'));
     if digest.len() != DIGEST_HEX_LENGTH || !is_hex {
-        return Err(bad("token_digest", "a value", "64 lower-case hex digits"));
+        return Err(invalid_value(
+            "token_digest",
+            "a value",
+            "64 lower-case hex digits",
+        ));
     }
     if organisation.capacity.concurrent_requests == 0 {
-        return Err(bad("capacity.concurrent_requests", &0, "at least 1"));
+        return Err(invalid_value(
+            "capacity.concurrent_requests",
+            &0,
+            "at least 1",
+        ));
     }
     if organisation.capacity.requests_per_second == 0 {
-        return Err(bad("capacity.requests_per_second", &0, "at least 1"));
+        return Err(invalid_value(
+            "capacity.requests_per_second",
+            &0,
+            "at least 1",
+        ));
     }
     Ok(())
 }
 
 fn check_target(target: &TargetSpec) -> Result<(), SpecError> {
     if !target.tokens_per_second.is_finite() || target.tokens_per_second <= 0.0 {
-        return Err(bad(
+        return Err(invalid_value(
             "tokens_per_second",
             &target.tokens_per_second,
             "above 0",
         ));
     }
     if target.concurrency == 0 {
-        return Err(bad("concurrency", &0, "at least 1"));
+        return Err(invalid_value("concurrency", &0, "at least 1"));
     }
     Ok(())
 }
