--- a/src/auth.rs
+++ b/src/auth.rs
@@ -1,7 +1,7 @@
 //! Bearer tokens and the digests by which they are recognised.
 //!
-//! Only digests are declared or configured. A token lives as long as its
-//! request's head and is neither logged nor journalled.
+//! Only digests are declared or configured. A token is kept no longer than the head of
+//! its request and is neither logged nor journalled.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,9 +9,9 @@
 use sha2::{Digest, Sha256};
 use subtle::{Choice, ConstantTimeEq};
 
-/// Bytes in a SHA-256 digest.
+/// Size of a SHA-256 digest in bytes.
 const DIGEST_LENGTH: usize = 32;
-/// Scheme of the `Authorization` header, compared without regard to case.
+/// Scheme of the `Authorization` header, compared case-insensitively.
 const BEARER_SCHEME: &str = "bearer";
 
 /// SHA-256 digest of a bearer token.
@@ -19,17 +19,17 @@
 pub struct TokenDigest([u8; DIGEST_LENGTH]);
 
 impl TokenDigest {
-    /// Digests a token.
+    /// Computes the digest of a token.
     pub fn of_token(token: &str) -> Self {
         Self(Sha256::digest(token.as_bytes()).into())
     }
 
-    /// A digest from its bytes, as the settings hold it.
+    /// Creates a digest from its bytes, as the settings store it.
     pub fn from_bytes(bytes: [u8; DIGEST_LENGTH]) -> Self {
         Self(bytes)
     }
 
-    /// Reads the 64 lower-case hex digits of a declared digest.
+    /// Parses a declared digest of 64 lower-case hex digits.
     pub fn from_hex(text: &str) -> Option<Self> {
         let digits = text.as_bytes();
         if digits.len() != 2 * DIGEST_LENGTH {
@@ -42,18 +42,19 @@
         Some(Self(bytes))
     }
 
-    /// The digest as it is declared: 64 lower-case hex digits.
+    /// Returns the digest as it is declared, as 64 lower-case hex digits.
     pub fn to_hex(&self) -> String {
         self.0.iter().map(|byte| format!("{byte:02x}")).collect()
     }
 
-    /// Compares in a time that does not depend on the digests.
+    /// Compares two digests in constant time.
     pub fn matches(&self, other: &Self) -> Choice {
         self.0.ct_eq(&other.0)
     }
 }
 
-/// Shows no digit: whoever knows a digest can test guesses of a weak token.
+/// Prints no digit, because a known digest allows an attacker to test guesses of a weak
+/// token.
 impl fmt::Debug for TokenDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("TokenDigest")
@@ -68,7 +69,7 @@
     }
 }
 
-/// Who may call, with the digests of their tokens.
+/// The known callers and the digests of their tokens.
 #[derive(Debug, Clone, Default)]
 pub struct CredentialTable {
     entries: Vec<CredentialEntry>,
@@ -86,10 +87,10 @@
         self.entries.push(CredentialEntry { name, digest });
     }
 
-    /// The name whose token has this digest. If two names share a token, the
-    /// one added last is given.
-    // An early exit or a hash lookup would let a stranger learn from answer
-    // times how much of a digest is right; so every entry is compared whole.
+    /// Returns the name whose token has this digest. If several names share a token, the
+    /// one added last is returned.
+    // Every entry is compared in full: an early exit or a hash lookup would reveal
+    // through response times how much of a digest is right.
     pub fn lookup(&self, presented: &TokenDigest) -> Option<Arc<str>> {
         let mut found = None;
         for entry in &self.entries {
@@ -101,7 +102,7 @@
     }
 }
 
-/// Digests the token of an `Authorization: Bearer` header.
+/// Returns the digest of the token in an `Authorization: Bearer` header.
 pub fn bearer_digest(header: &str) -> Option<TokenDigest> {
     let (scheme, token) = header.split_once(' ')?;
     let token = token.trim();
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,15 +1,15 @@
-//! Type aliases for every identifier that crosses a module boundary.
+//! Type aliases for the identifiers that cross module boundaries.
 
 use std::sync::Arc;
 
-/// Identifies one request of a caller, unique across the whole system.
+/// Identifies one request of a caller, unique in the whole system.
 pub type RequestId = Arc<str>;
-/// What all attempts of one request share, alike on all hosts: see
+/// Key shared by all attempts of a request and equal on all hosts: see
 /// [`crate::poison::request_key`].
 pub type RequestKey = u64;
 /// The settings' name of one host of this system.
 pub type HostId = Arc<str>;
-/// A daemon's life on a host: a new one is drawn at each start.
+/// Identifies one run of a daemon on a host; a new one is drawn at each start.
 pub type IncarnationId = u64;
 /// What a host has for work besides its callers' requests, in doublings: see
 /// [`crate::membership::host_strength`].
@@ -20,7 +20,7 @@
 pub type OrganisationId = Arc<str>;
 /// Name of a declared target.
 pub type TargetId = Arc<str>;
-/// Short form of a target's id, alike on all hosts: see [`crate::fleet::target_key`].
+/// Short key of a target's id, equal on all hosts: see [`crate::fleet::target_key`].
 pub type TargetKey = u64;
 /// Name of a declared model.
 pub type ModelId = Arc<str>;
@@ -32,11 +32,11 @@
 pub type ServiceId = Arc<str>;
 /// Name of an operator, as given by the operator's credentials.
 pub type OperatorId = Arc<str>;
-/// Unique id that a writer chooses for a log record before the first append.
+/// Unique id of a log record, chosen by the writer before the first append.
 pub type RecordId = Arc<str>;
 /// Position of a record in one stream of the platform's log.
 pub type LogOffset = u64;
-/// Which attempt of a run produced something; grows by one at each repair.
+/// Number of an attempt within a run; incremented at each repair.
 pub type AttemptNumber = u32;
 /// Index of a stage in its pipeline, from zero.
 pub type StageIndex = usize;
@@ -46,5 +46,5 @@
 pub type LayerIndex = u32;
 /// One token of a model's vocabulary.
 pub type TokenValue = u64;
-/// The key with which a caller marks a non-idempotent request.
+/// Key by which repeats of a caller's non-idempotent request are recognised.
 pub type IdempotencyKey = Arc<str>;
--- a/src/journal.rs
+++ b/src/journal.rs
@@ -1,8 +1,8 @@
-//! What was decided about requests and resources, and why, for `explain`.
+//! The decisions about requests and resources with their reasons, for `explain`.
 //!
-//! Kept in memory and bounded: the journal of a subject is whole, or shows how
-//! much of its beginning is left out, or is gone. Neither tokens of a model
-//! nor bearer tokens are in it.
+//! The journal is kept in memory and bounded: the entries of a subject are complete, or
+//! lack a counted number of the oldest, or are all evicted. The journal contains neither
+//! tokens of a model nor bearer tokens.
 
 mod commands;
 mod entry;
--- a/src/journal/commands.rs
+++ b/src/journal/commands.rs
@@ -1,13 +1,12 @@
-//! Writing to the journal.
+//! Adds entries to the journal and evicts old ones.
 
 use super::entry::JournalEntry;
 use super::event::JournalEvent;
 use super::table::{JournalTable, SubjectLog};
 
 impl JournalTable {
-    /// Keeps a decision, and drops what no longer fits: the oldest decisions
-    /// of the same subject, then whole subjects, those first about which
-    /// nothing has been decided for longest.
+    /// Adds an entry and evicts what exceeds the bounds: first the oldest entries of the
+    /// same subject, then whole subjects, least recently written first.
     pub fn record(&mut self, entry: JournalEntry) {
         self.write_count += 1;
         let subject = entry.subject.clone();
@@ -33,8 +32,8 @@
 }
 
 impl SubjectLog {
-    /// Adds an entry. A growing count of delivered tokens replaces the one
-    /// before, else a long answer would push its own routing out.
+    /// Adds an entry. A count of delivered tokens replaces the one directly before it;
+    /// otherwise a long response would evict its own routing decisions.
     fn push(&mut self, entry: JournalEntry, bound: usize) {
         let is_delivery =
             |entry: &JournalEntry| matches!(entry.event, JournalEvent::Delivered { .. });
--- a/src/journal/entry.rs
+++ b/src/journal/entry.rs
@@ -1,4 +1,4 @@
-//! Entries of the journal and what they are about.
+//! Entries of the journal and their subjects.
 
 use std::fmt;
 use std::time::SystemTime;
@@ -7,7 +7,7 @@
 use crate::ids::RequestId;
 use crate::resources::{ResourceKey, ResourceKind};
 
-/// What a decision is about.
+/// The subject of a decision.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum JournalSubject {
     /// A caller's request.
@@ -17,7 +17,7 @@
 }
 
 impl JournalSubject {
-    /// Reads a subject: `KIND/NAME` of a resource, else the id of a request.
+    /// Parses a subject: `KIND/NAME` of a resource, otherwise the id of a request.
     pub fn from_text(text: &str) -> Self {
         let named = text.split_once('/').and_then(|(prefix, name)| {
             let kind = ResourceKind::ALL
@@ -44,10 +44,10 @@
 /// One decision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JournalEntry {
-    /// When it was taken.
+    /// Time of the decision.
     pub at: SystemTime,
-    /// What it is about.
+    /// Subject of the decision.
     pub subject: JournalSubject,
-    /// What was decided, and why.
+    /// The decision with its reason.
     pub event: JournalEvent,
 }
--- a/src/journal/event.rs
+++ b/src/journal/event.rs
@@ -1,4 +1,4 @@
-//! The decisions that the journal knows, and how they read.
+//! The decisions in the journal, and their texts.
 
 use std::fmt;
 use std::time::Duration;
@@ -17,85 +17,85 @@
 pub enum JournalEvent {
     /// The request may start within its organisation's capacity.
     Admitted {
-        /// Organisation that pays.
+        /// Organisation of the request.
         organisation: OrganisationId,
     },
     /// The request waits in its organisation's queue.
     Queued {
-        /// Organisation that pays.
+        /// Organisation of the request.
         organisation: OrganisationId,
     },
     /// The request was refused.
     Refused {
-        /// Why.
+        /// Reason.
         reason: RefusalReason,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         verdict: RunVerdict,
-        /// When the caller was told to come back, if it was.
+        /// Delay after which the caller may retry, if one was sent.
         retry_after: Option<Duration>,
     },
-    /// A whole pipeline was chosen.
+    /// A pipeline was chosen, with one target for each stage.
     Routed {
-        /// Pipeline chosen.
+        /// Chosen pipeline.
         pipeline: PipelineId,
-        /// Version that it serves.
+        /// Version that the pipeline serves.
         version: VersionId,
-        /// One target a stage.
+        /// One target per stage.
         targets: Vec<TargetId>,
-        /// Why this one.
+        /// Estimated time by which the path was chosen.
         score: RouteScore,
     },
     /// A target of a plain service was chosen.
     ServiceRouted {
-        /// Target chosen.
+        /// Chosen target.
         target: TargetId,
     },
-    /// A step or call is sent again.
+    /// A step or call is retried.
     Retried {
-        /// Stage concerned; 0 for a plain service.
+        /// Stage of the step; 0 for a plain service.
         stage: StageIndex,
-        /// Target asked.
+        /// Target of the retry.
         target: TargetId,
-        /// Why.
+        /// Reason.
         reason: RetryReason,
     },
-    /// Another target takes over a stage.
+    /// A stage is moved to another target.
     StageReplaced {
-        /// Stage concerned.
+        /// Stage that is moved.
         stage: StageIndex,
-        /// The new target; `None` if no usable one is left.
+        /// New target; `None` if no usable one is left.
         target: Option<TargetId>,
-        /// Why.
+        /// Reason.
         reason: RetryReason,
     },
-    /// A KV cache was moved to the target that takes over.
+    /// A KV cache was moved to a new target.
     CacheMoved {
-        /// Target that held it.
+        /// Target that held the cache.
         from: TargetId,
-        /// Target that takes over.
+        /// New target.
         to: TargetId,
-        /// Next position that it can run; `None` if the move failed.
+        /// Next position that the new target can run; `None` if the move failed.
         next_position: Option<TokenPosition>,
     },
-    /// An answer of a target was dropped.
+    /// A response of a target was dropped.
     AnswerDropped {
-        /// Target that sent it.
+        /// Target that sent the response.
         target: TargetId,
-        /// Why.
+        /// Reason.
         cause: DropCause,
     },
-    /// Tokens given to the caller so far.
+    /// Number of tokens delivered to the caller so far.
     Delivered {
-        /// Their number.
+        /// Number of tokens.
         count: u64,
     },
     /// The request ended.
     Finished {
-        /// Whether it may have run.
+        /// Whether the request may have run.
         verdict: RunVerdict,
-        /// Tokens given to the caller.
+        /// Number of tokens delivered to the caller.
         delivered: u64,
-        /// Why it was given up; `None` if the answer is whole.
+        /// Reason why the request was abandoned; `None` if the response is complete.
         reason: Option<RefusalReason>,
     },
     /// This host holds the request's idempotency key.
@@ -105,37 +105,37 @@
     },
     /// Another host holds the request's idempotency key.
     ClaimLost {
-        /// The host that holds it.
+        /// Host that holds the key.
         holder: HostId,
     },
-    /// The claim did not show up in time and was made unusable.
+    /// The claim did not appear in the log in time and was withdrawn.
     ClaimWithdrawn,
     /// A declared change was accepted.
     ChangeAccepted {
-        /// Its offset: the resource's new version.
+        /// Offset of the change, which is the resource's new version.
         version: LogOffset,
-        /// Who made it.
+        /// Operator who made the change.
         operator: OperatorId,
     },
-    /// A declared change lost a race.
+    /// A declared change lost to another change of the same resource.
     ChangeLost {
-        /// Version that stands; `None` if the resource does not exist.
+        /// Version in effect; `None` if the resource does not exist.
         winner: Option<LogOffset>,
-        /// Who made the change that lost.
+        /// Operator who made the losing change.
         operator: OperatorId,
     },
-    /// An order was sent to bring a target to its declared state.
+    /// An order was sent that brings a target to its declared state.
     OrderSent {
-        /// Target ordered.
+        /// Target of the order.
         target: TargetId,
-        /// Fencing number that the order carries.
+        /// Fencing number of the order.
         fencing: LogOffset,
     },
-    /// A target is no longer given new work.
+    /// A target is excluded from new work.
     TargetExcluded {
-        /// Target concerned.
+        /// Excluded target.
         target: TargetId,
-        /// Why.
+        /// Reason.
         reason: RetryReason,
     },
 }
@@ -177,9 +177,9 @@
                 next_position,
             } => cache_moved_text(from, to, *next_position),
             Self::AnswerDropped { target, cause } => {
-                format!("answer of {target} dropped ({})", cause.name())
+                format!("response of {target} dropped ({})", cause.name())
             }
-            Self::Delivered { count } => format!("{count} tokens given to the caller"),
+            Self::Delivered { count } => format!("{count} tokens delivered to the caller"),
             Self::Finished {
                 verdict,
                 delivered,
@@ -187,7 +187,9 @@
             } => finished_text(*verdict, *delivered, *reason),
             Self::ClaimWon { offset } => format!("claim won at offset {offset}"),
             Self::ClaimLost { holder } => format!("claim lost: {holder} holds the key"),
-            Self::ClaimWithdrawn => "claim withdrawn: it did not show in time".to_owned(),
+            Self::ClaimWithdrawn => {
+                "claim withdrawn: it did not appear in the log in time".to_owned()
+            }
             Self::ChangeAccepted { version, operator } => {
                 format!("change by {operator} accepted as version {version}")
             }
@@ -208,7 +210,7 @@
     verdict: RunVerdict,
     retry_after: Option<Duration>,
 ) -> String {
-    let wait = retry_after.map_or_else(String::new, |wait| format!(", to come back in {wait:.1?}"));
+    let wait = retry_after.map_or_else(String::new, |wait| format!(", retry after {wait:.1?}"));
     format!(
         "refused ({}): {}{wait}",
         reason.name(),
@@ -231,7 +233,7 @@
 ) -> String {
     match next_position {
         Some(next) => {
-            format!("KV cache moved from {from} to {to}, which goes on at position {next}")
+            format!("KV cache moved from {from} to {to}, which continues at position {next}")
         }
         None => format!("KV cache not moved from {from} to {to}"),
     }
@@ -239,9 +241,9 @@
 
 fn finished_text(verdict: RunVerdict, delivered: u64, reason: Option<RefusalReason>) -> String {
     match reason {
-        None => format!("finished whole with {delivered} tokens"),
+        None => format!("finished with {delivered} tokens"),
         Some(reason) => format!(
-            "given up ({}) after {delivered} tokens: {}",
+            "abandoned ({}) after {delivered} tokens: {}",
             reason.name(),
             verdict_text(verdict)
         ),
--- a/src/journal/queries.rs
+++ b/src/journal/queries.rs
@@ -1,19 +1,19 @@
-//! Reading the journal.
+//! Read access to the journal.
 
 use super::entry::{JournalEntry, JournalSubject};
 use super::table::JournalTable;
 
-/// What is known about one subject.
+/// The kept decisions about one subject.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Explanation {
     /// Decisions, oldest first.
     pub entries: Vec<JournalEntry>,
-    /// Older decisions that are no longer kept.
+    /// Number of older decisions that were dropped.
     pub dropped: u64,
 }
 
 impl JournalTable {
-    /// The decisions about a subject; empty if none is kept.
+    /// Returns the decisions about a subject; empty if none is kept.
     pub fn explain(&self, subject: &JournalSubject) -> Explanation {
         match self.logs.get(subject) {
             None => Explanation::default(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Entries kept in all.
+    /// Returns the total number of entries.
     pub fn entry_count(&self) -> usize {
         self.entry_total
     }
--- a/src/journal/table.rs
+++ b/src/journal/table.rs
@@ -5,17 +5,17 @@
 use super::entry::{JournalEntry, JournalSubject};
 use crate::collections::FastMap;
 
-/// Default number of entries in all: about 10 MB.
+/// Default total number of entries, about 10 MB.
 const DEFAULT_ENTRIES: usize = 65_536;
-/// Default number of entries of one subject.
+/// Default number of entries per subject.
 const DEFAULT_SUBJECT_ENTRIES: usize = 128;
 
-/// How much is kept.
+/// Bounds of the journal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JournalBounds {
-    /// Entries in all.
+    /// Maximum total number of entries.
     pub entries: usize,
-    /// Entries of one subject; at least 1, and at most all entries.
+    /// Maximum number of entries per subject; at least 1, and at most `entries`.
     pub subject_entries: usize,
 }
 
@@ -28,12 +28,12 @@
     }
 }
 
-/// The decisions kept.
+/// The journal: a bounded log of decisions per subject.
 #[derive(Debug, Default)]
 pub struct JournalTable {
     pub(super) bounds: JournalBounds,
     pub(super) logs: FastMap<JournalSubject, SubjectLog>,
-    /// Subjects by their last write; the first one goes first.
+    /// Subjects by their last write; the least recently written one is evicted first.
     pub(super) by_last_write: BTreeMap<u64, JournalSubject>,
     pub(super) write_count: u64,
     pub(super) entry_total: usize,
@@ -48,7 +48,8 @@
 }
 
 impl JournalTable {
-    /// An empty table. Bounds that contradict each other are raised.
+    /// Creates an empty table. Bounds that are too low or contradict each other are
+    /// raised.
     pub fn new(bounds: JournalBounds) -> Self {
         let subject_entries = bounds.subject_entries.max(1);
         Self {
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,8 +1,8 @@
-//! Logs to standard error by `log` and `fern`, as text or JSON.
+//! Logging through `log` and `fern`, as text or JSON.
 //!
-//! A line about a request carries its id as the key-value pair `request`:
-//! `log::info!(request:% = id; "answered")`. Tokens are never passed to a log
-//! macro, not even as digests.
+//! A line about a request carries the request's id as the key-value pair `request`:
+//! `log::info!(request:% = id; "answered")`. Tokens are never passed to a log macro, not
+//! even as digests.
 
 mod bounded_writer;
 mod format;
@@ -18,10 +18,10 @@
 
 pub use slog_bridge::dropshot_logger;
 
-/// Key of the pair that carries a request's id.
+/// Key of the request id in log lines.
 pub const REQUEST_KEY: &str = "request";
 
-/// Starts logging to standard error for the whole process.
+/// Installs a logger to standard error for the whole process.
 ///
 /// # Errors
 /// If a logger is already installed.
@@ -32,8 +32,7 @@
     Ok(())
 }
 
-/// Starts logging as JSON to standard output, through a queue that neither
-/// blocks nor grows.
+/// Installs a JSON logger to standard output, through a bounded queue that never blocks.
 ///
 /// # Errors
 /// If a logger is already installed.
@@ -48,7 +47,7 @@
     Ok(())
 }
 
-/// Builds a logger that writes to `writer`, and the level it needs.
+/// Returns a logger that writes to `writer`, and the level that it needs.
 pub fn logger_to<W>(options: LogOptions, writer: W) -> (LevelFilter, Box<dyn Log>)
 where
     W: Write + Send + 'static,
--- a/src/logging/bounded_writer.rs
+++ b/src/logging/bounded_writer.rs
@@ -1,25 +1,24 @@
-//! A writer whose reader may stop reading.
+//! A non-blocking log writer that drops lines when its reader is too slow.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
 use std::time::{Duration, Instant};
 
-/// Lines that wait to be written; a line has some 200 bytes, so that the queue
-/// stays below half a megabyte.
+/// Maximum number of queued lines; at about 200 bytes per line the queue stays below half
+/// a megabyte.
 const QUEUE_LINES: usize = 2048;
-/// Lines a second that are written on average: about ten times what a host
-/// writes on a day with faults, and below 1% of a core.
+/// Average rate limit in lines per second: about ten times what a host writes on a day
+/// with faults, and below 1% of a core.
 const LINES_PER_S: f64 = 400.0;
-/// Lines that may come at once: a lost engine touches some hundred requests.
+/// Burst limit in lines; the loss of one engine affects some hundred requests.
 const BURST_LINES: f64 = 800.0;
 
-/// Passes lines to a thread that writes them. When the queue is full or the
-/// lines come too fast they are left out and counted, and the count is written
-/// with the next line that fits.
+/// Passes lines to a thread that writes them. When the queue is full or the rate limit is
+/// exceeded, lines are dropped and counted, and the count is written with the next line
+/// that fits.
 ///
-/// If the reader of the log stopped reading, a direct write would block the
-/// thread that serves requests; one would notice by all requests standing
-/// still at once.
+/// A direct write would block the threads that serve requests as soon as the reader of
+/// the log stops reading; all requests would stall at once.
 #[derive(Debug)]
 pub struct BoundedWriter {
     queue: SyncSender<Vec<u8>>,
@@ -84,12 +83,12 @@
     }
 }
 
-/// Writes what is there in one go, and ends when the output is closed.
+/// Writes all queued lines at once, and returns when the output is closed.
 fn write_lines<W>(lines: &Receiver<Vec<u8>>, mut output: W)
 where
     W: Write,
 {
-    /// Pause between two writes, so that lines are written together.
+    /// Pause between two writes, so that lines are written in batches.
     const PAUSE: Duration = Duration::from_millis(100);
     while let Ok(mut text) = lines.recv() {
         while let Ok(line) = lines.try_recv() {
--- a/src/logging/format.rs
+++ b/src/logging/format.rs
@@ -1,4 +1,4 @@
-//! How one record becomes one line.
+//! Formats a log record as one line.
 
 use std::fmt::Write;
 use std::time::SystemTime;
@@ -9,7 +9,7 @@
 
 use crate::options::LogFormat;
 
-/// Formats a record as one line without its end.
+/// Formats a record as one line without a line break at its end.
 pub(super) fn format_record(format: LogFormat, record: &Record<'_>, time: SystemTime) -> String {
     match format {
         LogFormat::Text => format_text(record, time),
@@ -30,8 +30,8 @@
     line
 }
 
-/// Escapes control characters: a line break in a text that came from outside
-/// would let its sender write log lines of his own.
+/// Escapes control characters: a line break in external text would let its sender forge
+/// log lines.
 fn escape_control(text: &str) -> String {
     let escape = |character: char| match character.is_control() {
         true => character.escape_default().to_string(),
@@ -45,7 +45,7 @@
     for (key, value) in pairs(record) {
         object.insert(key, JsonValue::String(value));
     }
-    // The fixed members go in last, so that no pair can take their place.
+    // The fixed members are inserted last, so that no pair can override them.
     let time = humantime::format_rfc3339_millis(time).to_string();
     let fixed = [
         ("time", time),
@@ -61,7 +61,7 @@
 
 fn pairs(record: &Record<'_>) -> Vec<(String, String)> {
     let mut collector = PairCollector::default();
-    // The collector's own visit never fails.
+    // The collector's visit never fails.
     let _ = record.key_values().visit(&mut collector);
     collector.pairs
 }
--- a/src/logging/slog_bridge.rs
+++ b/src/logging/slog_bridge.rs
@@ -1,4 +1,4 @@
-//! Joins dropshot's own logger to `log`.
+//! Forwards dropshot's `slog` records to `log`.
 
 use std::fmt;
 
@@ -8,15 +8,15 @@
 
 use super::REQUEST_KEY;
 
-/// Dropshot's name for the id of a request.
+/// Key under which dropshot logs the id of a request.
 const DROPSHOT_REQUEST_KEY: &str = "req_id";
 
-/// A logger for dropshot whose lines come out with all others.
+/// Returns a logger for dropshot that writes to the process's `log` logger.
 pub fn dropshot_logger() -> Logger {
     Logger::root(LogDrain, o!())
 }
 
-/// Passes each record on to the process's `log` logger.
+/// Forwards each record to the process's `log` logger.
 struct LogDrain;
 
 impl Drain for LogDrain {
@@ -58,8 +58,8 @@
 
 fn collect(record: &slog::Record<'_>, values: &OwnedKVList) -> PairSerializer {
     let mut serializer = PairSerializer::default();
-    // A value that fails to format is left out of the line; the line itself
-    // matters more.
+    // A value that fails to format is omitted, so that the rest of the line is still
+    // written.
     let _ = values.serialize(record, &mut serializer);
     let _ = record.kv().serialize(record, &mut serializer);
     serializer
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Counters, gauges and histograms of one daemon.
 //!
-//! Every label value comes from a closed set, so the number of series is
-//! bounded, and each is there from the start: a reason that has never occurred
-//! shows as 0 and not as a gap.
+//! Every label value comes from a closed set, so the number of series is bounded. The
+//! series of these sets exist from the start: a reason that has never occurred is
+//! reported as 0 instead of a missing series.
 
 mod commands;
 mod labels;
--- a/src/metrics/commands.rs
+++ b/src/metrics/commands.rs
@@ -1,4 +1,4 @@
-//! What is counted and observed.
+//! Updates the counters, gauges and histograms.
 
 use std::time::Duration;
 
@@ -11,19 +11,19 @@
 use crate::reason::{RefusalReason, RetryReason};
 
 impl MetricSet {
-    /// Counts a checkpoint that contradicts what this host has replayed.
+    /// Counts a checkpoint that is damaged or differs from this host's state.
     pub fn checkpoint_differed(&self) {
         self.differing_checkpoints.inc();
     }
 
-    /// Counts a request in flight.
+    /// Counts the start of a request.
     pub fn request_begun(&self, kind: RequestKind) {
         self.in_flight
             .get_or_create(&KindLabel { kind: kind.name() })
             .inc();
     }
 
-    /// Counts the end of a request that had begun.
+    /// Counts the end of a request.
     pub fn request_ended(&self, kind: RequestKind, outcome: RequestOutcome) {
         self.in_flight
             .get_or_create(&KindLabel { kind: kind.name() })
@@ -41,25 +41,25 @@
         self.refusals.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts a step or order sent again or elsewhere.
+    /// Counts a step or order that is sent again or to another target.
     pub fn retried(&self, reason: RetryReason) {
         let reason = reason.name();
         self.retries.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts the first token of an answer, `waited` after the request's head.
+    /// Counts the first token of a response, `waited` after the head of the request.
     pub fn first_token(&self, waited: Duration) {
         self.tokens.inc();
         self.first_token.observe(waited.as_secs_f64());
     }
 
-    /// Counts a further token, `waited` after the one before.
+    /// Counts a further token, `waited` after the previous one.
     pub fn next_token(&self, waited: Duration) {
         self.tokens.inc();
         self.between_tokens.observe(waited.as_secs_f64());
     }
 
-    /// Counts an answer of a target that was dropped.
+    /// Counts a response of a target that was dropped.
     pub fn answer_dropped(&self, cause: DropCause) {
         self.dropped_answers
             .get_or_create(&CauseLabel {
@@ -68,7 +68,7 @@
             .inc();
     }
 
-    /// Counts the end of a claim on an idempotency key.
+    /// Counts the result of a claim on an idempotency key.
     pub fn claim_settled(&self, result: ClaimResult) {
         self.claims
             .get_or_create(&ClaimLabel {
@@ -77,8 +77,8 @@
             .inc();
     }
 
-    /// Counts an append. A stream that is not the system's is not counted, so
-    /// that the number of series stays bounded.
+    /// Counts an append. Streams other than the system's are not counted, so that the
+    /// number of series stays bounded.
     pub fn appended(&self, stream: &str, outcome: AppendOutcome) {
         let Some(stream) = STREAMS.into_iter().find(|known| *known == stream) else {
             return;
--- a/src/metrics/labels.rs
+++ b/src/metrics/labels.rs
@@ -4,10 +4,10 @@
 
 use crate::records::{ALLOTMENT_STREAM, CLAIM_STREAM, DECLARATION_STREAM, LEASE_STREAM};
 
-/// Shape of a request.
+/// Kind of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Tokens from a model.
+    /// Generation of tokens by a model.
     Generate,
     /// A call of a plain service.
     Service,
@@ -16,7 +16,7 @@
 impl RequestKind {
     pub(super) const ALL: [Self; 2] = [Self::Generate, Self::Service];
 
-    /// The name used in metrics.
+    /// Returns the name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Generate => "generate",
@@ -25,16 +25,16 @@
     }
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer was given.
+    /// The complete response was delivered.
     Whole,
-    /// It was refused before anything ran.
+    /// The request was refused before anything ran.
     NotRun,
-    /// It was given up when it may have run.
+    /// The request was abandoned when it may have run.
     MayHaveRun,
-    /// The caller went away first.
+    /// The caller disconnected first.
     CallerGone,
 }
 
@@ -46,7 +46,7 @@
         Self::CallerGone,
     ];
 
-    /// The name used in metrics.
+    /// Returns the name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Whole => "whole",
@@ -57,21 +57,21 @@
     }
 }
 
-/// Why an answer of a target was dropped.
+/// Why a response of a target was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DropCause {
-    /// It matched no step that was awaited: late, crossed or doubled.
+    /// The response matched no pending step: it was late, mismatched or a duplicate.
     Unmatched,
     /// The run had ended.
     RunEnded,
-    /// It could not be read.
+    /// The response could not be parsed.
     Unreadable,
 }
 
 impl DropCause {
     pub(super) const ALL: [Self; 3] = [Self::Unmatched, Self::RunEnded, Self::Unreadable];
 
-    /// The name used in metrics.
+    /// Returns the name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Unmatched => "unmatched",
@@ -81,14 +81,14 @@
     }
 }
 
-/// How a claim on an idempotency key ended.
+/// Result of a claim on an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimResult {
     /// This host holds the key.
     Won,
-    /// Another host holds it.
+    /// Another host holds the key.
     Lost,
-    /// It did not show up in time and was withdrawn.
+    /// The claim did not appear in the log in time and was withdrawn.
     Withdrawn,
     /// The log could not be written.
     Unavailable,
@@ -97,7 +97,7 @@
 impl ClaimResult {
     pub(super) const ALL: [Self; 4] = [Self::Won, Self::Lost, Self::Withdrawn, Self::Unavailable];
 
-    /// The name used in metrics.
+    /// Returns the name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Won => "won",
@@ -108,21 +108,21 @@
     }
 }
 
-/// What became of an append to the platform's log.
+/// Result of an append to the platform's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// The log gave an offset.
+    /// The log returned an offset.
     Done,
-    /// The log refused it.
+    /// The log rejected the append.
     Failed,
-    /// No answer came; it may be in the log.
+    /// No reply arrived; the record may be in the log.
     Lost,
 }
 
 impl AppendOutcome {
     pub(super) const ALL: [Self; 3] = [Self::Done, Self::Failed, Self::Lost];
 
-    /// The name used in metrics.
+    /// Returns the name used in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -132,7 +132,7 @@
     }
 }
 
-/// Every stream that the daemon appends to.
+/// All streams that the daemon appends to.
 pub(super) const STREAMS: [&str; 4] = [
     DECLARATION_STREAM,
     LEASE_STREAM,
--- a/src/metrics/queries.rs
+++ b/src/metrics/queries.rs
@@ -1,4 +1,4 @@
-//! What can be read of the metrics.
+//! Read access to the metrics.
 
 use prometheus_client::encoding::text;
 
@@ -7,30 +7,30 @@
 use crate::reason::{RefusalReason, RetryReason};
 
 impl MetricSet {
-    /// All metrics in the OpenMetrics text format.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         match text::encode(&mut text, &self.registry) {
             Ok(()) => text,
-            // Writing to memory does not fail; a metric that cannot be encoded
-            // must not pass for a whole set.
+            // Writing to memory does not fail; if a metric cannot be encoded, the error
+            // is returned instead of an incomplete set.
             Err(error) => format!("# {error}\n"),
         }
     }
 
-    /// Refusals so far for one reason.
+    /// Returns the number of refusals for a reason.
     pub fn refusal_count(&self, reason: RefusalReason) -> u64 {
         let reason = reason.name();
         self.refusals.get_or_create(&ReasonLabel { reason }).get()
     }
 
-    /// Retries so far for one reason.
+    /// Returns the number of retries for a reason.
     pub fn retry_count(&self, reason: RetryReason) -> u64 {
         let reason = reason.name();
         self.retries.get_or_create(&ReasonLabel { reason }).get()
     }
 
-    /// Requests of one shape in flight.
+    /// Returns the number of requests of a kind in flight.
     pub fn in_flight_count(&self, kind: RequestKind) -> u64 {
         let count = self
             .in_flight
@@ -39,7 +39,7 @@
         u64::try_from(count).unwrap_or(0)
     }
 
-    /// Tokens given to callers so far.
+    /// Returns the number of tokens delivered to callers.
     pub fn token_count(&self) -> u64 {
         self.tokens.get()
     }
--- a/src/metrics/serving.rs
+++ b/src/metrics/serving.rs
@@ -12,8 +12,8 @@
 use super::set::{PREFIX, latency_histogram};
 use crate::reason::RefusalReason;
 
-/// Counters and histograms of one entry host. Every label value is a name in
-/// the code, so that the number of series is bounded.
+/// Counters and histograms of one entry host. Every label value is a constant in the
+/// code, so that the number of series is bounded.
 #[derive(Debug)]
 pub struct ServingMetrics {
     registry: Registry,
@@ -68,25 +68,25 @@
         let families = [
             (
                 "answers",
-                "Answers of targets passed on, by status class",
+                "Responses of targets passed to callers, by status class",
                 &self.answers,
             ),
             (
                 "attempt_failures",
-                "Attempts without a usable answer, by cause",
+                "Attempts without a usable response, by cause",
                 &self.attempt_failures,
             ),
             (
                 "ejections",
-                "Targets taken out for a while, by cause",
+                "Temporary ejections of targets, by cause",
                 &self.ejections,
             ),
             (
                 "repairs",
-                "Requests moved, resumed or cut, by what was done",
+                "Requests moved, resumed or cut, by action",
                 &self.repairs,
             ),
-            ("orders", "Orders to engines by answer", &self.orders),
+            ("orders", "Orders to engines by result", &self.orders),
             (
                 "store_errors",
                 "Failed calls to the log service, by topic",
@@ -94,22 +94,22 @@
             ),
             (
                 "unreadable_records",
-                "Records of the log that were passed over, by topic",
+                "Records of the log that cannot be parsed, by topic",
                 &self.unreadable_records,
             ),
             (
                 "ends_under_requests",
-                "Targets that ended as a request began to run there, by what it is then",
+                "Targets that ended as a request began to run there, by verdict on the request",
                 &self.ends_under_requests,
             ),
             (
                 "target_limits",
-                "Limits that targets named, by what was said",
+                "Reports of rate limits by targets, by kind",
                 &self.target_limits,
             ),
             (
                 "permits",
-                "Questions for permits to send to targets with limits, by answer",
+                "Requests for permits to send to targets with limits, by reply",
                 &self.permits,
             ),
         ];
@@ -135,7 +135,7 @@
             ),
             (
                 "request",
-                "Time from a request's head to its whole answer",
+                "Time from a request's head to its complete response",
                 &self.whole_request,
             ),
             (
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Counts an answer of a target that was passed on, by its status.
+    /// Counts a response of a target that was passed to the caller, by its status.
     pub fn answered(&self, status: u16, took: Duration) {
         let cause = match status {
             200..300 => "success",
@@ -167,12 +167,12 @@
         self.refusals.get_or_create(&ReasonLabel { reason }).inc();
     }
 
-    /// Counts an attempt without a usable answer.
+    /// Counts an attempt without a usable response.
     pub fn attempt_failed(&self, cause: &'static str) {
         count(&self.attempt_failures, cause);
     }
 
-    /// Counts a target that is taken out for a while.
+    /// Counts the temporary ejection of a target.
     pub fn ejected(&self, cause: &'static str) {
         count(&self.ejections, cause);
     }
@@ -187,28 +187,31 @@
         count(&self.orders, answer);
     }
 
-    /// Counts a record of a topic that cannot be read.
+    /// Counts a record of a topic that cannot be parsed.
     pub fn unreadable_record(&self, topic: &'static str) {
         count(&self.unreadable_records, topic);
     }
 
-    /// Counts a target that ended as a request began to run there.
+    /// Counts a target that ended as a request began to run there, by the verdict on the
+    /// request.
     pub fn ended_under_request(&self, verdict: &'static str) {
         count(&self.ends_under_requests, verdict);
     }
 
-    /// Counts an answer that changes what is known of a target's limit, or says
-    /// something unusable of it.
+    /// Counts a response that changes the known limit of a target or carries an unusable
+    /// one.
     pub fn limit_reported(&self, what: &'static str) {
         count(&self.target_limits, what);
     }
 
-    /// Counts a question for permits, or a request that was refused for want of one.
+    /// Counts a request for permits by its reply, or a caller's request that was refused
+    /// because no permit was available.
     pub fn permit_requested(&self, answer: &'static str) {
         count(&self.permits, answer);
     }
 
-    /// Observes a call to the log service.
+    /// Observes a call to the log service, or counts it as an error if it was not
+    /// answered.
     pub fn store_called(&self, topic: &'static str, took: Duration, answered: bool) {
         match answered {
             true => self.store_call.observe(took.as_secs_f64()),
@@ -226,7 +229,7 @@
         self.between_events.observe(waited.as_secs_f64());
     }
 
-    /// All metrics in the OpenMetrics text format.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         match text::encode(&mut text, &self.registry) {
--- a/src/metrics/set.rs
+++ b/src/metrics/set.rs
@@ -18,9 +18,9 @@
 pub(super) const PREFIX: &str = "jackdawwick";
 /// Lowest bucket bound of the latency histograms, in seconds.
 const LOWEST_BUCKET: f64 = 0.001;
-/// Ratio between neighbouring bucket bounds.
+/// Ratio between adjacent bucket bounds.
 const BUCKET_FACTOR: f64 = 2.0;
-/// Number of buckets: 1 ms to about 33 s.
+/// Number of buckets, from 1 ms to about 33 s.
 const BUCKET_COUNT: u16 = 16;
 
 /// The metrics of one daemon.
@@ -82,21 +82,21 @@
         let registry = &mut self.registry;
         registry.register(
             "requests",
-            "Requests by shape and end",
+            "Requests by kind and outcome",
             self.requests.clone(),
         );
         registry.register(
             "requests_in_flight",
-            "Requests begun and not ended",
+            "Requests in flight",
             self.in_flight.clone(),
         );
         registry.register("refusals", "Refusals by reason", self.refusals.clone());
         registry.register(
             "retries",
-            "Steps and orders sent again or elsewhere, by reason",
+            "Steps and orders sent again or to another target, by reason",
             self.retries.clone(),
         );
-        registry.register("tokens", "Tokens given to callers", self.tokens.clone());
+        registry.register("tokens", "Tokens delivered to callers", self.tokens.clone());
         registry.register_with_unit(
             "first_token",
             "Time from a request's head to its first token",
@@ -105,13 +105,13 @@
         );
         registry.register_with_unit(
             "between_tokens",
-            "Time between two tokens of an answer",
+            "Time between two tokens of a response",
             Unit::Seconds,
             self.between_tokens.clone(),
         );
         registry.register(
             "dropped_answers",
-            "Answers of targets that were dropped, by cause",
+            "Responses of targets that were dropped, by cause",
             self.dropped_answers.clone(),
         );
     }
@@ -135,7 +135,7 @@
         );
         registry.register(
             "differing_checkpoints",
-            "Checkpoints in the log that are damaged or contradict this host's state",
+            "Checkpoints in the log that are damaged or differ from this host's state",
             self.differing_checkpoints.clone(),
         );
         registry.register_with_unit(
@@ -152,7 +152,7 @@
         );
     }
 
-    /// Brings every series of every closed set into being at 0.
+    /// Creates all series of the closed sets with the value 0.
     fn create_series(&self) {
         for kind in RequestKind::ALL.map(RequestKind::name) {
             init_series(&self.in_flight, &KindLabel { kind });
@@ -180,7 +180,7 @@
     }
 }
 
-/// Brings one series into being.
+/// Creates one series.
 fn init_series<L, M>(family: &Family<L, M>, labels: &L)
 where
     L: Clone + Eq + Hash,
