--- a/tests/auth.rs
+++ b/tests/auth.rs
@@ -6,7 +6,7 @@
 const ABC: &str = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
 
 #[test]
-fn a_digest_is_that_of_the_standard() {
+fn a_digest_matches_the_published_test_vector() {
     let digest = TokenDigest::of_token("abc");
     assert_eq!(digest.to_hex(), ABC);
     let declared = TokenDigest::from_hex(ABC).expect("64 digits");
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_token_stands_for_one_name() {
+fn a_token_identifies_one_caller() {
     let mut table = CredentialTable::default();
     for (name, token) in [("office", "abc"), ("atlas", "abd"), ("later", "abc")] {
         table.insert(name.into(), TokenDigest::of_token(token));
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_request_reads_as_a_story() {
+fn the_decisions_about_a_request_are_listed_in_order() {
     let mut table = JournalTable::default();
     let events = [
         JournalEvent::Queued {
@@ -87,7 +87,7 @@
 /// Sequence: a request is sent again more often than the bound on its entries.
 /// Cause: the beginning was dropped and nothing said so.
 #[test]
-fn a_cut_beginning_is_told() {
+fn dropped_entries_are_reported() {
     let bounds = JournalBounds {
         entries: 100,
         subject_entries: 3,
@@ -145,7 +145,7 @@
     })]
 
     #[test]
-    fn the_table_keeps_what_a_naive_journal_keeps(
+    fn the_table_agrees_with_a_naive_journal(
         written in prop::collection::vec((0u8..6, any::<bool>()), 0..80),
         entries in 1usize..30,
         subject_entries in 1usize..8,
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -54,7 +54,7 @@
 /// caller sends a text with a line break in it, and the daemon logs the text.
 /// Cause: the break was written as it came.
 #[test]
-fn line_breaks_in_a_message_forge_no_line() {
+fn line_breaks_in_a_message_are_escaped() {
     for format in [LogFormat::Text, LogFormat::Json] {
         let lines = write_one(format, Level::Warn, "bad path /a\n2026 INFO forged");
         assert_eq!(lines.len(), 1, "{lines:?}");
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -10,7 +10,7 @@
 /// A reason that has never occurred must show as 0: a missing series looks
 /// like a daemon that does not count it.
 #[test]
-fn every_reason_is_there_from_the_start() {
+fn every_reason_is_reported_as_zero_from_the_start() {
     let text = MetricSet::default().encode();
     for reason in RefusalReason::ALL {
         let line = format!(
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_was_counted_is_shown() {
+fn counted_events_are_reported() {
     let set = MetricSet::default();
     set.request_begun(RequestKind::Generate);
     set.request_begun(RequestKind::Generate);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -83,7 +83,7 @@
 // first. Cause: without a check of what a change was based on, the later one
 // overwrites the earlier, and neither operator learns of it.
 #[test]
-fn the_second_of_two_racing_operators_learns_who_won() {
+fn the_loser_of_two_concurrent_changes_gets_the_winner() {
     let mut table = replayed(&raises(1));
     let raise = |id, operator, bought| {
         let action = ChangeAction::Put(organisation('a', bought));
@@ -108,7 +108,7 @@
 // record again, far outside the window of ids. Cause: a deletion that leaves
 // nothing behind makes the late record look like a first declaration.
 #[test]
-fn a_repeated_declaration_does_not_bring_back_what_was_deleted() {
+fn a_repeated_declaration_does_not_restore_a_deleted_resource() {
     let windows = WindowRules {
         id_window: 1,
         ..WindowRules::CURRENT
@@ -184,7 +184,7 @@
 // later changes; other hosts read it. Cause: a reader that takes the content
 // of each checkpoint goes back to offset 3.
 #[test]
-fn an_old_checkpoint_from_a_paused_writer_reverts_nothing() {
+fn a_checkpoint_appended_late_does_not_revert_the_state() {
     let mut log = raises(6);
     let old = replayed(&log[..3]).checkpoint();
     log.push(text(&checkpoint("paused", old)));
@@ -204,7 +204,7 @@
 // appends a checkpoint of it. Cause: nothing compares the hosts' states, or a
 // hash is believed that does not belong to the content.
 #[test]
-fn a_checkpoint_of_another_state_is_told_and_not_started_from() {
+fn a_differing_or_damaged_checkpoint_is_reported_and_not_used() {
     let mut log = raises(4);
     let table = replayed(&log);
     let mut other = raises(3);
@@ -218,12 +218,12 @@
     let judgement = table
         .clone()
         .apply(4, &checkpoint("wrong", differing.clone()));
-    let told = Judgement::CheckpointDiffers {
+    let expected_judgement = Judgement::CheckpointDiffers {
         as_of: 4,
         ours: table.hash(),
         theirs: differing.hash,
     };
-    assert_eq!(judgement, Ok(told));
+    assert_eq!(judgement, Ok(expected_judgement));
 
     let mut damaged = table.checkpoint();
     damaged.resources.clear();
@@ -268,7 +268,7 @@
 // a checkpoint; meanwhile a peer relayed records to it. Cause: a table is put
 // in the place of a newer one.
 #[test]
-fn a_host_that_missed_expired_records_goes_forward_only() {
+fn a_host_that_missed_expired_records_never_goes_back() {
     let mut log = raises(6);
     log.push(text(&checkpoint("kept", replayed(&log).checkpoint())));
     let mut table = replayed(&log[..3]);
@@ -296,7 +296,7 @@
 // Cause: it takes work as soon as it holds any configuration, or lets an older
 // state replace a newer one.
 #[test]
-fn a_start_during_an_outage_waits_for_the_highest_offset_heard() {
+fn a_start_during_a_log_outage_waits_for_the_highest_known_offset() {
     let log = raises(9);
     let (older, newer) = (replayed(&log[..5]), replayed(&log));
     let relay = RecordRelay::new(KEPT);
@@ -334,7 +334,7 @@
 // Events: the log is out of reach; a peer relays; one relayed range is lost.
 // Cause: records come from the log only, or a gap in them is passed over.
 #[test]
-fn a_host_without_the_log_follows_its_peers_record_by_record() {
+fn a_host_without_the_log_catches_up_from_its_peers() {
     let log = raises(9);
     let mut peer = DeclarationTable::default();
     let mut relay = RecordRelay::new(KEPT);
@@ -374,7 +374,7 @@
 // checkpoint; the zone asks before the peer's next record. Cause: the peer
 // hands over texts from before the checkpoint, or none at all.
 #[test]
-fn a_peer_that_went_on_from_a_checkpoint_hands_over_its_state() {
+fn a_peer_that_continued_from_a_checkpoint_sends_its_state() {
     let log = raises(9);
     let mut peer = replayed(&log[..3]);
     let mut relay = RecordRelay::new(KEPT);
@@ -382,11 +382,11 @@
         relay.push(offset as LogOffset, body.clone());
     }
     peer.supersede(replayed(&log[..8])).expect("newer");
-    for asked_from in [1, 3, 5] {
-        let mut behind = replayed(&log[..asked_from as usize]);
-        let range = relay.range(asked_from, 10, &peer);
+    for requested_offset in [1, 3, 5] {
+        let mut behind = replayed(&log[..requested_offset as usize]);
+        let range = relay.range(requested_offset, 10, &peer);
         behind.apply_range(&range).expect("usable");
-        assert_eq!(behind.applied(), 8, "asked from {asked_from}");
+        assert_eq!(behind.applied(), 8, "asked from {requested_offset}");
         assert_eq!(bought(&behind), 8);
     }
     peer.apply_raw(8, &log[8]).expect("next");
@@ -401,11 +401,11 @@
 #[test]
 fn a_host_that_keeps_up_stays_ready_under_steady_changes() {
     let log = raises(20);
-    let begin = Instant::now();
+    let started_at = Instant::now();
     let mut tracker = ReadinessTracker::new(GRACE);
-    tracker.observe_applied(&replayed(&log[..1]), begin);
+    tracker.observe_applied(&replayed(&log[..1]), started_at);
     for second in 1..20 {
-        let now = begin + Duration::from_secs(second as u64);
+        let now = started_at + Duration::from_secs(second as u64);
         tracker.observe_end_offset(second as LogOffset + 1, now);
         tracker.observe_applied(&replayed(&log[..second]), now);
         assert_eq!(tracker.readiness(now), Readiness::Ready, "second {second}");
@@ -416,7 +416,7 @@
 // Events: nobody changes anything for days; the last checkpoint expires with
 // the records before it. Cause: checkpoints are due by number of records only.
 #[test]
-fn a_checkpoint_is_due_before_a_quiet_log_expires() {
+fn a_checkpoint_is_due_before_an_idle_log_expires() {
     let schedule = CheckpointSchedule {
         max_records: 4,
         max_age: Duration::from_secs(3_600),
@@ -482,7 +482,7 @@
 // another text. A change of this figure needs new judging rules, or a field
 // that is left out at its default.
 #[test]
-fn the_hash_of_a_known_state_stays_as_it_is() {
+fn the_hash_of_a_known_state_is_stable() {
     let mut table = DeclarationTable::default();
     let records = [
         put("a", "m", None, model("v1", &[("v1", 2)])),
--- a/tests/replay_model.rs
+++ b/tests/replay_model.rs
@@ -23,7 +23,7 @@
 
 /// A judgement as far as all readers must agree.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Fate {
+enum Outcome {
     Accepted,
     Lost(Option<LogOffset>),
     Duplicate(LogOffset),
@@ -32,14 +32,14 @@
     Checkpoint,
 }
 
-fn fate(judgement: &Judgement) -> Fate {
+fn outcome_of(judgement: &Judgement) -> Outcome {
     match judgement {
-        Judgement::Accepted => Fate::Accepted,
-        Judgement::Lost { winner, .. } => Fate::Lost(*winner),
-        Judgement::Duplicate { first } => Fate::Duplicate(*first),
-        Judgement::Invalid(_) => Fate::Invalid,
-        Judgement::Malformed => Fate::Malformed,
-        Judgement::CheckpointMatched | Judgement::CheckpointSkipped { .. } => Fate::Checkpoint,
+        Judgement::Accepted => Outcome::Accepted,
+        Judgement::Lost { winner, .. } => Outcome::Lost(*winner),
+        Judgement::Duplicate { first } => Outcome::Duplicate(*first),
+        Judgement::Invalid(_) => Outcome::Invalid,
+        Judgement::Malformed => Outcome::Malformed,
+        Judgement::CheckpointMatched | Judgement::CheckpointSkipped { .. } => Outcome::Checkpoint,
         other => panic!("{other:?}"),
     }
 }
@@ -62,21 +62,25 @@
 impl NaiveState {
     fn spec(&self, kind: ResourceKind, name: &str) -> Option<&ResourceSpec> {
         let wanted = key(kind, name);
-        let mut found = self.resources.iter().filter(|one| one.key == wanted);
-        found.next().map(|one| &one.spec)
+        let mut found = self
+            .resources
+            .iter()
+            .filter(|resource| resource.key == wanted);
+        found.next().map(|resource| &resource.spec)
     }
 
     fn latest(&self, key: &ResourceKey) -> Option<LogOffset> {
-        let resource = self.resources.iter().find(|one| one.key == *key);
-        let tombstone = self.tombstones.iter().find(|(dead, _)| dead == key);
+        let resource = self.resources.iter().find(|resource| resource.key == *key);
+        let tombstone = self.tombstones.iter().find(|(deleted, _)| deleted == key);
         resource
-            .map(|one| one.version)
+            .map(|resource| resource.version)
             .or(tombstone.map(|(_, version)| *version))
     }
 
-    fn carry_out(&mut self, version: LogOffset, change: &ResourceChange) {
-        self.resources.retain(|one| one.key != change.key);
-        self.tombstones.retain(|(dead, _)| *dead != change.key);
+    fn apply(&mut self, version: LogOffset, change: &ResourceChange) {
+        self.resources.retain(|resource| resource.key != change.key);
+        self.tombstones
+            .retain(|(deleted, _)| *deleted != change.key);
         match &change.action {
             ChangeAction::Put(spec) => self.resources.push(NaiveResource {
                 key: change.key.clone(),
@@ -91,10 +95,10 @@
     }
 
     /// Whether every resource is whole: judged on the state as it would be.
-    fn whole(&self) -> bool {
+    fn is_consistent(&self) -> bool {
         let mut digests = Vec::new();
-        for one in &self.resources {
-            let whole = match &one.spec {
+        for resource in &self.resources {
+            let is_valid = match &resource.spec {
                 ResourceSpec::Pipeline(pipeline) => {
                     let Some(ResourceSpec::Model(model)) =
                         self.spec(ResourceKind::Model, &pipeline.model)
@@ -124,7 +128,10 @@
                 }
                 ResourceSpec::Model(_) | ResourceSpec::Target(_) => true,
             };
-            if !whole || one.spec.check().is_err() || one.spec.kind() != one.key.kind {
+            if !is_valid
+                || resource.spec.check().is_err()
+                || resource.spec.kind() != resource.key.kind
+            {
                 return false;
             }
         }
@@ -141,19 +148,19 @@
 
 /// Judges every record of a log, keeping nothing but lists.
 struct NaiveReplay {
-    fates: Vec<Fate>,
+    judgements: Vec<Outcome>,
     states: Vec<NaiveState>,
 }
 
 fn naive_replay(log: &[String]) -> NaiveReplay {
     let mut replay = NaiveReplay {
-        fates: Vec::new(),
+        judgements: Vec::new(),
         states: vec![NaiveState::default()],
     };
     for offset in 0..log.len() {
         let mut state = replay.states[offset].clone();
-        let fate = naive_judge(log, offset, &replay.fates, &mut state);
-        replay.fates.push(fate);
+        let outcome = naive_judge(log, offset, &replay.judgements, &mut state);
+        replay.judgements.push(outcome);
         replay.states.push(state);
     }
     replay
@@ -164,39 +171,47 @@
     value["id"].as_str().map(str::to_owned)
 }
 
-fn naive_judge(log: &[String], offset: usize, fates: &[Fate], state: &mut NaiveState) -> Fate {
+fn naive_judge(
+    log: &[String],
+    offset: usize,
+    judgements: &[Outcome],
+    state: &mut NaiveState,
+) -> Outcome {
     let Some(id) = id_of(&log[offset]) else {
-        return Fate::Malformed;
+        return Outcome::Malformed;
     };
     let window = usize::try_from(WINDOWS.id_window).expect("small");
     for earlier in offset.saturating_sub(window)..offset {
         let same = id_of(&log[earlier]).is_some_and(|other| other == id);
-        if same && !matches!(fates[earlier], Fate::Duplicate(_)) {
-            return Fate::Duplicate(earlier as LogOffset);
+        if same && !matches!(judgements[earlier], Outcome::Duplicate(_)) {
+            return Outcome::Duplicate(earlier as LogOffset);
         }
     }
     let change = match serde_json::from_str::<DeclarationRecord>(&log[offset]) {
-        Err(_) => return Fate::Malformed,
+        Err(_) => return Outcome::Malformed,
         Ok(record) => match record.body {
-            DeclarationBody::Checkpoint(_) => return Fate::Checkpoint,
+            DeclarationBody::Checkpoint(_) => return Outcome::Checkpoint,
             DeclarationBody::Change(change) => change,
         },
     };
     let latest = state.latest(&change.key);
     if latest != change.based_on {
-        return Fate::Lost(latest);
+        return Outcome::Lost(latest);
     }
-    let known = state.resources.iter().any(|one| one.key == change.key);
+    let known = state
+        .resources
+        .iter()
+        .any(|resource| resource.key == change.key);
     if change.action == ChangeAction::Delete && !known {
-        return Fate::Invalid;
+        return Outcome::Invalid;
     }
     let mut next = state.clone();
-    next.carry_out(offset as LogOffset, &change);
-    if !next.whole() {
-        return Fate::Invalid;
+    next.apply(offset as LogOffset, &change);
+    if !next.is_consistent() {
+        return Outcome::Invalid;
     }
     *state = next;
-    Fate::Accepted
+    Outcome::Accepted
 }
 
 /// What the log gets next.
@@ -305,11 +320,13 @@
                 .expect("no gap");
             held.push(table);
         }
-        let seen = |lag: usize| &held[log.len().saturating_sub(lag)];
+        let table_at = |lag: usize| &held[log.len().saturating_sub(lag)];
         let id = format!("record-{number}");
         let body = match step {
             LogStep::Change { key, action, lag } => {
-                let based_on = seen(*lag).latest_change(key).map(|latest| latest.version);
+                let based_on = table_at(*lag)
+                    .latest_change(key)
+                    .map(|latest| latest.version);
                 text(&change(&id, "nino", key, based_on, action.clone()))
             }
             LogStep::Guess {
@@ -318,7 +335,7 @@
                 based_on,
             } => text(&change(&id, "amine", key, *based_on, action.clone())),
             LogStep::Repeat { back } => log[log.len().saturating_sub(*back)].clone(),
-            LogStep::Checkpoint { lag } => text(&checkpoint(&id, seen(*lag).checkpoint())),
+            LogStep::Checkpoint { lag } => text(&checkpoint(&id, table_at(*lag).checkpoint())),
             LogStep::Garbage { readable: false } => format!("{{\"id\": \"{id}\", \"rules\": "),
             LogStep::Garbage { readable: true } => {
                 format!("{{\"id\": \"{id}\", \"rules\": 1, \"body\": 5}}")
@@ -345,7 +362,7 @@
             spec: entry.resource.spec.clone(),
         })
         .collect();
-    resources.sort_by(|one, other| one.key.cmp(&other.key));
+    resources.sort_by(|left, right| left.key.cmp(&right.key));
     let mut tombstones: Vec<_> = table
         .checkpoint()
         .tombstones
@@ -363,7 +380,7 @@
     let mut state = state.clone();
     state
         .resources
-        .sort_by(|one, other| one.key.cmp(&other.key));
+        .sort_by(|left, right| left.key.cmp(&right.key));
     state
 }
 
@@ -379,7 +396,12 @@
         let at = offset as LogOffset;
         prop_assert!(table.apply_raw(at + 1, body).is_err(), "a gap was taken");
         let judgement = table.apply_raw(at, body).expect("no gap");
-        prop_assert_eq!(&fate(&judgement), &naive.fates[offset], "at {}", offset);
+        prop_assert_eq!(
+            &outcome_of(&judgement),
+            &naive.judgements[offset],
+            "at {}",
+            offset
+        );
         let before = table.hash();
         prop_assert_eq!(table.apply_raw(at, body), Ok(Judgement::AlreadyApplied));
         prop_assert_eq!(table.hash(), before);
@@ -398,7 +420,7 @@
     Ok(())
 }
 
-fn outcomes_agree(
+fn check_recent_judgements(
     table: &DeclarationTable,
     log: &[String],
     naive: &NaiveReplay,
@@ -408,13 +430,13 @@
         let Some(id) = id_of(&log[offset]) else {
             continue;
         };
-        let is_first = !matches!(naive.fates[offset], Fate::Duplicate(_));
+        let is_first = !matches!(naive.judgements[offset], Outcome::Duplicate(_));
         if !is_first || offset + window < log.len() {
             continue;
         }
         let outcome = table.judgement_of(&id).expect("in the window");
         prop_assert_eq!(outcome.offset, offset as LogOffset);
-        prop_assert_eq!(&fate(&outcome.judgement), &naive.fates[offset]);
+        prop_assert_eq!(&outcome_of(&outcome.judgement), &naive.judgements[offset]);
     }
     Ok(())
 }
@@ -428,14 +450,14 @@
 }
 
 #[test]
-fn every_reader_agrees_with_the_naive_version() {
+fn every_reader_agrees_with_the_naive_model() {
     let config = ProptestConfig {
         rng_seed: RngSeed::Fixed(0x5eed_0004),
         cases: 200,
         failure_persistence: None,
         ..ProptestConfig::default()
     };
-    let seen = RefCell::new(BTreeMap::<String, usize>::new());
+    let counts = RefCell::new(BTreeMap::<String, usize>::new());
     let mut runner = TestRunner::new(config);
     let steps = proptest::collection::vec(log_step(), 1..60);
     let result = runner.run(&steps, |steps| {
@@ -443,24 +465,27 @@
         let naive = naive_replay(&log);
         let mut table = DeclarationTable::new(WINDOWS);
         follow(&mut table, &log, &naive)?;
-        outcomes_agree(&table, &log, &naive)?;
+        check_recent_judgements(&table, &log, &naive)?;
         for state in log.iter().filter_map(|body| checkpoint_in(body)) {
             let mut late = DeclarationTable::restore(WINDOWS, &state).expect("whole");
             follow(&mut late, &log, &naive)?;
-            outcomes_agree(&late, &log, &naive)?;
+            check_recent_judgements(&late, &log, &naive)?;
             prop_assert_eq!(late.hash(), table.hash());
-            *seen.borrow_mut().entry("restarted".to_owned()).or_default() += 1;
+            *counts
+                .borrow_mut()
+                .entry("restarted".to_owned())
+                .or_default() += 1;
         }
-        for fate in &naive.fates {
-            let name = format!("{fate:?}");
+        for outcome in &naive.judgements {
+            let name = format!("{outcome:?}");
             let name = name.split('(').next().unwrap_or_default().to_owned();
-            *seen.borrow_mut().entry(name).or_default() += 1;
+            *counts.borrow_mut().entry(name).or_default() += 1;
         }
         Ok(())
     });
     result.expect("readers agree");
     // The comparison says nothing about what the logs never held.
-    let seen = seen.into_inner();
+    let counts = counts.into_inner();
     for name in [
         "Accepted",
         "Lost",
@@ -471,8 +496,8 @@
         "restarted",
     ] {
         assert!(
-            seen.get(name).is_some_and(|count| *count >= 300),
-            "{name}: {seen:?}"
+            counts.get(name).is_some_and(|count| *count >= 300),
+            "{name}: {counts:?}"
         );
     }
 }
@@ -514,7 +539,7 @@
 }
 
 #[test]
-fn a_start_gives_the_state_of_the_whole_log() {
+fn a_start_yields_the_state_of_the_whole_log() {
     let config = ProptestConfig {
         rng_seed: RngSeed::Fixed(0x5eed_0005),
         cases: 400,
@@ -557,12 +582,14 @@
             StartDecision::Started(table) => {
                 let end = usize::try_from(table.applied()).expect("small");
                 prop_assert_eq!(end, moving.end);
-                let mut whole = DeclarationTable::new(WINDOWS);
+                let mut replayed = DeclarationTable::new(WINDOWS);
                 for (offset, body) in log[..end].iter().enumerate() {
-                    whole.apply_raw(offset as LogOffset, body).expect("no gap");
+                    replayed
+                        .apply_raw(offset as LogOffset, body)
+                        .expect("no gap");
                 }
-                prop_assert_eq!(table.hash(), whole.hash());
-                prop_assert_eq!(state_of(&table), state_of(&whole));
+                prop_assert_eq!(table.hash(), replayed.hash());
+                prop_assert_eq!(state_of(&table), state_of(&replayed));
                 outcomes.borrow_mut()[0] += 1;
                 outcomes.borrow_mut()[1] += usize::from(moving.first > 0);
             }
