--- a/tests/auth.rs
+++ b/tests/auth.rs
@@ -1,8 +1,8 @@
-//! Tokens, their digests and who they stand for.
+//! Bearer tokens, their digests and the callers that they identify.
 
 use jackdawwick::auth::{CredentialTable, TokenDigest, bearer_digest};
 
-/// SHA-256 of `abc`, from the standard's examples.
+/// SHA-256 of `abc`, from the examples of the standard.
 const ABC: &str = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
 
 #[test]
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal: bounded, and honest about what it no longer knows.
+//! The journal is bounded and reports how many entries it dropped.
 
 use std::time::{Duration, SystemTime};
 
@@ -83,9 +83,8 @@
     assert_eq!(request, JournalSubject::Request("a/b".into()));
 }
 
-/// Symptom: `explain` shows a request that begins with a retry.
-/// Sequence: a request is sent again more often than the bound on its entries.
-/// Cause: the beginning was dropped and nothing said so.
+/// A request is retried more often than the bound on its entries. `explain` must report
+/// the dropped entries; otherwise the request appears to begin with a retry.
 #[test]
 fn dropped_entries_are_reported() {
     let bounds = JournalBounds {
@@ -102,7 +101,8 @@
     assert_eq!(view.entries[0].text, "5 earlier decisions left out");
 }
 
-/// A naive journal: every entry ever written, cut down when it is read.
+/// Returns the entries that a naive journal keeps, which applies the bounds by scans, and
+/// the number of dropped ones.
 fn naive_explain(written: &[(u8, bool)], wanted: u8, bounds: JournalBounds) -> (Vec<usize>, u64) {
     let mut kept: Vec<(u8, Vec<usize>, u64)> = Vec::new();
     for (index, (subject, delivered)) in written.iter().enumerate() {
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines in both formats, and dropshot's lines among them.
+//! Log lines in both formats, including those of dropshot.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -50,9 +50,8 @@
     buffer.lines()
 }
 
-/// Symptom: the log shows a line that the daemon never wrote. Sequence: a
-/// caller sends a text with a line break in it, and the daemon logs the text.
-/// Cause: the break was written as it came.
+/// A caller sends a text with a line break and the daemon logs it. An unescaped line
+/// break would let the caller forge a log line.
 #[test]
 fn line_breaks_in_a_message_are_escaped() {
     for format in [LogFormat::Text, LogFormat::Json] {
@@ -81,7 +80,7 @@
     assert!(write_one(LogFormat::Text, Level::Debug, "quiet").is_empty());
 }
 
-/// The only test that installs the process's logger.
+/// This is the only test that installs the process's logger.
 #[test]
 fn dropshot_lines_come_out_with_the_request_id() {
     let buffer = SharedBuffer::default();
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics that a daemon offers.
+//! The metrics that a daemon exports.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 };
 use jackdawwick::reason::{RefusalReason, RetryReason};
 
-/// A reason that has never occurred must show as 0: a missing series looks
-/// like a daemon that does not count it.
+/// A reason that has never occurred must be reported as 0: a missing series looks like a
+/// daemon that does not count it.
 #[test]
 fn every_reason_is_reported_as_zero_from_the_start() {
     let text = MetricSet::default().encode();
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Failures that replay has to stand: races, lost answers, expiry, outages.
+//! Failures that replay must tolerate: races, lost replies, expiry and outages.
 
 mod replay_fixtures;
 
@@ -25,7 +25,7 @@
     key(ResourceKind::Organisation, "tbilisi")
 }
 
-/// A log in which each record raises what one organisation bought.
+/// Returns a log in which each record raises the capacity of one organisation.
 fn raises(count: u64) -> Vec<String> {
     let raise = |number: u64| {
         let spec = organisation('a', u32::try_from(number + 1).expect("small"));
@@ -52,7 +52,7 @@
     organisation.capacity.concurrent_requests
 }
 
-/// What the log answers when it keeps the records from `first` on.
+/// Returns the answer of a log that retains the records from `first` on.
 fn answer(log: &[String], first: usize) -> ReadAnswer {
     let kept = log.iter().enumerate().skip(first);
     ReadAnswer {
@@ -78,10 +78,8 @@
     }
 }
 
-// Symptom: an operator's change vanishes without a word.
-// Events: two operators read version 0; both change it; the log puts Amine's
-// first. Cause: without a check of what a change was based on, the later one
-// overwrites the earlier, and neither operator learns of it.
+// Two operators read version 0 and both change it. Without the check of `based_on`, the
+// later change in the log would silently overwrite the earlier one.
 #[test]
 fn the_loser_of_two_concurrent_changes_gets_the_winner() {
     let mut table = replayed(&raises(1));
@@ -102,11 +100,9 @@
     assert_eq!(table.judgement_of("two").expect("recent").judgement, lost);
 }
 
-// Symptom: an organisation that was deleted is back.
-// Events: the answer to its first declaration is lost; the writer is paused;
-// another operator deletes the organisation; the writer wakes and appends its
-// record again, far outside the window of ids. Cause: a deletion that leaves
-// nothing behind makes the late record look like a first declaration.
+// The reply to the first declaration of an organisation is lost, another operator deletes
+// the organisation, and the paused writer then repeats its append, outside the id window.
+// Without a tombstone the repeated record would count as a first declaration.
 #[test]
 fn a_repeated_declaration_does_not_restore_a_deleted_resource() {
     let windows = WindowRules {
@@ -138,10 +134,9 @@
     assert_eq!(table.apply(4, &anew), Ok(Judgement::Accepted));
 }
 
-// Symptom: hosts of one system hold different configurations after an upgrade
-// of some of them. Events: an upgraded host appends a record of newer rules,
-// with a body of a form that the others do not know. Cause: a host that judges
-// such a record by its own rules, or skips it as malformed, goes its own way.
+// An upgraded host appends a record of newer rules whose body the other hosts cannot
+// parse. A host that judged the record by its own rules, or skipped it as malformed,
+// would diverge from the others.
 #[test]
 fn a_record_of_newer_rules_stops_the_table() {
     let mut table = replayed(&raises(2));
@@ -179,10 +174,9 @@
     assert!(matches!(error, CheckpointError::UnknownRules { .. }));
 }
 
-// Symptom: capacity that was raised falls back to an older figure.
-// Events: a host takes a checkpoint as of 3, is paused, and appends it after
-// later changes; other hosts read it. Cause: a reader that takes the content
-// of each checkpoint goes back to offset 3.
+// A host takes a checkpoint as of offset 3, is paused, and appends it after later
+// changes. A reader that adopted the content of every checkpoint would go back to offset
+// 3.
 #[test]
 fn a_checkpoint_appended_late_does_not_revert_the_state() {
     let mut log = raises(6);
@@ -194,15 +188,14 @@
         Ok(Judgement::CheckpointMatched)
     );
     assert_eq!(bought(&table), 6);
-    // Who starts with it in hand replays what came after offset 3.
+    // A start from this checkpoint replays the records after offset 3.
     let late = started(start(&log, 3));
     assert_eq!((bought(&late), late.hash()), (6, table.hash()));
 }
 
-// Symptom: one host in eight refuses callers that the others know.
-// Events: its state went wrong (a fault in memory, a program error); it
-// appends a checkpoint of it. Cause: nothing compares the hosts' states, or a
-// hash is believed that does not belong to the content.
+// A host whose state is wrong appends a checkpoint of it. Without comparing states, or by
+// trusting a hash that does not match its content, other hosts would not detect the fault
+// or would start from the wrong state.
 #[test]
 fn a_differing_or_damaged_checkpoint_is_reported_and_not_used() {
     let mut log = raises(4);
@@ -241,10 +234,8 @@
     assert!(matches!(start(&log, 4), StartDecision::NotReady(_)));
 }
 
-// Symptom: a new host serves a configuration with changes missing.
-// Events: a checkpoint as of 2 is appended at offset 5; the records up to 3
-// expire; a host starts. Cause: the checkpoint is still in the log, but the
-// changes 2 and 3 that it lacks are not.
+// A checkpoint as of 2 is appended at offset 5 and the records up to 3 expire. The
+// checkpoint is still in the log, but the changes 2 and 3 that it lacks are not.
 #[test]
 fn a_checkpoint_is_not_used_when_records_after_its_state_have_expired() {
     let mut log = raises(5);
@@ -256,17 +247,15 @@
         matches!(&decision, StartDecision::NotReady(found) if *found == obstacle),
         "{decision:?}"
     );
-    // Another host appends a newer one: the same planner goes on from there.
+    // Once another host appends a newer checkpoint, the same planner succeeds.
     let mut planner = StartPlanner::new(WindowRules::CURRENT, 1_000);
     planner.on_read(&answer(&log, 4));
     log.push(text(&checkpoint("new", replayed(&log).checkpoint())));
     assert_eq!(bought(&started(planner.on_read(&answer(&log, 4)))), 5);
 }
 
-// Symptom: a host that was cut off for long never catches up, or falls back.
-// Events: it holds offset 3; the log has expired up to 6; it starts anew from
-// a checkpoint; meanwhile a peer relayed records to it. Cause: a table is put
-// in the place of a newer one.
+// A host at offset 3 restarts from a checkpoint because the log has expired up to 6,
+// while a peer relays records to it. A table must not be replaced by an older one.
 #[test]
 fn a_host_that_missed_expired_records_never_goes_back() {
     let mut log = raises(6);
@@ -290,11 +279,9 @@
     assert_eq!(bought(&table), 8);
 }
 
-// Symptom: a host started in an outage of the log serves an old configuration.
-// Events: the log is down; one peer holds offset 9, another 5; the host hears
-// both in turn, is handed the older state, the newer, and the older again.
-// Cause: it takes work as soon as it holds any configuration, or lets an older
-// state replace a newer one.
+// During a log outage a host learns offsets 9 and 5 from two peers and receives the older
+// state, the newer one, and the older one again. It must not accept work before it
+// reaches the highest known offset, and an older state must not replace a newer one.
 #[test]
 fn a_start_during_a_log_outage_waits_for_the_highest_known_offset() {
     let log = raises(9);
@@ -329,10 +316,8 @@
     assert_eq!(bought(&table), 9);
 }
 
-// Symptom: an availability zone cut off from the platform stays on the
-// configuration of the moment, though its peers elsewhere have a newer one.
-// Events: the log is out of reach; a peer relays; one relayed range is lost.
-// Cause: records come from the log only, or a gap in them is passed over.
+// The log is unreachable for a zone, a peer relays records, and one relayed range is
+// lost. The host must accept records from peers and must detect the gap.
 #[test]
 fn a_host_without_the_log_catches_up_from_its_peers() {
     let log = raises(9);
@@ -369,10 +354,9 @@
     assert_eq!(relay.range(6, 2, &peer).records.len(), 2);
 }
 
-// Symptom: a cut-off zone stays behind although its peers hold the newest
-// state. Events: the peer has missed expired records and gone on from a
-// checkpoint; the zone asks before the peer's next record. Cause: the peer
-// hands over texts from before the checkpoint, or none at all.
+// A peer has missed expired records and continued from a checkpoint; a host asks it
+// before its next record. The peer must send its state instead of texts from before the
+// checkpoint, or nothing.
 #[test]
 fn a_peer_that_continued_from_a_checkpoint_sends_its_state() {
     let log = raises(9);
@@ -394,9 +378,8 @@
     assert_eq!(relay.range(8, 10, &peer).records.len(), 1);
 }
 
-// Symptom: under a steady stream of changes every host turns unready.
-// Events: each heartbeat names a newer offset before the last was applied.
-// Cause: the time behind is counted from the first change, although each
+// Each heartbeat names a newer offset before the previous one was applied. If the lag
+// were counted from the first change, every host would become unready although each
 // record arrives in time.
 #[test]
 fn a_host_that_keeps_up_stays_ready_under_steady_changes() {
@@ -412,9 +395,8 @@
     }
 }
 
-// Symptom: no host can start any more, though nothing was ever wrong.
-// Events: nobody changes anything for days; the last checkpoint expires with
-// the records before it. Cause: checkpoints are due by number of records only.
+// No change is made for days and the last checkpoint expires with the records before it.
+// If checkpoints were due by number of records only, no host could start any more.
 #[test]
 fn a_checkpoint_is_due_before_an_idle_log_expires() {
     let schedule = CheckpointSchedule {
@@ -447,10 +429,9 @@
     assert!(table.should_checkpoint(&horizon(3, 0), &schedule));
 }
 
-// Symptom: a new host finds no usable state in the log for some seconds, for
-// ever if all hosts are lost meanwhile. Events: records expire by number; the
-// newest checkpoint's state expires before the next checkpoint is appended.
-// Cause: one is due only when the newest has become useless.
+// Records expire by number, and the state of the newest checkpoint expires before the
+// next checkpoint is appended. Until then no host could start, and if all hosts were lost
+// the configuration would be lost.
 #[test]
 fn a_checkpoint_is_due_before_the_newest_one_expires() {
     let schedule = CheckpointSchedule {
@@ -476,11 +457,9 @@
     panic!("never due");
 }
 
-// Symptom: after an upgrade new hosts take every checkpoint for a damaged one.
-// Events: a program version writes a resource's JSON with one field more; it
-// starts from a checkpoint of the version before. Cause: the hash is taken of
-// another text. A change of this figure needs new judging rules, or a field
-// that is left out at its default.
+// A program version that serializes a resource differently, such as with an additional
+// field, would reject the checkpoints of the previous version as damaged. A different
+// hash needs new judging rules, or a field that is omitted at its default.
 #[test]
 fn the_hash_of_a_known_state_is_stable() {
     let mut table = DeclarationTable::default();
--- a/tests/replay_fixtures/mod.rs
+++ b/tests/replay_fixtures/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to declarations and their records.
+//! Helpers that build declarations and their records.
 
 #![allow(dead_code, reason = "each test file uses a part of them")]
 
@@ -97,7 +97,7 @@
     })
 }
 
-/// A pipeline whose stages end with the layers given, each on one target.
+/// Returns a pipeline whose stages end at the given layers, with one target each.
 pub(crate) fn pipeline(model: &str, version: &str, stages: &[(u32, &str)]) -> ResourceSpec {
     let mut first_layer = 0;
     let mut specs = Vec::new();
--- a/tests/replay_model.rs
+++ b/tests/replay_model.rs
@@ -1,5 +1,5 @@
-//! Replay against a naive version that keeps every record and judges each
-//! from scratch by linear scans.
+//! Compares replay with a naive model that keeps every record and judges each by linear
+//! scans.
 
 mod replay_fixtures;
 
@@ -15,13 +15,13 @@
 use proptest::test_runner::{RngSeed, TestRunner};
 use replay_fixtures::*;
 
-/// Small, so that a log of some dozen records runs out of both windows.
+/// Small windows, so that a log of some dozen records exceeds both.
 const WINDOWS: WindowRules = WindowRules {
     id_window: 8,
     tombstone_limit: 2,
 };
 
-/// A judgement as far as all readers must agree.
+/// The part of a judgement on which all readers must agree.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Outcome {
     Accepted,
@@ -44,7 +44,7 @@
     }
 }
 
-/// One resource as the naive version sees it.
+/// A resource of the naive model.
 #[derive(Debug, Clone, PartialEq)]
 struct NaiveResource {
     key: ResourceKey,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether every resource is whole: judged on the state as it would be.
+    /// Returns whether every resource of the state is valid.
     fn is_consistent(&self) -> bool {
         let mut digests = Vec::new();
         for resource in &self.resources {
@@ -146,7 +146,7 @@
     }
 }
 
-/// Judges every record of a log, keeping nothing but lists.
+/// The judgements and states of the naive model for every record of a log.
 struct NaiveReplay {
     judgements: Vec<Outcome>,
     states: Vec<NaiveState>,
@@ -214,26 +214,26 @@
     Outcome::Accepted
 }
 
-/// What the log gets next.
+/// A step that appends a record to the log.
 #[derive(Debug, Clone)]
 enum LogStep {
-    /// An operator changes what it saw `lag` records ago.
+    /// An operator changes the state that it saw `lag` records ago.
     Change {
         key: ResourceKey,
         action: ChangeAction,
         lag: usize,
     },
-    /// An operator names a version at random.
+    /// An operator bases a change on a random version.
     Guess {
         key: ResourceKey,
         action: ChangeAction,
         based_on: Option<LogOffset>,
     },
-    /// A writer whose append answer was lost appends the record again.
+    /// A writer whose append got no reply repeats the append.
     Repeat { back: usize },
-    /// A writer appends the state that it held `lag` records ago.
+    /// A writer appends a checkpoint of its state `lag` records ago.
     Checkpoint { lag: usize },
-    /// Something else writes to the stream; its id may be readable.
+    /// Another program writes to the stream; the id of its record may be readable.
     Garbage { readable: bool },
 }
 
@@ -301,7 +301,7 @@
     ]
 }
 
-/// Builds the log by the steps, as the operators' hosts would.
+/// Builds the log from the steps as the operators' hosts would.
 fn build_log(steps: &[LogStep]) -> Vec<String> {
     let first = [
         put("first-0", "m0", None, model("v1", &[("v1", 2)])),
@@ -384,7 +384,8 @@
     state
 }
 
-/// Follows a log from where a table stands and compares at every record.
+/// Applies the rest of a log to a table and compares it with the naive model at every
+/// record.
 fn follow(
     table: &mut DeclarationTable,
     log: &[String],
@@ -484,7 +485,7 @@
         Ok(())
     });
     result.expect("readers agree");
-    // The comparison says nothing about what the logs never held.
+    // Every kind of judgement must have occurred in the logs often enough.
     let counts = counts.into_inner();
     for name in [
         "Accepted",
@@ -502,7 +503,7 @@
     }
 }
 
-/// A log that grows and expires between two reads.
+/// A log that grows and expires between reads.
 #[derive(Debug, Clone)]
 struct MovingLog {
     first: usize,
@@ -528,7 +529,7 @@
         }
     }
 
-    /// Whether the records that are kept now give a state.
+    /// Returns whether a state can be restored from the retained records.
     fn is_usable(&self, log: &[String]) -> bool {
         let first = self.first as LogOffset;
         let mut states = log[self.first..self.end]
