--- a/src/metrics/commands.rs
+++ b/src/metrics/commands.rs
@@ -16,14 +16,14 @@
         self.differing_checkpoints.inc();
     }
 
-    /// Counts the start of a request.
+    /// Adds a request to those in flight.
     pub fn request_begun(&self, kind: RequestKind) {
         self.in_flight
             .get_or_create(&KindLabel { kind: kind.name() })
             .inc();
     }
 
-    /// Counts the end of a request.
+    /// Removes a request from those in flight and counts its outcome.
     pub fn request_ended(&self, kind: RequestKind, outcome: RequestOutcome) {
         self.in_flight
             .get_or_create(&KindLabel { kind: kind.name() })
--- a/src/replay/queries.rs
+++ b/src/replay/queries.rs
@@ -23,7 +23,7 @@
 }
 
 impl DeclaredEntry<'_> {
-    /// Kind and name.
+    /// Returns the key of kind and name.
     pub fn key(&self) -> ResourceKey {
         ResourceKey::new(self.kind, self.name.clone())
     }
--- a/src/replay/readiness.rs
+++ b/src/replay/readiness.rs
@@ -72,13 +72,13 @@
         }
     }
 
-    /// Records that the log reaches up to `end_offset`.
+    /// Raises the highest known offset to `end_offset`, unless it is higher already.
     pub fn observe_end_offset(&mut self, end_offset: LogOffset, now: Instant) {
         self.highest_known = self.highest_known.max(end_offset);
         self.update_lag(now);
     }
 
-    /// Records the offset that the table has applied and whether the table has stopped.
+    /// Copies the applied offset from the table, and whether the table has stopped.
     pub fn observe_applied(&mut self, table: &DeclarationTable, now: Instant) {
         self.applied = table.applied();
         self.stopped = table.stopped().is_some();
