--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -4,6 +4,7 @@
 //! worker turns I/O into events for the tables and carries out what they
 //! decide. The tables and the order of their locks stand in `tables`.
 
+mod activation;
 mod admitting;
 mod callers;
 mod changes;
@@ -13,7 +14,6 @@
 mod declarations;
 mod force;
 mod generate;
-mod in_force;
 mod leases;
 mod members;
 mod operators;
@@ -23,9 +23,9 @@
 mod services;
 mod sharing;
 mod spawn;
+mod step_observations;
 mod tables;
 mod tails;
 mod targets;
-mod watch_steps;
 
 pub use spawn::{DaemonError, DaemonHandle, spawn};
--- a/src/daemon/in_force.rs
+++ b/src/daemon/activation.rs
@@ -13,7 +13,7 @@
 use crate::shares::ShareUnits;
 
 /// Puts the declared state in force on this host.
-pub(super) fn put_in_force(core: &DaemonCore) {
+pub(super) fn activate_declarations(core: &DaemonCore) {
     let declarations = core.tables.declarations.read();
     watch_declared(core, &declarations);
     declare_organisations(core, &declarations);
@@ -59,14 +59,15 @@
 
 fn list_organisations(core: &DaemonCore, declared: &BTreeMap<OrganisationId, ShareUnits>) {
     let now = Instant::now();
-    let mut desk = core.tables.admission.lock();
-    let known: BTreeSet<OrganisationId> = desk.table.organisations().cloned().collect();
+    let mut state = core.tables.admission.lock();
+    let known: BTreeSet<OrganisationId> = state.table.organisations().cloned().collect();
     for organisation in declared.keys().filter(|name| !known.contains(*name)) {
-        desk.table
+        state
+            .table
             .set_share(organisation.clone(), ShareLimit::default(), now);
     }
     for organisation in known.iter().filter(|name| !declared.contains_key(*name)) {
-        desk.table.remove_share(organisation, now);
+        state.table.remove_share(organisation, now);
     }
 }
 
--- a/src/daemon/admitting.rs
+++ b/src/daemon/admitting.rs
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 
 use super::core::DaemonCore;
-use super::tables::AdmissionDesk;
+use super::tables::AdmissionState;
 use crate::admission::{AdmissionDecision, AdmissionRequest, ReleaseCause};
 use crate::api::wire::RefusalBody;
 use crate::ids::RequestId;
@@ -36,14 +36,14 @@
 
 impl Drop for AdmissionSlot {
     fn drop(&mut self) {
-        let mut desk = self.core.tables.admission.lock();
+        let mut state = self.core.tables.admission.lock();
         let now = Instant::now();
-        desk.waiters.remove(&self.request);
-        if desk.table.cancel(&self.request, now) {
+        state.waiters.remove(&self.request);
+        if state.table.cancel(&self.request, now) {
             return;
         }
-        let decisions = desk.table.release(&self.request, now, self.cause);
-        tell_waiters(&mut desk, decisions);
+        let decisions = state.table.release(&self.request, now, self.cause);
+        notify_waiters(&mut state, decisions);
     }
 }
 
@@ -57,7 +57,7 @@
 ) -> Result<AdmissionSlot, RefusalBody> {
     let id = request.request.clone();
     let organisation = request.organisation.clone();
-    let (decision, waiter) = ask(core, request);
+    let (decision, waiter) = request_admission(core, request);
     if let AdmissionDecision::Refuse {
         request,
         reason,
@@ -72,34 +72,34 @@
         cause: ReleaseCause::Abandoned,
     };
     let Some(waiter) = waiter else {
-        core.note(&slot.request, JournalEvent::Admitted { organisation });
+        core.record_event(&slot.request, JournalEvent::Admitted { organisation });
         return Ok(slot);
     };
-    core.note(
+    core.record_event(
         &slot.request,
         JournalEvent::Queued {
             organisation: organisation.clone(),
         },
     );
     core.admission_changed.notify_one();
-    let told = tokio::select! {
+    let outcome = tokio::select! {
         // First, since streams that end with the drain leave their places to whoever waits:
         // a request that took one would be cut as it starts, and its caller be told that it
         // may have run.
         biased;
-        () = core.drain_over.cancelled() => {
+        () = core.drain_expired.cancelled() => {
             return Err(refusal(slot.request.clone(), RefusalReason::Draining, IDLE_TICK));
         }
-        told = waiter => told,
+        outcome = waiter => outcome,
     };
-    match told {
+    match outcome {
         Ok(AdmissionDecision::Refuse {
             request,
             reason,
             retry_after,
         }) => Err(refusal(request, reason, retry_after)),
         Ok(_) => {
-            core.note(&slot.request, JournalEvent::Admitted { organisation });
+            core.record_event(&slot.request, JournalEvent::Admitted { organisation });
             Ok(slot)
         }
         Err(_) => Err(refusal(
@@ -110,20 +110,20 @@
     }
 }
 
-fn ask(
+fn request_admission(
     core: &DaemonCore,
     request: AdmissionRequest,
 ) -> (
     AdmissionDecision,
     Option<oneshot::Receiver<AdmissionDecision>>,
 ) {
-    let mut desk = core.tables.admission.lock();
+    let mut state = core.tables.admission.lock();
     let id = request.request.clone();
-    let decision = desk.table.admit(request, Instant::now());
+    let decision = state.table.admit(request, Instant::now());
     match decision {
         AdmissionDecision::Wait { .. } => {
             let (sender, waiter) = oneshot::channel();
-            desk.waiters.insert(id, sender);
+            state.waiters.insert(id, sender);
             (decision, Some(waiter))
         }
         _ => (decision, None),
@@ -145,14 +145,14 @@
 }
 
 /// Hands decisions to those who wait for them.
-pub(super) fn tell_waiters(desk: &mut AdmissionDesk, decisions: Vec<AdmissionDecision>) {
+pub(super) fn notify_waiters(state: &mut AdmissionState, decisions: Vec<AdmissionDecision>) {
     for decision in decisions {
         let request = match &decision {
             AdmissionDecision::Start { request }
             | AdmissionDecision::Wait { request }
             | AdmissionDecision::Refuse { request, .. } => request,
         };
-        if let Some(waiter) = desk.waiters.remove(request) {
+        if let Some(waiter) = state.waiters.remove(request) {
             // A waiter that has gone away gives its slot back when dropped.
             let _ = waiter.send(decision);
         }
@@ -163,10 +163,10 @@
 pub(super) async fn run_admission(core: Arc<DaemonCore>) {
     loop {
         let next = {
-            let mut desk = core.tables.admission.lock();
-            let decisions = desk.table.tick(Instant::now());
-            tell_waiters(&mut desk, decisions);
-            desk.table.next_tick()
+            let mut state = core.tables.admission.lock();
+            let decisions = state.table.tick(Instant::now());
+            notify_waiters(&mut state, decisions);
+            state.table.next_tick()
         };
         let latest = Instant::now() + IDLE_TICK;
         let wake_at = next.map_or(latest, |next| next.min(latest));
--- a/src/daemon/callers.rs
+++ b/src/daemon/callers.rs
@@ -26,8 +26,8 @@
         generate: Arc::new(move |call| {
             let core = Arc::clone(&generations);
             async move {
-                let answer = generate::generate(Arc::clone(&core), call).await;
-                answer.inspect_err(|refusal| count_refusal(&core, refusal))
+                let response = generate::generate(Arc::clone(&core), call).await;
+                response.inspect_err(|refusal| count_refusal(&core, refusal))
             }
             .boxed()
         }),
@@ -35,10 +35,10 @@
             let core = Arc::clone(&calls);
             async move {
                 core.metrics.request_begun(RequestKind::Service);
-                let answer = services::call_service(Arc::clone(&core), call).await;
+                let response = services::call_service(Arc::clone(&core), call).await;
                 core.metrics
-                    .request_ended(RequestKind::Service, call_outcome(&answer));
-                answer.inspect_err(|refusal| count_refusal(&core, refusal))
+                    .request_ended(RequestKind::Service, call_outcome(&response));
+                response.inspect_err(|refusal| count_refusal(&core, refusal))
             }
             .boxed()
         }),
@@ -58,8 +58,8 @@
 
 /// How a call ended for its caller; calls are run to their end even if the
 /// caller goes away.
-fn call_outcome(answer: &Result<ServiceReply, RefusalBody>) -> RequestOutcome {
-    match answer {
+fn call_outcome(response: &Result<ServiceReply, RefusalBody>) -> RequestOutcome {
+    match response {
         Ok(_) => RequestOutcome::Whole,
         Err(refusal) if refusal.verdict == RunVerdict::NotRun => RequestOutcome::NotRun,
         Err(_) => RequestOutcome::MayHaveRun,
@@ -74,7 +74,7 @@
             verdict: refusal.verdict,
             retry_after: refusal.retry_after_ms.map(Duration::from_millis),
         };
-        core.note(request, event);
+        core.record_event(request, event);
         log::info!(request:% = request; "refused: {refusal}");
     }
 }
--- a/src/daemon/changes.rs
+++ b/src/daemon/changes.rs
@@ -62,7 +62,7 @@
 async fn submit(core: &DaemonCore, change: ResourceChange) -> Result<AcceptedBody, ChangeRefusal> {
     if core.tables.declarations.read().stopped().is_some() {
         // This host can't judge what it would write, nor tell the outcome.
-        return Err(refused(RefusalReason::NotReady, RunVerdict::NotRun));
+        return Err(change_refusal(RefusalReason::NotReady, RunVerdict::NotRun));
     }
     let id = RecordId::from(Uuid::new_v4().to_string());
     let record = LogRecord {
@@ -73,7 +73,7 @@
         body: DeclarationBody::Change(change),
     };
     let Ok(text) = serde_json::to_string(&record) else {
-        return Err(refused(RefusalReason::Malformed, RunVerdict::NotRun));
+        return Err(change_refusal(RefusalReason::Malformed, RunVerdict::NotRun));
     };
     let mut verdict = RunVerdict::NotRun;
     let judged = tokio::time::timeout(JUDGEMENT_TIMEOUT, async {
@@ -84,8 +84,8 @@
     })
     .await;
     match judged {
-        Ok(outcome) => answer(outcome),
-        Err(_) => Err(refused(RefusalReason::LogUnavailable, verdict)),
+        Ok(outcome) => change_response(outcome),
+        Err(_) => Err(change_refusal(RefusalReason::LogUnavailable, verdict)),
     }
 }
 
@@ -96,10 +96,10 @@
             // From here on the record may be stored although no answer has
             // come. The operator's time may end during this very append; told
             // "not run", the change would yet turn up in force.
-            let before = std::mem::replace(verdict, RunVerdict::MayHaveRun);
+            let prior = std::mem::replace(verdict, RunVerdict::MayHaveRun);
             match appended.await {
                 Ok(Ok(_)) => return,
-                Ok(Err(error)) if error.verdict == AppendVerdict::NotAppended => *verdict = before,
+                Ok(Err(error)) if error.verdict == AppendVerdict::NotAppended => *verdict = prior,
                 _ => {}
             }
         }
@@ -117,12 +117,12 @@
 async fn wait_for_judgement(core: &DaemonCore, id: &RecordId) -> JudgedChange {
     let mut applied = core.applied.subscribe();
     loop {
-        let in_force = *applied.borrow_and_update();
+        let applied_offset = *applied.borrow_and_update();
         let found = {
             let declarations = core.tables.declarations.read();
             let outcome = declarations.judgement_of(id);
             outcome
-                .filter(|outcome| outcome.offset < in_force)
+                .filter(|outcome| outcome.offset < applied_offset)
                 .map(|outcome| JudgedChange {
                     offset: outcome.offset,
                     judgement: outcome.judgement.clone(),
@@ -137,7 +137,7 @@
     }
 }
 
-fn answer(judged: JudgedChange) -> Result<AcceptedBody, ChangeRefusal> {
+fn change_response(judged: JudgedChange) -> Result<AcceptedBody, ChangeRefusal> {
     match judged.judgement {
         Judgement::Accepted => Ok(AcceptedBody {
             version: judged.offset,
@@ -158,7 +158,7 @@
     }
 }
 
-fn refused(reason: RefusalReason, verdict: RunVerdict) -> ChangeRefusal {
+fn change_refusal(reason: RefusalReason, verdict: RunVerdict) -> ChangeRefusal {
     let message = match verdict {
         RunVerdict::NotRun => "the change was not written; apply it again later",
         _ => "the change may yet take effect; read the resource before applying again",
--- a/src/daemon/checkpoints.rs
+++ b/src/daemon/checkpoints.rs
@@ -14,9 +14,9 @@
 /// Pause between two looks at whether a checkpoint is due.
 const CHECKPOINT_TICK: Duration = Duration::from_secs(1);
 /// Longest extra wait of one host, so that another may be first.
-const LONGEST_STAGGER: Duration = Duration::from_secs(2);
+const MAX_STAGGER: Duration = Duration::from_secs(2);
 /// Age after which a checkpoint is written anew although nothing changed.
-const CHECKPOINT_AGE: Duration = Duration::from_secs(6 * 3600);
+const MAX_CHECKPOINT_AGE: Duration = Duration::from_secs(6 * 3600);
 
 /// Appends a checkpoint whenever one is due, until the daemon ends.
 ///
@@ -31,7 +31,7 @@
         if !is_due(&core) {
             continue;
         }
-        tokio::time::sleep(LONGEST_STAGGER.mul_f64(random.random_range(0.0..1.0))).await;
+        tokio::time::sleep(MAX_STAGGER.mul_f64(random.random_range(0.0..1.0))).await;
         if is_due(&core) {
             append_checkpoint(&core).await;
         }
@@ -41,7 +41,7 @@
 fn is_due(core: &DaemonCore) -> bool {
     let schedule = CheckpointSchedule {
         max_records: core.options.platform.checkpoint_records,
-        max_age: CHECKPOINT_AGE,
+        max_age: MAX_CHECKPOINT_AGE,
     };
     let horizon = LogHorizon {
         first_offset: core.log_horizon(),
--- a/src/daemon/claims/feed.rs
+++ b/src/daemon/claims/events.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Instant, SystemTime};
 
-use super::desk::{ActiveClaim, ClaimDesk, ClaimStep};
+use super::local_state::{ActiveClaim, ClaimState, ClaimStep};
 use crate::claims::answer::{ClaimAnswer, ClaimRefusal};
 use crate::claims::machine::{ClaimDecision, ClaimEvent};
 use crate::claims::record::{ClaimBody, ClaimEntry, ClaimOutcome, KeptAnswer};
@@ -27,32 +27,32 @@
 }
 
 /// Feeds an event to the machine of a claim; nothing if it has ended.
-pub(super) fn feed(core: &Arc<DaemonCore>, claim: &RecordId, event: ClaimEvent) {
-    let mut desk = core.tables.claims.lock();
-    feed_desk(core, &mut desk, claim, event);
+pub(super) fn handle_event(core: &Arc<DaemonCore>, claim: &RecordId, event: ClaimEvent) {
+    let mut state = core.tables.claims.lock();
+    handle_event_locked(core, &mut state, claim, event);
 }
 
-/// Like [`feed`], under a lock that is held already.
-pub(super) fn feed_desk(
+/// Like [`handle_event`], under a lock that is held already.
+pub(super) fn handle_event_locked(
     core: &Arc<DaemonCore>,
-    desk: &mut ClaimDesk,
+    state: &mut ClaimState,
     claim: &RecordId,
     event: ClaimEvent,
 ) {
     let mut events = VecDeque::from([event]);
     while let Some(event) = events.pop_front() {
         let now = claim_time();
-        let Some(active) = desk.active.get_mut(claim) else {
+        let Some(active) = state.active.get_mut(claim) else {
             return;
         };
-        let decisions = active.machine.handle(event, &desk.table, now);
-        events.extend(carry_out(core, active, decisions));
+        let decisions = active.machine.handle(event, &state.table, now);
+        events.extend(execute_decisions(core, active, decisions));
     }
-    desk.retire(claim, Instant::now());
+    state.retire(claim, Instant::now());
 }
 
 /// Carries out decisions, in order; may give back what is to be fed next.
-pub(super) fn carry_out(
+pub(super) fn execute_decisions(
     core: &Arc<DaemonCore>,
     active: &mut ActiveClaim,
     decisions: Vec<ClaimDecision>,
@@ -61,16 +61,16 @@
     for decision in decisions {
         match decision {
             ClaimDecision::Append(record) => next = append(core, active, &record).or(next),
-            ClaimDecision::Dispatch => tell(active, ClaimStep::Dispatch),
+            ClaimDecision::Dispatch => send_step(active, ClaimStep::Dispatch),
             ClaimDecision::AskHolder(holder) => {
-                note_lost(core, active);
+                record_loss(core, active);
                 let host = holder.owner.host.clone();
-                core.note(&active.request, JournalEvent::ClaimLost { holder: host });
-                tell(active, ClaimStep::Ask(holder));
+                core.record_event(&active.request, JournalEvent::ClaimLost { holder: host });
+                send_step(active, ClaimStep::QueryHolder(holder));
             }
             ClaimDecision::Answer(answer) => {
-                note_answer(core, active, &answer);
-                tell(active, ClaimStep::Answer(answer));
+                record_answer(core, active, &answer);
+                send_step(active, ClaimStep::Respond(answer));
             }
         }
     }
@@ -79,7 +79,7 @@
 
 /// A request whose caller has gone away no longer listens; its ticket gives
 /// the claim back.
-fn tell(active: &ActiveClaim, step: ClaimStep) {
+fn send_step(active: &ActiveClaim, step: ClaimStep) {
     let _ = active.steps.send(step);
 }
 
@@ -90,7 +90,7 @@
 ) -> Option<ClaimEvent> {
     let is_claim = matches!(record.body.entry, ClaimEntry::Claim(_));
     if matches!(record.body.entry, ClaimEntry::Withdraw(_)) {
-        note_withdrawal(core, active);
+        record_withdrawal(core, active);
     }
     match submit(core, record) {
         Some(appended) if is_claim => {
@@ -119,44 +119,44 @@
         Ok(Err(error)) => error.verdict,
         Err(_) => AppendVerdict::MayBeAppended,
     };
-    feed(&core, &claim, ClaimEvent::AppendFailed(verdict));
+    handle_event(&core, &claim, ClaimEvent::AppendFailed(verdict));
 }
 
 /// Notes that a claim of this host holds its key.
-pub(super) fn note_won(core: &DaemonCore, active: &ActiveClaim, offset: LogOffset) {
+pub(super) fn record_win(core: &DaemonCore, active: &ActiveClaim, offset: LogOffset) {
     core.metrics.claim_settled(ClaimResult::Won);
-    core.note(&active.request, JournalEvent::ClaimWon { offset });
+    core.record_event(&active.request, JournalEvent::ClaimWon { offset });
 }
 
-fn note_lost(core: &DaemonCore, active: &mut ActiveClaim) {
-    if !std::mem::replace(&mut active.lost, true) {
+fn record_loss(core: &DaemonCore, active: &mut ActiveClaim) {
+    if !std::mem::replace(&mut active.loss_recorded, true) {
         core.metrics.claim_settled(ClaimResult::Lost);
     }
 }
 
-fn note_withdrawal(core: &DaemonCore, active: &mut ActiveClaim) {
-    if !std::mem::replace(&mut active.withdrawn, true) {
+fn record_withdrawal(core: &DaemonCore, active: &mut ActiveClaim) {
+    if !std::mem::replace(&mut active.withdrawal_recorded, true) {
         core.metrics.claim_settled(ClaimResult::Withdrawn);
-        core.note(&active.request, JournalEvent::ClaimWithdrawn);
+        core.record_event(&active.request, JournalEvent::ClaimWithdrawn);
     }
 }
 
 /// Counts how a claim ended that is not dispatched, and tells those who ask
 /// about the request that it was refused here.
-fn note_answer(core: &DaemonCore, active: &mut ActiveClaim, answer: &ClaimAnswer) {
+fn record_answer(core: &DaemonCore, active: &mut ActiveClaim, answer: &ClaimAnswer) {
     let ClaimAnswer::Refused { refusal, .. } = answer else {
-        return note_lost(core, active);
+        return record_loss(core, active);
     };
     match refusal {
         ClaimRefusal::LogUnavailable => core.metrics.claim_settled(ClaimResult::Unavailable),
-        ClaimRefusal::KeyReused | ClaimRefusal::WinnerWithdrew => note_lost(core, active),
+        ClaimRefusal::KeyReused | ClaimRefusal::WinnerWithdrew => record_loss(core, active),
         _ => {}
     }
-    active.outcome.send_replace(Some(not_run()));
+    active.outcome.send_replace(Some(not_run_outcome()));
 }
 
 /// The outcome of a request that was not run.
-pub(super) fn not_run() -> ClaimOutcome {
+pub(super) fn not_run_outcome() -> ClaimOutcome {
     ClaimOutcome {
         verdict: RunVerdict::NotRun,
         status: 0,
--- a/src/daemon/claims/desk.rs
+++ b/src/daemon/claims/local_state.rs
@@ -15,17 +15,17 @@
 
 /// How long an ended request is remembered for hosts that ask about it. Later
 /// they find its outcome in the log.
-const MEMORY: Duration = Duration::from_secs(10);
+const ENDED_CLAIM_RETENTION: Duration = Duration::from_secs(10);
 
 /// How a request ended; `None` while it has not.
-pub(super) type OutcomeWatch = watch::Receiver<Option<ClaimOutcome>>;
+pub(super) type OutcomeReceiver = watch::Receiver<Option<ClaimOutcome>>;
 
 /// All that one host knows about claims.
 ///
 /// Table and machines stand under one lock: a record replayed between a
 /// machine's look at the table and its entry here would be missed, and the
 /// request would wait until its deadline.
-pub(in crate::daemon) struct ClaimDesk {
+pub(in crate::daemon) struct ClaimState {
     pub(super) table: ClaimTable,
     /// Whether the last read of the log succeeded.
     pub(super) log_available: bool,
@@ -33,7 +33,7 @@
     /// Claims by the ids of the records that settle them.
     pub(super) settlements: FastMap<RecordId, RecordId>,
     ended: FastMap<RecordId, EndedClaim>,
-    by_end: VecDeque<(Instant, RecordId)>,
+    ended_order: VecDeque<(Instant, RecordId)>,
 }
 
 /// A request that claims, has claimed, or whose claim is not settled.
@@ -44,15 +44,15 @@
     pub(super) steps: mpsc::UnboundedSender<ClaimStep>,
     pub(super) outcome: watch::Sender<Option<ClaimOutcome>>,
     /// Whether its withdrawal was noted.
-    pub(super) withdrawn: bool,
+    pub(super) withdrawal_recorded: bool,
     /// Whether it was noted that another claim holds the key.
-    pub(super) lost: bool,
+    pub(super) loss_recorded: bool,
 }
 
 struct EndedClaim {
     name: ClaimName,
     request: RequestId,
-    outcome: OutcomeWatch,
+    outcome: OutcomeReceiver,
 }
 
 /// What the request's task is to do.
@@ -61,12 +61,12 @@
     /// The claim won.
     Dispatch,
     /// Ask the holder of the key.
-    Ask(ClaimHolder),
+    QueryHolder(ClaimHolder),
     /// Answer the caller.
-    Answer(ClaimAnswer),
+    Respond(ClaimAnswer),
 }
 
-impl ClaimDesk {
+impl ClaimState {
     pub(in crate::daemon) fn new(window: ClaimWindow) -> Self {
         Self {
             table: ClaimTable::new(window),
@@ -74,7 +74,7 @@
             active: FastMap::default(),
             settlements: FastMap::default(),
             ended: FastMap::default(),
-            by_end: VecDeque::new(),
+            ended_order: VecDeque::new(),
         }
     }
 
@@ -99,24 +99,24 @@
                 outcome: claim.outcome.subscribe(),
             };
             self.ended.insert(id.clone(), ended);
-            self.by_end.push_back((now, id.clone()));
+            self.ended_order.push_back((now, id.clone()));
         }
     }
 
     /// Forgets what ended long ago.
-    pub(super) fn forget(&mut self, now: Instant) {
-        while let Some((at, _)) = self.by_end.front() {
-            if *at + MEMORY > now {
+    pub(super) fn prune_ended(&mut self, now: Instant) {
+        while let Some((at, _)) = self.ended_order.front() {
+            if *at + ENDED_CLAIM_RETENTION > now {
                 return;
             }
-            if let Some((_, id)) = self.by_end.pop_front() {
+            if let Some((_, id)) = self.ended_order.pop_front() {
                 self.ended.remove(&id);
             }
         }
     }
 
     /// The end of a request of this host, by its claim.
-    pub(super) fn outcome_of(&self, claim: &RecordId) -> Option<OutcomeWatch> {
+    pub(super) fn outcome_of(&self, claim: &RecordId) -> Option<OutcomeReceiver> {
         let active = self.active.get(claim);
         let ended = || self.ended.get(claim).map(|ended| ended.outcome.clone());
         active
@@ -129,7 +129,7 @@
         &self,
         name: &ClaimName,
         request: &RequestId,
-    ) -> Option<OutcomeWatch> {
+    ) -> Option<OutcomeReceiver> {
         let active = self.active.values();
         let ended = self.ended.values();
         active
@@ -144,7 +144,7 @@
     }
 
     /// How a claim of this host ended, though the log may not show it yet.
-    pub(super) fn own_end(&self, claim: &RecordId) -> Option<ClaimOutcome> {
+    pub(super) fn local_outcome(&self, claim: &RecordId) -> Option<ClaimOutcome> {
         self.outcome_of(claim)?.borrow().clone()
     }
 
--- a/src/daemon/claims/ask.rs
+++ b/src/daemon/claims/outcome_query.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use tokio::time::timeout;
 
-use super::desk::OutcomeWatch;
+use super::local_state::OutcomeReceiver;
 use crate::claims::machine::ClaimEvent;
 use crate::claims::record::{ClaimName, ClaimOutcome, KeptAnswer};
 use crate::claims::table::ClaimHolder;
@@ -17,16 +17,16 @@
 use crate::verdict::RunVerdict;
 
 /// Asks the holder of a key how its request ended, and waits for the end.
-pub(super) async fn ask_holder(
+pub(super) async fn query_holder(
     core: &Arc<DaemonCore>,
     claim: &RecordId,
     holder: &ClaimHolder,
     wait: Duration,
 ) -> ClaimEvent {
-    let is_own = holder.owner.host == *core.host();
-    let outcome = match is_own {
-        true => ask_own(core, &holder.claim, wait).await,
-        false => ask_peer(core, claim, holder, wait).await,
+    let is_local = holder.owner.host == *core.host();
+    let outcome = match is_local {
+        true => query_local(core, &holder.claim, wait).await,
+        false => query_peer(core, claim, holder, wait).await,
     };
     match outcome {
         Some(outcome) => ClaimEvent::HolderAnswered(outcome),
@@ -34,17 +34,17 @@
     }
 }
 
-async fn ask_own(core: &DaemonCore, claim: &RecordId, wait: Duration) -> Option<ClaimOutcome> {
-    let watched = core.tables.claims.lock().outcome_of(claim);
-    wait_for_end(watched?, wait).await
+async fn query_local(core: &DaemonCore, claim: &RecordId, wait: Duration) -> Option<ClaimOutcome> {
+    let receiver = core.tables.claims.lock().outcome_of(claim);
+    wait_for_end(receiver?, wait).await
 }
 
-async fn wait_for_end(mut watched: OutcomeWatch, wait: Duration) -> Option<ClaimOutcome> {
-    let ended = timeout(wait, watched.wait_for(Option::is_some)).await;
+async fn wait_for_end(mut receiver: OutcomeReceiver, wait: Duration) -> Option<ClaimOutcome> {
+    let ended = timeout(wait, receiver.wait_for(Option::is_some)).await;
     ended.ok()?.ok()?.clone()
 }
 
-async fn ask_peer(
+async fn query_peer(
     core: &DaemonCore,
     claim: &RecordId,
     holder: &ClaimHolder,
@@ -54,16 +54,16 @@
     let name = core.tables.claims.lock().active.get(claim)?.name.clone();
     // Heartbeats share the bound on open calls to a peer. Were all taken by
     // questions, the peer would look dead.
-    let _slot = core.claim_questions.try_acquire().ok()?;
-    let question = ClaimQuestion {
+    let _slot = core.claim_queries.try_acquire().ok()?;
+    let query = ClaimQuestion {
         request: holder.request.clone(),
         service: "".into(),
         operation: String::new(),
         key: name.key,
         organisation: name.organisation,
     };
-    match core.peers()?.claim_outcome(address, question, wait).await {
-        Ok(outcome) => from_peer(outcome),
+    match core.peers()?.claim_outcome(address, query, wait).await {
+        Ok(outcome) => from_peer_outcome(outcome),
         Err(error) => {
             log::debug!("{} cannot be asked: {error}", holder.owner.host);
             None
@@ -75,31 +75,31 @@
 fn peer_address(core: &DaemonCore, holder: &ClaimHolder) -> Option<SocketAddr> {
     let membership = core.tables.membership.lock();
     let member = membership.member(&holder.owner.host)?;
-    let is_same_life = member.incarnation == Some(holder.owner.incarnation);
-    is_same_life.then_some(member.peer_address)
+    let is_same_incarnation = member.incarnation == Some(holder.owner.incarnation);
+    is_same_incarnation.then_some(member.peer_address)
 }
 
 /// Answers a host that lost a key to this one.
-pub(in crate::daemon) async fn answer_peer(
+pub(in crate::daemon) async fn handle_outcome_query(
     core: Arc<DaemonCore>,
-    question: ClaimQuestion,
+    query: ClaimQuestion,
 ) -> PeerOutcome {
     let name = ClaimName {
-        organisation: question.organisation,
-        key: question.key,
+        organisation: query.organisation,
+        key: query.key,
     };
-    let watched = {
-        let desk = core.tables.claims.lock();
-        desk.outcome_of_request(&name, &question.request)
+    let receiver = {
+        let state = core.tables.claims.lock();
+        state.outcome_of_request(&name, &query.request)
     };
     let wait = core.options.timing.claim_timeout + core.options.timing.step_timeout;
-    match watched {
-        Some(watched) => to_peer(wait_for_end(watched, wait).await),
+    match receiver {
+        Some(receiver) => to_peer_outcome(wait_for_end(receiver, wait).await),
         None => PeerOutcome::Unknown,
     }
 }
 
-fn to_peer(outcome: Option<ClaimOutcome>) -> PeerOutcome {
+fn to_peer_outcome(outcome: Option<ClaimOutcome>) -> PeerOutcome {
     let Some(outcome) = outcome else {
         return PeerOutcome::Unknown;
     };
@@ -117,7 +117,7 @@
     }
 }
 
-fn from_peer(outcome: PeerOutcome) -> Option<ClaimOutcome> {
+fn from_peer_outcome(outcome: PeerOutcome) -> Option<ClaimOutcome> {
     match outcome {
         PeerOutcome::Unknown => None,
         PeerOutcome::Known {
--- a/src/daemon/claims/reply.rs
+++ b/src/daemon/claims/reply.rs
@@ -24,14 +24,14 @@
 /// before its key is looked at. Told only that, its caller would take the
 /// request that ran under the key for one that did not, and make it once more
 /// under another key.
-pub(in crate::daemon) fn known_better(
+pub(in crate::daemon) fn known_answer(
     core: &DaemonCore,
     subject: &ClaimSubject,
 ) -> Option<ClaimAnswer> {
-    let desk = core.tables.claims.lock();
-    let outcome = match desk.table.look_up(&subject.name(), &subject.fingerprint) {
+    let state = core.tables.claims.lock();
+    let outcome = match state.table.look_up(&subject.name(), &subject.fingerprint) {
         KeyState::Ended(outcome) => Some(outcome),
-        KeyState::Held(holder) => desk.own_end(&holder.claim),
+        KeyState::Held(holder) => state.local_outcome(&holder.claim),
         KeyState::Free | KeyState::Mismatched => return None,
     };
     match outcome {
@@ -79,7 +79,7 @@
                 (None, _) => body,
             }
         }
-        ClaimAnswer::Known(outcome) => known(outcome),
+        ClaimAnswer::Known(outcome) => outcome_refusal(outcome),
         ClaimAnswer::Unknown => may_have_run(
             "this idempotency key was claimed before, and what became of its request is not known",
         ),
@@ -87,7 +87,7 @@
     body.for_request(request.clone())
 }
 
-fn known(outcome: &ClaimOutcome) -> RefusalBody {
+fn outcome_refusal(outcome: &ClaimOutcome) -> RefusalBody {
     match outcome.verdict {
         RunVerdict::NotRun => RefusalBody::not_run(
             RefusalReason::ClaimedElsewhere,
--- a/src/daemon/claims/follow.rs
+++ b/src/daemon/claims/stream.rs
@@ -6,8 +6,8 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::desk::ClaimDesk;
-use super::feed::{claim_time, feed_desk, note_won, submit};
+use super::events::{claim_time, handle_event_locked, record_win, submit};
+use super::local_state::ClaimState;
 use crate::claims::machine::ClaimEvent;
 use crate::claims::record::{ClaimBody, ClaimEntry};
 use crate::claims::table::ClaimJudgement;
@@ -23,24 +23,24 @@
 /// Pause between two looks at whether all claims are settled.
 const SETTLEMENT_TICK: Duration = Duration::from_millis(10);
 /// The part of the window by which hosts spread their time marks.
-const STAGGER_PART: u32 = 8;
+const STAGGER_DIVISOR: u32 = 8;
 /// The part of the window after which a lost time mark is appended again.
-const MARK_RETRY_PART: u32 = 32;
+const MARK_RETRY_DIVISOR: u32 = 32;
 /// Keeps the randomness drawn here apart from that of other streams.
-const CLAIM_SEED: u64 = 0x636c_6169_6d73;
+const CLAIM_SEED_MASK: u64 = 0x636c_6169_6d73;
 
 /// Applies records as they come and watches deadlines, until the daemon ends.
 pub(in crate::daemon) async fn run_claims(core: Arc<DaemonCore>, seed: u64) {
-    let mut marks = MarkWriter::new(&core, seed ^ CLAIM_SEED);
-    read_at_once(&core, &mut marks).await;
+    let mut marks = MarkWriter::new(&core, seed ^ CLAIM_SEED_MASK);
+    read_without_waiting(&core, &mut marks).await;
     let next = core.tables.claims.lock().table.next_offset();
-    let mut tail = open_tail(&core, CLAIM_STREAM, next, seed ^ CLAIM_SEED);
+    let mut tail = open_tail(&core, CLAIM_STREAM, next, seed ^ CLAIM_SEED_MASK);
     let mut ticks = tokio::time::interval(CLAIM_TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             event = tail.next() => match event {
-                Some(event) => take_event(&core, &mut marks, event),
+                Some(event) => handle_tail_event(&core, &mut marks, event),
                 None => return,
             },
             _ = ticks.tick() => tick(&core, &mut marks),
@@ -52,37 +52,37 @@
 ///
 /// The tail's first read of a quiet stream takes its whole wait, for which
 /// this host would refuse keys although there is nothing to be known.
-async fn read_at_once(core: &Arc<DaemonCore>, marks: &mut MarkWriter) {
+async fn read_without_waiting(core: &Arc<DaemonCore>, marks: &mut MarkWriter) {
     let read = core
         .platform
         .read(CLAIM_STREAM, 0, READ_LIMIT, Duration::ZERO);
-    if let Ok(answer) = read.await {
+    if let Ok(response) = read.await {
         let event = TailEvent::Records {
-            records: answer.records,
-            end_offset: answer.end_offset,
-            first_offset: answer.first_offset,
+            records: response.records,
+            end_offset: response.end_offset,
+            first_offset: response.first_offset,
         };
-        take_event(core, marks, event);
+        handle_tail_event(core, marks, event);
     }
 }
 
-fn take_event(core: &Arc<DaemonCore>, marks: &mut MarkWriter, event: TailEvent) {
-    let mut desk = core.tables.claims.lock();
+fn handle_tail_event(core: &Arc<DaemonCore>, marks: &mut MarkWriter, event: TailEvent) {
+    let mut state = core.tables.claims.lock();
     match event {
         TailEvent::Records {
             records,
             end_offset,
             first_offset,
         } => {
-            desk.log_available = true;
-            desk.table.note_read(first_offset, SystemTime::now());
+            state.log_available = true;
+            state.table.note_read(first_offset, SystemTime::now());
             for record in &records {
-                apply(core, &mut desk, record);
+                apply(core, &mut state, record);
             }
-            marks.caught_up = desk.table.next_offset() >= end_offset;
+            marks.caught_up = state.table.next_offset() >= end_offset;
         }
         TailEvent::Unreachable { .. } => {
-            desk.log_available = false;
+            state.log_available = false;
             log::warn!("the stream of claims cannot be read; no key can be claimed");
         }
         TailEvent::Expired { first_offset, .. } => {
@@ -91,7 +91,7 @@
     }
 }
 
-fn apply(core: &Arc<DaemonCore>, desk: &mut ClaimDesk, stored: &StoredRecord) {
+fn apply(core: &Arc<DaemonCore>, state: &mut ClaimState, stored: &StoredRecord) {
     let record = match serde_json::from_str::<LogRecord<ClaimBody>>(&stored.body) {
         Ok(record) => record,
         Err(error) => {
@@ -102,29 +102,29 @@
             return;
         }
     };
-    let judgement = desk.table.apply(stored.offset, &record);
-    if let Some(active) = desk.active.get(&record.id) {
+    let judgement = state.table.apply(stored.offset, &record);
+    if let Some(active) = state.active.get(&record.id) {
         if judgement == ClaimJudgement::Won {
-            note_won(core, active, stored.offset);
+            record_win(core, active, stored.offset);
         }
         let event = ClaimEvent::ClaimReplayed(judgement);
-        return feed_desk(core, desk, &record.id, event);
+        return handle_event_locked(core, state, &record.id, event);
     }
-    if let Some(claim) = desk.settlements.get(&record.id).cloned() {
-        feed_desk(core, desk, &claim, ClaimEvent::SettlementReplayed);
+    if let Some(claim) = state.settlements.get(&record.id).cloned() {
+        handle_event_locked(core, state, &claim, ClaimEvent::SettlementReplayed);
     }
 }
 
 fn tick(core: &Arc<DaemonCore>, marks: &mut MarkWriter) {
-    let mut desk = core.tables.claims.lock();
+    let mut state = core.tables.claims.lock();
     let now = claim_time();
-    desk.table.prune(now.wall);
-    desk.forget(now.instant);
-    let active: Vec<RecordId> = desk.active.keys().cloned().collect();
+    state.table.prune(now.wall);
+    state.prune_ended(now.instant);
+    let active: Vec<RecordId> = state.active.keys().cloned().collect();
     for claim in active {
-        feed_desk(core, &mut desk, &claim, ClaimEvent::Tick);
+        handle_event_locked(core, &mut state, &claim, ClaimEvent::Tick);
     }
-    marks.write_if_due(core, &desk, now.wall);
+    marks.write_if_due(core, &state, now.wall);
 }
 
 /// Appends a time mark when the stream has had none for long.
@@ -133,30 +133,30 @@
     /// Whether the whole stream has been read; before that, a mark that
     /// stands further on would be missed and written again.
     caught_up: bool,
-    written: Option<Instant>,
+    written_at: Option<Instant>,
     count: LogOffset,
 }
 
 impl MarkWriter {
     fn new(core: &DaemonCore, seed: u64) -> Self {
-        let longest = core.options.timing.idempotency_window / STAGGER_PART;
+        let max_stagger = core.options.timing.idempotency_window / STAGGER_DIVISOR;
         let mut random = StdRng::seed_from_u64(seed);
         Self {
-            stagger: longest.mul_f64(random.random_range(0.0..1.0)),
+            stagger: max_stagger.mul_f64(random.random_range(0.0..1.0)),
             caught_up: false,
-            written: None,
+            written_at: None,
             count: 0,
         }
     }
 
-    fn write_if_due(&mut self, core: &DaemonCore, desk: &ClaimDesk, now: SystemTime) {
-        let retry = core.options.timing.idempotency_window / MARK_RETRY_PART;
-        let is_pending = self.written.is_some_and(|at| at.elapsed() < retry);
-        let is_due = self.caught_up && desk.log_available && !is_pending;
-        if !is_due || !desk.table.mark_due(now, self.stagger) {
+    fn write_if_due(&mut self, core: &DaemonCore, state: &ClaimState, now: SystemTime) {
+        let retry = core.options.timing.idempotency_window / MARK_RETRY_DIVISOR;
+        let is_pending = self.written_at.is_some_and(|at| at.elapsed() < retry);
+        let is_due = self.caught_up && state.log_available && !is_pending;
+        if !is_due || !state.table.mark_due(now, self.stagger) {
             return;
         }
-        self.written = Some(Instant::now());
+        self.written_at = Some(Instant::now());
         self.count += 1;
         let (host, incarnation) = (core.host(), core.incarnation);
         let record = LogRecord {
@@ -165,7 +165,7 @@
             writer: host.clone(),
             incarnation,
             body: ClaimBody {
-                mark: desk.table.mark(now),
+                mark: state.table.mark(now),
                 entry: ClaimEntry::Mark,
             },
         };
--- a/src/daemon/claims/ticket.rs
+++ b/src/daemon/claims/ticket.rs
@@ -5,9 +5,11 @@
 
 use tokio::sync::{mpsc, watch};
 
-use super::ask::ask_holder;
-use super::desk::{ActiveClaim, ClaimStep};
-use super::feed::{carry_out, claim_time, feed, feed_desk, not_run};
+use super::events::{
+    claim_time, execute_decisions, handle_event, handle_event_locked, not_run_outcome,
+};
+use super::local_state::{ActiveClaim, ClaimStep};
+use super::outcome_query::query_holder;
 use crate::claims::answer::ClaimAnswer;
 use crate::claims::machine::{ClaimEvent, ClaimMachine, ClaimOrder, ClaimPolicy};
 use crate::claims::record::{ClaimName, ClaimOutcome, ClaimOwner, KeptAnswer, RequestFingerprint};
@@ -21,7 +23,7 @@
 const SETTLE_DELAY: Duration = Duration::from_millis(250);
 /// Longest answer handed to other callers of the same key before it is read
 /// from the log, in bytes.
-const MAX_SHARED_ANSWER: usize = 64 * 1024;
+const MAX_SHARED_BODY_BYTES: usize = 64 * 1024;
 
 /// A non-idempotent request.
 #[derive(Debug, Clone)]
@@ -74,11 +76,11 @@
         loop {
             match ticket.steps.recv().await {
                 Some(ClaimStep::Dispatch) => return Ok(ticket),
-                Some(ClaimStep::Ask(holder)) => {
-                    let event = ask_holder(core, &ticket.claim, &holder, ask_timeout(core)).await;
-                    feed(core, &ticket.claim, event);
+                Some(ClaimStep::QueryHolder(holder)) => {
+                    let event = query_holder(core, &ticket.claim, &holder, ask_timeout(core)).await;
+                    handle_event(core, &ticket.claim, event);
                 }
-                Some(ClaimStep::Answer(answer)) => return Err(answer),
+                Some(ClaimStep::Respond(answer)) => return Err(answer),
                 // Cannot happen: a machine answers before it is dropped.
                 None => return Err(ClaimAnswer::Unknown),
             }
@@ -108,19 +110,24 @@
             ask_timeout: ask_timeout(core),
             settle_delay: SETTLE_DELAY,
         };
-        let mut desk = core.tables.claims.lock();
-        desk.insert(ActiveClaim {
+        let mut state = core.tables.claims.lock();
+        state.insert(ActiveClaim {
             machine: ClaimMachine::new(order, owner, policy),
             name,
             request: subject.request,
             steps,
             outcome: watch::Sender::new(None),
-            withdrawn: false,
-            lost: false,
+            withdrawal_recorded: false,
+            loss_recorded: false,
         });
-        let log_available = desk.log_available;
-        feed_desk(core, &mut desk, &claim, ClaimEvent::Begin { log_available });
-        drop(desk);
+        let log_available = state.log_available;
+        handle_event_locked(
+            core,
+            &mut state,
+            &claim,
+            ClaimEvent::Begin { log_available },
+        );
+        drop(state);
         Self {
             core: Arc::clone(core),
             claim,
@@ -143,7 +150,7 @@
             });
         }
         while let Some(step) = self.steps.recv().await {
-            if let ClaimStep::Answer(answer) = step {
+            if let ClaimStep::Respond(answer) = step {
                 return Err(answer);
             }
         }
@@ -151,15 +158,15 @@
     }
 
     fn try_authorise(&self) -> bool {
-        let mut desk = self.core.tables.claims.lock();
-        let desk = &mut *desk;
-        let Some(active) = desk.active.get_mut(&self.claim) else {
+        let mut state = self.core.tables.claims.lock();
+        let state = &mut *state;
+        let Some(active) = state.active.get_mut(&self.claim) else {
             return false;
         };
-        match active.machine.authorise(&desk.table, claim_time()) {
+        match active.machine.authorise(&state.table, claim_time()) {
             Ok(_permit) => true,
             Err(decisions) => {
-                carry_out(&self.core, active, decisions);
+                execute_decisions(&self.core, active, decisions);
                 false
             }
         }
@@ -171,7 +178,7 @@
         // A claim that nobody will dispatch would block its key. One that has
         // not been judged is withdrawn by its machine at its deadline.
         if self.is_open && self.try_authorise() {
-            let outcome = not_run();
+            let outcome = not_run_outcome();
             let shared = outcome.answer.clone();
             close(&self.core, &self.claim, outcome, shared);
         }
@@ -188,7 +195,7 @@
             answer: KeptAnswer::of(body),
         };
         let shared = match std::str::from_utf8(body) {
-            Ok(text) if text.len() <= MAX_SHARED_ANSWER => KeptAnswer::Whole(text.to_owned()),
+            Ok(text) if text.len() <= MAX_SHARED_BODY_BYTES => KeptAnswer::Whole(text.to_owned()),
             _ => outcome.answer.clone(),
         };
         close(&self.core, &self.claim, outcome, shared);
@@ -229,14 +236,14 @@
 /// Ends a dispatched claim: tells those who wait for the outcome here, with as
 /// much of the answer as is `shared`, and hands it to the log.
 fn close(core: &Arc<DaemonCore>, claim: &RecordId, outcome: ClaimOutcome, shared: KeptAnswer) {
-    let mut desk = core.tables.claims.lock();
-    if let Some(active) = desk.active.get(claim) {
+    let mut state = core.tables.claims.lock();
+    if let Some(active) = state.active.get(claim) {
         active.outcome.send_replace(Some(ClaimOutcome {
             answer: shared,
             ..outcome
         }));
     }
-    feed_desk(core, &mut desk, claim, ClaimEvent::Finished(outcome));
+    handle_event_locked(core, &mut state, claim, ClaimEvent::Finished(outcome));
 }
 
 /// How long the holder of a key may take to say how its request ended: as long
--- a/src/daemon/core.rs
+++ b/src/daemon/core.rs
@@ -26,7 +26,7 @@
 
 /// Half of the calls to one peer that may wait for an answer, so that
 /// heartbeats always find room.
-const MAX_CLAIM_QUESTIONS: usize = 16;
+const MAX_CLAIM_QUERIES: usize = 16;
 
 /// Phases of a daemon's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     pub(super) declaration_appends: AppendQueue,
     pub(super) claim_appends: AppendQueue,
     /// Questions to holders of keys that may be open at once.
-    pub(super) claim_questions: Semaphore,
+    pub(super) claim_queries: Semaphore,
     /// Offset after the last applied declaration record.
     pub(super) applied: watch::Sender<LogOffset>,
     pub(super) admission_changed: Notify,
@@ -57,7 +57,7 @@
     pub(super) in_flight: TaskTracker,
     /// Cancelled once draining has taken too long: what is still in flight
     /// tells its caller the verdict and ends.
-    pub(super) drain_over: CancellationToken,
+    pub(super) drain_expired: CancellationToken,
     pub(super) metrics: MetricSet,
     pub(super) platform: PlatformClient,
     /// Told when a peer has applied more than this host.
@@ -66,10 +66,10 @@
     /// Oldest offset that the stream of declarations still keeps.
     log_horizon: AtomicU64,
     /// When a checkpoint was last seen in the log.
-    checkpoint_seen: Mutex<Option<Instant>>,
+    checkpoint_read_at: Mutex<Option<Instant>>,
     run_numbers: AtomicU64,
     /// Held while an order to a target is under way.
-    ordering: tokio::sync::Mutex<()>,
+    order_lock: tokio::sync::Mutex<()>,
     /// What is applied here against what is known to exist.
     pub(super) readiness: ReadinessGate,
     draining: AtomicBool,
@@ -92,19 +92,19 @@
             targets,
             declaration_appends,
             claim_appends,
-            claim_questions: Semaphore::new(MAX_CLAIM_QUESTIONS),
+            claim_queries: Semaphore::new(MAX_CLAIM_QUERIES),
             applied: watch::Sender::new(0),
             admission_changed: Notify::new(),
             in_flight: TaskTracker::new(),
-            drain_over: CancellationToken::new(),
+            drain_expired: CancellationToken::new(),
             metrics: MetricSet::default(),
             platform,
             peer_ahead: Notify::new(),
             peers: OnceLock::new(),
             log_horizon: AtomicU64::new(0),
-            checkpoint_seen: Mutex::new(None),
+            checkpoint_read_at: Mutex::new(None),
             run_numbers: AtomicU64::new(0),
-            ordering: tokio::sync::Mutex::new(()),
+            order_lock: tokio::sync::Mutex::new(()),
             readiness: ReadinessGate::new(),
             draining: AtomicBool::new(false),
         })
@@ -127,12 +127,12 @@
     }
 
     /// Notes a decision about a request for `explain`.
-    pub(super) fn note(&self, request: &RequestId, event: JournalEvent) {
-        self.note_about(JournalSubject::Request(request.clone()), event);
+    pub(super) fn record_event(&self, request: &RequestId, event: JournalEvent) {
+        self.record_event_about(JournalSubject::Request(request.clone()), event);
     }
 
     /// Notes a decision about any subject for `explain`.
-    pub(super) fn note_about(&self, subject: JournalSubject, event: JournalEvent) {
+    pub(super) fn record_event_about(&self, subject: JournalSubject, event: JournalEvent) {
         let entry = JournalEntry {
             at: SystemTime::now(),
             subject,
@@ -159,8 +159,8 @@
     }
 
     /// Marks an order to a target as under way until the mark is dropped.
-    pub(super) async fn begin_ordering(&self) -> tokio::sync::MutexGuard<'_, ()> {
-        self.ordering.lock().await
+    pub(super) async fn lock_orders(&self) -> tokio::sync::MutexGuard<'_, ()> {
+        self.order_lock.lock().await
     }
 
     /// Whether the balancer should send callers here: the configuration is
@@ -171,8 +171,8 @@
             return false;
         }
         let is_divided = self.tables.shares.lock().shares.lease().is_some();
-        let desk = self.tables.admission.lock();
-        is_divided || desk.table.organisations().next().is_none()
+        let state = self.tables.admission.lock();
+        is_divided || state.table.organisations().next().is_none()
     }
 
     /// Whether nothing new is taken any more.
@@ -181,7 +181,7 @@
     }
 
     /// Whether all hosts known are heard.
-    pub(super) fn hears_all_peers(&self) -> bool {
+    pub(super) fn all_peers_live(&self) -> bool {
         let membership = self.tables.membership.lock();
         let mut members = membership.members().peekable();
         members.peek().is_some() && members.all(|member| member.phase == MemberPhase::Live)
@@ -198,13 +198,13 @@
     }
 
     /// Notes that a good checkpoint was just read from the log.
-    pub(super) fn note_checkpoint_seen(&self) {
-        *self.checkpoint_seen.lock() = Some(Instant::now());
+    pub(super) fn record_checkpoint_read(&self) {
+        *self.checkpoint_read_at.lock() = Some(Instant::now());
     }
 
     /// Time since a good checkpoint was read from the log.
     pub(super) fn checkpoint_age(&self) -> Option<Duration> {
-        let seen = *self.checkpoint_seen.lock();
+        let seen = *self.checkpoint_read_at.lock();
         seen.map(|seen| seen.elapsed())
     }
 
--- a/src/daemon/declarations.rs
+++ b/src/daemon/declarations.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use super::activation::activate_declarations;
 use super::core::{DaemonCore, DaemonPhase};
-use super::in_force::put_in_force;
 use super::relaying::catch_up_from_peers;
 use super::tails::{READ_LIMIT, open_tail};
 use crate::platform::log_tail::TailEvent;
@@ -51,7 +51,7 @@
         }
         catch_up_from_peers(core).await;
         // Peers that have not been heard by then cannot be reached.
-        if core.hears_all_peers() || began.elapsed() >= core.options.timing.peer_timeout {
+        if core.all_peers_live() || began.elapsed() >= core.options.timing.peer_timeout {
             core.readiness.confirm();
         }
         if can_follow(core) {
@@ -81,16 +81,16 @@
             .platform
             .read(DECLARATION_STREAM, from, READ_LIMIT, Duration::ZERO)
             .await;
-        let answer = match read {
-            Ok(answer) => answer,
+        let response = match read {
+            Ok(response) => response,
             Err(error) => {
                 log::warn!("the log cannot be read at the start: {error}");
                 return None;
             }
         };
-        core.set_log_horizon(answer.first_offset);
-        core.readiness.learn(answer.end_offset, Instant::now());
-        match planner.on_read(&answer) {
+        core.set_log_horizon(response.first_offset);
+        core.readiness.learn(response.end_offset, Instant::now());
+        match planner.on_read(&response) {
             StartDecision::ReadFrom(offset) => from = offset,
             StartDecision::Started(table) => return Some(*table),
             StartDecision::NotReady(obstacle) => {
@@ -114,7 +114,7 @@
         }
     };
     match superseded {
-        Ok(()) => put_in_force(core),
+        Ok(()) => activate_declarations(core),
         Err(error) => log::debug!("the state in force stays: {error}"),
     }
 }
@@ -165,7 +165,7 @@
             .iter()
             .try_for_each(|record| apply_record(core, &mut declarations, record))
     };
-    put_in_force(core);
+    activate_declarations(core);
     applied
 }
 
@@ -183,7 +183,7 @@
             core.metrics.checkpoint_differed();
             log::error!("record {}: {judgement:?}", record.offset);
         }
-        Judgement::CheckpointMatched => core.note_checkpoint_seen(),
+        Judgement::CheckpointMatched => core.record_checkpoint_read(),
         _ => log::debug!("record {}: {judgement:?}", record.offset),
     }
     let mut relay = core.tables.relay.lock();
--- a/src/daemon/force.rs
+++ b/src/daemon/force.rs
@@ -34,19 +34,19 @@
 /// Of another zone only a few hosts are ever heard. Without this the others
 /// would count as unreachable for ever, and no change as in force everywhere.
 fn member_view(member: &HostMember, zones: &membership::ForceView) -> HostForceView {
-    let told = match member.phase {
+    let reported = match member.phase {
         MemberPhase::Live => Some(member.applied_offset),
-        _ => told_by_zone(member, zones),
+        _ => reported_by_zone(member, zones),
     };
     HostForceView {
         host: member.host.clone(),
-        applied: member.applied_offset.max(told.unwrap_or(0)),
-        reachable: told.is_some(),
+        applied: member.applied_offset.max(reported.unwrap_or(0)),
+        reachable: reported.is_some(),
         draining: member.draining,
     }
 }
 
-fn told_by_zone(member: &HostMember, zones: &membership::ForceView) -> Option<LogOffset> {
+fn reported_by_zone(member: &HostMember, zones: &membership::ForceView) -> Option<LogOffset> {
     let zone = zones.zones.get(&member.zone)?;
     match zone.unreachable.is_empty() && zone.unnamed_unreachable == 0 {
         true => zone.lowest_applied_offset,
--- a/src/daemon/generate.rs
+++ b/src/daemon/generate.rs
@@ -11,7 +11,7 @@
 use super::admitting::{AdmissionSlot, admit};
 use super::claims::{ClaimSubject, ClaimTicket, DispatchedClaim};
 use super::core::{DaemonCore, DaemonPhase};
-use super::watch_steps::note_step;
+use super::step_observations::record_step;
 use crate::admission::AdmissionRequest;
 use crate::api::backend::{GenerateCall, GenerateStream};
 use crate::api::wire::{RefusalBody, StreamEvent};
@@ -41,11 +41,11 @@
     check_body(&call)?;
     let deadline = deadline_of(&core, &call);
     let subject = claimed::subject_of(&call, deadline)?;
-    let begun = begin(&core, call, subject.clone(), deadline).await;
+    let begun = start_generation(&core, call, subject.clone(), deadline).await;
     begun.map_err(|refusal| claimed::correct_refusal(&core, subject.as_ref(), refusal))
 }
 
-async fn begin(
+async fn start_generation(
     core: &Arc<DaemonCore>,
     call: GenerateCall,
     subject: Option<ClaimSubject>,
@@ -66,7 +66,7 @@
     // Planned again: while the request waited, targets have come, gone or
     // filled up.
     let route = plan_route(core, &call, deadline)?;
-    core.note(&call.request, routed(&route));
+    core.record_event(&call.request, routed(&route));
     core.tables.routes.write().run_started(&route);
     let (events, stream) = mpsc::channel(STREAM_BUFFER);
     let runner = GenerationRunner {
@@ -204,7 +204,7 @@
             self.core.tables.routes.write().run_ended(&self.route);
             // Counted as ended like any other: the gauge of requests in flight
             // would otherwise grow with each caller that leaves this early.
-            self.note_outcome(RunOutcome {
+            self.record_outcome(RunOutcome {
                 delivered: 0,
                 verdict: RunVerdict::NotRun,
                 refusal: Some(RefusalReason::CallerGone),
@@ -216,14 +216,14 @@
             Err(outcome) => outcome,
         };
         self.core.tables.routes.write().run_ended(&self.route);
-        let is_cut = self.core.drain_over.is_cancelled() && !self.events.is_closed();
+        let is_cut = self.core.drain_expired.is_cancelled() && !self.events.is_closed();
         if is_cut && outcome.refusal == Some(RefusalReason::CallerGone) {
             outcome.refusal = Some(RefusalReason::Draining);
         }
         if outcome.refusal.is_none() {
             slot.complete();
         }
-        self.note_outcome(outcome);
+        self.record_outcome(outcome);
         log::info!(
             request:% = self.call.request;
             "answered {} tokens, verdict {:?}, refusal {:?}",
@@ -247,7 +247,7 @@
         outcome
     }
 
-    fn note_outcome(&self, outcome: RunOutcome) {
+    fn record_outcome(&self, outcome: RunOutcome) {
         let (core, request) = (&self.core, &self.call.request);
         let ended = match (outcome.refusal, outcome.verdict) {
             (None, _) => RequestOutcome::Whole,
@@ -264,7 +264,7 @@
             delivered: outcome.delivered,
             reason: outcome.refusal,
         };
-        core.note(request, event);
+        core.record_event(request, event);
     }
 
     async fn drive(&mut self, tokens: mpsc::Sender<DeliveredToken>) -> RunOutcome {
@@ -278,7 +278,7 @@
         let address = |target: &TargetId| -> Option<SocketAddr> { core.target_address(target) };
         let is_leaving = |target: &TargetId| core.tables.routes.read().is_leaving(target);
         let request = self.call.request.clone();
-        let observe = |observation| note_step(&core, &request, &observation);
+        let observe = |observation| record_step(&core, &request, &observation);
         let hooks = RunHooks {
             choose,
             address,
@@ -360,7 +360,7 @@
             // that nobody listens, also while no token is due.
             () = events.closed() => return sent,
             // Draining has taken too long: likewise.
-            () = core.drain_over.cancelled() => return sent,
+            () = core.drain_expired.cancelled() => return sent,
         };
         let Some(DeliveredToken { number, token }) = delivered else {
             return sent;
--- a/src/daemon/generate/claimed.rs
+++ b/src/daemon/generate/claimed.rs
@@ -11,7 +11,7 @@
 use crate::api::backend::GenerateCall;
 use crate::api::wire::RefusalBody;
 use crate::claims::record::RequestFingerprint;
-use crate::daemon::claims::{ClaimSubject, ClaimTicket, DispatchedClaim, known_better, refusal_of};
+use crate::daemon::claims::{ClaimSubject, ClaimTicket, DispatchedClaim, known_answer, refusal_of};
 use crate::daemon::core::DaemonCore;
 use crate::daemon::services::required_key;
 use crate::ids::TokenValue;
@@ -73,7 +73,7 @@
 ) -> RefusalBody {
     match subject {
         Some(subject) if refusal.verdict == RunVerdict::NotRun => {
-            match known_better(core, subject) {
+            match known_answer(core, subject) {
                 Some(answer) => refusal_of(&answer, &subject.request),
                 None => refusal,
             }
--- a/src/daemon/leases.rs
+++ b/src/daemon/leases.rs
@@ -21,14 +21,14 @@
 /// Pause between two looks at the leases.
 const LEASE_TICK: Duration = Duration::from_millis(100);
 /// How long a shutdown waits until what it wrote is read back.
-const REPLAY_WAIT: Duration = Duration::from_secs(1);
+const REPLAY_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between two looks at that.
 const REPLAY_POLL: Duration = Duration::from_millis(10);
 /// Renewals within one duration.
 const RENEWALS_PER_DURATION: u32 = 3;
 
 /// The table of leases with this host's part in them, under one lock.
-pub(super) struct LeaseDesk {
+pub(super) struct LeaseState {
     pub(super) table: LeaseTable,
     machines: Vec<NamedMachine>,
 }
@@ -38,7 +38,7 @@
     machine: LeaseMachine,
 }
 
-impl LeaseDesk {
+impl LeaseState {
     /// A desk on which no lease is tried for yet.
     pub(super) fn new(table: LeaseTable) -> Self {
         Self {
@@ -48,15 +48,15 @@
     }
 
     /// The fencing number under which this host may begin something now that
-    /// takes at most `longest`.
+    /// takes at most `max_duration`.
     pub(super) fn may_act(
         &self,
         name: &str,
         now: Instant,
-        longest: Duration,
+        max_duration: Duration,
     ) -> Option<FencingNumber> {
         let named = self.machines.iter().find(|named| &*named.name == name)?;
-        named.machine.may_act(now, longest)
+        named.machine.may_act(now, max_duration)
     }
 
     fn apply(&mut self, record: &StoredRecord, seen_at: Instant) {
@@ -98,7 +98,7 @@
     loop {
         tokio::select! {
             event = tail.next() => match event {
-                Some(event) => take_event(&core, event),
+                Some(event) => handle_tail_event(&core, event),
                 None => return,
             },
             _ = ticks.tick() => decide_all(&core, &appends),
@@ -111,7 +111,7 @@
     let duration = core.options.timing.lease_duration;
     let owner = owner(core);
     let now = Instant::now();
-    let mut desk = core.tables.leases.lock();
+    let mut state = core.tables.leases.lock();
     for name in [
         orders_lease(core.zone()),
         shares_lease(core.zone()),
@@ -123,9 +123,9 @@
             // Drawn anew for each host, so that they do not all try at once.
             retry_after: duration.mul_f64(random.random_range(0.2..0.4)),
         };
-        let first_try = now + duration.mul_f64(random.random_range(0.0..0.2));
-        let machine = LeaseMachine::new(name.clone(), owner.clone(), terms, first_try);
-        desk.machines.push(NamedMachine { name, machine });
+        let first_attempt = now + duration.mul_f64(random.random_range(0.0..0.2));
+        let machine = LeaseMachine::new(name.clone(), owner.clone(), terms, first_attempt);
+        state.machines.push(NamedMachine { name, machine });
     }
 }
 
@@ -136,21 +136,21 @@
     }
 }
 
-fn take_event(core: &DaemonCore, event: TailEvent) {
+fn handle_tail_event(core: &DaemonCore, event: TailEvent) {
     let now = Instant::now();
-    let mut desk = core.tables.leases.lock();
+    let mut state = core.tables.leases.lock();
     match event {
         TailEvent::Records {
             records,
             first_offset,
             ..
         } => {
-            desk.table.note_read(first_offset, now);
+            state.table.note_read(first_offset, now);
             for record in &records {
-                desk.apply(record, now);
+                state.apply(record, now);
             }
         }
-        TailEvent::Expired { first_offset, .. } => desk.table.note_read(first_offset, now),
+        TailEvent::Expired { first_offset, .. } => state.table.note_read(first_offset, now),
         // Without the log no lease is renewed, and none can be taken.
         TailEvent::Unreachable { .. } => {}
     }
@@ -164,8 +164,8 @@
     let now = Instant::now();
     let mut records = Vec::new();
     {
-        let mut desk = core.tables.leases.lock();
-        let LeaseDesk { table, machines } = &mut *desk;
+        let mut state = core.tables.leases.lock();
+        let LeaseState { table, machines } = &mut *state;
         for named in machines {
             match named.machine.decide(table, new_id(), now) {
                 LeaseDecision::TryAcquire(record) | LeaseDecision::Renew(record) => {
@@ -187,13 +187,13 @@
 /// Left to a worker, this would be lost if nothing is in flight: the process
 /// would end first, and nobody would order the zone's targets until the leases
 /// lapse.
-pub(super) async fn hand_back(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>) {
-    settle(core).await;
+pub(super) async fn release_leases(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>) {
+    wait_for_judgements(core).await;
     // Handed back while an order is under way, a lease would let the next
     // holder order at the same time.
-    let ordering = core.begin_ordering().await;
+    let order_lock = core.lock_orders().await;
     let released = release_all(core);
-    drop(ordering);
+    drop(order_lock);
     let released = released
         .into_iter()
         .map(|record| release(core, appends, record));
@@ -205,15 +205,15 @@
 /// A lease that was acquired but not read back yet could not be released, and
 /// a renewal that comes before the release makes that void; in both cases the
 /// lease would stay with a host that is gone.
-async fn settle(core: &DaemonCore) {
-    let deadline = Instant::now() + REPLAY_WAIT;
+async fn wait_for_judgements(core: &DaemonCore) {
+    let deadline = Instant::now() + REPLAY_TIMEOUT;
     while Instant::now() < deadline {
-        let awaits = {
-            let desk = core.tables.leases.lock();
-            let mut machines = desk.machines.iter();
+        let is_awaiting = {
+            let state = core.tables.leases.lock();
+            let mut machines = state.machines.iter();
             machines.any(|named| named.machine.awaits_judgement())
         };
-        if !awaits {
+        if !is_awaiting {
             return;
         }
         tokio::time::sleep(REPLAY_POLL).await;
@@ -228,7 +228,7 @@
 ) {
     loop {
         append(Arc::clone(core), Arc::clone(appends), record.clone()).await;
-        let deadline = Instant::now() + REPLAY_WAIT;
+        let deadline = Instant::now() + REPLAY_TIMEOUT;
         while Instant::now() < deadline {
             if !is_held(core, &record) {
                 return;
@@ -242,15 +242,15 @@
 
 /// Whether the log still shows the lease as its writer's.
 fn is_held(core: &DaemonCore, record: &LogRecord<LeaseBody>) -> bool {
-    let desk = core.tables.leases.lock();
-    let holder = desk.table.holder(&record.body.name);
+    let state = core.tables.leases.lock();
+    let holder = state.table.holder(&record.body.name);
     holder.is_some_and(|holder| holder.owner == LeaseOwner::of(record))
 }
 
 fn release_all(core: &DaemonCore) -> Vec<LogRecord<LeaseBody>> {
     let now = Instant::now();
-    let mut desk = core.tables.leases.lock();
-    let LeaseDesk { table, machines } = &mut *desk;
+    let mut state = core.tables.leases.lock();
+    let LeaseState { table, machines } = &mut *state;
     machines
         .iter_mut()
         .filter_map(|named| named.machine.release(table, new_id(), now))
@@ -269,8 +269,8 @@
         return;
     };
     if let Ok(Err(error)) = appended.await {
-        let mut desk = core.tables.leases.lock();
-        for named in &mut desk.machines {
+        let mut state = core.tables.leases.lock();
+        for named in &mut state.machines {
             named.machine.take_append_failure(&record.id, error.verdict);
         }
     }
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -5,8 +5,8 @@
 
 use super::core::{DaemonCore, DaemonPhase};
 use super::sharing::{
-    OutgoingReport, answer_report, dividing_lease, hear_holder, note_gone, outgoing_report,
-    take_grants,
+    OutgoingReport, dividing_lease, grants_for_report, observe_holder, outgoing_report,
+    receive_grants, record_removed_host,
 };
 use crate::ids::HostId;
 use crate::membership::MembershipDecision;
@@ -15,13 +15,13 @@
 use crate::target::wire::LoadReport;
 
 /// Heartbeats sent in a row, when the first one has to be answered at once.
-const MOST_EXCHANGES: usize = 2;
+const MAX_EXCHANGES: usize = 2;
 /// Pause between two looks at who is due for a heartbeat.
 const MEMBERSHIP_TICK: Duration = Duration::from_millis(50);
 
 /// Sends heartbeats when they are due, until the daemon ends.
 pub(super) async fn run_members(core: Arc<DaemonCore>) {
-    meet_seeds(&core);
+    add_seeds(&core);
     let mut ticks = tokio::time::interval(MEMBERSHIP_TICK);
     let mut counted = CountedTraffic::default();
     loop {
@@ -33,8 +33,8 @@
             membership.set_draining(core.phase() == DaemonPhase::Draining);
             membership.tick(Instant::now())
         };
-        carry_out(&core, decisions);
-        share_out_watching(&core);
+        execute_decisions(&core, decisions);
+        assign_watches(&core);
     }
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-fn meet_seeds(core: &DaemonCore) {
+fn add_seeds(core: &DaemonCore) {
     let mut membership = core.tables.membership.lock();
     let now = Instant::now();
     for seed in &core.options.peers.seeds {
@@ -68,7 +68,7 @@
     }
 }
 
-fn carry_out(core: &Arc<DaemonCore>, decisions: Vec<MembershipDecision>) {
+fn execute_decisions(core: &Arc<DaemonCore>, decisions: Vec<MembershipDecision>) {
     for decision in decisions {
         match decision {
             MembershipDecision::SendHeartbeat {
@@ -94,7 +94,7 @@
             } => {
                 log::info!("host {host} is gone: {cause:?}");
                 if let Some(incarnation) = incarnation {
-                    note_gone(core, &GrantHolder { host, incarnation });
+                    record_removed_host(core, &GrantHolder { host, incarnation });
                 }
             }
         }
@@ -105,8 +105,8 @@
     let Some(peers) = core.peers() else {
         return;
     };
-    for _ in 0..MOST_EXCHANGES {
-        let mut beat = own_beat(&core, remote);
+    for _ in 0..MAX_EXCHANGES {
+        let mut beat = own_heartbeat(&core, remote);
         let sent = outgoing_report(&core, &to);
         if let Some(sent) = &sent {
             beat.demands_for = Some(sent.report.lease);
@@ -114,7 +114,7 @@
         }
         let again = match peers.heartbeat(address, beat).await {
             // An address may have passed to another host.
-            Ok(reply) if reply.beat.host == to => take_reply(&core, &reply, sent.as_ref()),
+            Ok(reply) if reply.beat.host == to => apply_reply(&core, &reply, sent.as_ref()),
             Ok(reply) => {
                 log::warn!("{address} is {} and not {to}", reply.beat.host);
                 false
@@ -130,7 +130,7 @@
     }
 }
 
-fn own_beat(core: &DaemonCore, remote: bool) -> PeerHeartbeat {
+fn own_heartbeat(core: &DaemonCore, remote: bool) -> PeerHeartbeat {
     let mut membership = core.tables.membership.lock();
     let now = Instant::now();
     let loads = {
@@ -144,41 +144,41 @@
 }
 
 /// Takes in an answer; says whether to send another heartbeat at once.
-fn take_reply(core: &Arc<DaemonCore>, reply: &PeerReply, sent: Option<&OutgoingReport>) -> bool {
-    take_beat(core, &reply.beat);
+fn apply_reply(core: &Arc<DaemonCore>, reply: &PeerReply, sent: Option<&OutgoingReport>) -> bool {
+    apply_heartbeat(core, &reply.beat);
     let Some(lease) = reply.lease_offset else {
         return false;
     };
     match sent {
         Some(sent) if sent.report.lease == lease => {
-            take_grants(core, lease, &reply.grants, sent.sent_at)
+            receive_grants(core, lease, &reply.grants, sent.sent_at)
         }
         _ => {
-            hear_holder(core, &reply.beat.host, lease);
+            observe_holder(core, &reply.beat.host, lease);
             false
         }
     }
 }
 
 /// Answers a peer's heartbeat with this host's own.
-pub(super) fn answer_beat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) -> PeerReply {
-    take_beat(core, beat);
+pub(super) fn handle_heartbeat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) -> PeerReply {
+    apply_heartbeat(core, beat);
     let remote = beat.zone != *core.zone();
-    let grants = answer_report(core, beat);
+    let grants = grants_for_report(core, beat);
     PeerReply {
-        beat: own_beat(core, remote),
+        beat: own_heartbeat(core, remote),
         lease_offset: dividing_lease(core).filter(|_| !remote),
         grants: grants.unwrap_or_default(),
     }
 }
 
-fn take_beat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) {
+fn apply_heartbeat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) {
     let now = Instant::now();
     let decisions = {
         let mut membership = core.tables.membership.lock();
         membership.observe_heartbeat(beat, now)
     };
-    carry_out(core, decisions);
+    execute_decisions(core, decisions);
     let mut watch = core.tables.watch.lock();
     watch.observe_peer_loads(&beat.host, &beat.loads, now);
     let mut routes = core.tables.routes.write();
@@ -201,7 +201,7 @@
 
 /// Divides the watching of targets over the hosts that are live now, and
 /// takes targets that are known to leave out of rotation.
-fn share_out_watching(core: &DaemonCore) {
+fn assign_watches(core: &DaemonCore) {
     let working = core.tables.membership.lock().working_hosts();
     let declarations = core.tables.declarations.read();
     let mut watch = core.tables.watch.lock();
--- a/src/daemon/readiness.rs
+++ b/src/daemon/readiness.rs
@@ -11,7 +11,7 @@
 ///
 /// Covers the ordinary way of a record through the log or a peer; a change
 /// must be in force within a few seconds.
-const BEHIND_GRACE: Duration = Duration::from_secs(3);
+const LAG_GRACE: Duration = Duration::from_secs(3);
 
 /// What the host holds against what it knows to exist. A lock of its own that
 /// is held for no other: it may be taken with any table locked.
@@ -23,16 +23,16 @@
     tracker: ReadinessTracker,
     /// Whether the log was read to its end, or every peer was asked.
     confirmed: bool,
-    told: Option<Readiness>,
+    last_logged: Option<Readiness>,
 }
 
 impl ReadinessGate {
     pub(super) fn new() -> Self {
         Self {
             state: Mutex::new(GateState {
-                tracker: ReadinessTracker::new(BEHIND_GRACE),
+                tracker: ReadinessTracker::new(LAG_GRACE),
                 confirmed: false,
-                told: None,
+                last_logged: None,
             }),
         }
     }
@@ -65,15 +65,15 @@
             }
             readiness => readiness,
         };
-        if state.told != Some(readiness) {
-            tell(readiness);
-            state.told = Some(readiness);
+        if state.last_logged != Some(readiness) {
+            log_readiness(readiness);
+            state.last_logged = Some(readiness);
         }
         readiness
     }
 }
 
-fn tell(readiness: Readiness) {
+fn log_readiness(readiness: Readiness) {
     match readiness {
         Readiness::Ready => log::info!("the configuration is good: taking work"),
         Readiness::NotReady(reason @ NotReadyReason::UnknownRules) => {
--- a/src/daemon/reconciling.rs
+++ b/src/daemon/reconciling.rs
@@ -91,8 +91,8 @@
     /// The fencing number, if an order sent at `now` ends before the lease.
     fn may_order(&self, now: Instant) -> Option<LogOffset> {
         let name = orders_lease(self.core.zone());
-        let desk = self.core.tables.leases.lock();
-        desk.may_act(&name, now, self.limits.order_deadline)
+        let lease_state = self.core.tables.leases.lock();
+        lease_state.may_act(&name, now, self.limits.order_deadline)
     }
 
     fn refresh_desired(&mut self) {
@@ -124,17 +124,17 @@
     /// make what was read of the others too old to act on.
     async fn observe_all(&mut self, targets: Vec<TargetId>) {
         let core = &self.core;
-        let asked_at = Instant::now();
-        let questions = targets.into_iter().map(|target| async move {
+        let requested_at = Instant::now();
+        let requests = targets.into_iter().map(|target| async move {
             let state = match core.target_address(&target) {
                 Some(address) => Some(core.targets.state(address).await),
                 None => None,
             };
             (target, state)
         });
-        for (target, state) in join_all(questions).await {
+        for (target, state) in join_all(requests).await {
             match state {
-                Some(Ok(state)) => self.table.observe(&target, state, asked_at),
+                Some(Ok(state)) => self.table.observe(&target, state, requested_at),
                 Some(Err(_)) => self.table.record_failure(&target, Instant::now()),
                 None => {}
             }
@@ -148,7 +148,7 @@
         // The host may have been frozen since the decision. An order sent
         // under a lapsed lease would race the next holder's, and a target
         // without fencing would carry out whichever comes last.
-        let ordering = self.core.begin_ordering().await;
+        let order_lock = self.core.lock_orders().await;
         if self.may_order(Instant::now()) != Some(order.fencing) {
             return;
         }
@@ -159,7 +159,7 @@
             target: target.clone(),
             fencing: order.fencing,
         };
-        self.core.note_about(subject, event);
+        self.core.record_event_about(subject, event);
         let sent_at = Instant::now();
         self.table.record_order(target, order, sent_at);
         match self.core.targets.order_state(address, order).await {
@@ -169,6 +169,6 @@
                 self.table.record_failure(target, Instant::now());
             }
         }
-        drop(ordering);
+        drop(order_lock);
     }
 }
--- a/src/daemon/relaying.rs
+++ b/src/daemon/relaying.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use super::activation::activate_declarations;
 use super::core::DaemonCore;
 use super::declarations::apply_record;
-use super::in_force::put_in_force;
 use crate::membership::MemberPhase;
 use crate::peer::{PeerHandle, RecordsQuestion, RelayedRange};
 use crate::records::DECLARATION_STREAM;
@@ -20,14 +20,14 @@
 const LOG_HEAD_START: Duration = Duration::from_millis(300);
 
 /// Answers a peer that asks for records.
-pub(super) fn relay_records(core: &DaemonCore, question: &RecordsQuestion) -> RelayedRange {
-    if question.stream != DECLARATION_STREAM {
+pub(super) fn relay_records(core: &DaemonCore, request: &RecordsQuestion) -> RelayedRange {
+    if request.stream != DECLARATION_STREAM {
         return RelayedRange::default();
     }
     let declarations = core.tables.declarations.read();
     let relay = core.tables.relay.lock();
-    let limit = question.limit.min(RELAY_LIMIT) as usize;
-    let range = relay.range(question.from, limit, &declarations);
+    let limit = request.limit.min(RELAY_LIMIT) as usize;
+    let range = relay.range(request.from, limit, &declarations);
     RelayedRange {
         first_offset: range.first_offset,
         end_offset: range.end_offset,
@@ -79,12 +79,12 @@
 async fn follow_peer(core: &DaemonCore, peers: &PeerHandle, peer: SocketAddr) {
     loop {
         let from = core.tables.declarations.read().applied();
-        let question = RecordsQuestion {
+        let request = RecordsQuestion {
             stream: DECLARATION_STREAM.to_owned(),
             from,
             limit: RELAY_LIMIT,
         };
-        let range = match peers.records(peer, question).await {
+        let range = match peers.records(peer, request).await {
             Ok(range) => range,
             Err(error) => {
                 log::debug!("no records from {peer}: {error}");
@@ -106,7 +106,7 @@
         }
         declarations.applied()
     };
-    put_in_force(core);
+    activate_declarations(core);
     reached
 }
 
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -10,7 +10,7 @@
 use super::admitting::{AdmissionSlot, admit};
 use super::core::DaemonCore;
 use super::generate::check_phase;
-use super::targets::note_leaving;
+use super::targets::mark_leaving;
 use crate::admission::AdmissionRequest;
 use crate::api::backend::{ServiceCall, ServiceReply};
 use crate::api::wire::RefusalBody;
@@ -53,11 +53,11 @@
         .any(|operation| **operation == *call.operation);
     match is_listed || call.non_idempotent {
         true => call_claimed(core, call, service.targets).await,
-        false => call_freely(&core, &call, &service.targets).await,
+        false => call_idempotent(&core, &call, &service.targets).await,
     }
 }
 
-async fn call_freely(
+async fn call_idempotent(
     core: &Arc<DaemonCore>,
     call: &ServiceCall,
     targets: &[TargetId],
@@ -111,19 +111,19 @@
     let mut excluded = Vec::new();
     while excluded.len() < MAX_CALL_ATTEMPTS {
         if !excluded.is_empty() && !core.tables.budget.lock().spend() {
-            return Err(failed(call, RefusalReason::RetryBudgetSpent, verdict));
+            return Err(call_failure(call, RefusalReason::RetryBudgetSpent, verdict));
         }
         let Some(target) = choose_target(core, targets, &excluded) else {
-            return Err(failed(call, RefusalReason::NoRoute, verdict));
+            return Err(call_failure(call, RefusalReason::NoRoute, verdict));
         };
         let failure = match send_call(core, call, &target).await {
-            Ok(answer) => return Ok(reply(answer)),
+            Ok(response) => return Ok(reply(response)),
             Err(failure) => failure,
         };
         verdict = verdict.join(failure.verdict());
         excluded.push(target);
     }
-    Err(failed(call, RefusalReason::TargetFailed, verdict))
+    Err(call_failure(call, RefusalReason::TargetFailed, verdict))
 }
 
 fn choose_target(
@@ -152,36 +152,41 @@
     };
     let began = Instant::now();
     core.tables.routes.write().step_sent(target, began);
-    let answer = core.targets.call(address, order).await;
-    note_answer(core, call, target, &answer, began.elapsed());
-    answer
+    let response = core.targets.call(address, order).await;
+    record_response(core, call, target, &response, began.elapsed());
+    response
 }
 
 /// Tells the router's table how a call went.
-fn note_answer(
+fn record_response(
     core: &DaemonCore,
     call: &ServiceCall,
     target: &TargetId,
-    answer: &Result<CallAnswer, TargetFailure>,
+    response: &Result<CallAnswer, TargetFailure>,
     latency: Duration,
 ) {
-    match answer {
+    match response {
         Ok(_) => {
             let mut routes = core.tables.routes.write();
             routes.step_answered(target, latency, 1, Instant::now());
         }
-        Err(failure) => note_failure(core, call, target, failure),
+        Err(failure) => record_failure(core, call, target, failure),
     }
 }
 
-fn note_failure(core: &DaemonCore, call: &ServiceCall, target: &TargetId, failure: &TargetFailure) {
+fn record_failure(
+    core: &DaemonCore,
+    call: &ServiceCall,
+    target: &TargetId,
+    failure: &TargetFailure,
+) {
     log::warn!(
         request:% = call.request;
         "call on {target} failed: {failure}"
     );
     let now = Instant::now();
     if failure.reason() == RetryReason::TargetLeaving {
-        note_leaving(core, target, now);
+        mark_leaving(core, target, now);
     }
     let mut routes = core.tables.routes.write();
     routes.step_failed(target, failure.reason(), now);
@@ -199,19 +204,19 @@
     headers
 }
 
-fn reply(answer: CallAnswer) -> ServiceReply {
-    let content_type = answer.headers.get(CONTENT_TYPE);
+fn reply(response: CallAnswer) -> ServiceReply {
+    let content_type = response.headers.get(CONTENT_TYPE);
     ServiceReply {
-        status: answer.status.as_u16(),
+        status: response.status.as_u16(),
         content_type: content_type
             .and_then(|value| value.to_str().ok())
             .map(str::to_owned),
-        body: answer.body,
+        body: response.body,
         replayed: false,
     }
 }
 
-fn failed(call: &ServiceCall, reason: RefusalReason, verdict: RunVerdict) -> RefusalBody {
+fn call_failure(call: &ServiceCall, reason: RefusalReason, verdict: RunVerdict) -> RefusalBody {
     let message = match reason {
         RefusalReason::NoRoute => "no usable target",
         RefusalReason::RetryBudgetSpent => "the target failed and no retry is left",
--- a/src/daemon/services/claimed.rs
+++ b/src/daemon/services/claimed.rs
@@ -6,15 +6,15 @@
 use http::StatusCode;
 
 use super::{
-    MAX_CALL_ATTEMPTS, admit_call, call_headers, choose_target, deadline_of, failed, note_answer,
-    note_failure, reply,
+    MAX_CALL_ATTEMPTS, admit_call, call_failure, call_headers, choose_target, deadline_of,
+    record_failure, record_response, reply,
 };
 use crate::api::backend::{ServiceCall, ServiceReply};
 use crate::api::wire::RefusalBody;
 use crate::claims::key::{TimedKey, parse_key};
 use crate::claims::record::RequestFingerprint;
 use crate::daemon::claims::{
-    ClaimSubject, ClaimTicket, DispatchedClaim, known_better, refusal_of, reply_of,
+    ClaimSubject, ClaimTicket, DispatchedClaim, known_answer, refusal_of, reply_of,
 };
 use crate::daemon::core::DaemonCore;
 use crate::ids::{IdempotencyKey, RequestId, TargetId};
@@ -57,9 +57,9 @@
     let request = call.request.clone();
     let running = call_once(Arc::clone(&core), call, targets, subject.clone());
     let result = core.in_flight.spawn(running).await;
-    match result.unwrap_or_else(|_| Err(broke_off(&request))) {
+    match result.unwrap_or_else(|_| Err(aborted_call(&request))) {
         Err(refusal) if refusal.verdict == RunVerdict::NotRun => {
-            match known_better(&core, &subject) {
+            match known_answer(&core, &subject) {
                 Some(answer) => reply_of(answer, &request),
                 None => Err(refusal),
             }
@@ -79,7 +79,7 @@
     })
 }
 
-fn broke_off(request: &RequestId) -> RefusalBody {
+fn aborted_call(request: &RequestId) -> RefusalBody {
     RefusalBody {
         verdict: RunVerdict::MayHaveRun,
         ..RefusalBody::not_run(RefusalReason::TargetFailed, "the call broke off")
@@ -135,10 +135,14 @@
     while excluded.len() < MAX_CALL_ATTEMPTS {
         if !excluded.is_empty() && !core.tables.budget.lock().spend() {
             let reason = RefusalReason::RetryBudgetSpent;
-            return Err(failed(call, reason, RunVerdict::NotRun));
+            return Err(call_failure(call, reason, RunVerdict::NotRun));
         }
         let Some(target) = choose_target(core, targets, &excluded) else {
-            return Err(failed(call, RefusalReason::NoRoute, RunVerdict::NotRun));
+            return Err(call_failure(
+                call,
+                RefusalReason::NoRoute,
+                RunVerdict::NotRun,
+            ));
         };
         core.tables
             .routes
@@ -146,11 +150,11 @@
             .step_sent(&target, Instant::now());
         match open(core, &target).await {
             Ok(connection) => return Ok((target, connection)),
-            Err(failure) => note_failure(core, call, &target, &failure),
+            Err(failure) => record_failure(core, call, &target, &failure),
         }
         excluded.push(target);
     }
-    Err(failed(
+    Err(call_failure(
         call,
         RefusalReason::TargetFailed,
         RunVerdict::NotRun,
@@ -178,7 +182,7 @@
     };
     let began = Instant::now();
     let answer = connection.send(order).await;
-    note_answer(core, call, target, &answer, began.elapsed());
+    record_response(core, call, target, &answer, began.elapsed());
     answer
 }
 
@@ -201,7 +205,7 @@
                 _ => StatusCode::GATEWAY_TIMEOUT,
             };
             dispatched.finish(verdict, status.as_u16(), &[]);
-            Err(failed(call, RefusalReason::TargetFailed, verdict))
+            Err(call_failure(call, RefusalReason::TargetFailed, verdict))
         }
     }
 }
--- a/src/daemon/sharing.rs
+++ b/src/daemon/sharing.rs
@@ -35,12 +35,12 @@
 /// Records after which the stream gets a checkpoint.
 const CHECKPOINT_RECORDS: u64 = 2_000;
 /// Requests a minute that a host asks for while something waits there.
-const LEAST_RATE: u32 = 60;
+const MIN_WANTED_RATE: u32 = 60;
 /// Longest time for which writing a split may take effect.
-const LONGEST_APPEND: Duration = Duration::from_secs(2);
+const MAX_APPEND_TIME: Duration = Duration::from_secs(2);
 
 /// This host's part in the zone's shares, and who divides them.
-pub(super) struct SharesDesk {
+pub(super) struct SharesState {
     pub(super) shares: ZoneShares,
     /// The host that divides; `None` if unknown, or if it is this one.
     pub(super) holder: Option<HostId>,
@@ -73,7 +73,7 @@
             _ = ticks.tick() => {
                 rounds += 1;
                 observe_lease(&core);
-                hand_back_when_drained(&core);
+                release_grants_when_drained(&core);
                 if rounds % ROUNDS_PER_OWN_REPORT == 0 {
                     report_to_self(&core);
                 }
@@ -82,7 +82,7 @@
                     split_at = Instant::now() + SPLIT_INTERVAL;
                     write_splits(&core, &appends, &mut checkpoint_at);
                 }
-                keep_to_grants(&core);
+                apply_grants(&core);
             }
         }
     }
@@ -90,26 +90,26 @@
 
 fn apply_records(core: &DaemonCore, records: &[StoredRecord]) {
     let now = Instant::now();
-    let mut desk = core.tables.shares.lock();
+    let mut state = core.tables.shares.lock();
     for record in records {
         match RawRecord::<AllotmentBody>::read(&record.body) {
             RawRecord::Known(known) => {
-                desk.shares.apply(record.offset, &known.body, now);
+                state.shares.apply(record.offset, &known.body, now);
             }
-            RawRecord::NewerRules | RawRecord::Malformed => desk.shares.skip(record.offset),
+            RawRecord::NewerRules | RawRecord::Malformed => state.shares.skip(record.offset),
         }
     }
 }
 
 /// Gives up this host's grants once it drains and nothing waits any more: what
 /// waits could not be started without a grant.
-fn hand_back_when_drained(core: &DaemonCore) {
+fn release_grants_when_drained(core: &DaemonCore) {
     if !core.is_draining() {
         return;
     }
     let is_waiting = {
-        let desk = core.tables.admission.lock();
-        !desk.waiters.is_empty()
+        let state = core.tables.admission.lock();
+        !state.waiters.is_empty()
     };
     if !is_waiting {
         core.tables.shares.lock().shares.hand_back();
@@ -119,26 +119,26 @@
 /// Tells the shares who holds the zone's lease, and whom to call for grants.
 fn observe_lease(core: &DaemonCore) {
     let holder = {
-        let desk = core.tables.leases.lock();
-        desk.table.holder(&shares_lease(core.zone())).cloned()
+        let state = core.tables.leases.lock();
+        state.table.holder(&shares_lease(core.zone())).cloned()
     };
     let Some(holder) = holder else {
         return;
     };
     let is_own = holder.owner.host == *core.host() && holder.owner.incarnation == core.incarnation;
-    note_holder(core, &holder.owner.host, holder.fencing, is_own);
+    update_holder(core, &holder.owner.host, holder.fencing, is_own);
 }
 
 /// Takes in who divides the zone's shares, unless a later holder is known.
-fn note_holder(core: &DaemonCore, host: &HostId, lease: LogOffset, is_own: bool) {
+fn update_holder(core: &DaemonCore, host: &HostId, lease: LogOffset, is_own: bool) {
     let mut membership = core.tables.membership.lock();
-    let mut desk = core.tables.shares.lock();
-    if desk.shares.lease().is_some_and(|known| known >= lease) {
+    let mut state = core.tables.shares.lock();
+    if state.shares.lease().is_some_and(|known| known >= lease) {
         return;
     }
-    desk.shares.observe_lease(lease, is_own);
+    state.shares.observe_lease(lease, is_own);
     let other = Some(host.clone()).filter(|_| !is_own);
-    desk.holder.clone_from(&other);
+    state.holder.clone_from(&other);
     membership.set_share_holder(other);
 }
 
@@ -146,8 +146,8 @@
 ///
 /// A host that starts while the log is down can't read there who does, and
 /// without any grant it would take no work until the outage is over.
-pub(super) fn hear_holder(core: &DaemonCore, host: &HostId, lease: LogOffset) {
-    note_holder(core, host, lease, false);
+pub(super) fn observe_holder(core: &DaemonCore, host: &HostId, lease: LogOffset) {
+    update_holder(core, host, lease, false);
 }
 
 /// The lease under which this host divides the zone's shares, for its answers
@@ -159,8 +159,8 @@
 /// nothing. So no clock has to be trusted, and dividing goes on while the log
 /// is down.
 pub(super) fn dividing_lease(core: &DaemonCore) -> Option<LogOffset> {
-    let desk = core.tables.shares.lock();
-    let table = desk.shares.table()?;
+    let state = core.tables.shares.lock();
+    let table = state.shares.table()?;
     match table.phase(Instant::now()) {
         TablePhase::Collecting | TablePhase::Dividing => Some(table.lease()),
         TablePhase::Opening | TablePhase::Closed => None,
@@ -173,26 +173,27 @@
     bought: BTreeMap<OrganisationId, ShareUnits>,
     zones: BTreeSet<crate::ids::ZoneId>,
 ) {
-    let mut desk = core.tables.shares.lock();
-    desk.shares.set_declared(bought, zones);
+    let mut state = core.tables.shares.lock();
+    state.shares.set_declared(bought, zones);
 }
 
 fn usage(core: &DaemonCore) -> BTreeMap<OrganisationId, ShareUsage> {
     let now = Instant::now();
-    let desk = core.tables.admission.lock();
-    desk.table
+    let state = core.tables.admission.lock();
+    state
+        .table
         .organisations()
         .map(|organisation| {
-            let in_flight = desk.table.in_flight(organisation);
-            let demand = desk.table.demand(organisation, now);
+            let in_flight = state.table.in_flight(organisation);
+            let demand = state.table.demand(organisation, now);
             let waiting = demand.saturating_sub(in_flight);
-            let wanted_rate = desk.table.wanted_rate(organisation, now);
+            let wanted_rate = state.table.wanted_rate(organisation, now);
             let usage = ShareUsage {
                 in_flight,
                 waiting,
                 // What has waited for longer than rates are counted over still
                 // needs some rate to start.
-                wanted_rate: wanted_rate.max(waiting.min(LEAST_RATE)),
+                wanted_rate: wanted_rate.max(waiting.min(MIN_WANTED_RATE)),
             };
             (organisation.clone(), usage)
         })
@@ -201,8 +202,8 @@
 
 fn report_to_self(core: &DaemonCore) {
     let usage = usage(core);
-    let mut desk = core.tables.shares.lock();
-    desk.shares.report_to_self(&usage, Instant::now());
+    let mut state = core.tables.shares.lock();
+    state.shares.report_to_self(&usage, Instant::now());
 }
 
 /// The report for a heartbeat to `to`, if that host divides the shares.
@@ -217,7 +218,7 @@
 }
 
 /// Grants for a host of this zone that has just reported.
-pub(super) fn answer_report(core: &DaemonCore, beat: &PeerHeartbeat) -> Option<Vec<PeerGrant>> {
+pub(super) fn grants_for_report(core: &DaemonCore, beat: &PeerHeartbeat) -> Option<Vec<PeerGrant>> {
     let lease = beat.demands_for?;
     let from = GrantHolder {
         host: beat.host.clone(),
@@ -231,29 +232,30 @@
     // grants as before.
     let is_waiting = report.demands.iter().any(|demand| demand.waiting > 0);
     let is_drained = beat.draining && !is_waiting;
-    let mut desk = core.tables.shares.lock();
-    desk.shares
+    let mut state = core.tables.shares.lock();
+    state
+        .shares
         .observe_report(&from, beat.sequence, &report, is_drained, Instant::now())
 }
 
 /// Takes in the grants that came in answer to a report; says whether to report
 /// again at once, because somebody waits for what was lowered.
-pub(super) fn take_grants(
+pub(super) fn receive_grants(
     core: &DaemonCore,
     lease: LogOffset,
     grants: &[PeerGrant],
     sent_at: Instant,
 ) -> bool {
     let was_lowered = {
-        let mut desk = core.tables.shares.lock();
-        desk.shares.observe_reply(lease, grants, sent_at)
+        let mut state = core.tables.shares.lock();
+        state.shares.observe_reply(lease, grants, sent_at)
     };
-    keep_to_grants(core);
+    apply_grants(core);
     was_lowered
 }
 
 /// Takes in that a host's incarnation has ended.
-pub(super) fn note_gone(core: &DaemonCore, holder: &GrantHolder) {
+pub(super) fn record_removed_host(core: &DaemonCore, holder: &GrantHolder) {
     core.tables
         .shares
         .lock()
@@ -262,7 +264,7 @@
 }
 
 fn tick(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>) {
-    forget_ended(core);
+    remove_ended_holders(core);
     let bodies = core.tables.shares.lock().shares.tick(Instant::now());
     for body in bodies {
         append(core, appends, body);
@@ -270,11 +272,11 @@
 }
 
 /// Tells the division of incarnations that ended before they were heard here.
-fn forget_ended(core: &DaemonCore) {
+fn remove_ended_holders(core: &DaemonCore) {
     let now = Instant::now();
     let membership = core.tables.membership.lock();
-    let mut desk = core.tables.shares.lock();
-    let Some(table) = desk.shares.table() else {
+    let mut state = core.tables.shares.lock();
+    let Some(table) = state.shares.table() else {
         return;
     };
     let ended: Vec<GrantHolder> = table
@@ -283,7 +285,7 @@
         .cloned()
         .collect();
     for holder in &ended {
-        desk.shares.observe_removed(holder, now);
+        state.shares.observe_removed(holder, now);
     }
 }
 
@@ -291,8 +293,8 @@
 /// that may.
 fn write_splits(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>, checkpoint_at: &mut LogOffset) {
     let may_write = {
-        let desk = core.tables.leases.lock();
-        desk.may_act(&allotments_lease(), Instant::now(), LONGEST_APPEND)
+        let state = core.tables.leases.lock();
+        state.may_act(&allotments_lease(), Instant::now(), MAX_APPEND_TIME)
     };
     if may_write.is_none() {
         return;
@@ -305,8 +307,8 @@
     };
     let mut bodies: Vec<AllotmentBody> = Vec::new();
     {
-        let desk = core.tables.shares.lock();
-        let ledger = desk.shares.ledger();
+        let state = core.tables.shares.lock();
+        let ledger = state.shares.ledger();
         bodies.extend(
             ledger
                 .due_splits(version)
@@ -343,20 +345,20 @@
 }
 
 /// Sets what admission may start for each organisation.
-fn keep_to_grants(core: &DaemonCore) {
+fn apply_grants(core: &DaemonCore) {
     let now = Instant::now();
-    let shares_desk = core.tables.shares.lock();
-    let mut desk = core.tables.admission.lock();
-    let organisations: Vec<OrganisationId> = desk.table.organisations().cloned().collect();
+    let shares_state = core.tables.shares.lock();
+    let mut state = core.tables.admission.lock();
+    let organisations: Vec<OrganisationId> = state.table.organisations().cloned().collect();
     for organisation in organisations {
-        let units = shares_desk.shares.limit(&organisation, now);
+        let units = shares_state.shares.limit(&organisation, now);
         let limit = ShareLimit {
             concurrent_requests: units.concurrent_requests,
             requests_per_minute: units.requests_per_minute,
         };
-        desk.table.set_share(organisation, limit, now);
+        state.table.set_share(organisation, limit, now);
     }
-    drop(desk);
-    drop(shares_desk);
+    drop(state);
+    drop(shares_state);
     core.admission_changed.notify_one();
 }
--- a/src/daemon/spawn.rs
+++ b/src/daemon/spawn.rs
@@ -12,11 +12,11 @@
 use super::admitting::run_admission;
 use super::callers::caller_backend;
 use super::checkpoints::run_checkpoints;
-use super::claims::{answer_peer, run_claims, wait_for_settlements};
+use super::claims::{handle_outcome_query, run_claims, wait_for_settlements};
 use super::core::DaemonCore;
 use super::declarations::run_declarations;
-use super::leases::{hand_back, run_leases};
-use super::members::{answer_beat, run_members};
+use super::leases::{release_leases, run_leases};
+use super::members::{handle_heartbeat, run_members};
 use super::operators::operator_backend;
 use super::reconciling::run_reconciling;
 use super::relaying::{relay_records, run_relaying};
@@ -48,12 +48,12 @@
 /// answers, since another host may have to give up first what is to come.
 const SHARE_GRACE: Duration = Duration::from_secs(3);
 /// Time for claims to settle that requests in flight always leave.
-const LEAST_SETTLE_TIME: Duration = Duration::from_secs(1);
+const MIN_SETTLE_TIME: Duration = Duration::from_secs(1);
 /// How long the platform may take for one answer.
-const PLATFORM_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+const PLATFORM_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a shutdown tries to hand its leases back: an order that is under
 /// way may have to end first.
-const HAND_BACK_TIMEOUT: Duration = Duration::from_secs(5);
+const LEASE_RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a daemon could not be started.
 #[derive(Debug, thiserror::Error)]
@@ -205,9 +205,9 @@
             core.in_flight.wait().await;
             callers.shutdown().await;
         };
-        let handed_back = timeout(HAND_BACK_TIMEOUT, hand_back(&core, &lease_appends));
-        let (handed_back, ()) = tokio::join!(handed_back, end_in_time(&core, drained));
-        if handed_back.is_err() {
+        let released = timeout(LEASE_RELEASE_TIMEOUT, release_leases(&core, &lease_appends));
+        let (released, ()) = tokio::join!(released, drain_with_timeout(&core, drained));
+        if released.is_err() {
             log::warn!("the leases could not be handed back; they lapse in time");
         }
         settle_claims(&core, began).await;
@@ -234,7 +234,7 @@
 
 /// Waits for `drained`; once that has taken too long, what is in flight is
 /// told to end.
-async fn end_in_time<F>(core: &DaemonCore, drained: F)
+async fn drain_with_timeout<F>(core: &DaemonCore, drained: F)
 where
     F: Future<Output = ()>,
 {
@@ -244,7 +244,7 @@
         log::error!("requests were still in flight after {allowed:?}");
         // A process that just ended here would cut the connections, and a
         // caller could not tell what ran.
-        core.drain_over.cancel();
+        core.drain_expired.cancel();
         drained.await;
     }
 }
@@ -253,10 +253,11 @@
 /// of the time for draining.
 async fn settle_claims(core: &DaemonCore, began: Instant) {
     let allowed = core.options.timing.drain_timeout;
-    let left = allowed
-        .saturating_sub(began.elapsed())
-        .max(LEAST_SETTLE_TIME);
-    if timeout(left, wait_for_settlements(core)).await.is_err() {
+    let remaining = allowed.saturating_sub(began.elapsed()).max(MIN_SETTLE_TIME);
+    if timeout(remaining, wait_for_settlements(core))
+        .await
+        .is_err()
+    {
         log::warn!("not every claim's end is in the log; its key stays blocked");
     }
 }
@@ -264,7 +265,7 @@
 fn open_platform(options: &DaemonOptions) -> PlatformClient {
     let timeouts = PlatformTimeouts {
         connect: options.timing.connect_timeout,
-        answer: PLATFORM_ANSWER_TIMEOUT,
+        answer: PLATFORM_RESPONSE_TIMEOUT,
     };
     PlatformClient::open(options.platform.address, timeouts)
 }
@@ -291,13 +292,15 @@
 }
 
 fn peer_handlers(core: &Arc<DaemonCore>) -> PeerHandlers {
-    let beats = Arc::clone(core);
+    let heartbeats = Arc::clone(core);
     let records = Arc::clone(core);
     let claims = Arc::clone(core);
     PeerHandlers {
-        heartbeat: Arc::new(move |beat| answer_beat(&beats, &beat)),
-        records: Arc::new(move |question| relay_records(&records, &question)),
-        claim_outcome: Arc::new(move |question| answer_peer(Arc::clone(&claims), question).boxed()),
+        heartbeat: Arc::new(move |beat| handle_heartbeat(&heartbeats, &beat)),
+        records: Arc::new(move |request| relay_records(&records, &request)),
+        claim_outcome: Arc::new(move |request| {
+            handle_outcome_query(Arc::clone(&claims), request).boxed()
+        }),
     }
 }
 
--- a/src/daemon/watch_steps.rs
+++ b/src/daemon/step_observations.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::core::DaemonCore;
-use super::targets::note_leaving;
+use super::targets::mark_leaving;
 use crate::ids::RequestId;
 use crate::journal::JournalEvent;
 use crate::metrics::DropCause;
@@ -11,7 +11,7 @@
 use crate::run::StepObservation;
 
 /// Takes one observation in.
-pub(super) fn note_step(core: &DaemonCore, request: &RequestId, observation: &StepObservation) {
+pub(super) fn record_step(core: &DaemonCore, request: &RequestId, observation: &StepObservation) {
     journal_step(core, request, observation);
     let now = Instant::now();
     if let StepObservation::Failed {
@@ -20,7 +20,7 @@
         ..
     } = observation
     {
-        note_leaving(core, target, now);
+        mark_leaving(core, target, now);
     }
     let mut routes = core.tables.routes.write();
     match observation {
@@ -58,7 +58,7 @@
             ..
         } => {
             core.metrics.retried(*reason);
-            core.note(
+            core.record_event(
                 request,
                 JournalEvent::Retried {
                     stage: *stage,
@@ -76,7 +76,7 @@
                 request:% = request;
                 "stage {stage} moves to {chosen:?}: {}", reason.name()
             );
-            core.note(
+            core.record_event(
                 request,
                 JournalEvent::StageReplaced {
                     stage: *stage,
@@ -88,7 +88,7 @@
         StepObservation::AnswerDropped { target } => {
             let cause = DropCause::Unmatched;
             core.metrics.answer_dropped(cause);
-            core.note(
+            core.record_event(
                 request,
                 JournalEvent::AnswerDropped {
                     target: target.clone(),
--- a/src/daemon/tables.rs
+++ b/src/daemon/tables.rs
@@ -14,9 +14,9 @@
 use rand::rngs::StdRng;
 use tokio::sync::oneshot;
 
-use super::claims::ClaimDesk;
-use super::leases::LeaseDesk;
-use super::sharing::SharesDesk;
+use super::claims::ClaimState;
+use super::leases::LeaseState;
+use super::sharing::SharesState;
 use crate::admission::{AdmissionDecision, AdmissionSettings, AdmissionTable};
 use crate::claims::window::ClaimWindow;
 use crate::collections::FastMap;
@@ -42,17 +42,17 @@
     /// Records to pass on to peers.
     pub(super) relay: Mutex<RecordRelay>,
     /// Leases, with this host's part in them.
-    pub(super) leases: Mutex<LeaseDesk>,
+    pub(super) leases: Mutex<LeaseState>,
     /// Claims on idempotency keys, with the requests that claim.
-    pub(super) claims: Mutex<ClaimDesk>,
+    pub(super) claims: Mutex<ClaimState>,
     /// The other entry hosts.
     pub(super) membership: Mutex<MembershipTable>,
     /// What this host may use of each organisation's capacity.
-    pub(super) shares: Mutex<SharesDesk>,
+    pub(super) shares: Mutex<SharesState>,
     /// Which targets are watched, and which are leaving.
     pub(super) watch: Mutex<TargetWatch>,
     /// Who may start, with those who wait to be told.
-    pub(super) admission: Mutex<AdmissionDesk>,
+    pub(super) admission: Mutex<AdmissionState>,
     /// Pipelines and what is known of targets.
     pub(super) routes: RwLock<RouteTable>,
     /// Retries that may still be spent.
@@ -67,7 +67,7 @@
 ///
 /// Both stand under one lock: a decision taken between admitting a request and
 /// noting who waits for it would be lost, and the request would wait for ever.
-pub(super) struct AdmissionDesk {
+pub(super) struct AdmissionState {
     pub(super) table: AdmissionTable,
     pub(super) waiters: FastMap<RequestId, oneshot::Sender<AdmissionDecision>>,
 }
@@ -103,15 +103,15 @@
         Arc::new(Self {
             declarations: RwLock::new(DeclarationTable::default()),
             relay: Mutex::new(RecordRelay::new(RELAY_LIMITS)),
-            leases: Mutex::new(LeaseDesk::new(LeaseTable::new(clock_margin))),
-            claims: Mutex::new(ClaimDesk::new(claims)),
+            leases: Mutex::new(LeaseState::new(LeaseTable::new(clock_margin))),
+            claims: Mutex::new(ClaimState::new(claims)),
             membership: Mutex::new(MembershipTable::new(membership, now)),
-            shares: Mutex::new(SharesDesk {
+            shares: Mutex::new(SharesState {
                 shares,
                 holder: None,
             }),
             watch: Mutex::new(TargetWatch::new(watch)),
-            admission: Mutex::new(AdmissionDesk {
+            admission: Mutex::new(AdmissionState {
                 table: AdmissionTable::new(admission, seed),
                 waiters: FastMap::default(),
             }),
--- a/src/daemon/targets.rs
+++ b/src/daemon/targets.rs
@@ -11,7 +11,7 @@
 use crate::platform::wire::HostList;
 
 /// Mean time that each entry adds to the pause after reading the list.
-const LIST_ENTRY_PACE: Duration = Duration::from_millis(10);
+const LIST_PAUSE_PER_ENTRY: Duration = Duration::from_millis(10);
 
 /// Reads the loads of the targets that this host watches, again and again.
 pub(super) async fn run_load_polls(core: Arc<DaemonCore>) {
@@ -41,7 +41,7 @@
             routes.observe_load(target, &report, now);
         }
         // That it leaves counts even if it publishes no load any more.
-        (Err(_), Ok(state)) if state.leaving => note_leaving(core, target, now),
+        (Err(_), Ok(state)) if state.leaving => mark_leaving(core, target, now),
         (Err(error), _) | (_, Err(error)) => {
             // Failing polls do not take a target out: the steps on it say
             // sooner and more surely whether it works.
@@ -55,7 +55,7 @@
 /// Only hosts of its zone poll it. A host elsewhere that dropped this word
 /// would offer it work again and again, and one would see many steps retried
 /// because their target was leaving.
-pub(super) fn note_leaving(core: &DaemonCore, target: &TargetId, now: Instant) {
+pub(super) fn mark_leaving(core: &DaemonCore, target: &TargetId, now: Instant) {
     let mut watch = core.tables.watch.lock();
     watch.observe_refusal(target, now);
     let mut routes = core.tables.routes.write();
@@ -73,7 +73,7 @@
     loop {
         let entries = match core.platform.hosts().await {
             Ok(list) => {
-                take_host_list(&core, &list);
+                apply_host_list(&core, &list);
                 list.hosts.len() + list.targets.len()
             }
             Err(error) => {
@@ -81,15 +81,15 @@
                 0
             }
         };
-        let paced = LIST_ENTRY_PACE * u32::try_from(entries).unwrap_or(u32::MAX);
+        let list_pause = LIST_PAUSE_PER_ENTRY * u32::try_from(entries).unwrap_or(u32::MAX);
         // Drawn anew each time: hosts that were started together would else
         // all read at once, and a target's leaving would be seen late.
-        let drawn = paced.mul_f64(random.random_range(0.5..1.5));
-        tokio::time::sleep(interval.max(drawn)).await;
+        let randomised_pause = list_pause.mul_f64(random.random_range(0.5..1.5));
+        tokio::time::sleep(interval.max(randomised_pause)).await;
     }
 }
 
-fn take_host_list(core: &DaemonCore, list: &HostList) {
+fn apply_host_list(core: &DaemonCore, list: &HostList) {
     let mut membership = core.tables.membership.lock();
     membership.observe_host_list(list, Instant::now());
     let mut watch = core.tables.watch.lock();
