--- a/src/daemon/claims.rs
+++ b/src/daemon/claims.rs
@@ -1,12 +1,11 @@
-//! Claims on idempotency keys, joined to the log, the peers and the requests.
+//! Claims on idempotency keys, connected to the log, the peers and the requests.
 //!
-//! - [`local_state`]: the claim table with the requests of this host that claim;
-//! - [`events`]: hands events to a request's machine and carries out what it
-//!   decides;
-//! - [`stream`]: follows the stream of claims;
-//! - [`ticket`]: what a request holds from its claim to its end;
-//! - [`outcome_query`]: between the host that holds a key and one that lost it;
-//! - [`reply`]: what a caller is told.
+//! - [`local_state`]: the claim table and this host's claiming requests;
+//! - [`events`]: passes events to a request's state machine and executes its decisions;
+//! - [`stream`]: follows the claim stream;
+//! - [`ticket`]: handles that a request holds from its claim to its end;
+//! - [`outcome_query`]: queries between the holder of a key and a host that lost it;
+//! - [`reply`]: replies to callers whose request this host did not send.
 
 mod events;
 mod local_state;
--- a/src/daemon/claims/events.rs
+++ b/src/daemon/claims/events.rs
@@ -1,4 +1,4 @@
-//! Hands events to a request's machine and carries out what it decides.
+//! Passes events to a request's state machine and executes its decisions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::records::LogRecord;
 use crate::verdict::RunVerdict;
 
-/// The present by both clocks.
+/// Returns the current time by the monotonic and the wall clock.
 pub(super) fn claim_time() -> ClaimTime {
     ClaimTime {
         instant: Instant::now(),
@@ -26,13 +26,13 @@
     }
 }
 
-/// Feeds an event to the machine of a claim; nothing if it has ended.
+/// Passes an event to the state machine of a claim. Does nothing if the claim has ended.
 pub(super) fn handle_event(core: &Arc<DaemonCore>, claim: &RecordId, event: ClaimEvent) {
     let mut state = core.tables.claims.lock();
     handle_event_locked(core, &mut state, claim, event);
 }
 
-/// Like [`handle_event`], under a lock that is held already.
+/// Like [`handle_event`], for a caller that already holds the lock.
 pub(super) fn handle_event_locked(
     core: &Arc<DaemonCore>,
     state: &mut ClaimState,
@@ -51,7 +51,7 @@
     state.retire(claim, Instant::now());
 }
 
-/// Carries out decisions, in order; may give back what is to be fed next.
+/// Executes the decisions in order. Returns the event that is to be handled next, if any.
 pub(super) fn execute_decisions(
     core: &Arc<DaemonCore>,
     active: &mut ActiveClaim,
@@ -77,8 +77,8 @@
     next
 }
 
-/// A request whose caller has gone away no longer listens; its ticket gives
-/// the claim back.
+/// Sends a step to the request's task. If the caller has disconnected, nobody receives
+/// it, and dropping the ticket withdraws the claim.
 fn send_step(active: &ActiveClaim, step: ClaimStep) {
     let _ = active.steps.send(step);
 }
@@ -97,7 +97,7 @@
             tokio::spawn(await_append(Arc::clone(core), record.id.clone(), appended));
             None
         }
-        // A settlement is appended again by the machine until it shows.
+        // The state machine appends a settlement again until it is replayed.
         Some(_) => None,
         None if is_claim => Some(ClaimEvent::AppendFailed(AppendVerdict::NotAppended)),
         None => None,
@@ -106,14 +106,15 @@
 
 type AppendWait = tokio::sync::oneshot::Receiver<AppendResult>;
 
-/// Hands a record to the queue of the claim stream; `None` if it was not taken.
+/// Submits a record to the append queue of the claim stream. Returns `None` if the queue
+/// does not accept it.
 pub(super) fn submit(core: &DaemonCore, record: &LogRecord<ClaimBody>) -> Option<AppendWait> {
     let text = serde_json::to_string(record).ok()?;
     core.claim_appends.submit(text).ok()
 }
 
 async fn await_append(core: Arc<DaemonCore>, claim: RecordId, appended: AppendWait) {
-    // A confirmed append is of no interest: the claim counts once replayed.
+    // A confirmed append needs no event: the claim counts once it is replayed.
     let verdict = match appended.await {
         Ok(Ok(_)) => return,
         Ok(Err(error)) => error.verdict,
@@ -122,7 +123,7 @@
     handle_event(&core, &claim, ClaimEvent::AppendFailed(verdict));
 }
 
-/// Notes that a claim of this host holds its key.
+/// Records that a claim of this host holds its key.
 pub(super) fn record_win(core: &DaemonCore, active: &ActiveClaim, offset: LogOffset) {
     core.metrics.claim_settled(ClaimResult::Won);
     core.record_event(&active.request, JournalEvent::ClaimWon { offset });
@@ -141,8 +142,8 @@
     }
 }
 
-/// Counts how a claim ended that is not dispatched, and tells those who ask
-/// about the request that it was refused here.
+/// Counts the result of a claim that is not dispatched, and publishes to hosts that query
+/// the request that it was refused here.
 fn record_answer(core: &DaemonCore, active: &mut ActiveClaim, answer: &ClaimAnswer) {
     let ClaimAnswer::Refused { refusal, .. } = answer else {
         return record_loss(core, active);
@@ -155,7 +156,7 @@
     active.outcome.send_replace(Some(not_run_outcome()));
 }
 
-/// The outcome of a request that was not run.
+/// Returns the outcome of a request that was not run.
 pub(super) fn not_run_outcome() -> ClaimOutcome {
     ClaimOutcome {
         verdict: RunVerdict::NotRun,
--- a/src/daemon/claims/local_state.rs
+++ b/src/daemon/claims/local_state.rs
@@ -1,4 +1,4 @@
-//! The claim table with the requests of this host that claim.
+//! The claim table and this host's claiming requests.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -13,17 +13,17 @@
 use crate::collections::FastMap;
 use crate::ids::{RecordId, RequestId};
 
-/// How long an ended request is remembered for hosts that ask about it. Later
-/// they find its outcome in the log.
+/// How long the outcome of an ended request is kept for hosts that query it. After that
+/// they find it in the log.
 const ENDED_CLAIM_RETENTION: Duration = Duration::from_secs(10);
 
-/// How a request ended; `None` while it has not.
+/// Receiver of a request's outcome, which is `None` until the request has ended.
 pub(super) type OutcomeReceiver = watch::Receiver<Option<ClaimOutcome>>;
 
-/// All that one host knows about claims.
+/// All claim state of one host.
 ///
-/// Table and machines stand under one lock: a record replayed between a
-/// machine's look at the table and its entry here would be missed, and the
+/// The table and the state machines share one lock: otherwise a record replayed after a
+/// machine has read the table and before it is inserted here would be missed, and the
 /// request would wait until its deadline.
 pub(in crate::daemon) struct ClaimState {
     pub(super) table: ClaimTable,
@@ -36,16 +36,16 @@
     ended_order: VecDeque<(Instant, RecordId)>,
 }
 
-/// A request that claims, has claimed, or whose claim is not settled.
+/// A request with a claim that is not settled yet.
 pub(super) struct ActiveClaim {
     pub(super) machine: ClaimMachine,
     pub(super) name: ClaimName,
     pub(super) request: RequestId,
     pub(super) steps: mpsc::UnboundedSender<ClaimStep>,
     pub(super) outcome: watch::Sender<Option<ClaimOutcome>>,
-    /// Whether its withdrawal was noted.
+    /// Whether the withdrawal has been recorded.
     pub(super) withdrawal_recorded: bool,
-    /// Whether it was noted that another claim holds the key.
+    /// Whether it has been recorded that another claim holds the key.
     pub(super) loss_recorded: bool,
 }
 
@@ -55,14 +55,14 @@
     outcome: OutcomeReceiver,
 }
 
-/// What the request's task is to do.
+/// Next step of the request's task.
 #[derive(Debug)]
 pub(super) enum ClaimStep {
-    /// The claim won.
+    /// Dispatch the request: its claim has won.
     Dispatch,
-    /// Ask the holder of the key.
+    /// Query the holder of the key.
     QueryHolder(ClaimHolder),
-    /// Answer the caller.
+    /// Respond to the caller.
     Respond(ClaimAnswer),
 }
 
@@ -85,7 +85,7 @@
         self.active.insert(id, claim);
     }
 
-    /// Moves a claim with nothing left to do from the active to the ended.
+    /// Moves a claim whose state machine is done from the active to the ended ones.
     pub(super) fn retire(&mut self, id: &RecordId, now: Instant) {
         let is_done = |claim: &ActiveClaim| claim.machine.is_done();
         if !self.active.get(id).is_some_and(is_done) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Forgets what ended long ago.
+    /// Removes ended claims that are older than [`ENDED_CLAIM_RETENTION`].
     pub(super) fn prune_ended(&mut self, now: Instant) {
         while let Some((at, _)) = self.ended_order.front() {
             if *at + ENDED_CLAIM_RETENTION > now {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The end of a request of this host, by its claim.
+    /// Returns a receiver for the outcome of a request of this host, by its claim.
     pub(super) fn outcome_of(&self, claim: &RecordId) -> Option<OutcomeReceiver> {
         let active = self.active.get(claim);
         let ended = || self.ended.get(claim).map(|ended| ended.outcome.clone());
@@ -124,7 +124,8 @@
             .or_else(ended)
     }
 
-    /// The end of a request of this host, by its key and its id.
+    /// Returns a receiver for the outcome of a request of this host, by its key and its
+    /// id.
     pub(super) fn outcome_of_request(
         &self,
         name: &ClaimName,
@@ -143,12 +144,13 @@
             .next()
     }
 
-    /// How a claim of this host ended, though the log may not show it yet.
+    /// Returns the outcome of a claim of this host, even if the log does not show it yet.
     pub(super) fn local_outcome(&self, claim: &RecordId) -> Option<ClaimOutcome> {
         self.outcome_of(claim)?.borrow().clone()
     }
 
-    /// Claims whose request has not ended, or whose end the log does not show.
+    /// Returns the number of claims whose request has not ended or whose outcome is not
+    /// in the log yet.
     pub(super) fn unsettled(&self) -> usize {
         self.active.len()
     }
--- a/src/daemon/claims/outcome_query.rs
+++ b/src/daemon/claims/outcome_query.rs
@@ -1,4 +1,4 @@
-//! Between the host that holds a key and one that lost it.
+//! Outcome queries between the holder of a key and a host that lost it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,8 @@
 use crate::peer::{ClaimOutcome as PeerOutcome, ClaimQuestion};
 use crate::verdict::RunVerdict;
 
-/// Asks the holder of a key how its request ended, and waits for the end.
+/// Queries the holder of a key for the outcome of its request, and waits until it has
+/// ended.
 pub(super) async fn query_holder(
     core: &Arc<DaemonCore>,
     claim: &RecordId,
@@ -52,8 +53,8 @@
 ) -> Option<ClaimOutcome> {
     let address = peer_address(core, holder)?;
     let name = core.tables.claims.lock().active.get(claim)?.name.clone();
-    // Heartbeats share the bound on open calls to a peer. Were all taken by
-    // questions, the peer would look dead.
+    // Heartbeats share the limit of open calls to a peer. If queries used all of it, the
+    // peer would be suspected.
     let _slot = core.claim_queries.try_acquire().ok()?;
     let query = ClaimQuestion {
         request: holder.request.clone(),
@@ -65,13 +66,17 @@
     match core.peers()?.claim_outcome(address, query, wait).await {
         Ok(outcome) => from_peer_outcome(outcome),
         Err(error) => {
-            log::debug!("{} cannot be asked: {error}", holder.owner.host);
+            log::debug!(
+                "claim outcome query to host {} failed: {error}",
+                holder.owner.host
+            );
             None
         }
     }
 }
 
-/// Where the daemon that holds the key listens, if its life has not ended.
+/// Returns the peer address of the daemon that holds the key, unless that incarnation has
+/// ended.
 fn peer_address(core: &DaemonCore, holder: &ClaimHolder) -> Option<SocketAddr> {
     let membership = core.tables.membership.lock();
     let member = membership.member(&holder.owner.host)?;
@@ -79,7 +84,7 @@
     is_same_incarnation.then_some(member.peer_address)
 }
 
-/// Answers a host that lost a key to this one.
+/// Handles the query of a host that lost a key to this one.
 pub(in crate::daemon) async fn handle_outcome_query(
     core: Arc<DaemonCore>,
     query: ClaimQuestion,
@@ -105,8 +110,8 @@
     };
     let body = match (outcome.verdict, outcome.answer) {
         (_, KeptAnswer::Whole(text)) => Bytes::from(text),
-        // The other host finds the digest in the log; an empty body would
-        // pass for the answer.
+        // The querying host finds the digest in the log. An empty body would be taken for
+        // the response.
         (RunVerdict::Ran, KeptAnswer::Digest(_)) => return PeerOutcome::Unknown,
         (_, KeptAnswer::Digest(_)) => Bytes::new(),
     };
--- a/src/daemon/claims/reply.rs
+++ b/src/daemon/claims/reply.rs
@@ -1,4 +1,4 @@
-//! What a caller is told whose request this host did not send.
+//! Replies to callers whose request this host did not send.
 
 use std::time::Duration;
 
@@ -15,15 +15,14 @@
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// When a caller may come back, if nothing better is known.
+/// Retry delay for callers when no better value is known.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What this host knows of a key better than that a repeat was not run.
+/// Returns what is known about the request that holds the key, unless that was not run.
 ///
-/// A repeat may be refused for reasons of its own, such as a full queue,
-/// before its key is looked at. Told only that, its caller would take the
-/// request that ran under the key for one that did not, and make it once more
-/// under another key.
+/// A repeat may be refused for a reason of its own, such as a full queue, before its key
+/// is looked up. If its caller received only that refusal, it would conclude that the
+/// original request was not run, and send it again under another key.
 pub(in crate::daemon) fn known_answer(
     core: &DaemonCore,
     subject: &ClaimSubject,
@@ -41,10 +40,11 @@
     }
 }
 
-/// The answer that the key's request got, or the refusal.
+/// Returns the stored response of the key's request.
 ///
 /// # Errors
-/// The refusal, with what is known of the request under the key.
+/// Returns a refusal with what is known about the request that holds the key, if its
+/// response cannot be repeated.
 pub(in crate::daemon) fn reply_of(
     answer: ClaimAnswer,
     request: &RequestId,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The refusal of a request whose answer cannot be given again.
+/// Returns the refusal of a request whose response cannot be repeated.
 pub(in crate::daemon) fn refusal_of(answer: &ClaimAnswer, request: &RequestId) -> RefusalBody {
     let body = match answer {
         ClaimAnswer::Refused {
@@ -74,7 +74,7 @@
             let body = RefusalBody::not_run(refusal.reason(), refusal.to_string());
             match (retry_after, refusal) {
                 (Some(wait), _) => body.retry_after(*wait),
-                // Not known when; the host may know all claims any moment.
+                // The time is unknown: the host may catch up with the claims at any moment.
                 (None, ClaimRefusal::NotCovered) => body.retry_after(RETRY_AFTER),
                 (None, _) => body,
             }
--- a/src/daemon/claims/stream.rs
+++ b/src/daemon/claims/stream.rs
@@ -1,4 +1,4 @@
-//! Follows the stream of claims.
+//! Follows the claim stream.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
@@ -18,18 +18,20 @@
 use crate::platform::wire::StoredRecord;
 use crate::records::{CLAIM_STREAM, JUDGING_RULES, LogRecord};
 
-/// Pause between two looks at the deadlines of claims.
+/// Time between two checks of the claims' deadlines.
 const CLAIM_TICK: Duration = Duration::from_millis(20);
-/// Pause between two looks at whether all claims are settled.
+/// Time between two checks whether all claims are settled.
 const SETTLEMENT_TICK: Duration = Duration::from_millis(10);
-/// The part of the window by which hosts spread their time marks.
+/// The idempotency window divided by this is the range over which hosts stagger their
+/// time marks.
 const STAGGER_DIVISOR: u32 = 8;
-/// The part of the window after which a lost time mark is appended again.
+/// The idempotency window divided by this is the pause before a lost time mark is
+/// appended again.
 const MARK_RETRY_DIVISOR: u32 = 32;
-/// Keeps the randomness drawn here apart from that of other streams.
+/// Mixed into the seed, so that claims draw other random numbers than other workers.
 const CLAIM_SEED_MASK: u64 = 0x636c_6169_6d73;
 
-/// Applies records as they come and watches deadlines, until the daemon ends.
+/// Applies records as they arrive and checks deadlines, until the daemon ends.
 pub(in crate::daemon) async fn run_claims(core: Arc<DaemonCore>, seed: u64) {
     let mut marks = MarkWriter::new(&core, seed ^ CLAIM_SEED_MASK);
     read_without_waiting(&core, &mut marks).await;
@@ -48,10 +50,10 @@
     }
 }
 
-/// Reads the beginning of the stream without waiting for records.
+/// Reads the first records of the stream without waiting for new ones.
 ///
-/// The tail's first read of a quiet stream takes its whole wait, for which
-/// this host would refuse keys although there is nothing to be known.
+/// The tail's first read of an idle stream lasts for its full wait, and this host would
+/// refuse all keys meanwhile although there are no claims to learn of.
 async fn read_without_waiting(core: &Arc<DaemonCore>, marks: &mut MarkWriter) {
     let read = core
         .platform
@@ -83,10 +85,10 @@
         }
         TailEvent::Unreachable { .. } => {
             state.log_available = false;
-            log::warn!("the stream of claims cannot be read; no key can be claimed");
+            log::warn!("the claim stream cannot be read; no idempotency key can be claimed");
         }
         TailEvent::Expired { first_offset, .. } => {
-            log::error!("claims before offset {first_offset} expired unread");
+            log::error!("claim records before offset {first_offset} expired before they were read");
         }
     }
 }
@@ -95,9 +97,9 @@
     let record = match serde_json::from_str::<LogRecord<ClaimBody>>(&stored.body) {
         Ok(record) => record,
         Err(error) => {
-            // The table takes the gap for missed claims and admits no keys
-            // until they would have been too old. Passed over in silence, a
-            // claim written by a later program could be won a second time.
+            // The table treats the gap as missed claims and admits no keys until those
+            // claims would have expired. If the record were skipped silently, a claim
+            // written by a newer version could be won a second time.
             log::error!("claim record {} cannot be read: {error}", stored.offset);
             return;
         }
@@ -127,11 +129,11 @@
     marks.write_if_due(core, &state, now.wall);
 }
 
-/// Appends a time mark when the stream has had none for long.
+/// Appends a time mark when the stream has had none for a long time.
 struct MarkWriter {
     stagger: Duration,
-    /// Whether the whole stream has been read; before that, a mark that
-    /// stands further on would be missed and written again.
+    /// Whether the whole stream has been read. Before that, a later mark in the stream
+    /// would be missed and written again.
     caught_up: bool,
     written_at: Option<Instant>,
     count: LogOffset,
@@ -169,15 +171,15 @@
                 entry: ClaimEntry::Mark,
             },
         };
-        // Lost or refused, it is tried again after the pause.
+        // A lost or rejected mark is appended again after the pause.
         let _ = submit(core, &record);
     }
 }
 
-/// Waits until the log shows how every claim of this host ended.
+/// Waits until the log shows the outcome of every claim of this host.
 ///
-/// A daemon that exits before that leaves keys blocked that its callers were
-/// told they may use again.
+/// If the daemon exits earlier, keys stay blocked although its callers were told that
+/// they may use them again.
 pub(in crate::daemon) async fn wait_for_settlements(core: &DaemonCore) {
     while core.tables.claims.lock().unsettled() > 0 {
         tokio::time::sleep(SETTLEMENT_TICK).await;
--- a/src/daemon/claims/ticket.rs
+++ b/src/daemon/claims/ticket.rs
@@ -1,4 +1,4 @@
-//! What a request holds from its claim to its end.
+//! Handles that a request holds from its claim to its end.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,36 +17,36 @@
 use crate::ids::{OrganisationId, RecordId, RequestId};
 use crate::verdict::RunVerdict;
 
-/// When a refused caller may come back, if nothing better is known.
+/// Retry delay for refused callers when no better value is known.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// First pause before a settlement that does not show is appended again.
+/// First pause before a settlement that has not been replayed is appended again.
 const SETTLE_DELAY: Duration = Duration::from_millis(250);
-/// Longest answer handed to other callers of the same key before it is read
-/// from the log, in bytes.
+/// Maximum size in bytes of a response that is shared with other callers of the same key
+/// before it can be read from the log.
 const MAX_SHARED_BODY_BYTES: usize = 64 * 1024;
 
-/// A non-idempotent request.
+/// A non-idempotent request that claims its key.
 #[derive(Debug, Clone)]
 pub(in crate::daemon) struct ClaimSubject {
     pub(in crate::daemon) request: RequestId,
     pub(in crate::daemon) organisation: OrganisationId,
     pub(in crate::daemon) key: crate::claims::key::TimedKey,
     pub(in crate::daemon) fingerprint: RequestFingerprint,
-    /// Until when the request is worth running.
+    /// Time after which the request is not worth running.
     pub(in crate::daemon) deadline: Instant,
 }
 
-/// A claim that has won and was not dispatched. Dropped, it is withdrawn.
+/// A claim that has won and is not dispatched yet. Dropping it withdraws the claim.
 pub(in crate::daemon) struct ClaimTicket {
     core: Arc<DaemonCore>,
     claim: RecordId,
     steps: mpsc::UnboundedReceiver<ClaimStep>,
-    /// Whether the machine is to be told when the ticket is dropped.
+    /// Whether the state machine must be notified when the ticket is dropped.
     is_open: bool,
 }
 
-/// A claim under which the request may be sent, once. Dropped without an
-/// outcome it counts as "may have run".
+/// A claim under which the request may be sent once. If it is dropped without an outcome,
+/// the request counts as "may have run".
 pub(in crate::daemon) struct DispatchedClaim {
     core: Arc<DaemonCore>,
     claim: RecordId,
@@ -54,7 +54,7 @@
 }
 
 impl ClaimSubject {
-    /// The key, which is unique within its organisation.
+    /// Returns the name of the key, which is unique within its organisation.
     pub(super) fn name(&self) -> ClaimName {
         ClaimName {
             organisation: self.organisation.clone(),
@@ -67,7 +67,7 @@
     /// Claims the key and waits until the claim has won.
     ///
     /// # Errors
-    /// What the caller is to be told instead.
+    /// Returns the answer for the caller if the claim does not win.
     pub(in crate::daemon) async fn claim(
         core: &Arc<DaemonCore>,
         subject: ClaimSubject,
@@ -81,7 +81,7 @@
                     handle_event(core, &ticket.claim, event);
                 }
                 Some(ClaimStep::Respond(answer)) => return Err(answer),
-                // Cannot happen: a machine answers before it is dropped.
+                // Unreachable: a state machine answers before it is dropped.
                 None => return Err(ClaimAnswer::Unknown),
             }
         }
@@ -136,10 +136,10 @@
         }
     }
 
-    /// Asks for leave to send, right before the first byte is written.
+    /// Requests permission to send, immediately before the first byte is written.
     ///
     /// # Errors
-    /// What the caller is to be told if the leave is no longer given.
+    /// Returns the answer for the caller if permission is no longer given.
     pub(in crate::daemon) async fn authorise(mut self) -> Result<DispatchedClaim, ClaimAnswer> {
         if self.try_authorise() {
             self.is_open = false;
@@ -175,8 +175,8 @@
 
 impl Drop for ClaimTicket {
     fn drop(&mut self) {
-        // A claim that nobody will dispatch would block its key. One that has
-        // not been judged is withdrawn by its machine at its deadline.
+        // A claim that is never dispatched would block its key. A claim that is not
+        // judged yet is withdrawn by its state machine at its deadline.
         if self.is_open && self.try_authorise() {
             let outcome = not_run_outcome();
             let shared = outcome.answer.clone();
@@ -186,7 +186,7 @@
 }
 
 impl DispatchedClaim {
-    /// Says how the request ended, before its caller is answered.
+    /// Records the outcome of the request, before its caller receives the response.
     pub(in crate::daemon) fn finish(mut self, verdict: RunVerdict, status: u16, body: &[u8]) {
         self.is_open = false;
         let outcome = ClaimOutcome {
@@ -201,7 +201,7 @@
         close(&self.core, &self.claim, outcome, shared);
     }
 
-    /// Says that a generation ended; its tokens are kept as a digest only.
+    /// Records that a generation has ended. Only a digest of its tokens is kept.
     pub(in crate::daemon) fn finish_stream(
         mut self,
         verdict: RunVerdict,
@@ -233,8 +233,8 @@
     }
 }
 
-/// Ends a dispatched claim: tells those who wait for the outcome here, with as
-/// much of the answer as is `shared`, and hands it to the log.
+/// Ends a dispatched claim: publishes the outcome to local waiters, with the part of the
+/// response in `shared`, and appends it to the log.
 fn close(core: &Arc<DaemonCore>, claim: &RecordId, outcome: ClaimOutcome, shared: KeptAnswer) {
     let mut state = core.tables.claims.lock();
     if let Some(active) = state.active.get(claim) {
@@ -246,8 +246,8 @@
     handle_event_locked(core, &mut state, claim, ClaimEvent::Finished(outcome));
 }
 
-/// How long the holder of a key may take to say how its request ended: as long
-/// as it may take for the claim and the call.
+/// Returns how long the holder of a key may take to report the outcome of its request:
+/// the time allowed for the claim and for the call.
 fn ask_timeout(core: &DaemonCore) -> Duration {
     core.options.timing.claim_timeout + core.options.timing.step_timeout
 }
--- a/src/daemon/generate.rs
+++ b/src/daemon/generate.rs
@@ -1,4 +1,4 @@
-//! The way of one generation: admission, route, run, stream.
+//! Handles a generation: admission, route, run, stream.
 
 mod claimed;
 
@@ -24,19 +24,20 @@
 use crate::target::prefix::{PREFIX_CHUNK_TOKENS, prefix_hashes};
 use crate::verdict::RunVerdict;
 
-/// Tokens that may wait for a slow caller before its run waits too.
+/// Tokens buffered for a slow caller before its run has to wait.
 const STREAM_BUFFER: usize = 64;
 
-/// Starts a generation and gives back the stream of its answer.
+/// Starts a generation and returns the stream of its events.
 ///
 /// # Errors
-/// The refusal; nothing was sent to a target then.
+/// Returns the refusal. Nothing has been sent to a target in that case.
 pub(super) async fn generate(
     core: Arc<DaemonCore>,
     call: GenerateCall,
 ) -> Result<GenerateStream, RefusalBody> {
-    // Waited for by a shutdown from here on, also while it is queued. Begun
-    // before the phase is looked at: else the last one might end in between.
+    // A shutdown waits for this request from here on, even while it is queued. The token
+    // is taken before the phase is checked, because otherwise the shutdown could finish
+    // in between.
     let _in_flight = core.in_flight.token();
     check_body(&call)?;
     let deadline = deadline_of(&core, &call);
@@ -61,10 +62,10 @@
         priority: call.body.priority,
     };
     let slot = admit(core, request).await?;
-    // Dropped before the run begins, the ticket withdraws the claim.
+    // If the ticket is dropped before the run begins, it withdraws the claim.
     let ticket = claimed::claim(core, subject).await?;
-    // Planned again: while the request waited, targets have come, gone or
-    // filled up.
+    // The route is planned again, because targets may have come, gone or filled up while
+    // the request waited.
     let route = plan_route(core, &call, deadline)?;
     core.record_event(&call.request, routed(&route));
     core.tables.routes.write().run_started(&route);
@@ -81,14 +82,14 @@
     Ok(stream)
 }
 
-/// How long the run is known to take. What is only declared counts for
-/// nothing here: a model declared too slow would never be tried.
+/// Returns the estimated duration of the run. Declared values do not count here: a model
+/// that is declared too slow would never be tried.
 fn known_service_time(core: &DaemonCore, route: &PlannedRoute) -> Duration {
     let routes = core.tables.routes.read();
     routes.known_service_time(route, Instant::now())
 }
 
-/// Refuses new work unless the daemon serves.
+/// Refuses new work unless the daemon is serving.
 pub(super) fn check_phase(core: &DaemonCore, request: &RequestId) -> Result<(), RefusalBody> {
     let body = match core.phase() {
         DaemonPhase::Serving => return Ok(()),
@@ -165,7 +166,7 @@
         })
 }
 
-/// The prompt with the tokens that the caller already holds.
+/// Returns the prompt followed by the tokens that the caller already has.
 fn whole_prompt(call: &GenerateCall) -> Vec<TokenValue> {
     let mut prompt = call.body.prompt.clone();
     prompt.extend_from_slice(delivered(call));
@@ -185,7 +186,7 @@
     }
 }
 
-/// One generation while it runs.
+/// A generation in progress.
 struct GenerationRunner {
     core: Arc<DaemonCore>,
     call: GenerateCall,
@@ -202,8 +203,8 @@
         };
         if self.events.send(started).await.is_err() {
             self.core.tables.routes.write().run_ended(&self.route);
-            // Counted as ended like any other: the gauge of requests in flight
-            // would otherwise grow with each caller that leaves this early.
+            // The end is recorded here as well: otherwise each caller that disconnects
+            // this early would leave the gauge of requests in flight too high.
             self.record_outcome(RunOutcome {
                 delivered: 0,
                 verdict: RunVerdict::NotRun,
@@ -226,10 +227,10 @@
         self.record_outcome(outcome);
         log::info!(
             request:% = self.call.request;
-            "answered {} tokens, verdict {:?}, refusal {:?}",
+            "generation ended after {} tokens, verdict {:?}, refusal {:?}",
             outcome.delivered, outcome.verdict, outcome.refusal
         );
-        // A caller that has gone away needs no closing event.
+        // A disconnected caller needs no closing event.
         let _ = self.events.send(closing_event(&self.call, outcome)).await;
     }
 
@@ -303,12 +304,11 @@
     }
 }
 
-/// The name under which engines know a run.
+/// Returns the id under which engines know a run.
 ///
-/// A caller that returns after its entry host died, or that sends one request
-/// to two hosts, brings the same request id. Engines would take both runs for
-/// one session and mix their positions; the suffix, new for each run, keeps
-/// them apart.
+/// A caller that returns after its entry host has died, or that sends one request to two
+/// hosts, uses the same request id. Engines would treat both runs as one session and mix
+/// up their positions, so each run gets a unique suffix.
 fn run_id(core: &DaemonCore, request: &RequestId) -> RequestId {
     let number = core.next_run_number();
     format!("{request}~{:x}-{number:x}", core.incarnation).into()
@@ -343,8 +343,8 @@
     Some(chosen)
 }
 
-/// Hands tokens on to the caller and measures the times between them; gives
-/// back those that were handed on.
+/// Forwards tokens to the caller and measures the time between them. Returns the tokens
+/// that were sent.
 async fn forward_tokens(
     core: Arc<DaemonCore>,
     received: Instant,
@@ -356,10 +356,10 @@
     loop {
         let delivered = tokio::select! {
             delivered = tokens.recv() => delivered,
-            // The receiver is dropped here, by which the run learns at once
-            // that nobody listens, also while no token is due.
+            // Returning drops the receiver, so that the run learns at once that the
+            // caller has disconnected, even while no token is due.
             () = events.closed() => return sent,
-            // Draining has taken too long: likewise.
+            // The drain timeout has expired: the run has to end as well.
             () = core.drain_expired.cancelled() => return sent,
         };
         let Some(DeliveredToken { number, token }) = delivered else {
--- a/src/daemon/generate/claimed.rs
+++ b/src/daemon/generate/claimed.rs
@@ -1,9 +1,9 @@
-//! What a non-idempotent generation adds: its claim, and its end in the log.
+//! Claims of non-idempotent generations, from the key to the outcome in the log.
 //!
-//! What runs at most once is the request as a whole. Its run may compute steps
-//! again to get past a failed stage, because those have no effect but the
-//! tokens, and each token is given to the caller once. A run that ends early
-//! is not begun again, on this host or another.
+//! At-most-once applies to the request as a whole. Its run may compute steps again to
+//! replace a failed stage, because a step has no effect except its tokens, and each token
+//! is sent to the caller once. A run that ends early is not started again, on this host
+//! or another.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -19,11 +19,12 @@
 use crate::run::RunOutcome;
 use crate::verdict::RunVerdict;
 
-/// What a non-idempotent generation claims; `None` for any other.
+/// Returns the subject of a non-idempotent generation's claim, or `None` for any other
+/// generation.
 ///
 /// # Errors
-/// A refusal of a missing or unusable key, and of resuming: the rest of an
-/// answer cannot be told from a second run.
+/// Returns a refusal if the key is missing or unusable, and if the request resumes
+/// another: the rest of a response cannot be told from a second run.
 pub(super) fn subject_of(
     call: &GenerateCall,
     deadline: Instant,
@@ -50,7 +51,7 @@
 /// Claims the key of a non-idempotent generation.
 ///
 /// # Errors
-/// The refusal, with what is known of the request under the key.
+/// Returns a refusal with what is known about the request that holds the key.
 pub(super) async fn claim(
     core: &Arc<DaemonCore>,
     subject: Option<ClaimSubject>,
@@ -65,7 +66,7 @@
     }
 }
 
-/// Puts a refusal right that says less of the key's request than is known.
+/// Replaces a refusal that says less about the key's request than is known.
 pub(super) fn correct_refusal(
     core: &DaemonCore,
     subject: Option<&ClaimSubject>,
@@ -91,10 +92,10 @@
     Ok(RequestFingerprint::of(&resource, &body))
 }
 
-/// Asks for leave to begin the run, if it needs one.
+/// Requests permission to begin the run, if it needs any.
 ///
 /// # Errors
-/// How the run ends without having begun.
+/// Returns the outcome of a run that is not begun.
 pub(super) async fn authorise(
     ticket: Option<ClaimTicket>,
 ) -> Result<Option<DispatchedClaim>, RunOutcome> {
@@ -111,7 +112,7 @@
     }
 }
 
-/// Notes the end of a run for every host, before its caller hears of it.
+/// Records the outcome of a run in the log, before its caller receives it.
 pub(super) fn finish(
     dispatched: Option<DispatchedClaim>,
     outcome: RunOutcome,
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -1,4 +1,4 @@
-//! The way of one call to a plain service.
+//! Handles a call to a plain service.
 
 mod claimed;
 
@@ -24,25 +24,25 @@
 use claimed::call_claimed;
 pub(super) use claimed::required_key;
 
-/// Targets tried for one call at most.
+/// Maximum number of targets tried for one call.
 const MAX_CALL_ATTEMPTS: usize = 3;
-/// When a caller should come back after a failed call.
+/// Retry delay for callers after a failed call.
 const RETRY_AFTER_FAILURE: Duration = Duration::from_millis(500);
-/// Assumed time of a service call, until the deadline is compared with it.
+/// Service time that admission assumes for a service call when it checks the deadline.
 const ASSUMED_CALL_TIME: Duration = Duration::from_millis(1);
 
 /// Calls a service.
 ///
 /// # Errors
-/// The refusal with the verdict.
+/// Returns the refusal with its verdict.
 pub(super) async fn call_service(
     core: Arc<DaemonCore>,
     call: ServiceCall,
 ) -> Result<ServiceReply, RefusalBody> {
-    // Waited for by a shutdown from here on.
+    // A shutdown waits for this call from here on.
     let _in_flight = core.in_flight.token();
-    // The phase is looked at with the admission, but a host without a usable
-    // configuration cannot say that a service does not exist.
+    // Admission checks the phase later, but a host without a usable configuration cannot
+    // tell that a service does not exist.
     let service = declared_service(&core, &call).or_else(|unknown| {
         check_phase(&core, &call.request)?;
         Err(unknown)
@@ -100,8 +100,8 @@
     }
 }
 
-/// Sends the call to one target after another while the verdict, the budget
-/// and the number of attempts allow it.
+/// Sends the call to one target after another, as long as the verdict, the retry budget
+/// and the number of attempts allow.
 async fn attempt_call(
     core: &DaemonCore,
     call: &ServiceCall,
@@ -157,7 +157,7 @@
     response
 }
 
-/// Tells the router's table how a call went.
+/// Records the result of a call in the route table.
 fn record_response(
     core: &DaemonCore,
     call: &ServiceCall,
@@ -182,7 +182,7 @@
 ) {
     log::warn!(
         request:% = call.request;
-        "call on {target} failed: {failure}"
+        "call to target {target} failed: {failure}"
     );
     let now = Instant::now();
     if failure.reason() == RetryReason::TargetLeaving {
--- a/src/daemon/services/claimed.rs
+++ b/src/daemon/services/claimed.rs
@@ -1,4 +1,4 @@
-//! The way of one non-idempotent call: claim, connect, dispatch once.
+//! Handles a non-idempotent call: claim, connect, dispatch once.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -23,10 +23,10 @@
 use crate::target::{CallFailure, TargetFailure};
 use crate::verdict::RunVerdict;
 
-/// Reads the key that a non-idempotent request must carry.
+/// Parses the key that a non-idempotent request must carry.
 ///
 /// # Errors
-/// A refusal that says how to make a key.
+/// Returns a refusal that explains how to make a key.
 pub(in crate::daemon) fn required_key(
     key: Option<&IdempotencyKey>,
     request: &RequestId,
@@ -43,11 +43,11 @@
     Err(RefusalBody::not_run(RefusalReason::Malformed, message).for_request(request.clone()))
 }
 
-/// Runs a call at most once over all hosts.
+/// Runs a call at most once across all hosts.
 ///
-/// It is run to its end even if its caller goes away, also where only the
-/// service's declaration says that it is non-idempotent: dropped after its
-/// claim had won, it would leave the key blocked.
+/// It runs to its end even if its caller disconnects, also if only the service's
+/// declaration marks it as non-idempotent: if it were dropped after its claim had won,
+/// its key would stay blocked.
 pub(super) async fn call_claimed(
     core: Arc<DaemonCore>,
     call: ServiceCall,
@@ -109,7 +109,7 @@
         Ok(ticket) => ticket,
         Err(answer) => return reply_of(answer, &call.request),
     };
-    // A ticket dropped on the way withdraws the claim: nothing was sent.
+    // If the ticket is dropped on an error, it withdraws the claim: nothing was sent.
     let (target, connection) = connect(core, call, targets).await?;
     let dispatched = match ticket.authorise().await {
         Ok(dispatched) => dispatched,
@@ -122,10 +122,10 @@
     finish(call, dispatched, answer)
 }
 
-/// Connects to one target after another until one takes the connection.
+/// Connects to one target after another until one accepts the connection.
 ///
-/// Nothing is sent, so that a target that is down costs the call nothing but
-/// time; after the first byte there is no second target.
+/// Nothing is sent yet, so a target that is down costs the call only time. After the
+/// first byte no second target is tried.
 async fn connect(
     core: &DaemonCore,
     call: &ServiceCall,
@@ -186,7 +186,7 @@
     answer
 }
 
-/// Notes the outcome for every host, then answers.
+/// Records the outcome in the log, then responds.
 fn finish(
     call: &ServiceCall,
     dispatched: DispatchedClaim,
