--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,8 +1,8 @@
-//! The daemon: the shell that joins the tables to the network.
+//! The daemon: connects the in-memory tables to the network.
 //!
-//! [`spawn`] opens the clients and listeners and starts the workers. Each
-//! worker turns I/O into events for the tables and carries out what they
-//! decide. The tables and the order of their locks stand in `tables`.
+//! [`spawn`] opens the clients and listeners and starts the workers. Each worker turns
+//! I/O into events for the tables and executes the resulting decisions. `tables` defines
+//! the tables and the order in which their locks are taken.
 
 mod activation;
 mod admitting;
--- a/src/daemon/activation.rs
+++ b/src/daemon/activation.rs
@@ -1,4 +1,4 @@
-//! Refreshing the tables that are built from what is declared.
+//! Updates the tables that are derived from the declarations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -12,7 +12,7 @@
 use crate::resources::{ResourceKey, ResourceKind, ResourceSpec, TargetPhase};
 use crate::shares::ShareUnits;
 
-/// Puts the declared state in force on this host.
+/// Activates the declared state on this host.
 pub(super) fn activate_declarations(core: &DaemonCore) {
     let declarations = core.tables.declarations.read();
     watch_declared(core, &declarations);
@@ -38,9 +38,9 @@
     core.tables.watch.lock().set_declared(&targets);
 }
 
-/// Tells the shares what was bought, and admission which organisations there
-/// are: what each may use here comes with the grants. One that was deleted may
-/// use nothing from now on.
+/// Passes the bought capacity to the shares, and the declared organisations to admission.
+/// The grants determine what each organisation may use on this host. A deleted
+/// organisation may use nothing from now on.
 fn declare_organisations(core: &DaemonCore, declarations: &DeclarationTable) {
     let mut bought = BTreeMap::new();
     for entry in declarations.list(ResourceKind::Organisation) {
--- a/src/daemon/admitting.rs
+++ b/src/daemon/admitting.rs
@@ -1,4 +1,4 @@
-//! Carrying admission's decisions to the requests that wait for them.
+//! Delivery of admission decisions to the requests that wait for them.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,14 +13,14 @@
 use crate::journal::JournalEvent;
 use crate::reason::RefusalReason;
 
-/// Longest pause between two looks at the queues.
+/// Maximum time between two runs of the admission table.
 const IDLE_TICK: Duration = Duration::from_millis(250);
 
-/// The right to run one request; gives it back when dropped.
+/// An admitted request's slot, released on drop.
 ///
-/// A request whose caller goes away is dropped at any await. Without this the
-/// slot would stay taken, and an organisation would lose its capacity bit by
-/// bit.
+/// The future of a request is dropped at any await point once its caller disconnects.
+/// Without the release on drop the slot would stay occupied, and the organisation would
+/// gradually lose its capacity.
 pub(super) struct AdmissionSlot {
     core: Arc<DaemonCore>,
     request: RequestId,
@@ -28,7 +28,7 @@
 }
 
 impl AdmissionSlot {
-    /// Notes that the request was served, so that its end counts as progress.
+    /// Marks the request as served, so that its release counts as progress.
     pub(super) fn complete(mut self) {
         self.cause = ReleaseCause::Completed;
     }
@@ -50,7 +50,7 @@
 /// Waits until the request may start.
 ///
 /// # Errors
-/// The refusal, as soon as it is decided.
+/// Returns the refusal as soon as it is decided.
 pub(super) async fn admit(
     core: &Arc<DaemonCore>,
     request: AdmissionRequest,
@@ -83,9 +83,9 @@
     );
     core.admission_changed.notify_one();
     let outcome = tokio::select! {
-        // First, since streams that end with the drain leave their places to whoever waits:
-        // a request that took one would be cut as it starts, and its caller be told that it
-        // may have run.
+        // Polled first: streams that end when the drain timeout expires release their
+        // slots to waiting requests. A request that was started then would be cut off at
+        // once, and its caller would be told that it may have run.
         biased;
         () = core.drain_expired.cancelled() => {
             return Err(refusal(slot.request.clone(), RefusalReason::Draining, IDLE_TICK));
@@ -144,7 +144,7 @@
         .for_request(request)
 }
 
-/// Hands decisions to those who wait for them.
+/// Sends each decision to the request that waits for it.
 pub(super) fn notify_waiters(state: &mut AdmissionState, decisions: Vec<AdmissionDecision>) {
     for decision in decisions {
         let request = match &decision {
@@ -153,13 +153,13 @@
             | AdmissionDecision::Refuse { request, .. } => request,
         };
         if let Some(waiter) = state.waiters.remove(request) {
-            // A waiter that has gone away gives its slot back when dropped.
+            // If the waiter is gone, its slot is released on drop.
             let _ = waiter.send(decision);
         }
     }
 }
 
-/// Looks at the queues whenever something in them is due.
+/// Runs the admission table whenever one of its queues has something due.
 pub(super) async fn run_admission(core: Arc<DaemonCore>) {
     loop {
         let next = {
--- a/src/daemon/callers.rs
+++ b/src/daemon/callers.rs
@@ -1,4 +1,4 @@
-//! What the callers' listener asks of the daemon.
+//! Backend of the callers' listener.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,14 +50,14 @@
 fn organisation_of(core: &DaemonCore, digest: &TokenDigest) -> Option<OrganisationId> {
     let declarations = core.tables.declarations.read();
     let entry = declarations.organisation_by_digest(&digest.to_hex())?;
-    // The index was searched with an ordinary comparison; the whole digest is
-    // compared once more in constant time.
+    // The index lookup uses an ordinary comparison, so the whole digest is compared again
+    // in constant time.
     let declared = TokenDigest::from_hex(&entry.spec.token_digest)?;
     bool::from(declared.matches(digest)).then(|| entry.name.clone())
 }
 
-/// How a call ended for its caller; calls are run to their end even if the
-/// caller goes away.
+/// Returns the outcome of a call for the metrics. There is no outcome for a disconnected
+/// caller, because calls run to their end without one.
 fn call_outcome(response: &Result<ServiceReply, RefusalBody>) -> RequestOutcome {
     match response {
         Ok(_) => RequestOutcome::Whole,
--- a/src/daemon/changes.rs
+++ b/src/daemon/changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: appended to the log, and answered once judged.
+//! Operators' changes, appended to the log and answered once they are judged.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,8 @@
 use crate::replay::Judgement;
 use crate::verdict::RunVerdict;
 
-/// How long an operator waits for the log to show the change.
+/// Maximum time that an operator's call waits for the change to be read back from the
+/// log.
 const JUDGEMENT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause before a change is appended again under the same id.
 const APPEND_RETRY: Duration = Duration::from_millis(250);
@@ -23,7 +24,7 @@
 /// Declares a resource.
 ///
 /// # Errors
-/// A lost race or a refusal, with the verdict.
+/// Returns a conflict with another change, or a refusal with its verdict.
 pub(super) async fn apply(
     core: Arc<DaemonCore>,
     call: ApplyCall,
@@ -40,7 +41,7 @@
 /// Removes a resource.
 ///
 /// # Errors
-/// A lost race or a refusal, with the verdict.
+/// Returns a conflict with another change, or a refusal with its verdict.
 pub(super) async fn delete(
     core: Arc<DaemonCore>,
     call: DeleteCall,
@@ -54,14 +55,15 @@
     submit(&core, change).await
 }
 
-/// Appends the change until it shows up in the log, and tells its judgement.
+/// Appends the change until it is read back from the log, and returns its judgement.
 ///
-/// An append whose answer is lost may have taken effect. Appending again under
-/// the same id does no harm, since replay drops an id that it has seen; so the
-/// answer always is what every host judged, never a guess.
+/// An append whose response is lost may have taken effect. Appending again under the same
+/// id is safe, because replay ignores ids that it has already seen. The response
+/// therefore always reports the judgement that every host reaches.
 async fn submit(core: &DaemonCore, change: ResourceChange) -> Result<AcceptedBody, ChangeRefusal> {
     if core.tables.declarations.read().stopped().is_some() {
-        // This host can't judge what it would write, nor tell the outcome.
+        // A host whose replay has stopped can neither judge the change nor report its
+        // result.
         return Err(change_refusal(RefusalReason::NotReady, RunVerdict::NotRun));
     }
     let id = RecordId::from(Uuid::new_v4().to_string());
@@ -89,13 +91,13 @@
     }
 }
 
-/// Returns once an append was confirmed.
+/// Returns once an append is confirmed.
 async fn keep_appending(core: &DaemonCore, text: &str, verdict: &mut RunVerdict) {
     loop {
         if let Ok(appended) = core.declaration_appends.submit(text.to_owned()) {
-            // From here on the record may be stored although no answer has
-            // come. The operator's time may end during this very append; told
-            // "not run", the change would yet turn up in force.
+            // From here on the record may be stored even though no response has arrived.
+            // If the operator's timeout expires during this append, a verdict of "not
+            // run" would be wrong: the change could still take effect.
             let prior = std::mem::replace(verdict, RunVerdict::MayHaveRun);
             match appended.await {
                 Ok(Ok(_)) => return,
@@ -107,13 +109,13 @@
     }
 }
 
-/// A judged change.
+/// A change with the offset and the judgement of its record.
 struct JudgedChange {
     offset: crate::ids::LogOffset,
     judgement: Judgement,
 }
 
-/// Returns once the change was judged and its judgement is in force here.
+/// Returns once the change is judged and its judgement is in effect on this host.
 async fn wait_for_judgement(core: &DaemonCore, id: &RecordId) -> JudgedChange {
     let mut applied = core.applied.subscribe();
     loop {
--- a/src/daemon/checkpoints.rs
+++ b/src/daemon/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Appending checkpoints before the records that they cover expire.
+//! Appends checkpoints before the records that they cover expire.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,17 +11,18 @@
 use crate::records::{DeclarationBody, JUDGING_RULES, LogRecord};
 use crate::replay::{CheckpointSchedule, LogHorizon};
 
-/// Pause between two looks at whether a checkpoint is due.
+/// Time between two checks whether a checkpoint is due.
 const CHECKPOINT_TICK: Duration = Duration::from_secs(1);
-/// Longest extra wait of one host, so that another may be first.
+/// Maximum random delay before a checkpoint, so that one host writes first.
 const MAX_STAGGER: Duration = Duration::from_secs(2);
-/// Age after which a checkpoint is written anew although nothing changed.
+/// Age after which a checkpoint is written again even if nothing has changed.
 const MAX_CHECKPOINT_AGE: Duration = Duration::from_secs(6 * 3600);
 
 /// Appends a checkpoint whenever one is due, until the daemon ends.
 ///
-/// No lease is needed: a second checkpoint of the same state does no harm, and
-/// the random wait lets one host be first, whose record the others then see.
+/// This needs no lease: a second checkpoint of the same state is harmless, and the random
+/// delay usually lets one host write first, so that the others read its record and skip
+/// theirs.
 pub(super) async fn run_checkpoints(core: Arc<DaemonCore>, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut ticks = tokio::time::interval(CHECKPOINT_TICK);
@@ -63,7 +64,7 @@
     let Ok(text) = serde_json::to_string(&record) else {
         return;
     };
-    // A lost or failed append shows as a checkpoint that is still due.
+    // After a lost or failed append the checkpoint is still due and is tried again.
     if let Ok(appended) = core.declaration_appends.submit(text) {
         let _ = appended.await;
     }
--- a/src/daemon/core.rs
+++ b/src/daemon/core.rs
@@ -1,4 +1,4 @@
-//! What every worker of the daemon holds on to.
+//! State shared by all workers of the daemon.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -24,19 +24,19 @@
 use crate::replay::Readiness;
 use crate::target::client::TargetClient;
 
-/// Half of the calls to one peer that may wait for an answer, so that
-/// heartbeats always find room.
+/// Half of the calls to one peer that may be open at once, which leaves room for
+/// heartbeats.
 const MAX_CLAIM_QUERIES: usize = 16;
 
-/// Phases of a daemon's life.
+/// Phases of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum DaemonPhase {
-    /// No usable configuration, or an older one than is known to exist: takes
-    /// no work.
+    /// Accepts no work: it has no usable configuration, or one that is older than the
+    /// newest known.
     Starting,
-    /// Takes work.
+    /// Accepts work.
     Serving,
-    /// Finishes what is in flight and takes nothing new.
+    /// Finishes the requests in flight and accepts no new ones.
     Draining,
 }
 
@@ -48,29 +48,29 @@
     pub(super) targets: TargetClient,
     pub(super) declaration_appends: AppendQueue,
     pub(super) claim_appends: AppendQueue,
-    /// Questions to holders of keys that may be open at once.
+    /// Limits the open queries to holders of keys.
     pub(super) claim_queries: Semaphore,
     /// Offset after the last applied declaration record.
     pub(super) applied: watch::Sender<LogOffset>,
     pub(super) admission_changed: Notify,
-    /// Runs and calls in flight, waited for at shutdown.
+    /// Runs and calls in flight, which a shutdown waits for.
     pub(super) in_flight: TaskTracker,
-    /// Cancelled once draining has taken too long: what is still in flight
-    /// tells its caller the verdict and ends.
+    /// Cancelled when the drain timeout has expired. Requests still in flight then report
+    /// their verdict to the caller and end.
     pub(super) drain_expired: CancellationToken,
     pub(super) metrics: MetricSet,
     pub(super) platform: PlatformClient,
-    /// Told when a peer has applied more than this host.
+    /// Notified when a peer has applied more records than this host.
     pub(super) peer_ahead: Notify,
     peers: OnceLock<PeerHandle>,
-    /// Oldest offset that the stream of declarations still keeps.
+    /// Oldest offset that the declaration stream still keeps.
     log_horizon: AtomicU64,
-    /// When a checkpoint was last seen in the log.
+    /// When a valid checkpoint was last read from the log.
     checkpoint_read_at: Mutex<Option<Instant>>,
     run_numbers: AtomicU64,
-    /// Held while an order to a target is under way.
+    /// Locked while an order to a target is open.
     order_lock: tokio::sync::Mutex<()>,
-    /// What is applied here against what is known to exist.
+    /// Compares what is applied here with what is known to exist.
     pub(super) readiness: ReadinessGate,
     draining: AtomicBool,
 }
@@ -110,28 +110,29 @@
         })
     }
 
-    /// Hands over the means to call peers, once they stand.
+    /// Sets the handle for calls to peers, once their listener is open.
     pub(super) fn set_peers(&self, peers: PeerHandle) {
-        // Called once, at the start; a second handle would be dropped.
+        // Called once at the start; a second handle would be dropped.
         let _ = self.peers.set(peers);
     }
 
-    /// The means to call peers; `None` only while the daemon starts.
+    /// Returns the handle for calls to peers, which is `None` only while the daemon
+    /// starts.
     pub(super) fn peers(&self) -> Option<&PeerHandle> {
         self.peers.get()
     }
 
-    /// A number that no other run of this incarnation has.
+    /// Returns a number that is unique among the runs of this incarnation.
     pub(super) fn next_run_number(&self) -> u64 {
         self.run_numbers.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Notes a decision about a request for `explain`.
+    /// Records a decision about a request for `explain`.
     pub(super) fn record_event(&self, request: &RequestId, event: JournalEvent) {
         self.record_event_about(JournalSubject::Request(request.clone()), event);
     }
 
-    /// Notes a decision about any subject for `explain`.
+    /// Records a decision about any subject for `explain`.
     pub(super) fn record_event_about(&self, subject: JournalSubject, event: JournalEvent) {
         let entry = JournalEntry {
             at: SystemTime::now(),
@@ -149,7 +150,8 @@
         &self.options.host.zone
     }
 
-    /// Judged afresh at each call: a host falls behind by time alone.
+    /// Returns the current phase. It is evaluated on each call, because a host can fall
+    /// behind merely by the passage of time.
     pub(super) fn phase(&self) -> DaemonPhase {
         match self.readiness.readiness(Instant::now()) {
             _ if self.is_draining() => DaemonPhase::Draining,
@@ -158,13 +160,14 @@
         }
     }
 
-    /// Marks an order to a target as under way until the mark is dropped.
+    /// Waits until no order to a target is open, and blocks others until the guard is
+    /// dropped.
     pub(super) async fn lock_orders(&self) -> tokio::sync::MutexGuard<'_, ()> {
         self.order_lock.lock().await
     }
 
-    /// Whether the balancer should send callers here: the configuration is
-    /// usable and, if there are organisations, somebody divides the zone's
+    /// Whether the load balancer should send callers to this host: the configuration is
+    /// usable and, if any organisation is declared, some host divides the zone's
     /// capacity.
     pub(super) fn is_ready(&self) -> bool {
         if self.phase() != DaemonPhase::Serving {
@@ -175,45 +178,45 @@
         is_divided || state.table.organisations().next().is_none()
     }
 
-    /// Whether nothing new is taken any more.
+    /// Whether the daemon accepts no new work because it is shutting down.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Whether all hosts known are heard.
+    /// Whether at least one other host is known and all known ones are live.
     pub(super) fn all_peers_live(&self) -> bool {
         let membership = self.tables.membership.lock();
         let mut members = membership.members().peekable();
         members.peek().is_some() && members.all(|member| member.phase == MemberPhase::Live)
     }
 
-    /// Notes the oldest offset that the log of declarations keeps.
+    /// Stores the oldest offset that the declaration stream still keeps.
     pub(super) fn set_log_horizon(&self, first_offset: LogOffset) {
         self.log_horizon.store(first_offset, Ordering::Relaxed);
     }
 
-    /// The oldest offset that the log of declarations was last seen to keep.
+    /// Returns the oldest offset that the declaration stream kept when it was last read.
     pub(super) fn log_horizon(&self) -> LogOffset {
         self.log_horizon.load(Ordering::Relaxed)
     }
 
-    /// Notes that a good checkpoint was just read from the log.
+    /// Records that a valid checkpoint has been read from the log.
     pub(super) fn record_checkpoint_read(&self) {
         *self.checkpoint_read_at.lock() = Some(Instant::now());
     }
 
-    /// Time since a good checkpoint was read from the log.
+    /// Returns the time since a valid checkpoint was read from the log.
     pub(super) fn checkpoint_age(&self) -> Option<Duration> {
         let seen = *self.checkpoint_read_at.lock();
         seen.map(|seen| seen.elapsed())
     }
 
-    /// Begins to drain; there is no way back.
+    /// Begins to drain, which cannot be undone.
     pub(super) fn begin_draining(&self) {
         self.draining.store(true, Ordering::Release);
     }
 
-    /// The declared address of a target.
+    /// Returns the declared address of a target.
     pub(super) fn target_address(&self, target: &TargetId) -> Option<SocketAddr> {
         let declarations = self.tables.declarations.read();
         declarations.target(target).map(|spec| spec.address)
--- a/src/daemon/declarations.rs
+++ b/src/daemon/declarations.rs
@@ -1,8 +1,8 @@
-//! Starting from the log, and following it.
+//! Starts from the declaration log and follows it.
 //!
-//! A daemon starts from the log if that can be read, else from its peers, the
-//! one with the highest offset first; until then it takes no work. Once it
-//! serves, what it has replayed stays in force whatever happens to the log.
+//! A daemon starts from the log if it can be read, otherwise from its peers, beginning
+//! with the one with the highest offset. Until then it accepts no work. Once it serves,
+//! the replayed state stays in effect even if the log fails.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,18 +18,19 @@
     ApplyError, DeclarationTable, Judgement, StartDecision, StartPlanner, WindowRules,
 };
 
-/// Pause after a start that found no usable state.
+/// Pause after a start attempt that found no usable state.
 const START_RETRY: Duration = Duration::from_millis(200);
 
-/// Why the tail was left.
+/// Reason why the tail is no longer followed.
 enum TailEnd {
-    /// Records were missed: start again from a checkpoint.
+    /// Records were missed, so the daemon starts again from a checkpoint.
     Missed,
     /// The daemon is ending.
     Closed,
 }
 
-/// Starts and follows, again and again, until the daemon ends.
+/// Starts from the log or from peers and follows the log, until the daemon ends. Starts
+/// again when records were missed.
 pub(super) async fn run_declarations(core: Arc<DaemonCore>, seed: u64) {
     loop {
         start(&core).await;
@@ -39,8 +40,8 @@
     }
 }
 
-/// Returns once the log or a peer has given a state that the log can be
-/// followed from.
+/// Returns once the log or a peer has provided a state from which the log can be
+/// followed.
 async fn start(core: &Arc<DaemonCore>) {
     let began = Instant::now();
     loop {
@@ -50,7 +51,7 @@
             return;
         }
         catch_up_from_peers(core).await;
-        // Peers that have not been heard by then cannot be reached.
+        // Peers without a heartbeat by then are unreachable.
         if core.all_peers_live() || began.elapsed() >= core.options.timing.peer_timeout {
             core.readiness.confirm();
         }
@@ -61,15 +62,15 @@
     }
 }
 
-/// Whether the next record is, as far as is known, still kept by the log.
+/// Whether the log, as far as is known, still keeps the next record.
 fn can_follow(core: &DaemonCore) -> bool {
     let declarations = core.tables.declarations.read();
     let is_confirmed = core.phase() != DaemonPhase::Starting;
     is_confirmed && !declarations.missed_records(core.log_horizon())
 }
 
-/// Reads the log until the planner has found a state; `None` if the log can't
-/// be read or holds no usable state.
+/// Reads the log until the planner finds a state. Returns `None` if the log cannot be
+/// read or holds no usable state.
 async fn start_from_log(core: &DaemonCore) -> Option<DeclarationTable> {
     let mut planner = StartPlanner::new(
         WindowRules::CURRENT,
@@ -84,7 +85,7 @@
         let response = match read {
             Ok(response) => response,
             Err(error) => {
-                log::warn!("the log cannot be read at the start: {error}");
+                log::warn!("the declaration log cannot be read at startup: {error}");
                 return None;
             }
         };
@@ -94,14 +95,14 @@
             StartDecision::ReadFrom(offset) => from = offset,
             StartDecision::Started(table) => return Some(*table),
             StartDecision::NotReady(obstacle) => {
-                log::error!("the log gives no usable state: {obstacle}");
+                log::error!("the declaration log holds no usable state: {obstacle}");
                 return None;
             }
         }
     }
 }
 
-/// Puts a state from the log in force, unless a newer one stands already.
+/// Activates a state from the log, unless a newer one is already in effect.
 fn install(core: &DaemonCore, table: DeclarationTable) {
     let superseded = {
         let mut declarations = core.tables.declarations.write();
@@ -115,7 +116,7 @@
     };
     match superseded {
         Ok(()) => activate_declarations(core),
-        Err(error) => log::debug!("the state in force stays: {error}"),
+        Err(error) => log::debug!("the current state is kept: {error}"),
     }
 }
 
@@ -136,13 +137,17 @@
                 }
             }
             TailEvent::Unreachable { .. } => {
-                log::warn!("the platform's log cannot be read; what is in force stays in force");
+                log::warn!(
+                    "the declaration log cannot be read; the current configuration stays in effect"
+                );
             }
             TailEvent::Expired { first_offset, .. } => {
                 core.set_log_horizon(first_offset);
                 let missed = core.tables.declarations.read().missed_records(first_offset);
                 if missed {
-                    log::error!("records before offset {first_offset} expired unread");
+                    log::error!(
+                        "declaration records before offset {first_offset} expired before they were read"
+                    );
                     return TailEnd::Missed;
                 }
             }
@@ -154,7 +159,8 @@
 /// Applies records of the log or of a peer, in order.
 ///
 /// # Errors
-/// The first record that could not be applied; those before it are in force.
+/// Returns the error of the first record that could not be applied. The records before it
+/// are in effect.
 pub(super) fn apply_records(core: &DaemonCore, records: &[StoredRecord]) -> Result<(), ApplyError> {
     if records.is_empty() {
         return Ok(());
@@ -169,8 +175,7 @@
     applied
 }
 
-/// Applies one record, counts what its judgement is worth and keeps its text
-/// for peers.
+/// Applies one record, counts its judgement in the metrics and keeps its text for peers.
 pub(super) fn apply_record(
     core: &DaemonCore,
     declarations: &mut DeclarationTable,
@@ -181,10 +186,10 @@
         Judgement::AlreadyApplied => return Ok(()),
         Judgement::CheckpointDiffers { .. } | Judgement::CheckpointDamaged { .. } => {
             core.metrics.checkpoint_differed();
-            log::error!("record {}: {judgement:?}", record.offset);
+            log::error!("declaration record {}: {judgement:?}", record.offset);
         }
         Judgement::CheckpointMatched => core.record_checkpoint_read(),
-        _ => log::debug!("record {}: {judgement:?}", record.offset),
+        _ => log::debug!("declaration record {}: {judgement:?}", record.offset),
     }
     let mut relay = core.tables.relay.lock();
     relay.push(record.offset, record.body.clone());
--- a/src/daemon/force.rs
+++ b/src/daemon/force.rs
@@ -1,4 +1,4 @@
-//! How far the configuration is in force, for operators.
+//! View for operators of how far the configuration is in effect.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::ids::LogOffset;
 use crate::membership::{self, HostMember, MemberPhase};
 
-/// Every host known with what it is known to have applied.
+/// Returns all known hosts with the offset that each is known to have applied.
 pub(super) fn force_view(core: &DaemonCore) -> ForceView {
     let applied = *core.applied.borrow();
     let draining = core.phase() == DaemonPhase::Draining;
@@ -28,11 +28,12 @@
     }
 }
 
-/// A host that was not heard lately counts by its zone's word, if that speaks
-/// for every host of the zone that is known here.
+/// Builds the view of one host.
 ///
-/// Of another zone only a few hosts are ever heard. Without this the others
-/// would count as unreachable for ever, and no change as in force everywhere.
+/// A host without a recent heartbeat counts as its zone's report says, if that covers all
+/// hosts of the zone known here. Only a few hosts of another zone send heartbeats to this
+/// one. Without the zone's report the others would always count as unreachable, and no
+/// change as in effect everywhere.
 fn member_view(member: &HostMember, zones: &membership::ForceView) -> HostForceView {
     let reported = match member.phase {
         MemberPhase::Live => Some(member.applied_offset),
--- a/src/daemon/leases.rs
+++ b/src/daemon/leases.rs
@@ -1,4 +1,4 @@
-//! Following the stream of leases, and trying to hold this host's.
+//! Follows the lease stream and competes for the leases of this host's zone.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,16 +18,16 @@
 use crate::platform::wire::StoredRecord;
 use crate::records::{LEASE_STREAM, LogRecord};
 
-/// Pause between two looks at the leases.
+/// Time between two checks of the leases.
 const LEASE_TICK: Duration = Duration::from_millis(100);
-/// How long a shutdown waits until what it wrote is read back.
+/// Maximum time that a shutdown waits for its records to be replayed.
 const REPLAY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two looks at that.
+/// Time between two checks whether its records have been replayed.
 const REPLAY_POLL: Duration = Duration::from_millis(10);
-/// Renewals within one duration.
+/// Renewals within one lease duration.
 const RENEWALS_PER_DURATION: u32 = 3;
 
-/// The table of leases with this host's part in them, under one lock.
+/// The lease table and this host's lease machines, under one lock.
 pub(super) struct LeaseState {
     pub(super) table: LeaseTable,
     machines: Vec<NamedMachine>,
@@ -39,7 +39,7 @@
 }
 
 impl LeaseState {
-    /// A desk on which no lease is tried for yet.
+    /// Creates the state without any lease machines.
     pub(super) fn new(table: LeaseTable) -> Self {
         Self {
             table,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The fencing number under which this host may begin something now that
+    /// Returns the fencing number under which this host may now begin an action that
     /// takes at most `max_duration`.
     pub(super) fn may_act(
         &self,
@@ -64,7 +64,7 @@
         let Some(id) = judged.id else {
             return;
         };
-        // Ids are unique: only the machine that sent the record knows it.
+        // Ids are unique, so only the machine that sent the record recognises it.
         for named in &mut self.machines {
             named
                 .machine
@@ -73,23 +73,22 @@
     }
 }
 
-/// Name of the lease on ordering a zone's targets.
+/// Returns the name of the lease on ordering a zone's targets.
 pub(super) fn orders_lease(zone: &ZoneId) -> LeaseName {
     format!("orders/{zone}").into()
 }
 
-/// Name of the lease on dividing a zone's shares.
+/// Returns the name of the lease on dividing a zone's shares.
 pub(super) fn shares_lease(zone: &ZoneId) -> LeaseName {
     format!("zone-shares/{zone}").into()
 }
 
-/// Name of the lease on splitting capacity over zones.
+/// Returns the name of the lease on splitting capacity over zones.
 pub(super) fn allotments_lease() -> LeaseName {
     "allotments".into()
 }
 
-/// Follows the stream and tries to hold the zone's leases, until the daemon
-/// ends.
+/// Follows the stream and competes for the zone's leases, until the daemon ends.
 pub(super) async fn run_leases(core: Arc<DaemonCore>, appends: Arc<AppendQueue>, seed: u64) {
     add_machines(&core, seed);
     let mut tail = open_tail(&core, LEASE_STREAM, 0, seed);
@@ -120,7 +119,7 @@
         let terms = LeaseTerms {
             duration,
             renew_after: duration / RENEWALS_PER_DURATION,
-            // Drawn anew for each host, so that they do not all try at once.
+            // Random per host, so that the hosts do not all try at once.
             retry_after: duration.mul_f64(random.random_range(0.2..0.4)),
         };
         let first_attempt = now + duration.mul_f64(random.random_range(0.0..0.2));
@@ -151,12 +150,12 @@
             }
         }
         TailEvent::Expired { first_offset, .. } => state.table.note_read(first_offset, now),
-        // Without the log no lease is renewed, and none can be taken.
+        // Without the log no lease can be renewed or acquired.
         TailEvent::Unreachable { .. } => {}
     }
 }
 
-/// Decides about each lease, and appends what was decided.
+/// Lets each lease machine decide, and appends the resulting records.
 fn decide_all(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>) {
     if core.is_draining() {
         return;
@@ -171,7 +170,7 @@
                 LeaseDecision::TryAcquire(record) | LeaseDecision::Renew(record) => {
                     records.push(record);
                 }
-                LeaseDecision::StepDown => log::warn!("lease {} is lost", named.name),
+                LeaseDecision::StepDown => log::warn!("lease {} was lost", named.name),
                 LeaseDecision::Hold { .. } | LeaseDecision::Wait { .. } => {}
             }
         }
@@ -181,16 +180,16 @@
     }
 }
 
-/// Hands the leases back, so that another host may begin at once; ends when
-/// this host has read that they are free. To be called once the daemon drains.
+/// Releases the leases, so that another host can acquire them at once, and returns when
+/// this host has read back that they are free. Must be called after the daemon has begun
+/// to drain.
 ///
-/// Left to a worker, this would be lost if nothing is in flight: the process
-/// would end first, and nobody would order the zone's targets until the leases
-/// lapse.
+/// A worker task could not do this reliably: if nothing is in flight, the process would
+/// end first, and no host would order the zone's targets until the leases expire.
 pub(super) async fn release_leases(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>) {
     wait_for_judgements(core).await;
-    // Handed back while an order is under way, a lease would let the next
-    // holder order at the same time.
+    // If a lease were released while an order is open, the next holder could send orders
+    // at the same time.
     let order_lock = core.lock_orders().await;
     let released = release_all(core);
     drop(order_lock);
@@ -200,11 +199,11 @@
     join_all(released).await;
 }
 
-/// Waits for the judgement of records that are on their way.
+/// Waits until the records that are already submitted are judged.
 ///
-/// A lease that was acquired but not read back yet could not be released, and
-/// a renewal that comes before the release makes that void; in both cases the
-/// lease would stay with a host that is gone.
+/// A lease that is acquired but not read back yet cannot be released, and a renewal that
+/// is stored before the release invalidates it. In both cases a host that has shut down
+/// would keep the lease.
 async fn wait_for_judgements(core: &DaemonCore) {
     let deadline = Instant::now() + REPLAY_TIMEOUT;
     while Instant::now() < deadline {
@@ -220,7 +219,7 @@
     }
 }
 
-/// Appends a release until the log shows that it took effect.
+/// Appends a release until the log shows that it has taken effect.
 async fn release(
     core: &Arc<DaemonCore>,
     appends: &Arc<AppendQueue>,
@@ -240,7 +239,7 @@
     }
 }
 
-/// Whether the log still shows the lease as its writer's.
+/// Whether the log still shows the record's writer as the holder of the lease.
 fn is_held(core: &DaemonCore, record: &LogRecord<LeaseBody>) -> bool {
     let state = core.tables.leases.lock();
     let holder = state.table.holder(&record.body.name);
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -1,4 +1,4 @@
-//! Exchanging heartbeats with the other entry hosts.
+//! Exchanges heartbeats with the other entry hosts.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,9 +14,9 @@
 use crate::shares::GrantHolder;
 use crate::target::wire::LoadReport;
 
-/// Heartbeats sent in a row, when the first one has to be answered at once.
+/// Maximum number of heartbeats in a row, when a reply requires another one at once.
 const MAX_EXCHANGES: usize = 2;
-/// Pause between two looks at who is due for a heartbeat.
+/// Time between two checks which hosts are due for a heartbeat.
 const MEMBERSHIP_TICK: Duration = Duration::from_millis(50);
 
 /// Sends heartbeats when they are due, until the daemon ends.
@@ -38,7 +38,7 @@
     }
 }
 
-/// Bytes of peer calls that the metrics have counted already.
+/// Bytes of peer calls that are already counted in the metrics.
 #[derive(Default)]
 struct CountedTraffic {
     sent: u64,
@@ -82,17 +82,17 @@
                 log::info!("host {host} of zone {zone} has joined");
             }
             MembershipDecision::HostSuspected { host } => {
-                log::warn!("host {host} is silent");
+                log::warn!("host {host} is suspected: no recent heartbeat");
             }
             MembershipDecision::HostRecovered { host } => {
-                log::info!("host {host} is heard again");
+                log::info!("host {host} has recovered");
             }
             MembershipDecision::HostGone {
                 host,
                 incarnation,
                 cause,
             } => {
-                log::info!("host {host} is gone: {cause:?}");
+                log::info!("host {host} is removed: {cause:?}");
                 if let Some(incarnation) = incarnation {
                     record_removed_host(core, &GrantHolder { host, incarnation });
                 }
@@ -113,14 +113,17 @@
             beat.demands.clone_from(&sent.report.demands);
         }
         let again = match peers.heartbeat(address, beat).await {
-            // An address may have passed to another host.
+            // The address may have passed to another host.
             Ok(reply) if reply.beat.host == to => apply_reply(&core, &reply, sent.as_ref()),
             Ok(reply) => {
-                log::warn!("{address} is {} and not {to}", reply.beat.host);
+                log::warn!(
+                    "heartbeat reply from {address} is of host {} instead of {to}",
+                    reply.beat.host
+                );
                 false
             }
             Err(error) => {
-                log::debug!("no heartbeat from {to}: {error}");
+                log::debug!("heartbeat to host {to} failed: {error}");
                 false
             }
         };
@@ -143,7 +146,7 @@
     membership.next_heartbeat(remote, loads)
 }
 
-/// Takes in an answer; says whether to send another heartbeat at once.
+/// Applies a reply. Returns whether to send another heartbeat at once.
 fn apply_reply(core: &Arc<DaemonCore>, reply: &PeerReply, sent: Option<&OutgoingReport>) -> bool {
     apply_heartbeat(core, &reply.beat);
     let Some(lease) = reply.lease_offset else {
@@ -160,7 +163,7 @@
     }
 }
 
-/// Answers a peer's heartbeat with this host's own.
+/// Handles a peer's heartbeat and replies with this host's own.
 pub(super) fn handle_heartbeat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) -> PeerReply {
     apply_heartbeat(core, beat);
     let remote = beat.zone != *core.zone();
@@ -199,8 +202,8 @@
     }
 }
 
-/// Divides the watching of targets over the hosts that are live now, and
-/// takes targets that are known to leave out of rotation.
+/// Assigns targets to the live hosts for watching, and takes targets that are known to be
+/// leaving out of rotation.
 fn assign_watches(core: &DaemonCore) {
     let working = core.tables.membership.lock().working_hosts();
     let declarations = core.tables.declarations.read();
--- a/src/daemon/operators.rs
+++ b/src/daemon/operators.rs
@@ -1,4 +1,4 @@
-//! What the operators' listener asks of the daemon.
+//! Backend of the operators' listener.
 
 use std::sync::Arc;
 use std::time::{Instant, UNIX_EPOCH};
@@ -45,7 +45,7 @@
     table
 }
 
-/// A call that is answered from memory.
+/// Wraps a call that is answered from memory.
 fn query<C, R, F>(core: &Arc<DaemonCore>, answer: F) -> AsyncCall<C, R>
 where
     C: 'static,
@@ -56,7 +56,7 @@
     Arc::new(move |call| futures::future::ready(answer(&core, call)).boxed())
 }
 
-/// A call that waits for something.
+/// Wraps a call that has to wait.
 fn command<C, R, F, A>(core: &Arc<DaemonCore>, run: F) -> AsyncCall<C, R>
 where
     C: 'static,
--- a/src/daemon/readiness.rs
+++ b/src/daemon/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether this host's configuration is good enough to take work.
+//! Decides whether this host's configuration is recent enough to accept work.
 
 use std::time::{Duration, Instant};
 
@@ -7,21 +7,21 @@
 use crate::ids::LogOffset;
 use crate::replay::{DeclarationTable, NotReadyReason, Readiness, ReadinessTracker};
 
-/// How long a host that had caught up may be behind what it knows to exist.
+/// How long a host that had caught up may stay behind the newest known offset.
 ///
-/// Covers the ordinary way of a record through the log or a peer; a change
-/// must be in force within a few seconds.
+/// Covers the usual delay of a record through the log or a peer. A change must take
+/// effect within a few seconds.
 const LAG_GRACE: Duration = Duration::from_secs(3);
 
-/// What the host holds against what it knows to exist. A lock of its own that
-/// is held for no other: it may be taken with any table locked.
+/// Compares what the host has applied with what is known to exist. Its lock is a leaf: no
+/// other lock is taken under it, so it may be taken while any table is locked.
 pub(super) struct ReadinessGate {
     state: Mutex<GateState>,
 }
 
 struct GateState {
     tracker: ReadinessTracker,
-    /// Whether the log was read to its end, or every peer was asked.
+    /// Whether the log was read to its end, or every peer was queried.
     confirmed: bool,
     last_logged: Option<Readiness>,
 }
@@ -42,21 +42,21 @@
         self.state.lock().tracker.learn(end_offset, now);
     }
 
-    /// Takes note of what the table has applied.
+    /// Updates the offset that the table has applied.
     pub(super) fn advance(&self, table: &DeclarationTable, now: Instant) {
         self.state.lock().tracker.advance(table, now);
     }
 
-    /// Notes that the host has heard of what exists.
+    /// Marks the host's knowledge of existing records as confirmed.
     ///
-    /// The first peer that answers a starting host may itself be cut off and
-    /// old. Taking work on its word alone would serve a configuration that
-    /// has long been replaced everywhere else.
+    /// The first peer that replies to a starting host may itself be cut off and out of
+    /// date. If the host accepted work on that reply alone, it could serve a
+    /// configuration that has long been replaced everywhere else.
     pub(super) fn confirm(&self) {
         self.state.lock().confirmed = true;
     }
 
-    /// Whether the host may take work now.
+    /// Whether the host may accept work now.
     pub(super) fn readiness(&self, now: Instant) -> Readiness {
         let mut state = self.state.lock();
         let readiness = match state.tracker.readiness(now) {
@@ -75,10 +75,10 @@
 
 fn log_readiness(readiness: Readiness) {
     match readiness {
-        Readiness::Ready => log::info!("the configuration is good: taking work"),
+        Readiness::Ready => log::info!("the configuration is up to date: accepting work"),
         Readiness::NotReady(reason @ NotReadyReason::UnknownRules) => {
-            log::error!("taking no work: {reason}");
+            log::error!("accepting no work: {reason}");
         }
-        Readiness::NotReady(reason) => log::warn!("taking no work: {reason}"),
+        Readiness::NotReady(reason) => log::warn!("accepting no work: {reason}"),
     }
 }
--- a/src/daemon/reconciling.rs
+++ b/src/daemon/reconciling.rs
@@ -1,4 +1,4 @@
-//! Ordering the zone's engines to hold what is declared.
+//! Orders the zone's engines to hold what is declared.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,24 +16,25 @@
 use crate::resources::{FencingSupport, ResourceKey, ResourceKind, TargetKind};
 use crate::target::wire::StateOrder;
 
-/// Pause between two rounds of decisions.
+/// Time between two rounds of decisions.
 const RECONCILE_TICK: Duration = Duration::from_millis(250);
 
-/// The work of one host that may order its zone's engines.
+/// Reconciliation of one zone's engines by this host.
 struct ZoneReconciler {
     core: Arc<DaemonCore>,
     table: ReconcileTable,
     limits: ReconcileLimits,
-    /// Declarations that the desired states were worked out from.
+    /// Applied offset of the declarations that the desired states were computed from.
     desired_as_of: Option<LogOffset>,
     lease: Option<OrderingLease>,
 }
 
-/// Observes and orders while this host holds the zone's lease, until the
-/// daemon ends.
+/// Observes and orders targets while this host holds the zone's lease, until the daemon
+/// ends.
 pub(super) async fn run_reconciling(core: Arc<DaemonCore>) {
     let limits = ReconcileLimits {
-        // No run without a deadline of its own is longer.
+        // The default deadline is the longest that a run without its own deadline can
+        // have.
         retain_for: core.options.timing.default_deadline,
         ..ReconcileLimits::default()
     };
@@ -55,10 +56,10 @@
 impl ZoneReconciler {
     async fn run_round(&mut self) {
         self.refresh_lease();
-        // Also without the lease, so that this host knows for how long a range
-        // has not been declared once it holds it.
+        // Runs without the lease too, so that this host knows how long a range has been
+        // undeclared when it acquires the lease.
         self.refresh_desired();
-        // Only the holder observes: targets need not answer every host.
+        // Only the lease holder observes, so that targets need not respond to every host.
         if self.lease.is_none() || self.core.is_draining() {
             return;
         }
@@ -68,7 +69,7 @@
                 ReconcileDecision::Observe { target } => observed.push(target),
                 ReconcileDecision::Order { target, order } => self.order(&target, &order).await,
                 ReconcileDecision::Withhold { target, reason } => {
-                    log::debug!("no order for {target} yet: {reason:?}");
+                    log::debug!("order to target {target} withheld: {reason:?}");
                 }
             }
         }
@@ -88,7 +89,8 @@
         });
     }
 
-    /// The fencing number, if an order sent at `now` ends before the lease.
+    /// Returns the fencing number if an order sent at `now` ends before the lease
+    /// expires.
     fn may_order(&self, now: Instant) -> Option<LogOffset> {
         let name = orders_lease(self.core.zone());
         let lease_state = self.core.tables.leases.lock();
@@ -120,8 +122,8 @@
         self.table.set_desired(own, elsewhere, Instant::now());
     }
 
-    /// Asks all at once: one after the other, a single frozen target would
-    /// make what was read of the others too old to act on.
+    /// Requests all states concurrently: in sequence, a single frozen target would make
+    /// the states of the others too old to act on.
     async fn observe_all(&mut self, targets: Vec<TargetId>) {
         let core = &self.core;
         let requested_at = Instant::now();
@@ -145,14 +147,17 @@
         let Some(address) = self.core.target_address(target) else {
             return;
         };
-        // The host may have been frozen since the decision. An order sent
-        // under a lapsed lease would race the next holder's, and a target
-        // without fencing would carry out whichever comes last.
+        // The host may have been frozen since the decision. An order sent under an
+        // expired lease would race the next holder's, and a target without fencing would
+        // execute whichever arrives last.
         let order_lock = self.core.lock_orders().await;
         if self.may_order(Instant::now()) != Some(order.fencing) {
             return;
         }
-        log::info!("ordering {target} to hold {} ranges", order.loaded.len());
+        log::info!(
+            "ordering target {target} to hold {} ranges",
+            order.loaded.len()
+        );
         let subject =
             JournalSubject::Resource(ResourceKey::new(ResourceKind::Target, target.clone()));
         let event = JournalEvent::OrderSent {
@@ -165,7 +170,7 @@
         match self.core.targets.order_state(address, order).await {
             Ok(state) => self.table.observe(target, state, sent_at),
             Err(error) => {
-                log::warn!("order to {target} failed: {error}");
+                log::warn!("order to target {target} failed: {error}");
                 self.table.record_failure(target, Instant::now());
             }
         }
--- a/src/daemon/relaying.rs
+++ b/src/daemon/relaying.rs
@@ -1,4 +1,4 @@
-//! Passing log records on to peers, and taking them from peers.
+//! Relays log records to peers and fetches them from peers.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 use crate::records::DECLARATION_STREAM;
 use crate::replay::{DeclarationTable, RelayError, RelayRange};
 
-/// Most records asked of a peer at once.
+/// Maximum number of records in one request to a peer.
 const RELAY_LIMIT: u32 = 256;
-/// How long the log gets to bring what a peer has already, before the peer is
-/// asked for it.
+/// How long the log may take to deliver records that a peer already has, before they are
+/// requested from the peer.
 const LOG_HEAD_START: Duration = Duration::from_millis(300);
 
-/// Answers a peer that asks for records.
+/// Handles a peer's request for records.
 pub(super) fn relay_records(core: &DaemonCore, request: &RecordsQuestion) -> RelayedRange {
     if request.stream != DECLARATION_STREAM {
         return RelayedRange::default();
@@ -36,10 +36,10 @@
     }
 }
 
-/// Takes from peers what the log does not bring, until the daemon ends.
+/// Fetches records from peers that the log does not deliver, until the daemon ends.
 ///
-/// A zone that is cut off from the platform but not from its peers would
-/// otherwise keep an old configuration while the others go on.
+/// Without this, a zone that is cut off from the platform but not from its peers would
+/// keep an old configuration while the other zones move on.
 pub(super) async fn run_relaying(core: Arc<DaemonCore>) {
     loop {
         core.peer_ahead.notified().await;
@@ -48,8 +48,7 @@
     }
 }
 
-/// Follows the live peers that are ahead, the one with the highest offset
-/// first.
+/// Fetches records from the live peers that are ahead, beginning with the highest offset.
 pub(super) async fn catch_up_from_peers(core: &Arc<DaemonCore>) {
     let Some(peers) = core.peers() else {
         return;
@@ -59,10 +58,10 @@
     }
 }
 
-/// Live peers that have applied more than this host, the newest first.
+/// Returns the live peers that have applied more than this host, highest offset first.
 ///
-/// A peer may be heard and yet not answer, when only the way back is cut. If
-/// the newest alone were asked, the host would stay behind for as long.
+/// A peer may send heartbeats and still not respond, if only the path back is cut. If
+/// only the most advanced peer were queried, this host would stay behind for as long.
 fn peers_ahead(core: &DaemonCore) -> Vec<SocketAddr> {
     let applied = core.tables.declarations.read().applied();
     let membership = core.tables.membership.lock();
@@ -75,7 +74,7 @@
     ahead.into_iter().map(|(_, address)| address).collect()
 }
 
-/// Takes from one peer all that it has.
+/// Fetches all records that one peer has.
 async fn follow_peer(core: &DaemonCore, peers: &PeerHandle, peer: SocketAddr) {
     loop {
         let from = core.tables.declarations.read().applied();
@@ -87,7 +86,7 @@
         let range = match peers.records(peer, request).await {
             Ok(range) => range,
             Err(error) => {
-                log::debug!("no records from {peer}: {error}");
+                log::debug!("request for records to peer {peer} failed: {error}");
                 return;
             }
         };
@@ -97,12 +96,12 @@
     }
 }
 
-/// Applies what a peer handed over and gives the offset reached.
+/// Applies the records from a peer and returns the offset reached.
 fn follow_range(core: &DaemonCore, range: RelayedRange) -> u64 {
     let reached = {
         let mut declarations = core.tables.declarations.write();
         if let Err(error) = apply_range(core, &mut declarations, range) {
-            log::error!("a peer's records cannot be followed: {error}");
+            log::error!("records from a peer cannot be applied: {error}");
         }
         declarations.applied()
     };
@@ -122,8 +121,8 @@
         checkpoint: range.checkpoint,
         records: Vec::new(),
     })?;
-    // Judged as those from the log are: a checkpoint that differs must be
-    // told also by a host that the log does not reach.
+    // Judged like records from the log: a host that cannot read the log must also report
+    // a checkpoint that differs.
     for record in &records {
         apply_record(core, declarations, record)?;
     }
--- a/src/daemon/sharing.rs
+++ b/src/daemon/sharing.rs
@@ -1,8 +1,7 @@
-//! Dividing the capacity that organisations bought, over zones and hosts.
+//! Divides the capacity that organisations bought, over zones and hosts.
 //!
-//! This host reports what it holds and wants to the holder of the lease on its
-//! zone's shares, in its heartbeats; grants come in the answers. Admission
-//! keeps to them.
+//! In its heartbeats this host reports its use and demand to the holder of the lease on
+//! its zone's shares. The replies carry grants, which limit admission.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,34 +24,34 @@
     AllotmentBody, GrantHolder, ShareReport, ShareUnits, ShareUsage, TablePhase, ZoneShares,
 };
 
-/// Pause between two rounds.
+/// Time between two rounds.
 const SHARES_TICK: Duration = Duration::from_millis(100);
-/// Rounds between two reports of the holder to itself; others report with
+/// Rounds between two reports of the lease holder to itself. Other hosts report with
 /// their heartbeats.
 const ROUNDS_PER_OWN_REPORT: u64 = 2;
-/// Pause between two looks at whether splits over zones are due.
+/// Time between two checks whether splits over zones are due.
 const SPLIT_INTERVAL: Duration = Duration::from_secs(2);
-/// Records after which the stream gets a checkpoint.
+/// Number of records after which the stream gets a checkpoint.
 const CHECKPOINT_RECORDS: u64 = 2_000;
-/// Requests a minute that a host asks for while something waits there.
+/// Minimum rate in requests per minute that a host requests while anything waits there.
 const MIN_WANTED_RATE: u32 = 60;
-/// Longest time for which writing a split may take effect.
+/// Maximum time until an appended split takes effect.
 const MAX_APPEND_TIME: Duration = Duration::from_secs(2);
 
-/// This host's part in the zone's shares, and who divides them.
+/// This host's part of the zone's shares, and the host that divides them.
 pub(super) struct SharesState {
     pub(super) shares: ZoneShares,
-    /// The host that divides; `None` if unknown, or if it is this one.
+    /// The host that divides the shares; `None` if it is unknown or this host.
     pub(super) holder: Option<HostId>,
 }
 
-/// What a heartbeat carries for the holder of the zone's shares.
+/// Report in a heartbeat to the host that divides the zone's shares.
 pub(super) struct OutgoingReport {
     pub(super) report: ShareReport,
     pub(super) sent_at: Instant,
 }
 
-/// Follows the stream, reports, and keeps admission to the grants, until the
+/// Follows the stream, reports demand and applies the grants to admission, until the
 /// daemon ends.
 pub(super) async fn run_sharing(core: Arc<DaemonCore>, appends: Arc<AppendQueue>, seed: u64) {
     let mut tail = open_tail(&core, ALLOTMENT_STREAM, 0, seed);
@@ -60,8 +59,8 @@
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut rounds = 0;
     let mut split_at = Instant::now();
-    // A new holder writes a checkpoint first: it cannot know how long ago the
-    // last one was written.
+    // A new holder first writes a checkpoint, because it does not know when the last one
+    // was written.
     let mut checkpoint_at = 0;
     loop {
         tokio::select! {
@@ -101,8 +100,8 @@
     }
 }
 
-/// Gives up this host's grants once it drains and nothing waits any more: what
-/// waits could not be started without a grant.
+/// Releases this host's grants once it drains and no request waits any more: a waiting
+/// request could not start without a grant.
 fn release_grants_when_drained(core: &DaemonCore) {
     if !core.is_draining() {
         return;
@@ -116,7 +115,7 @@
     }
 }
 
-/// Tells the shares who holds the zone's lease, and whom to call for grants.
+/// Passes the holder of the zone's lease to the shares and to the membership table.
 fn observe_lease(core: &DaemonCore) {
     let holder = {
         let state = core.tables.leases.lock();
@@ -129,7 +128,7 @@
     update_holder(core, &holder.owner.host, holder.fencing, is_own);
 }
 
-/// Takes in who divides the zone's shares, unless a later holder is known.
+/// Updates the host that divides the zone's shares, unless a later lease is known.
 fn update_holder(core: &DaemonCore, host: &HostId, lease: LogOffset, is_own: bool) {
     let mut membership = core.tables.membership.lock();
     let mut state = core.tables.shares.lock();
@@ -142,22 +141,21 @@
     membership.set_share_holder(other);
 }
 
-/// Takes in that a peer says that it divides the zone's shares.
+/// Records a peer's statement that it divides the zone's shares.
 ///
-/// A host that starts while the log is down can't read there who does, and
-/// without any grant it would take no work until the outage is over.
+/// A host that starts during an outage of the log cannot read the lease there, and
+/// without a grant it would accept no work until the outage ends.
 pub(super) fn observe_holder(core: &DaemonCore, host: &HostId, lease: LogOffset) {
     update_holder(core, host, lease, false);
 }
 
-/// The lease under which this host divides the zone's shares, for its answers
-/// to heartbeats.
+/// Returns the lease under which this host divides the zone's shares, for its replies to
+/// heartbeats.
 ///
-/// It may have lapsed or been followed by another without this host knowing.
-/// That does no harm: the next holder divides only what it has been handed in
-/// until this host too has reported to it, after which this one divides
-/// nothing. So no clock has to be trusted, and dividing goes on while the log
-/// is down.
+/// The lease may have expired or have a later holder without this host knowing. That is
+/// harmless: the next holder divides only what has been returned to it until this host
+/// has reported to it as well, and after that report this host divides nothing. Safety
+/// therefore depends on no clock, and division continues while the log is unavailable.
 pub(super) fn dividing_lease(core: &DaemonCore) -> Option<LogOffset> {
     let state = core.tables.shares.lock();
     let table = state.shares.table()?;
@@ -167,7 +165,7 @@
     }
 }
 
-/// Takes in what is declared: what was bought, and the zones with targets.
+/// Sets the declared capacity that was bought, and the zones with targets.
 pub(super) fn declare_shares(
     core: &DaemonCore,
     bought: BTreeMap<OrganisationId, ShareUnits>,
@@ -191,8 +189,8 @@
             let usage = ShareUsage {
                 in_flight,
                 waiting,
-                // What has waited for longer than rates are counted over still
-                // needs some rate to start.
+                // Requests that have waited for longer than the period over which rates
+                // are measured still need some rate to start.
                 wanted_rate: wanted_rate.max(waiting.min(MIN_WANTED_RATE)),
             };
             (organisation.clone(), usage)
@@ -206,7 +204,7 @@
     state.shares.report_to_self(&usage, Instant::now());
 }
 
-/// The report for a heartbeat to `to`, if that host divides the shares.
+/// Returns the report for a heartbeat to `to`, if that host divides the shares.
 pub(super) fn outgoing_report(core: &DaemonCore, to: &HostId) -> Option<OutgoingReport> {
     if core.tables.shares.lock().holder.as_ref() != Some(to) {
         return None;
@@ -217,7 +215,7 @@
     Some(OutgoingReport { report, sent_at })
 }
 
-/// Grants for a host of this zone that has just reported.
+/// Returns the grants for a host of this zone that has just reported.
 pub(super) fn grants_for_report(core: &DaemonCore, beat: &PeerHeartbeat) -> Option<Vec<PeerGrant>> {
     let lease = beat.demands_for?;
     let from = GrantHolder {
@@ -228,8 +226,8 @@
         lease,
         demands: beat.demands.clone(),
     };
-    // What waits on a host that drains is still to be served there, and needs
-    // grants as before.
+    // Requests that wait on a draining host are still served there, and need grants as
+    // before.
     let is_waiting = report.demands.iter().any(|demand| demand.waiting > 0);
     let is_drained = beat.draining && !is_waiting;
     let mut state = core.tables.shares.lock();
@@ -238,8 +236,8 @@
         .observe_report(&from, beat.sequence, &report, is_drained, Instant::now())
 }
 
-/// Takes in the grants that came in answer to a report; says whether to report
-/// again at once, because somebody waits for what was lowered.
+/// Applies the grants of a reply. Returns whether to report again at once, because
+/// another host waits for capacity that was lowered here.
 pub(super) fn receive_grants(
     core: &DaemonCore,
     lease: LogOffset,
@@ -254,7 +252,7 @@
     was_lowered
 }
 
-/// Takes in that a host's incarnation has ended.
+/// Records that a host's incarnation has ended.
 pub(super) fn record_removed_host(core: &DaemonCore, holder: &GrantHolder) {
     core.tables
         .shares
@@ -271,7 +269,7 @@
     }
 }
 
-/// Tells the division of incarnations that ended before they were heard here.
+/// Removes incarnations from the division that ended before this host learned of them.
 fn remove_ended_holders(core: &DaemonCore) {
     let now = Instant::now();
     let membership = core.tables.membership.lock();
@@ -289,8 +287,7 @@
     }
 }
 
-/// Writes what the split over zones should be, as the one host of the system
-/// that may.
+/// Writes the due splits over zones, if this host holds the lease for that.
 fn write_splits(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>, checkpoint_at: &mut LogOffset) {
     let may_write = {
         let state = core.tables.leases.lock();
@@ -327,7 +324,7 @@
     }
 }
 
-/// Appends a record. One that is lost is decided upon again.
+/// Appends a record. If it is lost, a later round decides on it again.
 fn append(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>, body: AllotmentBody) {
     let record = LogRecord {
         id: RecordId::from(Uuid::new_v4().to_string()),
@@ -340,11 +337,11 @@
         return;
     };
     if appends.submit(text).is_err() {
-        log::warn!("too many allotment records wait to be appended");
+        log::warn!("an allotment record could not be queued for appending");
     }
 }
 
-/// Sets what admission may start for each organisation.
+/// Sets the limit that admission applies to each organisation.
 fn apply_grants(core: &DaemonCore) {
     let now = Instant::now();
     let shares_state = core.tables.shares.lock();
--- a/src/daemon/spawn.rs
+++ b/src/daemon/spawn.rs
@@ -1,4 +1,4 @@
-//! Starting a daemon and shutting it down.
+//! Starts a daemon and shuts it down.
 
 use std::net::{SocketAddr, TcpListener};
 use std::pin::pin;
@@ -41,30 +41,30 @@
 use crate::shares::{GrantHolder, GrantSettings, ZoneShares};
 use crate::target::client::{TargetClient, TargetTimeouts};
 
-/// Seconds of its rate that an organisation may start at once on a host after
-/// a pause. Arrivals on one of many hosts are few and uneven.
+/// An organisation may start this many seconds of its rate at once on a host after a
+/// pause, because arrivals on one of many hosts are few and uneven.
 const RATE_BURST: Duration = Duration::from_secs(2);
-/// How long requests may wait for a first grant: a few reports and their
-/// answers, since another host may have to give up first what is to come.
+/// How long requests may wait for a first grant: a few reports and their replies, since
+/// another host may first have to release the capacity.
 const SHARE_GRACE: Duration = Duration::from_secs(3);
-/// Time for claims to settle that requests in flight always leave.
+/// Minimum time for claims to settle, however long the requests in flight take to drain.
 const MIN_SETTLE_TIME: Duration = Duration::from_secs(1);
-/// How long the platform may take for one answer.
+/// Maximum time for one response of the platform.
 const PLATFORM_RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a shutdown tries to hand its leases back: an order that is under
-/// way may have to end first.
+/// Maximum time that a shutdown spends on releasing its leases: an open order may have to
+/// end first.
 const LEASE_RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a daemon could not be started.
+/// Error when a daemon is started.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     /// A listener could not be opened.
     #[error(transparent)]
     Api(#[from] ApiError),
-    /// Peers cannot be listened to.
+    /// The listener for peers could not be opened.
     #[error(transparent)]
     Peer(#[from] PeerError),
-    /// The log keeps records too briefly for the key window.
+    /// The log keeps records for less time than the idempotency window requires.
     #[error("platform.record_horizon: {0}")]
     Window(#[from] WindowError),
 }
@@ -81,7 +81,8 @@
 /// Starts a daemon on the current tokio runtime.
 ///
 /// # Errors
-/// If a listener cannot be opened.
+/// Returns an error if a listener cannot be opened or if the log keeps records too
+/// briefly for the idempotency window.
 pub async fn spawn(options: DaemonOptions) -> Result<DaemonHandle, DaemonError> {
     let seed = options.host.seed.unwrap_or_else(rand::random);
     let incarnation = new_incarnation(SystemTime::now());
@@ -155,26 +156,26 @@
 }
 
 impl DaemonHandle {
-    /// Address on which callers are served.
+    /// Returns the address on which callers are served.
     pub fn caller_address(&self) -> SocketAddr {
         self.callers.local_address()
     }
 
-    /// Address on which operators are served.
+    /// Returns the address on which operators are served.
     pub fn operator_address(&self) -> SocketAddr {
         self.operators.local_address()
     }
 
-    /// Address on which peers are served.
+    /// Returns the address on which peers are served.
     pub fn peer_address(&self) -> Option<SocketAddr> {
         self.core.peers().map(PeerHandle::local_address)
     }
 
-    /// Ends at once, as far as peers can tell: nobody is told. What runs on
-    /// the current runtime goes on until that ends.
+    /// Ends without notifying peers, as after a crash. Tasks on the current runtime
+    /// continue until the runtime ends.
     ///
-    /// Without this a daemon whose runtime is dropped would still answer
-    /// heartbeats from the peers' own thread, and would look alive.
+    /// Without this, a daemon whose runtime is dropped would still reply to heartbeats
+    /// from the peers' own thread, and would appear alive.
     pub async fn abort(self) {
         for worker in &self.workers {
             worker.abort();
@@ -184,11 +185,11 @@
         }
     }
 
-    /// Shuts down gracefully: nothing new is taken, what is in flight ends,
-    /// leases are handed back.
+    /// Shuts down gracefully: accepts no new requests, finishes those in flight and
+    /// releases the leases.
     ///
-    /// What is still in flight after the time that draining may take tells its
-    /// caller the verdict and ends.
+    /// When the drain timeout expires, requests still in flight report their verdict to
+    /// the caller and end.
     pub async fn shutdown(self) {
         let Self {
             core,
@@ -200,7 +201,7 @@
         let began = Instant::now();
         core.begin_draining();
         core.in_flight.close();
-        // The listener stays open meanwhile, to refuse with a verdict.
+        // The listener stays open meanwhile, to refuse requests with a verdict.
         let drained = async {
             core.in_flight.wait().await;
             callers.shutdown().await;
@@ -208,7 +209,7 @@
         let released = timeout(LEASE_RELEASE_TIMEOUT, release_leases(&core, &lease_appends));
         let (released, ()) = tokio::join!(released, drain_with_timeout(&core, drained));
         if released.is_err() {
-            log::warn!("the leases could not be handed back; they lapse in time");
+            log::warn!("the leases could not be released; they remain held until they expire");
         }
         settle_claims(&core, began).await;
         operators.shutdown().await;
@@ -221,19 +222,20 @@
     }
 }
 
-/// A number above those of the host's earlier incarnations.
+/// Returns an incarnation number that is higher than those of the host's earlier
+/// incarnations.
 ///
-/// Peers take a lower one for a process that was frozen while its host was
-/// replaced, and do not listen to it until the other has long been silent.
+/// Peers take a lower number for a process that was frozen while its host was replaced,
+/// and ignore it until the other has been silent for a long time.
 fn new_incarnation(now: SystemTime) -> IncarnationId {
     let since_epoch = now.duration_since(UNIX_EPOCH).unwrap_or_default();
     let millis = u64::try_from(since_epoch.as_millis()).unwrap_or(0);
-    // Two starts within a millisecond still differ.
+    // Two starts within a millisecond still get different numbers.
     (millis << 16) | u64::from(rand::random::<u16>())
 }
 
-/// Waits for `drained`; once that has taken too long, what is in flight is
-/// told to end.
+/// Waits for `drained`. When the drain timeout expires, requests in flight are told to
+/// end.
 async fn drain_with_timeout<F>(core: &DaemonCore, drained: F)
 where
     F: Future<Output = ()>,
@@ -241,16 +243,16 @@
     let mut drained = pin!(drained);
     let allowed = core.options.timing.drain_timeout;
     if timeout(allowed, &mut drained).await.is_err() {
-        log::error!("requests were still in flight after {allowed:?}");
-        // A process that just ended here would cut the connections, and a
-        // caller could not tell what ran.
+        log::error!("requests are still in flight after the drain timeout of {allowed:?}");
+        // If the process ended here, the connections would be cut and callers could not
+        // tell what ran.
         core.drain_expired.cancel();
         drained.await;
     }
 }
 
-/// Waits until the log shows how this host's claims ended, within what is left
-/// of the time for draining.
+/// Waits until the log shows the outcomes of this host's claims, within the rest of the
+/// drain timeout.
 async fn settle_claims(core: &DaemonCore, began: Instant) {
     let allowed = core.options.timing.drain_timeout;
     let remaining = allowed.saturating_sub(began.elapsed()).max(MIN_SETTLE_TIME);
@@ -258,7 +260,7 @@
         .await
         .is_err()
     {
-        log::warn!("not every claim's end is in the log; its key stays blocked");
+        log::warn!("some claims are not settled in the log; their keys stay blocked");
     }
 }
 
@@ -366,7 +368,7 @@
     })
 }
 
-/// The margin for clock rates, rounded up to whole percents.
+/// Returns the margin for clock rates, rounded up to whole percent.
 fn clock_margin(fraction: f64) -> ClockMargin {
     ClockMargin {
         percent: (fraction * 100.0).ceil() as u32,
--- a/src/daemon/step_observations.rs
+++ b/src/daemon/step_observations.rs
@@ -1,4 +1,4 @@
-//! Telling the router's table what runs see of their targets.
+//! Records what runs observe of their targets in the route table.
 
 use std::time::Instant;
 
@@ -10,7 +10,7 @@
 use crate::reason::RetryReason;
 use crate::run::StepObservation;
 
-/// Takes one observation in.
+/// Records one observation.
 pub(super) fn record_step(core: &DaemonCore, request: &RequestId, observation: &StepObservation) {
     journal_step(core, request, observation);
     let now = Instant::now();
@@ -38,7 +38,7 @@
         } => {
             log::warn!(
                 request:% = request;
-                "step on {target} failed: {} ({verdict:?})", reason.name()
+                "step on target {target} failed: {} ({verdict:?})", reason.name()
             );
             routes.step_failed(target, *reason, now);
         }
@@ -47,8 +47,7 @@
     }
 }
 
-/// Counts and notes what is out of the ordinary; a step that goes well is not
-/// worth an entry.
+/// Counts and journals unusual observations. Successful steps get no journal entry.
 fn journal_step(core: &DaemonCore, request: &RequestId, observation: &StepObservation) {
     match observation {
         StepObservation::Sent {
@@ -74,7 +73,7 @@
         } => {
             log::warn!(
                 request:% = request;
-                "stage {stage} moves to {chosen:?}: {}", reason.name()
+                "stage {stage} is moved to target {chosen:?}: {}", reason.name()
             );
             core.record_event(
                 request,
--- a/src/daemon/tables.rs
+++ b/src/daemon/tables.rs
@@ -1,10 +1,9 @@
-//! The tables that the daemon's workers share, and the order of their locks.
+//! Tables that the daemon's workers share, and the order of their locks.
 //!
-//! Lock order: a thread that holds one of these locks takes only locks that
-//! stand after it in [`SharedTables`]. Two workers that took two of them in
-//! opposite orders would wait for each other for ever; one would notice by
-//! requests that neither end nor use the processor. No lock is held across an
-//! await.
+//! Lock order: a thread that holds one of these locks takes only locks of fields that
+//! come later in [`SharedTables`]. Two workers that took two of them in opposite orders
+//! would deadlock, which shows as requests that neither end nor use CPU time. No lock is
+//! held across an await.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -29,44 +28,44 @@
 use crate::routing::{RouteSettings, RouteTable};
 use crate::shares::ZoneShares;
 
-/// Records kept for peers: those of several hours at a few a minute.
+/// Records kept for peers: several hours' worth at a few records per minute.
 const RELAY_LIMITS: RelayLimits = RelayLimits {
     records: 1024,
     bytes: 4 * 1024 * 1024,
 };
 
-/// All shared tables; the fields stand in lock order.
+/// All shared tables, with the fields in lock order.
 pub(super) struct SharedTables {
-    /// What is declared.
+    /// Declared resources.
     pub(super) declarations: RwLock<DeclarationTable>,
-    /// Records to pass on to peers.
+    /// Records to relay to peers.
     pub(super) relay: Mutex<RecordRelay>,
-    /// Leases, with this host's part in them.
+    /// Leases, with this host's lease machines.
     pub(super) leases: Mutex<LeaseState>,
-    /// Claims on idempotency keys, with the requests that claim.
+    /// Claims on idempotency keys, with the requests that claim them.
     pub(super) claims: Mutex<ClaimState>,
     /// The other entry hosts.
     pub(super) membership: Mutex<MembershipTable>,
-    /// What this host may use of each organisation's capacity.
+    /// This host's share of each organisation's capacity.
     pub(super) shares: Mutex<SharesState>,
-    /// Which targets are watched, and which are leaving.
+    /// Watched targets and targets that are leaving.
     pub(super) watch: Mutex<TargetWatch>,
-    /// Who may start, with those who wait to be told.
+    /// Admission, with the requests that wait for a decision.
     pub(super) admission: Mutex<AdmissionState>,
-    /// Pipelines and what is known of targets.
+    /// Pipelines and the state of targets.
     pub(super) routes: RwLock<RouteTable>,
-    /// Retries that may still be spent.
+    /// Budget for retries.
     pub(super) budget: Mutex<RetryBudget>,
-    /// What was decided and why.
+    /// Decisions with their reasons.
     pub(super) journal: Mutex<JournalTable>,
-    /// Randomness for routing.
+    /// Random number generator for routing.
     pub(super) random: Mutex<StdRng>,
 }
 
-/// Admission together with the requests that wait for its decision.
+/// The admission table and the requests that wait for its decisions.
 ///
-/// Both stand under one lock: a decision taken between admitting a request and
-/// noting who waits for it would be lost, and the request would wait for ever.
+/// Both are under one lock: a decision between admitting a request and registering its
+/// waiter would be lost, and the request would wait forever.
 pub(super) struct AdmissionState {
     pub(super) table: AdmissionTable,
     pub(super) waiters: FastMap<RequestId, oneshot::Sender<AdmissionDecision>>,
--- a/src/daemon/targets.rs
+++ b/src/daemon/targets.rs
@@ -1,4 +1,4 @@
-//! Gathering what targets and the platform's list say about targets.
+//! Collects the state of targets from the targets and from the platform's host list.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,10 +10,10 @@
 use crate::ids::TargetId;
 use crate::platform::wire::HostList;
 
-/// Mean time that each entry adds to the pause after reading the list.
+/// Mean time that each entry of the list adds to the pause after reading it.
 const LIST_PAUSE_PER_ENTRY: Duration = Duration::from_millis(10);
 
-/// Reads the loads of the targets that this host watches, again and again.
+/// Polls the load of the targets that this host watches, until the daemon ends.
 pub(super) async fn run_load_polls(core: Arc<DaemonCore>) {
     let mut ticks = tokio::time::interval(core.options.timing.load_interval);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -40,21 +40,20 @@
             let mut routes = core.tables.routes.write();
             routes.observe_load(target, &report, now);
         }
-        // That it leaves counts even if it publishes no load any more.
+        // A leaving target is recorded even if it no longer publishes its load.
         (Err(_), Ok(state)) if state.leaving => mark_leaving(core, target, now),
         (Err(error), _) | (_, Err(error)) => {
-            // Failing polls do not take a target out: the steps on it say
-            // sooner and more surely whether it works.
+            // Failed polls do not eject a target: steps on it show sooner and more
+            // reliably whether it works.
             log::debug!("target {target} cannot be polled: {error}");
         }
     }
 }
 
-/// Takes in that a target itself said that it is leaving.
+/// Records that a target itself has reported that it is leaving.
 ///
-/// Only hosts of its zone poll it. A host elsewhere that dropped this word
-/// would offer it work again and again, and one would see many steps retried
-/// because their target was leaving.
+/// Only hosts of its zone poll it. A host elsewhere that ignored the report would send it
+/// work repeatedly, and many steps would be retried because their target is leaving.
 pub(super) fn mark_leaving(core: &DaemonCore, target: &TargetId, now: Instant) {
     let mut watch = core.tables.watch.lock();
     watch.observe_refusal(target, now);
@@ -62,11 +61,11 @@
     routes.set_leaving(target, true);
 }
 
-/// Reads the platform's list of hosts and targets, again and again.
+/// Reads the platform's list of hosts and targets, until the daemon ends.
 ///
-/// A long list is read less often, so that its bytes a second stay bounded.
-/// The hosts of a zone read it at different moments, and the first to see a
-/// target leave tells the others by heartbeat.
+/// A long list is read less often, which bounds the bytes read per second. The hosts of a
+/// zone read it at different times, and the first to see that a target is leaving reports
+/// it to the others by heartbeat.
 pub(super) async fn run_host_list(core: Arc<DaemonCore>, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let interval = core.options.timing.host_list_interval;
@@ -82,8 +81,8 @@
             }
         };
         let list_pause = LIST_PAUSE_PER_ENTRY * u32::try_from(entries).unwrap_or(u32::MAX);
-        // Drawn anew each time: hosts that were started together would else
-        // all read at once, and a target's leaving would be seen late.
+        // Random on each read: otherwise hosts that were started together would all read
+        // at once, and a leaving target would be noticed late.
         let randomised_pause = list_pause.mul_f64(random.random_range(0.5..1.5));
         tokio::time::sleep(interval.max(randomised_pause)).await;
     }
