--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -1,9 +1,10 @@
-//! The daemon: the shell that joins the tables to the network.
+//! The daemon: connects the in-memory tables to the network.
 //!
-//! [`spawn`] opens the clients and listeners and starts the workers. Each
-//! worker turns I/O into events for the tables and carries out what they
-//! decide. The tables and the order of their locks stand in `tables`.
+//! [`spawn`] opens the clients and listeners and starts the workers. Each worker turns
+//! I/O into events for the tables and executes the resulting decisions. `tables` defines
+//! the tables and the order in which their locks are taken.
 
+mod activation;
 mod admitting;
 mod callers;
 mod changes;
@@ -13,7 +14,6 @@
 mod declarations;
 mod force;
 mod generate;
-mod in_force;
 mod leases;
 mod members;
 mod operators;
@@ -23,9 +23,9 @@
 mod services;
 mod sharing;
 mod spawn;
+mod step_observations;
 mod tables;
 mod tails;
 mod targets;
-mod watch_steps;
 
 pub use spawn::{DaemonError, DaemonHandle, spawn};
--- a/src/daemon/in_force.rs
+++ b/src/daemon/activation.rs
@@ -1,4 +1,4 @@
-//! Refreshing the tables that are built from what is declared.
+//! Updates the tables that are derived from the declarations.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -12,8 +12,8 @@
 use crate::resources::{ResourceKey, ResourceKind, ResourceSpec, TargetPhase};
 use crate::shares::ShareUnits;
 
-/// Puts the declared state in force on this host.
-pub(super) fn put_in_force(core: &DaemonCore) {
+/// Activates the declared state on this host.
+pub(super) fn activate_declarations(core: &DaemonCore) {
     let declarations = core.tables.declarations.read();
     watch_declared(core, &declarations);
     declare_organisations(core, &declarations);
@@ -22,7 +22,8 @@
     routes.set_pipelines(resources.iter().map(|(key, spec)| (key, *spec)));
     let applied = declarations.applied();
     core.metrics.set_applied_offset(applied);
-    core.readiness.advance(&declarations, Instant::now());
+    core.readiness
+        .observe_applied(&declarations, Instant::now());
     core.applied.send_replace(applied);
 }
 
@@ -38,9 +39,9 @@
     core.tables.watch.lock().set_declared(&targets);
 }
 
-/// Tells the shares what was bought, and admission which organisations there
-/// are: what each may use here comes with the grants. One that was deleted may
-/// use nothing from now on.
+/// Passes the bought capacity to the shares, and the declared organisations to admission.
+/// The grants determine what each organisation may use on this host. A deleted
+/// organisation may use nothing from now on.
 fn declare_organisations(core: &DaemonCore, declarations: &DeclarationTable) {
     let mut bought = BTreeMap::new();
     for entry in declarations.list(ResourceKind::Organisation) {
@@ -59,14 +60,15 @@
 
 fn list_organisations(core: &DaemonCore, declared: &BTreeMap<OrganisationId, ShareUnits>) {
     let now = Instant::now();
-    let mut desk = core.tables.admission.lock();
-    let known: BTreeSet<OrganisationId> = desk.table.organisations().cloned().collect();
+    let mut state = core.tables.admission.lock();
+    let known: BTreeSet<OrganisationId> = state.table.organisations().cloned().collect();
     for organisation in declared.keys().filter(|name| !known.contains(*name)) {
-        desk.table
+        state
+            .table
             .set_share(organisation.clone(), ShareLimit::default(), now);
     }
     for organisation in known.iter().filter(|name| !declared.contains_key(*name)) {
-        desk.table.remove_share(organisation, now);
+        state.table.remove_share(organisation, now);
     }
 }
 
--- a/src/daemon/callers.rs
+++ b/src/daemon/callers.rs
@@ -1,4 +1,4 @@
-//! What the callers' listener asks of the daemon.
+//! Backend of the callers' listener.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,8 +26,8 @@
         generate: Arc::new(move |call| {
             let core = Arc::clone(&generations);
             async move {
-                let answer = generate::generate(Arc::clone(&core), call).await;
-                answer.inspect_err(|refusal| count_refusal(&core, refusal))
+                let response = generate::generate(Arc::clone(&core), call).await;
+                response.inspect_err(|refusal| count_refusal(&core, refusal))
             }
             .boxed()
         }),
@@ -35,10 +35,10 @@
             let core = Arc::clone(&calls);
             async move {
                 core.metrics.request_begun(RequestKind::Service);
-                let answer = services::call_service(Arc::clone(&core), call).await;
+                let response = services::call_service(Arc::clone(&core), call).await;
                 core.metrics
-                    .request_ended(RequestKind::Service, call_outcome(&answer));
-                answer.inspect_err(|refusal| count_refusal(&core, refusal))
+                    .request_ended(RequestKind::Service, call_outcome(&response));
+                response.inspect_err(|refusal| count_refusal(&core, refusal))
             }
             .boxed()
         }),
@@ -50,16 +50,16 @@
 fn organisation_of(core: &DaemonCore, digest: &TokenDigest) -> Option<OrganisationId> {
     let declarations = core.tables.declarations.read();
     let entry = declarations.organisation_by_digest(&digest.to_hex())?;
-    // The index was searched with an ordinary comparison; the whole digest is
-    // compared once more in constant time.
+    // The index lookup uses an ordinary comparison, so the whole digest is compared again
+    // in constant time.
     let declared = TokenDigest::from_hex(&entry.spec.token_digest)?;
     bool::from(declared.matches(digest)).then(|| entry.name.clone())
 }
 
-/// How a call ended for its caller; calls are run to their end even if the
-/// caller goes away.
-fn call_outcome(answer: &Result<ServiceReply, RefusalBody>) -> RequestOutcome {
-    match answer {
+/// Returns the outcome of a call for the metrics. There is no outcome for a disconnected
+/// caller, because calls run to their end without one.
+fn call_outcome(response: &Result<ServiceReply, RefusalBody>) -> RequestOutcome {
+    match response {
         Ok(_) => RequestOutcome::Whole,
         Err(refusal) if refusal.verdict == RunVerdict::NotRun => RequestOutcome::NotRun,
         Err(_) => RequestOutcome::MayHaveRun,
@@ -74,7 +74,7 @@
             verdict: refusal.verdict,
             retry_after: refusal.retry_after_ms.map(Duration::from_millis),
         };
-        core.note(request, event);
+        core.record_event(request, event);
         log::info!(request:% = request; "refused: {refusal}");
     }
 }
--- a/src/daemon/checkpoints.rs
+++ b/src/daemon/checkpoints.rs
@@ -1,4 +1,4 @@
-//! Appending checkpoints before the records that they cover expire.
+//! Appends checkpoints before the records that they cover expire.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,17 +11,18 @@
 use crate::records::{DeclarationBody, JUDGING_RULES, LogRecord};
 use crate::replay::{CheckpointSchedule, LogHorizon};
 
-/// Pause between two looks at whether a checkpoint is due.
+/// Time between two checks whether a checkpoint is due.
 const CHECKPOINT_TICK: Duration = Duration::from_secs(1);
-/// Longest extra wait of one host, so that another may be first.
-const LONGEST_STAGGER: Duration = Duration::from_secs(2);
-/// Age after which a checkpoint is written anew although nothing changed.
-const CHECKPOINT_AGE: Duration = Duration::from_secs(6 * 3600);
+/// Maximum random delay before a checkpoint, so that one host writes first.
+const MAX_STAGGER: Duration = Duration::from_secs(2);
+/// Age after which a checkpoint is written again even if nothing has changed.
+const MAX_CHECKPOINT_AGE: Duration = Duration::from_secs(6 * 3600);
 
 /// Appends a checkpoint whenever one is due, until the daemon ends.
 ///
-/// No lease is needed: a second checkpoint of the same state does no harm, and
-/// the random wait lets one host be first, whose record the others then see.
+/// This needs no lease: a second checkpoint of the same state is harmless, and the random
+/// delay usually lets one host write first, so that the others read its record and skip
+/// theirs.
 pub(super) async fn run_checkpoints(core: Arc<DaemonCore>, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut ticks = tokio::time::interval(CHECKPOINT_TICK);
@@ -31,7 +32,7 @@
         if !is_due(&core) {
             continue;
         }
-        tokio::time::sleep(LONGEST_STAGGER.mul_f64(random.random_range(0.0..1.0))).await;
+        tokio::time::sleep(MAX_STAGGER.mul_f64(random.random_range(0.0..1.0))).await;
         if is_due(&core) {
             append_checkpoint(&core).await;
         }
@@ -41,7 +42,7 @@
 fn is_due(core: &DaemonCore) -> bool {
     let schedule = CheckpointSchedule {
         max_records: core.options.platform.checkpoint_records,
-        max_age: CHECKPOINT_AGE,
+        max_age: MAX_CHECKPOINT_AGE,
     };
     let horizon = LogHorizon {
         first_offset: core.log_horizon(),
@@ -63,7 +64,7 @@
     let Ok(text) = serde_json::to_string(&record) else {
         return;
     };
-    // A lost or failed append shows as a checkpoint that is still due.
+    // After a lost or failed append the checkpoint is still due and is tried again.
     if let Ok(appended) = core.declaration_appends.submit(text) {
         let _ = appended.await;
     }
--- a/src/daemon/claims.rs
+++ b/src/daemon/claims.rs
@@ -1,22 +1,21 @@
-//! Claims on idempotency keys, joined to the log, the peers and the requests.
+//! Claims on idempotency keys, connected to the log, the peers and the requests.
 //!
-//! - [`desk`]: the claim table with the requests of this host that claim;
-//! - [`feed`]: hands events to a request's machine and carries out what it
-//!   decides;
-//! - [`follow`]: follows the stream of claims;
-//! - [`ticket`]: what a request holds from its claim to its end;
-//! - [`ask`]: between the host that holds a key and one that lost it;
-//! - [`reply`]: what a caller is told.
+//! - [`local_state`]: the claim table and this host's claiming requests;
+//! - [`events`]: passes events to a request's state machine and executes its decisions;
+//! - [`stream`]: follows the claim stream;
+//! - [`ticket`]: handles that a request holds from its claim to its end;
+//! - [`outcome_query`]: queries between the holder of a key and a host that lost it;
+//! - [`reply`]: replies to callers whose request this host did not send.
 
-mod ask;
-mod desk;
-mod feed;
-mod follow;
+mod events;
+mod local_state;
+mod outcome_query;
 mod reply;
+mod stream;
 mod ticket;
 
-pub(super) use ask::answer_peer;
-pub(super) use desk::ClaimDesk;
-pub(super) use follow::{run_claims, wait_for_settlements};
-pub(super) use reply::{known_better, refusal_of, reply_of};
+pub(super) use local_state::ClaimState;
+pub(super) use outcome_query::handle_outcome_query;
+pub(super) use reply::{known_answer, refusal_of, reply_of};
+pub(super) use stream::{run_claims, wait_for_settlements};
 pub(super) use ticket::{ClaimSubject, ClaimTicket, DispatchedClaim};
--- a/src/daemon/claims/feed.rs
+++ b/src/daemon/claims/events.rs
@@ -1,10 +1,10 @@
-//! Hands events to a request's machine and carries out what it decides.
+//! Passes events to a request's state machine and executes its decisions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::{Instant, SystemTime};
 
-use super::desk::{ActiveClaim, ClaimDesk, ClaimStep};
+use super::local_state::{ActiveClaim, ClaimState, ClaimStep};
 use crate::claims::answer::{ClaimAnswer, ClaimRefusal};
 use crate::claims::machine::{ClaimDecision, ClaimEvent};
 use crate::claims::record::{ClaimBody, ClaimEntry, ClaimOutcome, KeptAnswer};
@@ -18,7 +18,7 @@
 use crate::records::LogRecord;
 use crate::verdict::RunVerdict;
 
-/// The present by both clocks.
+/// Returns the current time by the monotonic and the wall clock.
 pub(super) fn claim_time() -> ClaimTime {
     ClaimTime {
         instant: Instant::now(),
@@ -26,33 +26,33 @@
     }
 }
 
-/// Feeds an event to the machine of a claim; nothing if it has ended.
-pub(super) fn feed(core: &Arc<DaemonCore>, claim: &RecordId, event: ClaimEvent) {
-    let mut desk = core.tables.claims.lock();
-    feed_desk(core, &mut desk, claim, event);
+/// Passes an event to the state machine of a claim. Does nothing if the claim has ended.
+pub(super) fn handle_event(core: &Arc<DaemonCore>, claim: &RecordId, event: ClaimEvent) {
+    let mut state = core.tables.claims.lock();
+    handle_event_locked(core, &mut state, claim, event);
 }
 
-/// Like [`feed`], under a lock that is held already.
-pub(super) fn feed_desk(
+/// Like [`handle_event`], for a caller that already holds the lock.
+pub(super) fn handle_event_locked(
     core: &Arc<DaemonCore>,
-    desk: &mut ClaimDesk,
+    state: &mut ClaimState,
     claim: &RecordId,
     event: ClaimEvent,
 ) {
     let mut events = VecDeque::from([event]);
     while let Some(event) = events.pop_front() {
         let now = claim_time();
-        let Some(active) = desk.active.get_mut(claim) else {
+        let Some(active) = state.active.get_mut(claim) else {
             return;
         };
-        let decisions = active.machine.handle(event, &desk.table, now);
-        events.extend(carry_out(core, active, decisions));
+        let decisions = active.machine.handle(event, &state.table, now);
+        events.extend(execute_decisions(core, active, decisions));
     }
-    desk.retire(claim, Instant::now());
+    state.retire(claim, Instant::now());
 }
 
-/// Carries out decisions, in order; may give back what is to be fed next.
-pub(super) fn carry_out(
+/// Executes the decisions in order. Returns the event that is to be handled next, if any.
+pub(super) fn execute_decisions(
     core: &Arc<DaemonCore>,
     active: &mut ActiveClaim,
     decisions: Vec<ClaimDecision>,
@@ -61,25 +61,25 @@
     for decision in decisions {
         match decision {
             ClaimDecision::Append(record) => next = append(core, active, &record).or(next),
-            ClaimDecision::Dispatch => tell(active, ClaimStep::Dispatch),
+            ClaimDecision::Dispatch => send_step(active, ClaimStep::Dispatch),
             ClaimDecision::AskHolder(holder) => {
-                note_lost(core, active);
+                record_loss(core, active);
                 let host = holder.owner.host.clone();
-                core.note(&active.request, JournalEvent::ClaimLost { holder: host });
-                tell(active, ClaimStep::Ask(holder));
+                core.record_event(&active.request, JournalEvent::ClaimLost { holder: host });
+                send_step(active, ClaimStep::QueryHolder(holder));
             }
             ClaimDecision::Answer(answer) => {
-                note_answer(core, active, &answer);
-                tell(active, ClaimStep::Answer(answer));
+                record_answer(core, active, &answer);
+                send_step(active, ClaimStep::Respond(answer));
             }
         }
     }
     next
 }
 
-/// A request whose caller has gone away no longer listens; its ticket gives
-/// the claim back.
-fn tell(active: &ActiveClaim, step: ClaimStep) {
+/// Sends a step to the request's task. If the caller has disconnected, nobody receives
+/// it, and dropping the ticket withdraws the claim.
+fn send_step(active: &ActiveClaim, step: ClaimStep) {
     let _ = active.steps.send(step);
 }
 
@@ -90,14 +90,14 @@
 ) -> Option<ClaimEvent> {
     let is_claim = matches!(record.body.entry, ClaimEntry::Claim(_));
     if matches!(record.body.entry, ClaimEntry::Withdraw(_)) {
-        note_withdrawal(core, active);
+        record_withdrawal(core, active);
     }
     match submit(core, record) {
         Some(appended) if is_claim => {
             tokio::spawn(await_append(Arc::clone(core), record.id.clone(), appended));
             None
         }
-        // A settlement is appended again by the machine until it shows.
+        // The state machine appends a settlement again until it is replayed.
         Some(_) => None,
         None if is_claim => Some(ClaimEvent::AppendFailed(AppendVerdict::NotAppended)),
         None => None,
@@ -106,57 +106,58 @@
 
 type AppendWait = tokio::sync::oneshot::Receiver<AppendResult>;
 
-/// Hands a record to the queue of the claim stream; `None` if it was not taken.
+/// Submits a record to the append queue of the claim stream. Returns `None` if the queue
+/// does not accept it.
 pub(super) fn submit(core: &DaemonCore, record: &LogRecord<ClaimBody>) -> Option<AppendWait> {
     let text = serde_json::to_string(record).ok()?;
     core.claim_appends.submit(text).ok()
 }
 
 async fn await_append(core: Arc<DaemonCore>, claim: RecordId, appended: AppendWait) {
-    // A confirmed append is of no interest: the claim counts once replayed.
+    // A confirmed append needs no event: the claim counts once it is replayed.
     let verdict = match appended.await {
         Ok(Ok(_)) => return,
         Ok(Err(error)) => error.verdict,
         Err(_) => AppendVerdict::MayBeAppended,
     };
-    feed(&core, &claim, ClaimEvent::AppendFailed(verdict));
+    handle_event(&core, &claim, ClaimEvent::AppendFailed(verdict));
 }
 
-/// Notes that a claim of this host holds its key.
-pub(super) fn note_won(core: &DaemonCore, active: &ActiveClaim, offset: LogOffset) {
+/// Records that a claim of this host holds its key.
+pub(super) fn record_win(core: &DaemonCore, active: &ActiveClaim, offset: LogOffset) {
     core.metrics.claim_settled(ClaimResult::Won);
-    core.note(&active.request, JournalEvent::ClaimWon { offset });
+    core.record_event(&active.request, JournalEvent::ClaimWon { offset });
 }
 
-fn note_lost(core: &DaemonCore, active: &mut ActiveClaim) {
-    if !std::mem::replace(&mut active.lost, true) {
+fn record_loss(core: &DaemonCore, active: &mut ActiveClaim) {
+    if !std::mem::replace(&mut active.loss_recorded, true) {
         core.metrics.claim_settled(ClaimResult::Lost);
     }
 }
 
-fn note_withdrawal(core: &DaemonCore, active: &mut ActiveClaim) {
-    if !std::mem::replace(&mut active.withdrawn, true) {
+fn record_withdrawal(core: &DaemonCore, active: &mut ActiveClaim) {
+    if !std::mem::replace(&mut active.withdrawal_recorded, true) {
         core.metrics.claim_settled(ClaimResult::Withdrawn);
-        core.note(&active.request, JournalEvent::ClaimWithdrawn);
+        core.record_event(&active.request, JournalEvent::ClaimWithdrawn);
     }
 }
 
-/// Counts how a claim ended that is not dispatched, and tells those who ask
-/// about the request that it was refused here.
-fn note_answer(core: &DaemonCore, active: &mut ActiveClaim, answer: &ClaimAnswer) {
+/// Counts the result of a claim that is not dispatched, and publishes to hosts that query
+/// the request that it was refused here.
+fn record_answer(core: &DaemonCore, active: &mut ActiveClaim, answer: &ClaimAnswer) {
     let ClaimAnswer::Refused { refusal, .. } = answer else {
-        return note_lost(core, active);
+        return record_loss(core, active);
     };
     match refusal {
         ClaimRefusal::LogUnavailable => core.metrics.claim_settled(ClaimResult::Unavailable),
-        ClaimRefusal::KeyReused | ClaimRefusal::WinnerWithdrew => note_lost(core, active),
+        ClaimRefusal::KeyReused | ClaimRefusal::WinnerWithdrew => record_loss(core, active),
         _ => {}
     }
-    active.outcome.send_replace(Some(not_run()));
+    active.outcome.send_replace(Some(not_run_outcome()));
 }
 
-/// The outcome of a request that was not run.
-pub(super) fn not_run() -> ClaimOutcome {
+/// Returns the outcome of a request that was not run.
+pub(super) fn not_run_outcome() -> ClaimOutcome {
     ClaimOutcome {
         verdict: RunVerdict::NotRun,
         status: 0,
--- a/src/daemon/claims/ask.rs
+++ b/src/daemon/claims/outcome_query.rs
@@ -1,4 +1,4 @@
-//! Between the host that holds a key and one that lost it.
+//! Outcome queries between the holder of a key and a host that lost it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use tokio::time::timeout;
 
-use super::desk::OutcomeWatch;
+use super::local_state::OutcomeReceiver;
 use crate::claims::machine::ClaimEvent;
 use crate::claims::record::{ClaimName, ClaimOutcome, KeptAnswer};
 use crate::claims::table::ClaimHolder;
@@ -16,17 +16,18 @@
 use crate::peer::{ClaimOutcome as PeerOutcome, ClaimQuestion};
 use crate::verdict::RunVerdict;
 
-/// Asks the holder of a key how its request ended, and waits for the end.
-pub(super) async fn ask_holder(
+/// Queries the holder of a key for the outcome of its request, and waits until it has
+/// ended.
+pub(super) async fn query_holder(
     core: &Arc<DaemonCore>,
     claim: &RecordId,
     holder: &ClaimHolder,
     wait: Duration,
 ) -> ClaimEvent {
-    let is_own = holder.owner.host == *core.host();
-    let outcome = match is_own {
-        true => ask_own(core, &holder.claim, wait).await,
-        false => ask_peer(core, claim, holder, wait).await,
+    let is_local = holder.owner.host == *core.host();
+    let outcome = match is_local {
+        true => query_local(core, &holder.claim, wait).await,
+        false => query_peer(core, claim, holder, wait).await,
     };
     match outcome {
         Some(outcome) => ClaimEvent::HolderAnswered(outcome),
@@ -34,17 +35,17 @@
     }
 }
 
-async fn ask_own(core: &DaemonCore, claim: &RecordId, wait: Duration) -> Option<ClaimOutcome> {
-    let watched = core.tables.claims.lock().outcome_of(claim);
-    wait_for_end(watched?, wait).await
+async fn query_local(core: &DaemonCore, claim: &RecordId, wait: Duration) -> Option<ClaimOutcome> {
+    let receiver = core.tables.claims.lock().outcome_of(claim);
+    wait_for_end(receiver?, wait).await
 }
 
-async fn wait_for_end(mut watched: OutcomeWatch, wait: Duration) -> Option<ClaimOutcome> {
-    let ended = timeout(wait, watched.wait_for(Option::is_some)).await;
+async fn wait_for_end(mut receiver: OutcomeReceiver, wait: Duration) -> Option<ClaimOutcome> {
+    let ended = timeout(wait, receiver.wait_for(Option::is_some)).await;
     ended.ok()?.ok()?.clone()
 }
 
-async fn ask_peer(
+async fn query_peer(
     core: &DaemonCore,
     claim: &RecordId,
     holder: &ClaimHolder,
@@ -52,61 +53,65 @@
 ) -> Option<ClaimOutcome> {
     let address = peer_address(core, holder)?;
     let name = core.tables.claims.lock().active.get(claim)?.name.clone();
-    // Heartbeats share the bound on open calls to a peer. Were all taken by
-    // questions, the peer would look dead.
-    let _slot = core.claim_questions.try_acquire().ok()?;
-    let question = ClaimQuestion {
+    // Heartbeats share the limit of open calls to a peer. If queries used all of it, the
+    // peer would be suspected.
+    let _slot = core.claim_queries.try_acquire().ok()?;
+    let query = ClaimQuestion {
         request: holder.request.clone(),
         service: "".into(),
         operation: String::new(),
         key: name.key,
         organisation: name.organisation,
     };
-    match core.peers()?.claim_outcome(address, question, wait).await {
-        Ok(outcome) => from_peer(outcome),
+    match core.peers()?.claim_outcome(address, query, wait).await {
+        Ok(outcome) => from_peer_outcome(outcome),
         Err(error) => {
-            log::debug!("{} cannot be asked: {error}", holder.owner.host);
+            log::debug!(
+                "claim outcome query to host {} failed: {error}",
+                holder.owner.host
+            );
             None
         }
     }
 }
 
-/// Where the daemon that holds the key listens, if its life has not ended.
+/// Returns the peer address of the daemon that holds the key, unless that incarnation has
+/// ended.
 fn peer_address(core: &DaemonCore, holder: &ClaimHolder) -> Option<SocketAddr> {
     let membership = core.tables.membership.lock();
     let member = membership.member(&holder.owner.host)?;
-    let is_same_life = member.incarnation == Some(holder.owner.incarnation);
-    is_same_life.then_some(member.peer_address)
+    let is_same_incarnation = member.incarnation == Some(holder.owner.incarnation);
+    is_same_incarnation.then_some(member.peer_address)
 }
 
-/// Answers a host that lost a key to this one.
-pub(in crate::daemon) async fn answer_peer(
+/// Handles the query of a host that lost a key to this one.
+pub(in crate::daemon) async fn handle_outcome_query(
     core: Arc<DaemonCore>,
-    question: ClaimQuestion,
+    query: ClaimQuestion,
 ) -> PeerOutcome {
     let name = ClaimName {
-        organisation: question.organisation,
-        key: question.key,
+        organisation: query.organisation,
+        key: query.key,
     };
-    let watched = {
-        let desk = core.tables.claims.lock();
-        desk.outcome_of_request(&name, &question.request)
+    let receiver = {
+        let state = core.tables.claims.lock();
+        state.outcome_of_request(&name, &query.request)
     };
     let wait = core.options.timing.claim_timeout + core.options.timing.step_timeout;
-    match watched {
-        Some(watched) => to_peer(wait_for_end(watched, wait).await),
+    match receiver {
+        Some(receiver) => to_peer_outcome(wait_for_end(receiver, wait).await),
         None => PeerOutcome::Unknown,
     }
 }
 
-fn to_peer(outcome: Option<ClaimOutcome>) -> PeerOutcome {
+fn to_peer_outcome(outcome: Option<ClaimOutcome>) -> PeerOutcome {
     let Some(outcome) = outcome else {
         return PeerOutcome::Unknown;
     };
     let body = match (outcome.verdict, outcome.answer) {
         (_, KeptAnswer::Whole(text)) => Bytes::from(text),
-        // The other host finds the digest in the log; an empty body would
-        // pass for the answer.
+        // The querying host finds the digest in the log. An empty body would be taken for
+        // the response.
         (RunVerdict::Ran, KeptAnswer::Digest(_)) => return PeerOutcome::Unknown,
         (_, KeptAnswer::Digest(_)) => Bytes::new(),
     };
@@ -117,7 +122,7 @@
     }
 }
 
-fn from_peer(outcome: PeerOutcome) -> Option<ClaimOutcome> {
+fn from_peer_outcome(outcome: PeerOutcome) -> Option<ClaimOutcome> {
     match outcome {
         PeerOutcome::Unknown => None,
         PeerOutcome::Known {
--- a/src/daemon/claims/ticket.rs
+++ b/src/daemon/claims/ticket.rs
@@ -1,13 +1,15 @@
-//! What a request holds from its claim to its end.
+//! Handles that a request holds from its claim to its end.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use tokio::sync::{mpsc, watch};
 
-use super::ask::ask_holder;
-use super::desk::{ActiveClaim, ClaimStep};
-use super::feed::{carry_out, claim_time, feed, feed_desk, not_run};
+use super::events::{
+    claim_time, execute_decisions, handle_event, handle_event_locked, not_run_outcome,
+};
+use super::local_state::{ActiveClaim, ClaimStep};
+use super::outcome_query::query_holder;
 use crate::claims::answer::ClaimAnswer;
 use crate::claims::machine::{ClaimEvent, ClaimMachine, ClaimOrder, ClaimPolicy};
 use crate::claims::record::{ClaimName, ClaimOutcome, ClaimOwner, KeptAnswer, RequestFingerprint};
@@ -15,36 +17,36 @@
 use crate::ids::{OrganisationId, RecordId, RequestId};
 use crate::verdict::RunVerdict;
 
-/// When a refused caller may come back, if nothing better is known.
+/// Retry delay for refused callers when no better value is known.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// First pause before a settlement that does not show is appended again.
+/// First pause before a settlement that has not been replayed is appended again.
 const SETTLE_DELAY: Duration = Duration::from_millis(250);
-/// Longest answer handed to other callers of the same key before it is read
-/// from the log, in bytes.
-const MAX_SHARED_ANSWER: usize = 64 * 1024;
+/// Maximum size in bytes of a response that is shared with other callers of the same key
+/// before it can be read from the log.
+const MAX_SHARED_BODY_BYTES: usize = 64 * 1024;
 
-/// A non-idempotent request.
+/// A non-idempotent request that claims its key.
 #[derive(Debug, Clone)]
 pub(in crate::daemon) struct ClaimSubject {
     pub(in crate::daemon) request: RequestId,
     pub(in crate::daemon) organisation: OrganisationId,
     pub(in crate::daemon) key: crate::claims::key::TimedKey,
     pub(in crate::daemon) fingerprint: RequestFingerprint,
-    /// Until when the request is worth running.
+    /// Time after which the request is not worth running.
     pub(in crate::daemon) deadline: Instant,
 }
 
-/// A claim that has won and was not dispatched. Dropped, it is withdrawn.
+/// A claim that has won and is not dispatched yet. Dropping it withdraws the claim.
 pub(in crate::daemon) struct ClaimTicket {
     core: Arc<DaemonCore>,
     claim: RecordId,
     steps: mpsc::UnboundedReceiver<ClaimStep>,
-    /// Whether the machine is to be told when the ticket is dropped.
+    /// Whether the state machine must be notified when the ticket is dropped.
     is_open: bool,
 }
 
-/// A claim under which the request may be sent, once. Dropped without an
-/// outcome it counts as "may have run".
+/// A claim under which the request may be sent once. If it is dropped without an outcome,
+/// the request counts as "may have run".
 pub(in crate::daemon) struct DispatchedClaim {
     core: Arc<DaemonCore>,
     claim: RecordId,
@@ -52,7 +54,7 @@
 }
 
 impl ClaimSubject {
-    /// The key, which is unique within its organisation.
+    /// Returns the name of the key, which is unique within its organisation.
     pub(super) fn name(&self) -> ClaimName {
         ClaimName {
             organisation: self.organisation.clone(),
@@ -65,7 +67,7 @@
     /// Claims the key and waits until the claim has won.
     ///
     /// # Errors
-    /// What the caller is to be told instead.
+    /// Returns the answer for the caller if the claim does not win.
     pub(in crate::daemon) async fn claim(
         core: &Arc<DaemonCore>,
         subject: ClaimSubject,
@@ -74,12 +76,12 @@
         loop {
             match ticket.steps.recv().await {
                 Some(ClaimStep::Dispatch) => return Ok(ticket),
-                Some(ClaimStep::Ask(holder)) => {
-                    let event = ask_holder(core, &ticket.claim, &holder, ask_timeout(core)).await;
-                    feed(core, &ticket.claim, event);
+                Some(ClaimStep::QueryHolder(holder)) => {
+                    let event = query_holder(core, &ticket.claim, &holder, ask_timeout(core)).await;
+                    handle_event(core, &ticket.claim, event);
                 }
-                Some(ClaimStep::Answer(answer)) => return Err(answer),
-                // Cannot happen: a machine answers before it is dropped.
+                Some(ClaimStep::Respond(answer)) => return Err(answer),
+                // Unreachable: a state machine answers before it is dropped.
                 None => return Err(ClaimAnswer::Unknown),
             }
         }
@@ -108,19 +110,24 @@
             ask_timeout: ask_timeout(core),
             settle_delay: SETTLE_DELAY,
         };
-        let mut desk = core.tables.claims.lock();
-        desk.insert(ActiveClaim {
+        let mut state = core.tables.claims.lock();
+        state.insert(ActiveClaim {
             machine: ClaimMachine::new(order, owner, policy),
             name,
             request: subject.request,
             steps,
             outcome: watch::Sender::new(None),
-            withdrawn: false,
-            lost: false,
+            withdrawal_recorded: false,
+            loss_recorded: false,
         });
-        let log_available = desk.log_available;
-        feed_desk(core, &mut desk, &claim, ClaimEvent::Begin { log_available });
-        drop(desk);
+        let log_available = state.log_available;
+        handle_event_locked(
+            core,
+            &mut state,
+            &claim,
+            ClaimEvent::Begin { log_available },
+        );
+        drop(state);
         Self {
             core: Arc::clone(core),
             claim,
@@ -129,10 +136,10 @@
         }
     }
 
-    /// Asks for leave to send, right before the first byte is written.
+    /// Requests permission to send, immediately before the first byte is written.
     ///
     /// # Errors
-    /// What the caller is to be told if the leave is no longer given.
+    /// Returns the answer for the caller if permission is no longer given.
     pub(in crate::daemon) async fn authorise(mut self) -> Result<DispatchedClaim, ClaimAnswer> {
         if self.try_authorise() {
             self.is_open = false;
@@ -143,7 +150,7 @@
             });
         }
         while let Some(step) = self.steps.recv().await {
-            if let ClaimStep::Answer(answer) = step {
+            if let ClaimStep::Respond(answer) = step {
                 return Err(answer);
             }
         }
@@ -151,15 +158,15 @@
     }
 
     fn try_authorise(&self) -> bool {
-        let mut desk = self.core.tables.claims.lock();
-        let desk = &mut *desk;
-        let Some(active) = desk.active.get_mut(&self.claim) else {
+        let mut state = self.core.tables.claims.lock();
+        let state = &mut *state;
+        let Some(active) = state.active.get_mut(&self.claim) else {
             return false;
         };
-        match active.machine.authorise(&desk.table, claim_time()) {
+        match active.machine.authorise(&state.table, claim_time()) {
             Ok(_permit) => true,
             Err(decisions) => {
-                carry_out(&self.core, active, decisions);
+                execute_decisions(&self.core, active, decisions);
                 false
             }
         }
@@ -168,10 +175,10 @@
 
 impl Drop for ClaimTicket {
     fn drop(&mut self) {
-        // A claim that nobody will dispatch would block its key. One that has
-        // not been judged is withdrawn by its machine at its deadline.
+        // A claim that is never dispatched would block its key. A claim that is not
+        // judged yet is withdrawn by its state machine at its deadline.
         if self.is_open && self.try_authorise() {
-            let outcome = not_run();
+            let outcome = not_run_outcome();
             let shared = outcome.answer.clone();
             close(&self.core, &self.claim, outcome, shared);
         }
@@ -179,7 +186,7 @@
 }
 
 impl DispatchedClaim {
-    /// Says how the request ended, before its caller is answered.
+    /// Records the outcome of the request, before its caller receives the response.
     pub(in crate::daemon) fn finish(mut self, verdict: RunVerdict, status: u16, body: &[u8]) {
         self.is_open = false;
         let outcome = ClaimOutcome {
@@ -188,13 +195,13 @@
             answer: KeptAnswer::of(body),
         };
         let shared = match std::str::from_utf8(body) {
-            Ok(text) if text.len() <= MAX_SHARED_ANSWER => KeptAnswer::Whole(text.to_owned()),
+            Ok(text) if text.len() <= MAX_SHARED_BODY_BYTES => KeptAnswer::Whole(text.to_owned()),
             _ => outcome.answer.clone(),
         };
         close(&self.core, &self.claim, outcome, shared);
     }
 
-    /// Says that a generation ended; its tokens are kept as a digest only.
+    /// Records that a generation has ended. Only a digest of its tokens is kept.
     pub(in crate::daemon) fn finish_stream(
         mut self,
         verdict: RunVerdict,
@@ -226,21 +233,21 @@
     }
 }
 
-/// Ends a dispatched claim: tells those who wait for the outcome here, with as
-/// much of the answer as is `shared`, and hands it to the log.
+/// Ends a dispatched claim: publishes the outcome to local waiters, with the part of the
+/// response in `shared`, and appends it to the log.
 fn close(core: &Arc<DaemonCore>, claim: &RecordId, outcome: ClaimOutcome, shared: KeptAnswer) {
-    let mut desk = core.tables.claims.lock();
-    if let Some(active) = desk.active.get(claim) {
+    let mut state = core.tables.claims.lock();
+    if let Some(active) = state.active.get(claim) {
         active.outcome.send_replace(Some(ClaimOutcome {
             answer: shared,
             ..outcome
         }));
     }
-    feed_desk(core, &mut desk, claim, ClaimEvent::Finished(outcome));
+    handle_event_locked(core, &mut state, claim, ClaimEvent::Finished(outcome));
 }
 
-/// How long the holder of a key may take to say how its request ended: as long
-/// as it may take for the claim and the call.
+/// Returns how long the holder of a key may take to report the outcome of its request:
+/// the time allowed for the claim and for the call.
 fn ask_timeout(core: &DaemonCore) -> Duration {
     core.options.timing.claim_timeout + core.options.timing.step_timeout
 }
--- a/src/daemon/force.rs
+++ b/src/daemon/force.rs
@@ -1,4 +1,4 @@
-//! How far the configuration is in force, for operators.
+//! View for operators of how far the configuration is in effect.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 use crate::ids::LogOffset;
 use crate::membership::{self, HostMember, MemberPhase};
 
-/// Every host known with what it is known to have applied.
+/// Returns all known hosts with the offset that each is known to have applied.
 pub(super) fn force_view(core: &DaemonCore) -> ForceView {
     let applied = *core.applied.borrow();
     let draining = core.phase() == DaemonPhase::Draining;
@@ -28,25 +28,26 @@
     }
 }
 
-/// A host that was not heard lately counts by its zone's word, if that speaks
-/// for every host of the zone that is known here.
+/// Builds the view of one host.
 ///
-/// Of another zone only a few hosts are ever heard. Without this the others
-/// would count as unreachable for ever, and no change as in force everywhere.
+/// A host without a recent heartbeat counts as its zone's report says, if that covers all
+/// hosts of the zone known here. Only a few hosts of another zone send heartbeats to this
+/// one. Without the zone's report the others would always count as unreachable, and no
+/// change as in effect everywhere.
 fn member_view(member: &HostMember, zones: &membership::ForceView) -> HostForceView {
-    let told = match member.phase {
+    let reported = match member.phase {
         MemberPhase::Live => Some(member.applied_offset),
-        _ => told_by_zone(member, zones),
+        _ => reported_by_zone(member, zones),
     };
     HostForceView {
         host: member.host.clone(),
-        applied: member.applied_offset.max(told.unwrap_or(0)),
-        reachable: told.is_some(),
+        applied: member.applied_offset.max(reported.unwrap_or(0)),
+        reachable: reported.is_some(),
         draining: member.draining,
     }
 }
 
-fn told_by_zone(member: &HostMember, zones: &membership::ForceView) -> Option<LogOffset> {
+fn reported_by_zone(member: &HostMember, zones: &membership::ForceView) -> Option<LogOffset> {
     let zone = zones.zones.get(&member.zone)?;
     match zone.unreachable.is_empty() && zone.unnamed_unreachable == 0 {
         true => zone.lowest_applied_offset,
--- a/src/daemon/leases.rs
+++ b/src/daemon/leases.rs
@@ -1,4 +1,4 @@
-//! Following the stream of leases, and trying to hold this host's.
+//! Follows the lease stream and competes for the leases of this host's zone.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,17 +18,17 @@
 use crate::platform::wire::StoredRecord;
 use crate::records::{LEASE_STREAM, LogRecord};
 
-/// Pause between two looks at the leases.
+/// Time between two checks of the leases.
 const LEASE_TICK: Duration = Duration::from_millis(100);
-/// How long a shutdown waits until what it wrote is read back.
-const REPLAY_WAIT: Duration = Duration::from_secs(1);
-/// Pause between two looks at that.
+/// Maximum time that a shutdown waits for its records to be replayed.
+const REPLAY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between two checks whether its records have been replayed.
 const REPLAY_POLL: Duration = Duration::from_millis(10);
-/// Renewals within one duration.
+/// Renewals within one lease duration.
 const RENEWALS_PER_DURATION: u32 = 3;
 
-/// The table of leases with this host's part in them, under one lock.
-pub(super) struct LeaseDesk {
+/// The lease table and this host's lease machines, under one lock.
+pub(super) struct LeaseState {
     pub(super) table: LeaseTable,
     machines: Vec<NamedMachine>,
 }
@@ -38,8 +38,8 @@
     machine: LeaseMachine,
 }
 
-impl LeaseDesk {
-    /// A desk on which no lease is tried for yet.
+impl LeaseState {
+    /// Creates the state without any lease machines.
     pub(super) fn new(table: LeaseTable) -> Self {
         Self {
             table,
@@ -47,16 +47,16 @@
         }
     }
 
-    /// The fencing number under which this host may begin something now that
-    /// takes at most `longest`.
+    /// Returns the fencing number under which this host may now begin an action that
+    /// takes at most `max_duration`.
     pub(super) fn may_act(
         &self,
         name: &str,
         now: Instant,
-        longest: Duration,
+        max_duration: Duration,
     ) -> Option<FencingNumber> {
         let named = self.machines.iter().find(|named| &*named.name == name)?;
-        named.machine.may_act(now, longest)
+        named.machine.may_act(now, max_duration)
     }
 
     fn apply(&mut self, record: &StoredRecord, seen_at: Instant) {
@@ -64,7 +64,7 @@
         let Some(id) = judged.id else {
             return;
         };
-        // Ids are unique: only the machine that sent the record knows it.
+        // Ids are unique, so only the machine that sent the record recognises it.
         for named in &mut self.machines {
             named
                 .machine
@@ -73,23 +73,22 @@
     }
 }
 
-/// Name of the lease on ordering a zone's targets.
+/// Returns the name of the lease on ordering a zone's targets.
 pub(super) fn orders_lease(zone: &ZoneId) -> LeaseName {
     format!("orders/{zone}").into()
 }
 
-/// Name of the lease on dividing a zone's shares.
+/// Returns the name of the lease on dividing a zone's shares.
 pub(super) fn shares_lease(zone: &ZoneId) -> LeaseName {
     format!("zone-shares/{zone}").into()
 }
 
-/// Name of the lease on splitting capacity over zones.
+/// Returns the name of the lease on splitting capacity over zones.
 pub(super) fn allotments_lease() -> LeaseName {
     "allotments".into()
 }
 
-/// Follows the stream and tries to hold the zone's leases, until the daemon
-/// ends.
+/// Follows the stream and competes for the zone's leases, until the daemon ends.
 pub(super) async fn run_leases(core: Arc<DaemonCore>, appends: Arc<AppendQueue>, seed: u64) {
     add_machines(&core, seed);
     let mut tail = open_tail(&core, LEASE_STREAM, 0, seed);
@@ -98,7 +97,7 @@
     loop {
         tokio::select! {
             event = tail.next() => match event {
-                Some(event) => take_event(&core, event),
+                Some(event) => handle_tail_event(&core, event),
                 None => return,
             },
             _ = ticks.tick() => decide_all(&core, &appends),
@@ -111,7 +110,7 @@
     let duration = core.options.timing.lease_duration;
     let owner = owner(core);
     let now = Instant::now();
-    let mut desk = core.tables.leases.lock();
+    let mut state = core.tables.leases.lock();
     for name in [
         orders_lease(core.zone()),
         shares_lease(core.zone()),
@@ -120,12 +119,12 @@
         let terms = LeaseTerms {
             duration,
             renew_after: duration / RENEWALS_PER_DURATION,
-            // Drawn anew for each host, so that they do not all try at once.
+            // Random per host, so that the hosts do not all try at once.
             retry_after: duration.mul_f64(random.random_range(0.2..0.4)),
         };
-        let first_try = now + duration.mul_f64(random.random_range(0.0..0.2));
-        let machine = LeaseMachine::new(name.clone(), owner.clone(), terms, first_try);
-        desk.machines.push(NamedMachine { name, machine });
+        let first_attempt = now + duration.mul_f64(random.random_range(0.0..0.2));
+        let machine = LeaseMachine::new(name.clone(), owner.clone(), terms, first_attempt);
+        state.machines.push(NamedMachine { name, machine });
     }
 }
 
@@ -136,27 +135,27 @@
     }
 }
 
-fn take_event(core: &DaemonCore, event: TailEvent) {
+fn handle_tail_event(core: &DaemonCore, event: TailEvent) {
     let now = Instant::now();
-    let mut desk = core.tables.leases.lock();
+    let mut state = core.tables.leases.lock();
     match event {
         TailEvent::Records {
             records,
             first_offset,
             ..
         } => {
-            desk.table.observe_read(first_offset, now);
+            state.table.observe_read(first_offset, now);
             for record in &records {
-                desk.apply(record, now);
+                state.apply(record, now);
             }
         }
-        TailEvent::Expired { first_offset, .. } => desk.table.observe_read(first_offset, now),
-        // Without the log no lease is renewed, and none can be taken.
+        TailEvent::Expired { first_offset, .. } => state.table.observe_read(first_offset, now),
+        // Without the log no lease can be renewed or acquired.
         TailEvent::Unreachable { .. } => {}
     }
 }
 
-/// Decides about each lease, and appends what was decided.
+/// Lets each lease machine decide, and appends the resulting records.
 fn decide_all(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>) {
     if core.is_draining() {
         return;
@@ -164,14 +163,14 @@
     let now = Instant::now();
     let mut records = Vec::new();
     {
-        let mut desk = core.tables.leases.lock();
-        let LeaseDesk { table, machines } = &mut *desk;
+        let mut state = core.tables.leases.lock();
+        let LeaseState { table, machines } = &mut *state;
         for named in machines {
             match named.machine.decide(table, new_id(), now) {
                 LeaseDecision::TryAcquire(record) | LeaseDecision::Renew(record) => {
                     records.push(record);
                 }
-                LeaseDecision::StepDown => log::warn!("lease {} is lost", named.name),
+                LeaseDecision::StepDown => log::warn!("lease {} was lost", named.name),
                 LeaseDecision::Hold { .. } | LeaseDecision::Wait { .. } => {}
             }
         }
@@ -181,46 +180,46 @@
     }
 }
 
-/// Hands the leases back, so that another host may begin at once; ends when
-/// this host has read that they are free. To be called once the daemon drains.
+/// Releases the leases, so that another host can acquire them at once, and returns when
+/// this host has read back that they are free. Must be called after the daemon has begun
+/// to drain.
 ///
-/// Left to a worker, this would be lost if nothing is in flight: the process
-/// would end first, and nobody would order the zone's targets until the leases
-/// lapse.
-pub(super) async fn hand_back(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>) {
-    settle(core).await;
-    // Handed back while an order is under way, a lease would let the next
-    // holder order at the same time.
-    let ordering = core.begin_ordering().await;
+/// A worker task could not do this reliably: if nothing is in flight, the process would
+/// end first, and no host would order the zone's targets until the leases expire.
+pub(super) async fn release_leases(core: &Arc<DaemonCore>, appends: &Arc<AppendQueue>) {
+    wait_for_judgements(core).await;
+    // If a lease were released while an order is open, the next holder could send orders
+    // at the same time.
+    let order_lock = core.lock_orders().await;
     let released = release_all(core);
-    drop(ordering);
+    drop(order_lock);
     let released = released
         .into_iter()
         .map(|record| release(core, appends, record));
     join_all(released).await;
 }
 
-/// Waits for the judgement of records that are on their way.
+/// Waits until the records that are already submitted are judged.
 ///
-/// A lease that was acquired but not read back yet could not be released, and
-/// a renewal that comes before the release makes that void; in both cases the
-/// lease would stay with a host that is gone.
-async fn settle(core: &DaemonCore) {
-    let deadline = Instant::now() + REPLAY_WAIT;
+/// A lease that is acquired but not read back yet cannot be released, and a renewal that
+/// is stored before the release invalidates it. In both cases a host that has shut down
+/// would keep the lease.
+async fn wait_for_judgements(core: &DaemonCore) {
+    let deadline = Instant::now() + REPLAY_TIMEOUT;
     while Instant::now() < deadline {
-        let awaits = {
-            let desk = core.tables.leases.lock();
-            let mut machines = desk.machines.iter();
+        let is_awaiting = {
+            let state = core.tables.leases.lock();
+            let mut machines = state.machines.iter();
             machines.any(|named| named.machine.awaits_judgement())
         };
-        if !awaits {
+        if !is_awaiting {
             return;
         }
         tokio::time::sleep(REPLAY_POLL).await;
     }
 }
 
-/// Appends a release until the log shows that it took effect.
+/// Appends a release until the log shows that it has taken effect.
 async fn release(
     core: &Arc<DaemonCore>,
     appends: &Arc<AppendQueue>,
@@ -228,7 +227,7 @@
 ) {
     loop {
         append(Arc::clone(core), Arc::clone(appends), record.clone()).await;
-        let deadline = Instant::now() + REPLAY_WAIT;
+        let deadline = Instant::now() + REPLAY_TIMEOUT;
         while Instant::now() < deadline {
             if !is_held(core, &record) {
                 return;
@@ -240,17 +239,17 @@
     }
 }
 
-/// Whether the log still shows the lease as its writer's.
+/// Whether the log still shows the record's writer as the holder of the lease.
 fn is_held(core: &DaemonCore, record: &LogRecord<LeaseBody>) -> bool {
-    let desk = core.tables.leases.lock();
-    let holder = desk.table.holder(&record.body.name);
+    let state = core.tables.leases.lock();
+    let holder = state.table.holder(&record.body.name);
     holder.is_some_and(|holder| holder.owner == LeaseOwner::of(record))
 }
 
 fn release_all(core: &DaemonCore) -> Vec<LogRecord<LeaseBody>> {
     let now = Instant::now();
-    let mut desk = core.tables.leases.lock();
-    let LeaseDesk { table, machines } = &mut *desk;
+    let mut state = core.tables.leases.lock();
+    let LeaseState { table, machines } = &mut *state;
     machines
         .iter_mut()
         .filter_map(|named| named.machine.release(table, new_id(), now))
@@ -269,8 +268,8 @@
         return;
     };
     if let Ok(Err(error)) = appended.await {
-        let mut desk = core.tables.leases.lock();
-        for named in &mut desk.machines {
+        let mut state = core.tables.leases.lock();
+        for named in &mut state.machines {
             named
                 .machine
                 .observe_append_failure(&record.id, error.verdict);
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -1,12 +1,12 @@
-//! Exchanging heartbeats with the other entry hosts.
+//! Exchanges heartbeats with the other entry hosts.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use super::core::{DaemonCore, DaemonPhase};
 use super::sharing::{
-    OutgoingReport, answer_report, dividing_lease, hear_holder, note_gone, outgoing_report,
-    take_grants,
+    OutgoingReport, dividing_lease, grants_for_report, observe_holder, outgoing_report,
+    receive_grants, record_removed_host,
 };
 use crate::ids::HostId;
 use crate::membership::MembershipDecision;
@@ -14,14 +14,14 @@
 use crate::shares::GrantHolder;
 use crate::target::wire::LoadReport;
 
-/// Heartbeats sent in a row, when the first one has to be answered at once.
-const MOST_EXCHANGES: usize = 2;
-/// Pause between two looks at who is due for a heartbeat.
+/// Maximum number of heartbeats in a row, when a reply requires another one at once.
+const MAX_EXCHANGES: usize = 2;
+/// Time between two checks which hosts are due for a heartbeat.
 const MEMBERSHIP_TICK: Duration = Duration::from_millis(50);
 
 /// Sends heartbeats when they are due, until the daemon ends.
 pub(super) async fn run_members(core: Arc<DaemonCore>) {
-    meet_seeds(&core);
+    add_seeds(&core);
     let mut ticks = tokio::time::interval(MEMBERSHIP_TICK);
     let mut counted = CountedTraffic::default();
     loop {
@@ -33,12 +33,12 @@
             membership.set_draining(core.phase() == DaemonPhase::Draining);
             membership.tick(Instant::now())
         };
-        carry_out(&core, decisions);
-        share_out_watching(&core);
+        execute_decisions(&core, decisions);
+        assign_watches(&core);
     }
 }
 
-/// Bytes of peer calls that the metrics have counted already.
+/// Bytes of peer calls that are already counted in the metrics.
 #[derive(Default)]
 struct CountedTraffic {
     sent: u64,
@@ -60,7 +60,7 @@
     }
 }
 
-fn meet_seeds(core: &DaemonCore) {
+fn add_seeds(core: &DaemonCore) {
     let mut membership = core.tables.membership.lock();
     let now = Instant::now();
     for seed in &core.options.peers.seeds {
@@ -68,7 +68,7 @@
     }
 }
 
-fn carry_out(core: &Arc<DaemonCore>, decisions: Vec<MembershipDecision>) {
+fn execute_decisions(core: &Arc<DaemonCore>, decisions: Vec<MembershipDecision>) {
     for decision in decisions {
         match decision {
             MembershipDecision::SendHeartbeat {
@@ -82,19 +82,19 @@
                 log::info!("host {host} of zone {zone} has joined");
             }
             MembershipDecision::HostSuspected { host } => {
-                log::warn!("host {host} is silent");
+                log::warn!("host {host} is suspected: no recent heartbeat");
             }
             MembershipDecision::HostRecovered { host } => {
-                log::info!("host {host} is heard again");
+                log::info!("host {host} has recovered");
             }
             MembershipDecision::HostRemoved {
                 host,
                 incarnation,
                 cause,
             } => {
-                log::info!("host {host} is gone: {cause:?}");
+                log::info!("host {host} is removed: {cause:?}");
                 if let Some(incarnation) = incarnation {
-                    note_gone(core, &GrantHolder { host, incarnation });
+                    record_removed_host(core, &GrantHolder { host, incarnation });
                 }
             }
         }
@@ -105,22 +105,25 @@
     let Some(peers) = core.peers() else {
         return;
     };
-    for _ in 0..MOST_EXCHANGES {
-        let mut beat = own_beat(&core, remote);
+    for _ in 0..MAX_EXCHANGES {
+        let mut beat = own_heartbeat(&core, remote);
         let sent = outgoing_report(&core, &to);
         if let Some(sent) = &sent {
             beat.demands_for = Some(sent.report.lease);
             beat.demands.clone_from(&sent.report.demands);
         }
         let again = match peers.heartbeat(address, beat).await {
-            // An address may have passed to another host.
-            Ok(reply) if reply.beat.host == to => take_reply(&core, &reply, sent.as_ref()),
+            // The address may have passed to another host.
+            Ok(reply) if reply.beat.host == to => apply_reply(&core, &reply, sent.as_ref()),
             Ok(reply) => {
-                log::warn!("{address} is {} and not {to}", reply.beat.host);
+                log::warn!(
+                    "heartbeat reply from {address} is of host {} instead of {to}",
+                    reply.beat.host
+                );
                 false
             }
             Err(error) => {
-                log::debug!("no heartbeat from {to}: {error}");
+                log::debug!("heartbeat to host {to} failed: {error}");
                 false
             }
         };
@@ -130,7 +133,7 @@
     }
 }
 
-fn own_beat(core: &DaemonCore, remote: bool) -> PeerHeartbeat {
+fn own_heartbeat(core: &DaemonCore, remote: bool) -> PeerHeartbeat {
     let mut membership = core.tables.membership.lock();
     let now = Instant::now();
     let loads = {
@@ -143,42 +146,42 @@
     membership.next_heartbeat(remote, loads)
 }
 
-/// Takes in an answer; says whether to send another heartbeat at once.
-fn take_reply(core: &Arc<DaemonCore>, reply: &PeerReply, sent: Option<&OutgoingReport>) -> bool {
-    take_beat(core, &reply.beat);
+/// Applies a reply. Returns whether to send another heartbeat at once.
+fn apply_reply(core: &Arc<DaemonCore>, reply: &PeerReply, sent: Option<&OutgoingReport>) -> bool {
+    apply_heartbeat(core, &reply.beat);
     let Some(lease) = reply.lease_offset else {
         return false;
     };
     match sent {
         Some(sent) if sent.report.lease == lease => {
-            take_grants(core, lease, &reply.grants, sent.sent_at)
+            receive_grants(core, lease, &reply.grants, sent.sent_at)
         }
         _ => {
-            hear_holder(core, &reply.beat.host, lease);
+            observe_holder(core, &reply.beat.host, lease);
             false
         }
     }
 }
 
-/// Answers a peer's heartbeat with this host's own.
-pub(super) fn answer_beat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) -> PeerReply {
-    take_beat(core, beat);
+/// Handles a peer's heartbeat and replies with this host's own.
+pub(super) fn handle_heartbeat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) -> PeerReply {
+    apply_heartbeat(core, beat);
     let remote = beat.zone != *core.zone();
-    let grants = answer_report(core, beat);
+    let grants = grants_for_report(core, beat);
     PeerReply {
-        beat: own_beat(core, remote),
+        beat: own_heartbeat(core, remote),
         lease_offset: dividing_lease(core).filter(|_| !remote),
         grants: grants.unwrap_or_default(),
     }
 }
 
-fn take_beat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) {
+fn apply_heartbeat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) {
     let now = Instant::now();
     let decisions = {
         let mut membership = core.tables.membership.lock();
         membership.observe_heartbeat(beat, now)
     };
-    carry_out(core, decisions);
+    execute_decisions(core, decisions);
     let mut watch = core.tables.watch.lock();
     watch.observe_peer_loads(&beat.host, &beat.loads, now);
     let mut routes = core.tables.routes.write();
@@ -193,15 +196,15 @@
     }
     drop(routes);
     drop(watch);
-    core.readiness.learn(beat.applied_offset, now);
+    core.readiness.observe_end_offset(beat.applied_offset, now);
     if beat.applied_offset > *core.applied.borrow() {
         core.peer_ahead.notify_one();
     }
 }
 
-/// Divides the watching of targets over the hosts that are live now, and
-/// takes targets that are known to leave out of rotation.
-fn share_out_watching(core: &DaemonCore) {
+/// Assigns targets to the live hosts for watching, and takes targets that are known to be
+/// leaving out of rotation.
+fn assign_watches(core: &DaemonCore) {
     let working = core.tables.membership.lock().working_hosts();
     let declarations = core.tables.declarations.read();
     let mut watch = core.tables.watch.lock();
--- a/src/daemon/readiness.rs
+++ b/src/daemon/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether this host's configuration is good enough to take work.
+//! Decides whether this host's configuration is recent enough to accept work.
 
 use std::time::{Duration, Instant};
 
@@ -7,59 +7,59 @@
 use crate::ids::LogOffset;
 use crate::replay::{DeclarationTable, NotReadyReason, Readiness, ReadinessTracker};
 
-/// How long a host that had caught up may be behind what it knows to exist.
+/// How long a host that had caught up may stay behind the newest known offset.
 ///
-/// Covers the ordinary way of a record through the log or a peer; a change
-/// must be in force within a few seconds.
-const BEHIND_GRACE: Duration = Duration::from_secs(3);
+/// Covers the usual delay of a record through the log or a peer. A change must take
+/// effect within a few seconds.
+const LAG_GRACE: Duration = Duration::from_secs(3);
 
-/// What the host holds against what it knows to exist. A lock of its own that
-/// is held for no other: it may be taken with any table locked.
+/// Compares what the host has applied with what is known to exist. Its lock is a leaf: no
+/// other lock is taken under it, so it may be taken while any table is locked.
 pub(super) struct ReadinessGate {
     state: Mutex<GateState>,
 }
 
 struct GateState {
     tracker: ReadinessTracker,
-    /// Whether the log was read to its end, or every peer was asked.
+    /// Whether the log was read to its end, or every peer was queried.
     confirmed: bool,
-    told: Option<Readiness>,
+    last_logged: Option<Readiness>,
 }
 
 impl ReadinessGate {
     pub(super) fn new() -> Self {
         Self {
             state: Mutex::new(GateState {
-                tracker: ReadinessTracker::new(BEHIND_GRACE),
+                tracker: ReadinessTracker::new(LAG_GRACE),
                 confirmed: false,
-                told: None,
+                last_logged: None,
             }),
         }
     }
 
     /// Learns that records up to an end offset exist.
-    pub(super) fn learn(&self, end_offset: LogOffset, now: Instant) {
+    pub(super) fn observe_end_offset(&self, end_offset: LogOffset, now: Instant) {
         self.state
             .lock()
             .tracker
             .observe_end_offset(end_offset, now);
     }
 
-    /// Takes note of what the table has applied.
-    pub(super) fn advance(&self, table: &DeclarationTable, now: Instant) {
+    /// Updates the offset that the table has applied.
+    pub(super) fn observe_applied(&self, table: &DeclarationTable, now: Instant) {
         self.state.lock().tracker.observe_applied(table, now);
     }
 
-    /// Notes that the host has heard of what exists.
+    /// Marks the host's knowledge of existing records as confirmed.
     ///
-    /// The first peer that answers a starting host may itself be cut off and
-    /// old. Taking work on its word alone would serve a configuration that
-    /// has long been replaced everywhere else.
+    /// The first peer that replies to a starting host may itself be cut off and out of
+    /// date. If the host accepted work on that reply alone, it could serve a
+    /// configuration that has long been replaced everywhere else.
     pub(super) fn confirm(&self) {
         self.state.lock().confirmed = true;
     }
 
-    /// Whether the host may take work now.
+    /// Whether the host may accept work now.
     pub(super) fn readiness(&self, now: Instant) -> Readiness {
         let mut state = self.state.lock();
         let readiness = match state.tracker.readiness(now) {
@@ -68,20 +68,20 @@
             }
             readiness => readiness,
         };
-        if state.told != Some(readiness) {
-            tell(readiness);
-            state.told = Some(readiness);
+        if state.last_logged != Some(readiness) {
+            log_readiness(readiness);
+            state.last_logged = Some(readiness);
         }
         readiness
     }
 }
 
-fn tell(readiness: Readiness) {
+fn log_readiness(readiness: Readiness) {
     match readiness {
-        Readiness::Ready => log::info!("the configuration is good: taking work"),
+        Readiness::Ready => log::info!("the configuration is up to date: accepting work"),
         Readiness::NotReady(reason @ NotReadyReason::UnknownRules) => {
-            log::error!("taking no work: {reason}");
+            log::error!("accepting no work: {reason}");
         }
-        Readiness::NotReady(reason) => log::warn!("taking no work: {reason}"),
+        Readiness::NotReady(reason) => log::warn!("accepting no work: {reason}"),
     }
 }
--- a/src/daemon/services/claimed.rs
+++ b/src/daemon/services/claimed.rs
@@ -1,4 +1,4 @@
-//! The way of one non-idempotent call: claim, connect, dispatch once.
+//! Handles a non-idempotent call: claim, connect, dispatch once.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -6,15 +6,15 @@
 use http::StatusCode;
 
 use super::{
-    MAX_CALL_ATTEMPTS, admit_call, call_headers, choose_target, deadline_of, failed, note_answer,
-    note_failure, reply,
+    MAX_CALL_ATTEMPTS, admit_call, call_failure, call_headers, choose_target, deadline_of,
+    record_failure, record_response, reply,
 };
 use crate::api::backend::{ServiceCall, ServiceReply};
 use crate::api::wire::RefusalBody;
 use crate::claims::key::{TimedKey, parse_key};
 use crate::claims::record::RequestFingerprint;
 use crate::daemon::claims::{
-    ClaimSubject, ClaimTicket, DispatchedClaim, known_better, refusal_of, reply_of,
+    ClaimSubject, ClaimTicket, DispatchedClaim, known_answer, refusal_of, reply_of,
 };
 use crate::daemon::core::DaemonCore;
 use crate::ids::{IdempotencyKey, RequestId, TargetId};
@@ -23,10 +23,10 @@
 use crate::target::{CallFailure, TargetFailure};
 use crate::verdict::RunVerdict;
 
-/// Reads the key that a non-idempotent request must carry.
+/// Parses the key that a non-idempotent request must carry.
 ///
 /// # Errors
-/// A refusal that says how to make a key.
+/// Returns a refusal that explains how to make a key.
 pub(in crate::daemon) fn required_key(
     key: Option<&IdempotencyKey>,
     request: &RequestId,
@@ -43,11 +43,11 @@
     Err(RefusalBody::not_run(RefusalReason::Malformed, message).for_request(request.clone()))
 }
 
-/// Runs a call at most once over all hosts.
+/// Runs a call at most once across all hosts.
 ///
-/// It is run to its end even if its caller goes away, also where only the
-/// service's declaration says that it is non-idempotent: dropped after its
-/// claim had won, it would leave the key blocked.
+/// It runs to its end even if its caller disconnects, also if only the service's
+/// declaration marks it as non-idempotent: if it were dropped after its claim had won,
+/// its key would stay blocked.
 pub(super) async fn call_claimed(
     core: Arc<DaemonCore>,
     call: ServiceCall,
@@ -57,9 +57,9 @@
     let request = call.request.clone();
     let running = call_once(Arc::clone(&core), call, targets, subject.clone());
     let result = core.in_flight.spawn(running).await;
-    match result.unwrap_or_else(|_| Err(broke_off(&request))) {
+    match result.unwrap_or_else(|_| Err(aborted_call(&request))) {
         Err(refusal) if refusal.verdict == RunVerdict::NotRun => {
-            match known_better(&core, &subject) {
+            match known_answer(&core, &subject) {
                 Some(answer) => reply_of(answer, &request),
                 None => Err(refusal),
             }
@@ -79,7 +79,7 @@
     })
 }
 
-fn broke_off(request: &RequestId) -> RefusalBody {
+fn aborted_call(request: &RequestId) -> RefusalBody {
     RefusalBody {
         verdict: RunVerdict::MayHaveRun,
         ..RefusalBody::not_run(RefusalReason::TargetFailed, "the call broke off")
@@ -109,7 +109,7 @@
         Ok(ticket) => ticket,
         Err(answer) => return reply_of(answer, &call.request),
     };
-    // A ticket dropped on the way withdraws the claim: nothing was sent.
+    // If the ticket is dropped on an error, it withdraws the claim: nothing was sent.
     let (target, connection) = connect(core, call, targets).await?;
     let dispatched = match ticket.authorise().await {
         Ok(dispatched) => dispatched,
@@ -122,10 +122,10 @@
     finish(call, dispatched, answer)
 }
 
-/// Connects to one target after another until one takes the connection.
+/// Connects to one target after another until one accepts the connection.
 ///
-/// Nothing is sent, so that a target that is down costs the call nothing but
-/// time; after the first byte there is no second target.
+/// Nothing is sent yet, so a target that is down costs the call only time. After the
+/// first byte no second target is tried.
 async fn connect(
     core: &DaemonCore,
     call: &ServiceCall,
@@ -135,10 +135,14 @@
     while excluded.len() < MAX_CALL_ATTEMPTS {
         if !excluded.is_empty() && !core.tables.budget.lock().spend() {
             let reason = RefusalReason::RetryBudgetSpent;
-            return Err(failed(call, reason, RunVerdict::NotRun));
+            return Err(call_failure(call, reason, RunVerdict::NotRun));
         }
         let Some(target) = choose_target(core, targets, &excluded) else {
-            return Err(failed(call, RefusalReason::NoRoute, RunVerdict::NotRun));
+            return Err(call_failure(
+                call,
+                RefusalReason::NoRoute,
+                RunVerdict::NotRun,
+            ));
         };
         core.tables
             .routes
@@ -146,11 +150,11 @@
             .step_sent(&target, Instant::now());
         match open(core, &target).await {
             Ok(connection) => return Ok((target, connection)),
-            Err(failure) => note_failure(core, call, &target, &failure),
+            Err(failure) => record_failure(core, call, &target, &failure),
         }
         excluded.push(target);
     }
-    Err(failed(
+    Err(call_failure(
         call,
         RefusalReason::TargetFailed,
         RunVerdict::NotRun,
@@ -178,11 +182,11 @@
     };
     let began = Instant::now();
     let answer = connection.send(order).await;
-    note_answer(core, call, target, &answer, began.elapsed());
+    record_response(core, call, target, &answer, began.elapsed());
     answer
 }
 
-/// Notes the outcome for every host, then answers.
+/// Records the outcome in the log, then responds.
 fn finish(
     call: &ServiceCall,
     dispatched: DispatchedClaim,
@@ -201,7 +205,7 @@
                 _ => StatusCode::GATEWAY_TIMEOUT,
             };
             dispatched.finish(verdict, status.as_u16(), &[]);
-            Err(failed(call, RefusalReason::TargetFailed, verdict))
+            Err(call_failure(call, RefusalReason::TargetFailed, verdict))
         }
     }
 }
--- a/src/daemon/watch_steps.rs
+++ b/src/daemon/step_observations.rs
@@ -1,17 +1,17 @@
-//! Telling the router's table what runs see of their targets.
+//! Records what runs observe of their targets in the route table.
 
 use std::time::Instant;
 
 use super::core::DaemonCore;
-use super::targets::note_leaving;
+use super::targets::mark_leaving;
 use crate::ids::RequestId;
 use crate::journal::JournalEvent;
 use crate::metrics::DropCause;
 use crate::reason::RetryReason;
 use crate::run::StepObservation;
 
-/// Takes one observation in.
-pub(super) fn note_step(core: &DaemonCore, request: &RequestId, observation: &StepObservation) {
+/// Records one observation.
+pub(super) fn record_step(core: &DaemonCore, request: &RequestId, observation: &StepObservation) {
     journal_step(core, request, observation);
     let now = Instant::now();
     if let StepObservation::Failed {
@@ -20,7 +20,7 @@
         ..
     } = observation
     {
-        note_leaving(core, target, now);
+        mark_leaving(core, target, now);
     }
     let mut routes = core.tables.routes.write();
     match observation {
@@ -38,7 +38,7 @@
         } => {
             log::warn!(
                 request:% = request;
-                "step on {target} failed: {} ({verdict:?})", reason.name()
+                "step on target {target} failed: {} ({verdict:?})", reason.name()
             );
             routes.step_failed(target, *reason, now);
         }
@@ -47,8 +47,7 @@
     }
 }
 
-/// Counts and notes what is out of the ordinary; a step that goes well is not
-/// worth an entry.
+/// Counts and journals unusual observations. Successful steps get no journal entry.
 fn journal_step(core: &DaemonCore, request: &RequestId, observation: &StepObservation) {
     match observation {
         StepObservation::Sent {
@@ -58,7 +57,7 @@
             ..
         } => {
             core.metrics.retried(*reason);
-            core.note(
+            core.record_event(
                 request,
                 JournalEvent::Retried {
                     stage: *stage,
@@ -74,9 +73,9 @@
         } => {
             log::warn!(
                 request:% = request;
-                "stage {stage} moves to {chosen:?}: {}", reason.name()
+                "stage {stage} is moved to target {chosen:?}: {}", reason.name()
             );
-            core.note(
+            core.record_event(
                 request,
                 JournalEvent::StageReplaced {
                     stage: *stage,
@@ -88,7 +87,7 @@
         StepObservation::AnswerDropped { target } => {
             let cause = DropCause::Unmatched;
             core.metrics.answer_dropped(cause);
-            core.note(
+            core.record_event(
                 request,
                 JournalEvent::AnswerDropped {
                     target: target.clone(),
