--- a/src/claims.rs
+++ b/src/claims.rs
@@ -12,10 +12,10 @@
 //!
 //! `docs/design/claims.md` tells what was weighed.
 
-pub mod answer;
 mod coverage;
 pub mod key;
 pub mod machine;
 pub mod record;
+pub mod response;
 pub mod table;
 pub mod window;
--- a/src/claims/coverage.rs
+++ b/src/claims/coverage.rs
@@ -33,7 +33,7 @@
 
     /// Notes that a read succeeded at wall time `now`: what was missed has
     /// been appended by then.
-    pub(super) fn note_read(&mut self, now: SystemTime) {
+    pub(super) fn observe_read(&mut self, now: SystemTime) {
         match self {
             Self::Unread => *self = Self::Whole,
             Self::Missed { before, .. } if before.is_none() => *before = Some(now),
--- a/src/claims/machine.rs
+++ b/src/claims/machine.rs
@@ -13,8 +13,8 @@
 
 use std::time::{Duration, Instant, SystemTime};
 
-use crate::claims::answer::ClaimAnswer;
 use crate::claims::record::{ClaimBody, ClaimName, ClaimOutcome, ClaimOwner, RequestFingerprint};
+use crate::claims::response::ClaimResponse;
 use crate::claims::table::{ClaimHolder, ClaimJudgement};
 use crate::ids::{RecordId, RequestId};
 use crate::platform::error::AppendVerdict;
@@ -22,7 +22,7 @@
 
 /// A non-idempotent request that asks to be run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimOrder {
+pub struct ClaimRequest {
     /// Record id for its claim; unique over all daemons and their lives.
     pub claim: RecordId,
     /// The key.
@@ -44,7 +44,7 @@
     pub retry_after: Duration,
     /// How long the daemon that holds the key may take to tell how the
     /// request ended.
-    pub ask_timeout: Duration,
+    pub query_timeout: Duration,
     /// First delay before a withdrawal or outcome that does not show in the
     /// log is appended again; doubled each time.
     pub settle_delay: Duration,
@@ -65,9 +65,9 @@
     /// The record with the id [`ClaimMachine::settlement_id`] was replayed.
     SettlementReplayed,
     /// The holder of the key said how the request ended.
-    HolderAnswered(ClaimOutcome),
+    HolderReplied(ClaimOutcome),
     /// The holder of the key could not be asked, or does not know.
-    HolderSilent,
+    HolderUnavailable,
     /// The dispatched request ended.
     Finished(ClaimOutcome),
     /// Time passed.
@@ -83,9 +83,9 @@
     /// byte is written to a target.
     Dispatch,
     /// Ask the daemon that holds the key how the request ends.
-    AskHolder(ClaimHolder),
+    QueryHolder(ClaimHolder),
     /// Answer the caller; given once, and never after a dispatch.
-    Answer(ClaimAnswer),
+    Respond(ClaimResponse),
 }
 
 /// Leave to dispatch a claimed request once. Cannot be copied.
@@ -104,7 +104,7 @@
 /// The claimant's state for one request.
 #[derive(Debug)]
 pub struct ClaimMachine {
-    order: ClaimOrder,
+    order: ClaimRequest,
     owner: ClaimOwner,
     policy: ClaimPolicy,
     state: ClaimState,
@@ -140,7 +140,7 @@
 
 impl ClaimMachine {
     /// A machine for a request of this daemon's.
-    pub fn new(order: ClaimOrder, owner: ClaimOwner, policy: ClaimPolicy) -> Self {
+    pub fn new(order: ClaimRequest, owner: ClaimOwner, policy: ClaimPolicy) -> Self {
         Self {
             order,
             owner,
--- a/src/claims/machine/transitions.rs
+++ b/src/claims/machine/transitions.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use super::{ClaimDecision, ClaimEvent, ClaimMachine, ClaimSettlement, ClaimState, DispatchPermit};
-use crate::claims::answer::{ClaimAnswer, ClaimRefusal};
 use crate::claims::record::{ClaimBody, ClaimDetails, ClaimEntry, ClaimOutcome, ClaimRef};
+use crate::claims::response::{ClaimRefusal, ClaimResponse};
 use crate::claims::table::{ClaimHolder, ClaimJudgement, ClaimTable, KeyState};
 use crate::claims::window::ClaimTime;
 use crate::ids::RecordId;
@@ -39,10 +39,12 @@
             (ClaimState::Won, ClaimEvent::Tick) if self.is_late(now) => {
                 self.give_up(ClaimRefusal::DeadlinePassed, table, now)
             }
-            (ClaimState::Asking { .. }, ClaimEvent::HolderAnswered(outcome)) => {
-                self.answer(ClaimAnswer::Known(outcome))
+            (ClaimState::Asking { .. }, ClaimEvent::HolderReplied(outcome)) => {
+                self.answer(ClaimResponse::Known(outcome))
+            }
+            (ClaimState::Asking { .. }, ClaimEvent::HolderUnavailable) => {
+                self.answer_from(table, now)
             }
-            (ClaimState::Asking { .. }, ClaimEvent::HolderSilent) => self.answer_from(table, now),
             (ClaimState::Asking { until }, ClaimEvent::Tick) if until <= now.instant => {
                 let mut decisions = self.answer_from(table, now);
                 decisions.extend(self.settle_again(table, now));
@@ -150,20 +152,20 @@
     /// Answers without a dispatch, because of what the log says of the key.
     fn defer_to(&mut self, key_state: KeyState, now: ClaimTime) -> Vec<ClaimDecision> {
         match key_state {
-            KeyState::Ended(outcome) => self.answer(ClaimAnswer::Known(outcome)),
+            KeyState::Ended(outcome) => self.answer(ClaimResponse::Known(outcome)),
             KeyState::Held(holder) if self.is_own_past(&holder) => {
-                self.answer(ClaimAnswer::Unknown)
+                self.answer(ClaimResponse::Unknown)
             }
             KeyState::Held(holder) => {
                 self.state = ClaimState::Asking {
-                    until: now.instant + self.policy.ask_timeout,
+                    until: now.instant + self.policy.query_timeout,
                 };
-                vec![ClaimDecision::AskHolder(holder)]
+                vec![ClaimDecision::QueryHolder(holder)]
             }
             KeyState::Mismatched => self.answer_refused(ClaimRefusal::KeyReused, None),
             KeyState::Free => {
                 let retry_after = Some(self.policy.retry_after);
-                self.answer_refused(ClaimRefusal::WinnerWithdrew, retry_after)
+                self.answer_refused(ClaimRefusal::HolderWithdrew, retry_after)
             }
         }
     }
@@ -172,10 +174,10 @@
     /// alone, because that daemon cannot be asked.
     fn answer_from(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
         match table.look_up(&self.order.name, &self.order.fingerprint) {
-            KeyState::Held(_) => self.answer(ClaimAnswer::Unknown),
+            KeyState::Held(_) => self.answer(ClaimResponse::Unknown),
             // A claim that was forgotten looks like one that was withdrawn.
             KeyState::Free if table.admit(self.order.created, now.wall).is_err() => {
-                self.answer(ClaimAnswer::Unknown)
+                self.answer(ClaimResponse::Unknown)
             }
             key_state => self.defer_to(key_state, now),
         }
@@ -266,7 +268,7 @@
                 None
             }
             ClaimRefusal::NotCovered => table
-                .covered_in(now.wall)
+                .time_until_covered(now.wall)
                 .map(|delay| delay.max(self.policy.retry_after)),
             _ => Some(self.policy.retry_after),
         };
@@ -278,15 +280,15 @@
         refusal: ClaimRefusal,
         retry_after: Option<Duration>,
     ) -> Vec<ClaimDecision> {
-        self.answer(ClaimAnswer::Refused {
+        self.answer(ClaimResponse::Refused {
             refusal,
             retry_after,
         })
     }
 
-    fn answer(&mut self, answer: ClaimAnswer) -> Vec<ClaimDecision> {
+    fn answer(&mut self, answer: ClaimResponse) -> Vec<ClaimDecision> {
         self.state = ClaimState::Closed;
-        vec![ClaimDecision::Answer(answer)]
+        vec![ClaimDecision::Respond(answer)]
     }
 
     fn is_late(&self, now: ClaimTime) -> bool {
--- a/src/claims/record.rs
+++ b/src/claims/record.rs
@@ -16,7 +16,7 @@
 
 /// Largest answer kept whole in the log, in bytes; larger ones are kept as a
 /// fingerprint.
-pub const MAX_KEPT_ANSWER: usize = 1024;
+pub const MAX_STORED_RESPONSE_BYTES: usize = 1024;
 
 /// Body of a record in the claim stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -115,25 +115,25 @@
     /// HTTP status that its caller was given.
     pub status: u16,
     /// The answer's body.
-    pub answer: KeptAnswer,
+    pub answer: StoredResponse,
 }
 
 /// An answer's body, as far as it is kept.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum KeptAnswer {
+pub enum StoredResponse {
     /// The whole body.
     Whole(String),
     /// Only its fingerprint: it was too large, or not text.
     Digest(#[serde_as(as = "DisplayFromStr")] RequestFingerprint),
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     /// Keeps a body whole if it is short text.
     pub fn of(body: &[u8]) -> Self {
         match std::str::from_utf8(body) {
-            Ok(text) if text.len() <= MAX_KEPT_ANSWER => Self::Whole(text.to_owned()),
+            Ok(text) if text.len() <= MAX_STORED_RESPONSE_BYTES => Self::Whole(text.to_owned()),
             _ => Self::Digest(RequestFingerprint::of("", body)),
         }
     }
--- a/src/claims/answer.rs
+++ b/src/claims/response.rs
@@ -34,7 +34,7 @@
     DeadlinePassed,
     /// The host that claimed the key withdrew its claim.
     #[error("the host that claimed the idempotency key withdrew")]
-    WinnerWithdrew,
+    HolderWithdrew,
 }
 
 impl ClaimRefusal {
@@ -46,14 +46,14 @@
             Self::NotCovered => RefusalReason::NotReady,
             Self::LogUnavailable | Self::NotConfirmed => RefusalReason::LogUnavailable,
             Self::DeadlinePassed => RefusalReason::DeadlinePassed,
-            Self::WinnerWithdrew => RefusalReason::ClaimedElsewhere,
+            Self::HolderWithdrew => RefusalReason::ClaimedElsewhere,
         }
     }
 }
 
 /// The answer to a caller whose request this host does not dispatch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimAnswer {
+pub enum ClaimResponse {
     /// This host did not run it and never will.
     Refused {
         /// Why.
@@ -67,7 +67,7 @@
     Unknown,
 }
 
-impl ClaimAnswer {
+impl ClaimResponse {
     /// Whether the request may have run.
     pub fn verdict(&self) -> RunVerdict {
         match self {
--- a/src/claims/table/commands.rs
+++ b/src/claims/table/commands.rs
@@ -15,12 +15,12 @@
 impl ClaimTable {
     /// Notes a read that succeeded at wall time `now`, before its records are
     /// applied. If records expired unread, the table has missed them.
-    pub fn note_read(&mut self, first_offset: LogOffset, now: SystemTime) {
+    pub fn observe_read(&mut self, first_offset: LogOffset, now: SystemTime) {
         if first_offset > self.next_offset {
             self.next_offset = first_offset;
             self.coverage.miss(first_offset);
         }
-        self.coverage.note_read(now);
+        self.coverage.observe_read(now);
     }
 
     /// Judges the text of the record at an offset. Text that is no record is
--- a/src/claims/table/queries.rs
+++ b/src/claims/table/queries.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, SystemTime};
 
 use super::{ClaimTable, HeldKey, KeyState};
-use crate::claims::answer::ClaimRefusal;
 use crate::claims::record::{ClaimName, RequestFingerprint, TimeMark};
+use crate::claims::response::ClaimRefusal;
 use crate::ids::LogOffset;
 
 impl ClaimTable {
@@ -31,7 +31,7 @@
     }
 
     /// How long until [`Self::covers`] may hold; `None` if that is not known.
-    pub fn covered_in(&self, now: SystemTime) -> Option<Duration> {
+    pub fn time_until_covered(&self, now: SystemTime) -> Option<Duration> {
         if self.unjudgeable {
             return None;
         }
--- a/src/daemon/claims/ask.rs
+++ b/src/daemon/claims/ask.rs
@@ -9,7 +9,7 @@
 
 use super::desk::OutcomeWatch;
 use crate::claims::machine::ClaimEvent;
-use crate::claims::record::{ClaimName, ClaimOutcome, KeptAnswer};
+use crate::claims::record::{ClaimName, ClaimOutcome, StoredResponse};
 use crate::claims::table::ClaimHolder;
 use crate::daemon::core::DaemonCore;
 use crate::ids::RecordId;
@@ -29,8 +29,8 @@
         false => ask_peer(core, claim, holder, wait).await,
     };
     match outcome {
-        Some(outcome) => ClaimEvent::HolderAnswered(outcome),
-        None => ClaimEvent::HolderSilent,
+        Some(outcome) => ClaimEvent::HolderReplied(outcome),
+        None => ClaimEvent::HolderUnavailable,
     }
 }
 
@@ -104,11 +104,11 @@
         return PeerOutcome::Unknown;
     };
     let body = match (outcome.verdict, outcome.answer) {
-        (_, KeptAnswer::Whole(text)) => Bytes::from(text),
+        (_, StoredResponse::Whole(text)) => Bytes::from(text),
         // The other host finds the digest in the log; an empty body would
         // pass for the answer.
-        (RunVerdict::Ran, KeptAnswer::Digest(_)) => return PeerOutcome::Unknown,
-        (_, KeptAnswer::Digest(_)) => Bytes::new(),
+        (RunVerdict::Ran, StoredResponse::Digest(_)) => return PeerOutcome::Unknown,
+        (_, StoredResponse::Digest(_)) => Bytes::new(),
     };
     PeerOutcome::Known {
         verdict: outcome.verdict,
@@ -127,7 +127,7 @@
         } => Some(ClaimOutcome {
             verdict,
             status,
-            answer: KeptAnswer::Whole(String::from_utf8(body.to_vec()).ok()?),
+            answer: StoredResponse::Whole(String::from_utf8(body.to_vec()).ok()?),
         }),
     }
 }
--- a/src/daemon/claims/desk.rs
+++ b/src/daemon/claims/desk.rs
@@ -5,9 +5,9 @@
 
 use tokio::sync::{mpsc, watch};
 
-use crate::claims::answer::ClaimAnswer;
 use crate::claims::machine::ClaimMachine;
 use crate::claims::record::{ClaimName, ClaimOutcome};
+use crate::claims::response::ClaimResponse;
 use crate::claims::table::{ClaimHolder, ClaimTable};
 use crate::claims::window::ClaimWindow;
 use crate::collections::FastMap;
@@ -63,7 +63,7 @@
     /// Ask the holder of the key.
     Ask(ClaimHolder),
     /// Answer the caller.
-    Answer(ClaimAnswer),
+    Answer(ClaimResponse),
 }
 
 impl ClaimDesk {
--- a/src/daemon/claims/feed.rs
+++ b/src/daemon/claims/feed.rs
@@ -5,9 +5,9 @@
 use std::time::{Instant, SystemTime};
 
 use super::desk::{ActiveClaim, ClaimDesk, ClaimStep};
-use crate::claims::answer::{ClaimAnswer, ClaimRefusal};
 use crate::claims::machine::{ClaimDecision, ClaimEvent};
-use crate::claims::record::{ClaimBody, ClaimEntry, ClaimOutcome, KeptAnswer};
+use crate::claims::record::{ClaimBody, ClaimEntry, ClaimOutcome, StoredResponse};
+use crate::claims::response::{ClaimRefusal, ClaimResponse};
 use crate::claims::window::ClaimTime;
 use crate::daemon::core::DaemonCore;
 use crate::ids::{LogOffset, RecordId};
@@ -62,13 +62,13 @@
         match decision {
             ClaimDecision::Append(record) => next = append(core, active, &record).or(next),
             ClaimDecision::Dispatch => tell(active, ClaimStep::Dispatch),
-            ClaimDecision::AskHolder(holder) => {
+            ClaimDecision::QueryHolder(holder) => {
                 note_lost(core, active);
                 let host = holder.owner.host.clone();
                 core.note(&active.request, JournalEvent::ClaimLost { holder: host });
                 tell(active, ClaimStep::Ask(holder));
             }
-            ClaimDecision::Answer(answer) => {
+            ClaimDecision::Respond(answer) => {
                 note_answer(core, active, &answer);
                 tell(active, ClaimStep::Answer(answer));
             }
@@ -143,13 +143,13 @@
 
 /// Counts how a claim ended that is not dispatched, and tells those who ask
 /// about the request that it was refused here.
-fn note_answer(core: &DaemonCore, active: &mut ActiveClaim, answer: &ClaimAnswer) {
-    let ClaimAnswer::Refused { refusal, .. } = answer else {
+fn note_answer(core: &DaemonCore, active: &mut ActiveClaim, answer: &ClaimResponse) {
+    let ClaimResponse::Refused { refusal, .. } = answer else {
         return note_lost(core, active);
     };
     match refusal {
         ClaimRefusal::LogUnavailable => core.metrics.claim_settled(ClaimResult::Unavailable),
-        ClaimRefusal::KeyReused | ClaimRefusal::WinnerWithdrew => note_lost(core, active),
+        ClaimRefusal::KeyReused | ClaimRefusal::HolderWithdrew => note_lost(core, active),
         _ => {}
     }
     active.outcome.send_replace(Some(not_run()));
@@ -160,6 +160,6 @@
     ClaimOutcome {
         verdict: RunVerdict::NotRun,
         status: 0,
-        answer: KeptAnswer::Whole(String::new()),
+        answer: StoredResponse::Whole(String::new()),
     }
 }
--- a/src/daemon/claims/follow.rs
+++ b/src/daemon/claims/follow.rs
@@ -75,7 +75,7 @@
             first_offset,
         } => {
             desk.log_available = true;
-            desk.table.note_read(first_offset, SystemTime::now());
+            desk.table.observe_read(first_offset, SystemTime::now());
             for record in &records {
                 apply(core, &mut desk, record);
             }
--- a/src/daemon/claims/reply.rs
+++ b/src/daemon/claims/reply.rs
@@ -7,8 +7,8 @@
 use super::ticket::ClaimSubject;
 use crate::api::backend::ServiceReply;
 use crate::api::wire::RefusalBody;
-use crate::claims::answer::{ClaimAnswer, ClaimRefusal};
-use crate::claims::record::{ClaimOutcome, KeptAnswer};
+use crate::claims::record::{ClaimOutcome, StoredResponse};
+use crate::claims::response::{ClaimRefusal, ClaimResponse};
 use crate::claims::table::KeyState;
 use crate::daemon::core::DaemonCore;
 use crate::ids::RequestId;
@@ -27,7 +27,7 @@
 pub(in crate::daemon) fn known_better(
     core: &DaemonCore,
     subject: &ClaimSubject,
-) -> Option<ClaimAnswer> {
+) -> Option<ClaimResponse> {
     let desk = core.tables.claims.lock();
     let outcome = match desk.table.look_up(&subject.name(), &subject.fingerprint) {
         KeyState::Ended(outcome) => Some(outcome),
@@ -36,8 +36,8 @@
     };
     match outcome {
         Some(outcome) if outcome.verdict == RunVerdict::NotRun => None,
-        Some(outcome) => Some(ClaimAnswer::Known(outcome)),
-        None => Some(ClaimAnswer::Unknown),
+        Some(outcome) => Some(ClaimResponse::Known(outcome)),
+        None => Some(ClaimResponse::Unknown),
     }
 }
 
@@ -46,14 +46,14 @@
 /// # Errors
 /// The refusal, with what is known of the request under the key.
 pub(in crate::daemon) fn reply_of(
-    answer: ClaimAnswer,
+    answer: ClaimResponse,
     request: &RequestId,
 ) -> Result<ServiceReply, RefusalBody> {
     match answer {
-        ClaimAnswer::Known(ClaimOutcome {
+        ClaimResponse::Known(ClaimOutcome {
             verdict: RunVerdict::Ran,
             status,
-            answer: KeptAnswer::Whole(text),
+            answer: StoredResponse::Whole(text),
         }) => Ok(ServiceReply {
             status,
             body: Bytes::from(text),
@@ -65,9 +65,9 @@
 }
 
 /// The refusal of a request whose answer cannot be given again.
-pub(in crate::daemon) fn refusal_of(answer: &ClaimAnswer, request: &RequestId) -> RefusalBody {
+pub(in crate::daemon) fn refusal_of(answer: &ClaimResponse, request: &RequestId) -> RefusalBody {
     let body = match answer {
-        ClaimAnswer::Refused {
+        ClaimResponse::Refused {
             refusal,
             retry_after,
         } => {
@@ -79,8 +79,8 @@
                 (None, _) => body,
             }
         }
-        ClaimAnswer::Known(outcome) => known(outcome),
-        ClaimAnswer::Unknown => may_have_run(
+        ClaimResponse::Known(outcome) => known(outcome),
+        ClaimResponse::Unknown => may_have_run(
             "this idempotency key was claimed before, and what became of its request is not known",
         ),
     };
--- a/src/daemon/claims/ticket.rs
+++ b/src/daemon/claims/ticket.rs
@@ -8,9 +8,11 @@
 use super::ask::ask_holder;
 use super::desk::{ActiveClaim, ClaimStep};
 use super::feed::{carry_out, claim_time, feed, feed_desk, not_run};
-use crate::claims::answer::ClaimAnswer;
-use crate::claims::machine::{ClaimEvent, ClaimMachine, ClaimOrder, ClaimPolicy};
-use crate::claims::record::{ClaimName, ClaimOutcome, ClaimOwner, KeptAnswer, RequestFingerprint};
+use crate::claims::machine::{ClaimEvent, ClaimMachine, ClaimPolicy, ClaimRequest};
+use crate::claims::record::{
+    ClaimName, ClaimOutcome, ClaimOwner, RequestFingerprint, StoredResponse,
+};
+use crate::claims::response::ClaimResponse;
 use crate::daemon::core::DaemonCore;
 use crate::ids::{OrganisationId, RecordId, RequestId};
 use crate::verdict::RunVerdict;
@@ -69,7 +71,7 @@
     pub(in crate::daemon) async fn claim(
         core: &Arc<DaemonCore>,
         subject: ClaimSubject,
-    ) -> Result<Self, ClaimAnswer> {
+    ) -> Result<Self, ClaimResponse> {
         let mut ticket = Self::open(core, subject);
         loop {
             match ticket.steps.recv().await {
@@ -80,7 +82,7 @@
                 }
                 Some(ClaimStep::Answer(answer)) => return Err(answer),
                 // Cannot happen: a machine answers before it is dropped.
-                None => return Err(ClaimAnswer::Unknown),
+                None => return Err(ClaimResponse::Unknown),
             }
         }
     }
@@ -91,7 +93,7 @@
         let claim: RecordId = format!("{host}/{incarnation:x}/{}", core.next_run_number()).into();
         let claim_deadline = Instant::now() + core.options.timing.claim_timeout;
         let name = subject.name();
-        let order = ClaimOrder {
+        let order = ClaimRequest {
             claim: claim.clone(),
             name: name.clone(),
             created: subject.key.created,
@@ -105,7 +107,7 @@
         };
         let policy = ClaimPolicy {
             retry_after: RETRY_AFTER,
-            ask_timeout: ask_timeout(core),
+            query_timeout: ask_timeout(core),
             settle_delay: SETTLE_DELAY,
         };
         let mut desk = core.tables.claims.lock();
@@ -133,7 +135,7 @@
     ///
     /// # Errors
     /// What the caller is to be told if the leave is no longer given.
-    pub(in crate::daemon) async fn authorise(mut self) -> Result<DispatchedClaim, ClaimAnswer> {
+    pub(in crate::daemon) async fn authorise(mut self) -> Result<DispatchedClaim, ClaimResponse> {
         if self.try_authorise() {
             self.is_open = false;
             return Ok(DispatchedClaim {
@@ -147,7 +149,7 @@
                 return Err(answer);
             }
         }
-        Err(ClaimAnswer::Unknown)
+        Err(ClaimResponse::Unknown)
     }
 
     fn try_authorise(&self) -> bool {
@@ -185,10 +187,10 @@
         let outcome = ClaimOutcome {
             verdict,
             status,
-            answer: KeptAnswer::of(body),
+            answer: StoredResponse::of(body),
         };
         let shared = match std::str::from_utf8(body) {
-            Ok(text) if text.len() <= MAX_SHARED_ANSWER => KeptAnswer::Whole(text.to_owned()),
+            Ok(text) if text.len() <= MAX_SHARED_ANSWER => StoredResponse::Whole(text.to_owned()),
             _ => outcome.answer.clone(),
         };
         close(&self.core, &self.claim, outcome, shared);
@@ -204,7 +206,7 @@
         let outcome = ClaimOutcome {
             verdict,
             status: http::StatusCode::OK.as_u16(),
-            answer: KeptAnswer::Digest(digest),
+            answer: StoredResponse::Digest(digest),
         };
         let shared = outcome.answer.clone();
         close(&self.core, &self.claim, outcome, shared);
@@ -218,7 +220,7 @@
             let outcome = ClaimOutcome {
                 verdict: RunVerdict::MayHaveRun,
                 status,
-                answer: KeptAnswer::Whole(String::new()),
+                answer: StoredResponse::Whole(String::new()),
             };
             let shared = outcome.answer.clone();
             close(&self.core, &self.claim, outcome, shared);
@@ -228,7 +230,7 @@
 
 /// Ends a dispatched claim: tells those who wait for the outcome here, with as
 /// much of the answer as is `shared`, and hands it to the log.
-fn close(core: &Arc<DaemonCore>, claim: &RecordId, outcome: ClaimOutcome, shared: KeptAnswer) {
+fn close(core: &Arc<DaemonCore>, claim: &RecordId, outcome: ClaimOutcome, shared: StoredResponse) {
     let mut desk = core.tables.claims.lock();
     if let Some(active) = desk.active.get(claim) {
         active.outcome.send_replace(Some(ClaimOutcome {
--- a/src/daemon/watch_steps.rs
+++ b/src/daemon/watch_steps.rs
@@ -25,7 +25,7 @@
     let mut routes = core.tables.routes.write();
     match observation {
         StepObservation::Sent { target, .. } => routes.step_sent(target, now),
-        StepObservation::Answered {
+        StepObservation::Completed {
             target,
             positions,
             latency,
@@ -43,7 +43,7 @@
             routes.step_failed(target, *reason, now);
         }
         StepObservation::Abandoned { target, .. } => routes.step_abandoned(target),
-        StepObservation::Replacing { .. } | StepObservation::AnswerDropped { .. } => {}
+        StepObservation::Replacing { .. } | StepObservation::ResponseDropped { .. } => {}
     }
 }
 
@@ -85,7 +85,7 @@
                 },
             );
         }
-        StepObservation::AnswerDropped { target } => {
+        StepObservation::ResponseDropped { target } => {
             let cause = DropCause::Unmatched;
             core.metrics.answer_dropped(cause);
             core.note(
--- a/src/run/driver.rs
+++ b/src/run/driver.rs
@@ -121,13 +121,13 @@
     /// failure follows.
     fn handle(&mut self, event: RunEvent, events: &mut VecDeque<RunEvent>) -> Vec<RunDecision> {
         let answered = match &event {
-            RunEvent::StepAnswered { target, .. } => Some(target.clone()),
+            RunEvent::ResponseReceived { target, .. } => Some(target.clone()),
             _ => None,
         };
-        let dropped = self.machine.dropped();
+        let dropped = self.machine.dropped_responses();
         let decisions = self.machine.handle(event, Instant::now());
         match (answered, self.machine.awaited_order()) {
-            (Some(target), Some(order)) if self.machine.dropped() > dropped => {
+            (Some(target), Some(order)) if self.machine.dropped_responses() > dropped => {
                 events.push_back(RunEvent::StepFailed {
                     label: order.label.clone(),
                     position: order.position,
@@ -138,7 +138,7 @@
                         refusal: None,
                     },
                 });
-                (self.hooks.observe)(StepObservation::AnswerDropped { target });
+                (self.hooks.observe)(StepObservation::ResponseDropped { target });
             }
             _ => {}
         }
@@ -274,23 +274,23 @@
             retry,
         });
         let began = Instant::now();
-        let answer = tokio::select! {
+        let response = tokio::select! {
             biased;
             event = self.interruption() => {
                 (self.hooks.observe)(StepObservation::Abandoned { target, positions });
                 return event;
             }
-            answer = self.call(&target, &order) => answer,
+            response = self.call(&target, &order) => response,
         };
         let latency = began.elapsed();
-        match answer {
-            Ok(answer) => {
-                (self.hooks.observe)(StepObservation::Answered {
+        match response {
+            Ok(response) => {
+                (self.hooks.observe)(StepObservation::Completed {
                     target: target.clone(),
                     positions,
                     latency,
                 });
-                RunEvent::StepAnswered { target, answer }
+                RunEvent::ResponseReceived { target, response }
             }
             Err(failure) => {
                 (self.hooks.observe)(StepObservation::Failed {
--- a/src/run/event.rs
+++ b/src/run/event.rs
@@ -11,11 +11,11 @@
     /// The run may begin.
     Started,
     /// A target answered a step.
-    StepAnswered {
+    ResponseReceived {
         /// Target that answered.
         target: TargetId,
         /// Its answer, not yet matched against what is awaited.
-        answer: StepAnswer,
+        response: StepAnswer,
     },
     /// A step brought no answer.
     StepFailed {
--- a/src/run/hooks.rs
+++ b/src/run/hooks.rs
@@ -31,7 +31,7 @@
         retry: Option<RetryReason>,
     },
     /// A step was answered.
-    Answered {
+    Completed {
         /// Target asked.
         target: TargetId,
         /// Positions in the step.
@@ -69,7 +69,7 @@
         chosen: Option<TargetId>,
     },
     /// An answer matched nothing awaited and was dropped.
-    AnswerDropped {
+    ResponseDropped {
         /// Target that sent it.
         target: TargetId,
     },
@@ -92,6 +92,6 @@
     /// Whether a target is leaving.
     pub is_leaving: L,
     /// Told of each step; every `Sent` is followed by exactly one of
-    /// `Answered`, `Failed` and `Abandoned`.
+    /// `Completed`, `Failed` and `Abandoned`.
     pub observe: O,
 }
--- a/src/run/machine.rs
+++ b/src/run/machine.rs
@@ -111,8 +111,8 @@
     pub fn handle(&mut self, event: RunEvent, now: Instant) -> Vec<RunDecision> {
         let mut decisions = Vec::new();
         match event {
-            RunEvent::StepAnswered { target, answer } => {
-                self.on_answer(&target, &answer, &mut decisions);
+            RunEvent::ResponseReceived { target, response } => {
+                self.on_answer(&target, &response, &mut decisions);
             }
             _ if self.phase == RunPhase::Finished => {}
             RunEvent::Started => self.on_started(&mut decisions),
--- a/src/run/machine/answers.rs
+++ b/src/run/machine/answers.rs
@@ -16,32 +16,32 @@
     pub(super) fn on_answer(
         &mut self,
         target: &TargetId,
-        answer: &StepAnswer,
+        response: &StepAnswer,
         decisions: &mut Vec<RunDecision>,
     ) {
-        if !self.is_awaited(target, answer) {
+        if !self.is_awaited(target, response) {
             self.dropped += 1;
             return;
         }
         let end = self.wave.end();
         let is_last = self.wave.stage + 1 == self.stages.len();
         self.stages[self.wave.stage].next_position = end;
-        match answer.outputs.last() {
+        match response.outputs.last() {
             Some(token) if is_last => self.deliver(*token, decisions),
             _ => {
-                self.wave.advance(&answer.outputs);
+                self.wave.advance(&response.outputs);
                 self.send_wave(None, decisions);
             }
         }
     }
 
-    fn is_awaited(&self, target: &TargetId, answer: &StepAnswer) -> bool {
+    fn is_awaited(&self, target: &TargetId, response: &StepAnswer) -> bool {
         match &self.phase {
             RunPhase::AwaitAnswer(awaited) => {
                 awaited.target == *target
-                    && awaited.order.label == answer.label
-                    && awaited.order.position == answer.position
-                    && awaited.order.inputs.len() == answer.outputs.len()
+                    && awaited.order.label == response.label
+                    && awaited.order.position == response.position
+                    && awaited.order.inputs.len() == response.outputs.len()
             }
             _ => false,
         }
--- a/src/run/machine/queries.rs
+++ b/src/run/machine/queries.rs
@@ -7,7 +7,7 @@
 
 impl RunMachine {
     /// Answers that matched nothing awaited.
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_responses(&self) -> u64 {
         self.dropped
     }
 
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -4,14 +4,14 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use jackdawwick::claims::answer::{ClaimAnswer, ClaimRefusal};
 use jackdawwick::claims::key::{KeyError, parse_key};
 use jackdawwick::claims::machine::{
-    ClaimDecision, ClaimEvent, ClaimMachine, ClaimOrder, ClaimPolicy,
+    ClaimDecision, ClaimEvent, ClaimMachine, ClaimPolicy, ClaimRequest,
 };
 use jackdawwick::claims::record::{
     ClaimBody, ClaimEntry, ClaimName, ClaimOwner, RequestFingerprint, TimeMark,
 };
+use jackdawwick::claims::response::{ClaimRefusal, ClaimResponse};
 use jackdawwick::claims::table::{ClaimJudgement, ClaimTable};
 use jackdawwick::claims::window::{ClaimTime, ClaimWindow};
 use jackdawwick::records::{JUDGING_RULES, LogRecord};
@@ -48,7 +48,7 @@
 }
 
 fn machine(claim: &str, incarnation: u64, body: &[u8], now: ClaimTime) -> ClaimMachine {
-    let order = ClaimOrder {
+    let order = ClaimRequest {
         claim: claim.into(),
         name: ClaimName {
             organisation: "franchise".into(),
@@ -65,7 +65,7 @@
     };
     let policy = ClaimPolicy {
         retry_after: SECOND,
-        ask_timeout: SECOND,
+        query_timeout: SECOND,
         settle_delay: SECOND,
     };
     ClaimMachine::new(order, owner, policy)
@@ -77,7 +77,7 @@
 
 fn refusal(decisions: &[ClaimDecision]) -> ClaimRefusal {
     match decisions.first().unwrap() {
-        ClaimDecision::Answer(ClaimAnswer::Refused { refusal, .. }) => *refusal,
+        ClaimDecision::Respond(ClaimResponse::Refused { refusal, .. }) => *refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -108,7 +108,7 @@
 fn starting_host_waits_until_missed_claims_no_longer_count() {
     let mut table = table();
     assert!(!table.covers(at(0)), "nothing read yet");
-    table.note_read(50, at(1000));
+    table.observe_read(50, at(1000));
     assert!(!table.covers(at(1000)));
     assert!(!table.covers(at(1104)));
     assert!(table.covers(at(1105)), "window and skew have passed");
@@ -121,7 +121,7 @@
     table.apply(51, &mark(50, at(895)));
     assert!(table.covers(at(1000)));
 
-    table.note_read(60, at(1010));
+    table.observe_read(60, at(1010));
     assert!(
         !table.covers(at(1010)),
         "frozen while 52..60 came and expired"
@@ -136,7 +136,7 @@
 #[test]
 fn unknown_rules_end_coverage() {
     let mut table = table();
-    table.note_read(0, at(0));
+    table.observe_read(0, at(0));
     assert!(table.covers(at(0)));
     let junk = table.apply_raw(0, "{\"rules\":1}").judgement;
     assert_eq!(junk, ClaimJudgement::Ignored);
@@ -154,7 +154,7 @@
 #[test]
 fn clock_set_back_does_not_revive_forgotten_keys() {
     let mut table = table();
-    table.note_read(0, at(0));
+    table.observe_read(0, at(0));
     assert_eq!(table.admit(at(0), at(10)), Ok(()));
     table.prune(at(500));
     assert_eq!(table.admit(at(0), at(10)), Err(ClaimRefusal::KeyExpired));
@@ -172,7 +172,7 @@
 fn claim_of_a_dead_incarnation_stays_unknown() {
     let mut table = table();
     let now = time(at(0));
-    table.note_read(0, now.wall);
+    table.observe_read(0, now.wall);
     let begun = machine("old", 1, b"pay", now).handle(BEGIN, &table, now);
     let [ClaimDecision::Append(record)] = &begun[..] else {
         panic!("no claim appended: {begun:?}");
@@ -180,8 +180,8 @@
     assert_eq!(table.apply(0, record), ClaimJudgement::Won);
 
     let answer = machine("new", 2, b"pay", now).handle(BEGIN, &table, now);
-    assert_eq!(answer, [ClaimDecision::Answer(ClaimAnswer::Unknown)]);
-    assert_eq!(ClaimAnswer::Unknown.verdict(), RunVerdict::MayHaveRun);
+    assert_eq!(answer, [ClaimDecision::Respond(ClaimResponse::Unknown)]);
+    assert_eq!(ClaimResponse::Unknown.verdict(), RunVerdict::MayHaveRun);
     let other = machine("other", 2, b"pay twice", now).handle(BEGIN, &table, now);
     assert_eq!(refusal(&other), ClaimRefusal::KeyReused);
 }
@@ -190,17 +190,17 @@
 fn log_outage_refuses_at_once() {
     let mut table = table();
     let now = time(at(0));
-    table.note_read(0, now.wall);
+    table.observe_read(0, now.wall);
     let outage = ClaimEvent::Begin {
         log_available: false,
     };
     let decisions = machine("c", 1, b"pay", now).handle(outage, &table, now);
-    let refused = ClaimAnswer::Refused {
+    let refused = ClaimResponse::Refused {
         refusal: ClaimRefusal::LogUnavailable,
         retry_after: Some(SECOND),
     };
     assert_eq!(refused.verdict(), RunVerdict::NotRun);
-    assert_eq!(decisions, [ClaimDecision::Answer(refused)]);
+    assert_eq!(decisions, [ClaimDecision::Respond(refused)]);
 }
 
 #[test]
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -5,14 +5,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use jackdawwick::claims::answer::ClaimAnswer;
 use jackdawwick::claims::machine::{
-    ClaimDecision, ClaimEvent, ClaimMachine, ClaimOrder, ClaimPolicy,
+    ClaimDecision, ClaimEvent, ClaimMachine, ClaimPolicy, ClaimRequest,
 };
 use jackdawwick::claims::record::{
-    ClaimBody, ClaimDetails, ClaimEntry, ClaimName, ClaimOutcome, ClaimOwner, ClaimRef, KeptAnswer,
-    RequestFingerprint, TimeMark,
+    ClaimBody, ClaimDetails, ClaimEntry, ClaimName, ClaimOutcome, ClaimOwner, ClaimRef,
+    RequestFingerprint, StoredResponse, TimeMark,
 };
+use jackdawwick::claims::response::ClaimResponse;
 use jackdawwick::claims::table::{ClaimJudgement, ClaimTable, JudgedClaim, KeyState};
 use jackdawwick::claims::window::{ClaimTime, ClaimWindow};
 use jackdawwick::ids::RecordId;
@@ -58,7 +58,7 @@
 }
 
 fn outcome(verdict: RunVerdict) -> ClaimOutcome {
-    let answer = KeptAnswer::of(b"done");
+    let answer = StoredResponse::of(b"done");
     ClaimOutcome {
         verdict,
         status: 200,
@@ -429,7 +429,7 @@
         self.requests += 1;
         let created = *self.keys.entry(key).or_insert(now.wall);
         let incarnation = self.hosts[host].incarnation;
-        let order = ClaimOrder {
+        let order = ClaimRequest {
             claim: format!("{host}/{incarnation}/{}", self.requests).into(),
             name: name(key),
             created,
@@ -443,7 +443,7 @@
         };
         let policy = ClaimPolicy {
             retry_after: SECOND,
-            ask_timeout: SECOND,
+            query_timeout: SECOND,
             settle_delay: SECOND,
         };
         let (claim, deadline) = (order.claim.clone(), order.deadline);
@@ -493,13 +493,15 @@
                         .unwrap()
                         .to_dispatch = true;
                 }
-                ClaimDecision::AskHolder(_) => self.event(host, claim, ClaimEvent::HolderSilent),
-                ClaimDecision::Answer(answer) => self.take_answer(host, claim, &answer),
+                ClaimDecision::QueryHolder(_) => {
+                    self.event(host, claim, ClaimEvent::HolderUnavailable);
+                }
+                ClaimDecision::Respond(answer) => self.take_answer(host, claim, &answer),
             }
         }
     }
 
-    fn take_answer(&mut self, host: usize, claim: &RecordId, answer: &ClaimAnswer) {
+    fn take_answer(&mut self, host: usize, claim: &RecordId, answer: &ClaimResponse) {
         assert!(
             self.answered.insert(claim.clone()),
             "{claim} answered twice"
@@ -510,7 +512,7 @@
             "{claim} answered after its dispatch"
         );
         match answer {
-            ClaimAnswer::Known(outcome) => {
+            ClaimResponse::Known(outcome) => {
                 assert_ne!(outcome.verdict, RunVerdict::NotRun);
                 assert!(
                     self.dispatched.contains_key(&entry.key),
@@ -555,7 +557,7 @@
         let now = self.now(host);
         let first_offset = self.first_offset();
         let table = &mut self.hosts[host].table;
-        table.note_read(u64::try_from(first_offset).unwrap(), now.wall);
+        table.observe_read(u64::try_from(first_offset).unwrap(), now.wall);
         table.prune(now.wall);
         for _ in 0..count {
             let table = &mut self.hosts[host].table;
--- a/tests/run_model/engines.rs
+++ b/tests/run_model/engines.rs
@@ -117,11 +117,11 @@
             self.computed_uncached += u64::from(self.cached.insert((position, session.kv[0])));
         }
         let end = start + order.inputs.len();
-        let answer = StepAnswer {
+        let response = StepAnswer {
             label: order.label.clone(),
             position: order.position,
             outputs: session.outputs[start..end].to_vec(),
         };
-        Ok((answer, session.inputs[..end].to_vec()))
+        Ok((response, session.inputs[..end].to_vec()))
     }
 }
--- a/tests/run_model/faults.rs
+++ b/tests/run_model/faults.rs
@@ -98,9 +98,9 @@
                 HeldOrder::Step(order) => {
                     let target = target.clone();
                     let run = engine.step(&order, self.stages).ok();
-                    let past = run.map(|(answer, inputs)| PastAnswer {
+                    let past = run.map(|(response, inputs)| PastAnswer {
                         target,
-                        answer,
+                        response,
                         inputs,
                     });
                     self.past.extend(past);
@@ -111,13 +111,13 @@
 }
 
 /// The same answer, but for one part.
-pub(super) fn crossed_answer(mut answer: StepAnswer, part: u8) -> StepAnswer {
+pub(super) fn crossed_answer(mut response: StepAnswer, part: u8) -> StepAnswer {
     match part {
-        0 => answer.label.request = "another".into(),
-        1 => answer.label.attempt += 1000,
-        2 => answer.label.stage += 1000,
-        3 => answer.position += 1000,
-        _ => answer.outputs.push(0),
+        0 => response.label.request = "another".into(),
+        1 => response.label.attempt += 1000,
+        2 => response.label.stage += 1000,
+        3 => response.position += 1000,
+        _ => response.outputs.push(0),
     }
-    answer
+    response
 }
--- a/tests/run_model/world.rs
+++ b/tests/run_model/world.rs
@@ -27,7 +27,7 @@
 #[derive(Clone)]
 struct PastAnswer {
     target: TargetId,
-    answer: StepAnswer,
+    response: StepAnswer,
     inputs: Vec<u64>,
 }
 
@@ -131,11 +131,14 @@
         let stale: Vec<PastAnswer> = self.past[skipped..].to_vec();
         for PastAnswer {
             target,
-            answer,
+            response,
             inputs,
         } in stale
         {
-            self.feed(RunEvent::StepAnswered { target, answer }, Some(inputs));
+            self.feed(
+                RunEvent::ResponseReceived { target, response },
+                Some(inputs),
+            );
         }
         let Some(order) = self.machine.awaited_order().cloned() else {
             return;
@@ -149,23 +152,23 @@
         let target = self.machine.targets().nth(place).cloned();
         let target = target.expect("a stage of the route");
         for part in 0..CROSSED_PARTS {
-            let answer = crossed_answer(forged.clone(), part);
+            let response = crossed_answer(forged.clone(), part);
             let target = target.clone();
-            self.feed(RunEvent::StepAnswered { target, answer }, None);
+            self.feed(RunEvent::ResponseReceived { target, response }, None);
         }
         let target = "another".into();
-        let answer = forged;
-        self.feed(RunEvent::StepAnswered { target, answer }, None);
+        let response = forged;
+        self.feed(RunEvent::ResponseReceived { target, response }, None);
     }
 
     fn feed(&mut self, event: RunEvent, inputs: Option<Vec<u64>>) {
         let stage = match &event {
-            RunEvent::StepAnswered { answer, .. } => Some(answer.label.stage),
+            RunEvent::ResponseReceived { response, .. } => Some(response.label.stage),
             _ => None,
         };
-        let dropped = self.machine.dropped();
+        let dropped = self.machine.dropped_responses();
         let decisions = self.machine.handle(event, self.now);
-        let is_accepted = stage.filter(|_| self.machine.dropped() == dropped);
+        let is_accepted = stage.filter(|_| self.machine.dropped_responses() == dropped);
         if let Some(stage) = is_accepted {
             self.chain[stage] = inputs.expect("a crossed answer was accepted");
         }
@@ -299,28 +302,28 @@
             }
             _ => match engine.step(&order, self.stages) {
                 Err(refusal) => (RetryReason::SessionLost, RunVerdict::NotRun, Some(refusal)),
-                Ok((answer, inputs)) => {
+                Ok((response, inputs)) => {
                     self.order_seen = true;
                     engine.is_dead = fault == Some(Fault::DieAfter);
                     let target = target.clone();
                     let past = PastAnswer {
                         target: target.clone(),
-                        answer,
+                        response,
                         inputs,
                     };
                     self.past.push(past.clone());
                     match fault {
                         Some(Fault::DieAfter | Fault::LoseAnswer) => lost(),
                         Some(Fault::Cross(part)) => {
-                            let answer = crossed_answer(past.answer, part);
-                            let event = RunEvent::StepAnswered { target, answer };
+                            let response = crossed_answer(past.response, part);
+                            let event = RunEvent::ResponseReceived { target, response };
                             self.due.push_back((event, None));
                             (RetryReason::AnswerMismatched, RunVerdict::MayHaveRun, None)
                         }
                         _ => {
-                            let event = RunEvent::StepAnswered {
+                            let event = RunEvent::ResponseReceived {
                                 target,
-                                answer: past.answer,
+                                response: past.response,
                             };
                             return self.due.push_back((event, Some(past.inputs)));
                         }
--- a/tests/target_client/driver.rs
+++ b/tests/target_client/driver.rs
@@ -117,7 +117,7 @@
         observed.lock().iter().filter(|seen| wanted(seen)).count()
     };
     assert_eq!(
-        count(|seen| matches!(seen, StepObservation::AnswerDropped { .. })),
+        count(|seen| matches!(seen, StepObservation::ResponseDropped { .. })),
         1
     );
     assert_eq!(
