--- a/src/claims/coverage.rs
+++ b/src/claims/coverage.rs
@@ -12,7 +12,7 @@
     /// Nothing has been read yet.
     Unread,
     /// Nothing was missed.
-    Whole,
+    Complete,
     /// Some records were missed, because they had expired.
     Missed {
         /// All missed records are below this offset.
@@ -24,7 +24,7 @@
 
 impl LogCoverage {
     /// Notes that records below `below` were missed.
-    pub(super) fn miss(&mut self, below: LogOffset) {
+    pub(super) fn record_missed(&mut self, below: LogOffset) {
         *self = Self::Missed {
             below,
             before: None,
@@ -35,14 +35,14 @@
     /// been appended by then.
     pub(super) fn observe_read(&mut self, now: SystemTime) {
         match self {
-            Self::Unread => *self = Self::Whole,
+            Self::Unread => *self = Self::Complete,
             Self::Missed { before, .. } if before.is_none() => *before = Some(now),
-            Self::Whole | Self::Missed { .. } => {}
+            Self::Complete | Self::Missed { .. } => {}
         }
     }
 
     /// Learns from a record's time mark how old the missed records are.
-    pub(super) fn note_mark(&mut self, mark: &TimeMark) {
+    pub(super) fn observe_mark(&mut self, mark: &TimeMark) {
         match self {
             Self::Missed { below, before } if mark.seen >= *below => {
                 let written = before.map_or(mark.written, |time| time.min(mark.written));
@@ -56,11 +56,11 @@
     pub(super) fn complete_at(&self, window: &ClaimWindow) -> Option<SystemTime> {
         match self {
             Self::Unread | Self::Missed { before: None, .. } => None,
-            Self::Whole => Some(SystemTime::UNIX_EPOCH),
+            Self::Complete => Some(SystemTime::UNIX_EPOCH),
             Self::Missed {
                 before: Some(before),
                 ..
-            } => Some(window.forgettable_at(*before)),
+            } => Some(window.all_expired_at(*before)),
         }
     }
 }
--- a/src/claims/key.rs
+++ b/src/claims/key.rs
@@ -9,7 +9,7 @@
 use crate::ids::IdempotencyKey;
 
 /// The UUID version whose first 48 bits are the unix time in milliseconds.
-const TIMED_VERSION: usize = 7;
+const TIMESTAMPED_UUID_VERSION: usize = 7;
 
 /// Bytes of the timestamp in front of such a UUID.
 const TIMESTAMP_BYTES: usize = 6;
@@ -49,7 +49,7 @@
         .and_then(|rest| rest.strip_suffix('"'))
         .unwrap_or(value);
     let uuid = Uuid::parse_str(text).map_err(|_| KeyError::NotUuid)?;
-    if uuid.get_version_num() != TIMED_VERSION {
+    if uuid.get_version_num() != TIMESTAMPED_UUID_VERSION {
         return Err(KeyError::NoTime(uuid.get_version_num()));
     }
     let millis = uuid.as_bytes()[..TIMESTAMP_BYTES]
--- a/src/claims/machine.rs
+++ b/src/claims/machine.rs
@@ -104,7 +104,7 @@
 /// The claimant's state for one request.
 #[derive(Debug)]
 pub struct ClaimMachine {
-    order: ClaimRequest,
+    request: ClaimRequest,
     owner: ClaimOwner,
     policy: ClaimPolicy,
     state: ClaimState,
@@ -122,7 +122,7 @@
     /// A permit was given out. It is never given again.
     Dispatched,
     /// Another daemon holds the key and is being asked.
-    Asking {
+    Querying {
         /// Until when.
         until: Instant,
     },
@@ -134,15 +134,15 @@
 #[derive(Debug, Clone)]
 struct ClaimSettlement {
     record: LogRecord<ClaimBody>,
-    next_try: Instant,
+    next_attempt: Instant,
     delay: Duration,
 }
 
 impl ClaimMachine {
     /// A machine for a request of this daemon's.
-    pub fn new(order: ClaimRequest, owner: ClaimOwner, policy: ClaimPolicy) -> Self {
+    pub fn new(request: ClaimRequest, owner: ClaimOwner, policy: ClaimPolicy) -> Self {
         Self {
-            order,
+            request,
             owner,
             policy,
             state: ClaimState::New,
@@ -152,13 +152,13 @@
 
     /// Id of the claim's record.
     pub fn claim_id(&self) -> &RecordId {
-        &self.order.claim
+        &self.request.claim
     }
 
     /// Id of the record that withdraws the claim or says how it ended. A
     /// machine appends only one of the two.
     pub fn settlement_id(&self) -> RecordId {
-        format!("{}/settled", self.order.claim).into()
+        format!("{}/settled", self.request.claim).into()
     }
 
     /// Whether nothing is left to do, so that the machine may be dropped.
--- a/src/claims/machine/transitions.rs
+++ b/src/claims/machine/transitions.rs
@@ -31,23 +31,23 @@
                 self.refuse(ClaimRefusal::LogUnavailable, table, now)
             }
             (ClaimState::Waiting, ClaimEvent::ClaimReplayed(judgement)) => {
-                self.take_judgement(judgement, table, now)
+                self.on_judgement(judgement, table, now)
             }
-            (ClaimState::Waiting, ClaimEvent::Tick) if self.is_late(now) => {
+            (ClaimState::Waiting, ClaimEvent::Tick) if self.is_past_deadline(now) => {
                 self.give_up(ClaimRefusal::NotConfirmed, table, now)
             }
-            (ClaimState::Won, ClaimEvent::Tick) if self.is_late(now) => {
+            (ClaimState::Won, ClaimEvent::Tick) if self.is_past_deadline(now) => {
                 self.give_up(ClaimRefusal::DeadlinePassed, table, now)
             }
-            (ClaimState::Asking { .. }, ClaimEvent::HolderReplied(outcome)) => {
-                self.answer(ClaimResponse::Known(outcome))
+            (ClaimState::Querying { .. }, ClaimEvent::HolderReplied(outcome)) => {
+                self.respond(ClaimResponse::Known(outcome))
             }
-            (ClaimState::Asking { .. }, ClaimEvent::HolderUnavailable) => {
-                self.answer_from(table, now)
+            (ClaimState::Querying { .. }, ClaimEvent::HolderUnavailable) => {
+                self.respond_from_log(table, now)
             }
-            (ClaimState::Asking { until }, ClaimEvent::Tick) if until <= now.instant => {
-                let mut decisions = self.answer_from(table, now);
-                decisions.extend(self.settle_again(table, now));
+            (ClaimState::Querying { until }, ClaimEvent::Tick) if until <= now.instant => {
+                let mut decisions = self.respond_from_log(table, now);
+                decisions.extend(self.retry_settlement(table, now));
                 decisions
             }
             (ClaimState::Dispatched, ClaimEvent::Finished(outcome)) => {
@@ -57,7 +57,7 @@
                 self.settlement = None;
                 Vec::new()
             }
-            (_, ClaimEvent::Tick) => self.settle_again(table, now),
+            (_, ClaimEvent::Tick) => self.retry_settlement(table, now),
             // Late or doubled events of a state that has passed.
             _ => Vec::new(),
         }
@@ -82,15 +82,15 @@
         // deadline, the key's window or its knowledge of the log may have
         // lapsed meanwhile: it would show as a request run long after its
         // caller left, or a second time after its claim expired everywhere.
-        if self.is_late(now) {
+        if self.is_past_deadline(now) {
             return Err(self.give_up(ClaimRefusal::DeadlinePassed, table, now));
         }
-        if let Err(refusal) = table.admit(self.order.created, now.wall) {
+        if let Err(refusal) = table.admit(self.request.created, now.wall) {
             return Err(self.give_up(refusal, table, now));
         }
         self.state = ClaimState::Dispatched;
         Ok(DispatchPermit {
-            claim: self.order.claim.clone(),
+            claim: self.request.claim.clone(),
         })
     }
 
@@ -100,11 +100,11 @@
         table: &ClaimTable,
         now: ClaimTime,
     ) -> Vec<ClaimDecision> {
-        let key_state = table.look_up(&self.order.name, &self.order.fingerprint);
+        let key_state = table.look_up(&self.request.name, &self.request.fingerprint);
         if key_state != KeyState::Free {
-            return self.defer_to(key_state, now);
+            return self.respond_for_key(key_state, now);
         }
-        if let Err(refusal) = table.admit(self.order.created, now.wall) {
+        if let Err(refusal) = table.admit(self.request.created, now.wall) {
             return self.refuse(refusal, table, now);
         }
         if !log_available {
@@ -112,23 +112,23 @@
         }
         self.state = ClaimState::Waiting;
         let entry = ClaimEntry::Claim(ClaimDetails {
-            name: self.order.name.clone(),
-            request: self.order.request.clone(),
-            fingerprint: self.order.fingerprint,
-            created: self.order.created,
+            name: self.request.name.clone(),
+            request: self.request.request.clone(),
+            fingerprint: self.request.fingerprint,
+            created: self.request.created,
         });
-        let record = self.record(self.order.claim.clone(), entry, table, now);
+        let record = self.record(self.request.claim.clone(), entry, table, now);
         vec![ClaimDecision::Append(record)]
     }
 
-    fn take_judgement(
+    fn on_judgement(
         &mut self,
         judgement: ClaimJudgement,
         table: &ClaimTable,
         now: ClaimTime,
     ) -> Vec<ClaimDecision> {
         match judgement {
-            ClaimJudgement::Won if self.is_late(now) => {
+            ClaimJudgement::Won if self.is_past_deadline(now) => {
                 self.give_up(ClaimRefusal::DeadlinePassed, table, now)
             }
             ClaimJudgement::Won => {
@@ -137,11 +137,11 @@
             }
             ClaimJudgement::Lost {
                 mismatched: true, ..
-            } => self.defer_to(KeyState::Mismatched, now),
+            } => self.respond_for_key(KeyState::Mismatched, now),
             ClaimJudgement::Lost { holder, .. } => {
-                match table.look_up(&self.order.name, &self.order.fingerprint) {
-                    KeyState::Ended(outcome) => self.defer_to(KeyState::Ended(outcome), now),
-                    _ => self.defer_to(KeyState::Held(holder), now),
+                match table.look_up(&self.request.name, &self.request.fingerprint) {
+                    KeyState::Ended(outcome) => self.respond_for_key(KeyState::Ended(outcome), now),
+                    _ => self.respond_for_key(KeyState::Held(holder), now),
                 }
             }
             ClaimJudgement::TooOld => self.give_up(ClaimRefusal::KeyExpired, table, now),
@@ -150,42 +150,42 @@
     }
 
     /// Answers without a dispatch, because of what the log says of the key.
-    fn defer_to(&mut self, key_state: KeyState, now: ClaimTime) -> Vec<ClaimDecision> {
+    fn respond_for_key(&mut self, key_state: KeyState, now: ClaimTime) -> Vec<ClaimDecision> {
         match key_state {
-            KeyState::Ended(outcome) => self.answer(ClaimResponse::Known(outcome)),
-            KeyState::Held(holder) if self.is_own_past(&holder) => {
-                self.answer(ClaimResponse::Unknown)
+            KeyState::Ended(outcome) => self.respond(ClaimResponse::Known(outcome)),
+            KeyState::Held(holder) if self.is_previous_incarnation(&holder) => {
+                self.respond(ClaimResponse::Unknown)
             }
             KeyState::Held(holder) => {
-                self.state = ClaimState::Asking {
+                self.state = ClaimState::Querying {
                     until: now.instant + self.policy.query_timeout,
                 };
                 vec![ClaimDecision::QueryHolder(holder)]
             }
-            KeyState::Mismatched => self.answer_refused(ClaimRefusal::KeyReused, None),
+            KeyState::Mismatched => self.respond_refused(ClaimRefusal::KeyReused, None),
             KeyState::Free => {
                 let retry_after = Some(self.policy.retry_after);
-                self.answer_refused(ClaimRefusal::HolderWithdrew, retry_after)
+                self.respond_refused(ClaimRefusal::HolderWithdrew, retry_after)
             }
         }
     }
 
     /// Answers a caller whose request another daemon holds, from the log
     /// alone, because that daemon cannot be asked.
-    fn answer_from(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
-        match table.look_up(&self.order.name, &self.order.fingerprint) {
-            KeyState::Held(_) => self.answer(ClaimResponse::Unknown),
+    fn respond_from_log(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
+        match table.look_up(&self.request.name, &self.request.fingerprint) {
+            KeyState::Held(_) => self.respond(ClaimResponse::Unknown),
             // A claim that was forgotten looks like one that was withdrawn.
-            KeyState::Free if table.admit(self.order.created, now.wall).is_err() => {
-                self.answer(ClaimResponse::Unknown)
+            KeyState::Free if table.admit(self.request.created, now.wall).is_err() => {
+                self.respond(ClaimResponse::Unknown)
             }
-            key_state => self.defer_to(key_state, now),
+            key_state => self.respond_for_key(key_state, now),
         }
     }
 
     /// Whether a claim was made by an earlier life of this daemon, which can
     /// neither dispatch any more nor tell whether it did.
-    fn is_own_past(&self, holder: &ClaimHolder) -> bool {
+    fn is_previous_incarnation(&self, holder: &ClaimHolder) -> bool {
         holder.owner.host == self.owner.host && holder.owner.incarnation != self.owner.incarnation
     }
 
@@ -200,13 +200,13 @@
         table: &ClaimTable,
         now: ClaimTime,
     ) -> Vec<ClaimDecision> {
-        let held_by_other = match table.look_up(&self.order.name, &self.order.fingerprint) {
-            KeyState::Held(holder) if holder.claim == self.order.claim => None,
+        let other_key_state = match table.look_up(&self.request.name, &self.request.fingerprint) {
+            KeyState::Held(holder) if holder.claim == self.request.claim => None,
             KeyState::Free => None,
             key_state => Some(key_state),
         };
-        let mut decisions = match held_by_other {
-            Some(key_state) => self.defer_to(key_state, now),
+        let mut decisions = match other_key_state {
+            Some(key_state) => self.respond_for_key(key_state, now),
             None => self.refuse(refusal, table, now),
         };
         let withdrawal = ClaimEntry::Withdraw(self.claim_ref());
@@ -234,7 +234,7 @@
         let record = self.record(self.settlement_id(), entry, table, now);
         self.settlement = Some(ClaimSettlement {
             record: record.clone(),
-            next_try: now.instant + self.policy.settle_delay,
+            next_attempt: now.instant + self.policy.settle_delay,
             delay: self.policy.settle_delay,
         });
         ClaimDecision::Append(record)
@@ -242,15 +242,15 @@
 
     /// Appends a settlement again that has not shown in the log. Without it
     /// the key stays blocked until its window has passed.
-    fn settle_again(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
-        if table.is_forgettable(self.order.created, now.wall) {
+    fn retry_settlement(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
+        if table.is_prunable(self.request.created, now.wall) {
             self.settlement = None;
         }
         match &mut self.settlement {
-            Some(settlement) if settlement.next_try <= now.instant => {
+            Some(settlement) if settlement.next_attempt <= now.instant => {
                 let longest = self.policy.settle_delay * 2_u32.pow(MAX_SETTLE_DOUBLINGS);
                 settlement.delay = (settlement.delay * 2).min(longest);
-                settlement.next_try = now.instant + settlement.delay;
+                settlement.next_attempt = now.instant + settlement.delay;
                 vec![ClaimDecision::Append(settlement.record.clone())]
             }
             _ => Vec::new(),
@@ -272,33 +272,33 @@
                 .map(|delay| delay.max(self.policy.retry_after)),
             _ => Some(self.policy.retry_after),
         };
-        self.answer_refused(refusal, retry_after)
+        self.respond_refused(refusal, retry_after)
     }
 
-    fn answer_refused(
+    fn respond_refused(
         &mut self,
         refusal: ClaimRefusal,
         retry_after: Option<Duration>,
     ) -> Vec<ClaimDecision> {
-        self.answer(ClaimResponse::Refused {
+        self.respond(ClaimResponse::Refused {
             refusal,
             retry_after,
         })
     }
 
-    fn answer(&mut self, answer: ClaimResponse) -> Vec<ClaimDecision> {
+    fn respond(&mut self, response: ClaimResponse) -> Vec<ClaimDecision> {
         self.state = ClaimState::Closed;
-        vec![ClaimDecision::Respond(answer)]
+        vec![ClaimDecision::Respond(response)]
     }
 
-    fn is_late(&self, now: ClaimTime) -> bool {
-        now.instant >= self.order.deadline
+    fn is_past_deadline(&self, now: ClaimTime) -> bool {
+        now.instant >= self.request.deadline
     }
 
     fn claim_ref(&self) -> ClaimRef {
         ClaimRef {
-            claim: self.order.claim.clone(),
-            created: self.order.created,
+            claim: self.request.claim.clone(),
+            created: self.request.created,
         }
     }
 
--- a/src/claims/table.rs
+++ b/src/claims/table.rs
@@ -19,7 +19,7 @@
     next_offset: LogOffset,
     coverage: LogCoverage,
     /// Set once a record has come that this program cannot judge.
-    unjudgeable: bool,
+    saw_newer_rules: bool,
     claims: FastMap<RecordId, KnownClaim>,
     /// The live or ended claim of each key.
     holders: FastMap<ClaimName, HeldKey>,
@@ -27,7 +27,7 @@
     by_age: BTreeSet<(SystemTime, RecordId)>,
     /// Keys made before this may have been forgotten. Never moves back, even
     /// if the wall clock does.
-    forgotten_before: SystemTime,
+    pruned_before: SystemTime,
     last_mark: SystemTime,
 }
 
@@ -35,12 +35,12 @@
 #[derive(Debug, Clone)]
 struct KnownClaim {
     owner: ClaimOwner,
-    standing: ClaimStanding,
+    status: ClaimStatus,
 }
 
 /// What has become of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum ClaimStanding {
+enum ClaimStatus {
     /// It holds its key: its owner may dispatch, may have dispatched, or has
     /// finished.
     Holds(ClaimName),
@@ -126,11 +126,11 @@
             window,
             next_offset: 0,
             coverage: LogCoverage::Unread,
-            unjudgeable: false,
+            saw_newer_rules: false,
             claims: FastMap::default(),
             holders: FastMap::default(),
             by_age: BTreeSet::new(),
-            forgotten_before: SystemTime::UNIX_EPOCH,
+            pruned_before: SystemTime::UNIX_EPOCH,
             last_mark: SystemTime::UNIX_EPOCH,
         }
     }
--- a/src/claims/table/commands.rs
+++ b/src/claims/table/commands.rs
@@ -4,7 +4,7 @@
 use std::time::SystemTime;
 
 use super::{
-    ClaimHolder, ClaimJudgement, ClaimStanding, ClaimTable, HeldKey, JudgedClaim, KnownClaim,
+    ClaimHolder, ClaimJudgement, ClaimStatus, ClaimTable, HeldKey, JudgedClaim, KnownClaim,
 };
 use crate::claims::record::{
     ClaimBody, ClaimDetails, ClaimEntry, ClaimOutcome, ClaimOwner, ClaimRef,
@@ -18,7 +18,7 @@
     pub fn observe_read(&mut self, first_offset: LogOffset, now: SystemTime) {
         if first_offset > self.next_offset {
             self.next_offset = first_offset;
-            self.coverage.miss(first_offset);
+            self.coverage.record_missed(first_offset);
         }
         self.coverage.observe_read(now);
     }
@@ -31,8 +31,8 @@
                 judgement: self.apply(offset, &record),
                 id: Some(record.id),
             },
-            unjudged => JudgedClaim {
-                judgement: self.pass_over(offset, unjudged == RawRecord::NewerRules),
+            unreadable => JudgedClaim {
+                judgement: self.skip(offset, unreadable == RawRecord::NewerRules),
                 id: None,
             },
         }
@@ -41,13 +41,13 @@
     /// Judges the record at an offset. Records come in the log's order.
     pub fn apply(&mut self, offset: LogOffset, record: &LogRecord<ClaimBody>) -> ClaimJudgement {
         if record.rules > JUDGING_RULES {
-            return self.pass_over(offset, true);
+            return self.skip(offset, true);
         }
         if !self.advance(offset) {
             return ClaimJudgement::Repeated;
         }
         let mark = &record.body.mark;
-        self.coverage.note_mark(mark);
+        self.coverage.observe_mark(mark);
         self.last_mark = self.last_mark.max(mark.written);
         let owner = ClaimOwner {
             host: record.writer.clone(),
@@ -63,15 +63,15 @@
 
     /// Forgets claims on keys that are too old to be accepted again.
     pub fn prune(&mut self, now: SystemTime) {
-        let oldest = self.window.forget_before(now);
-        self.forgotten_before = self.forgotten_before.max(oldest);
+        let oldest = self.window.prune_before(now);
+        self.pruned_before = self.pruned_before.max(oldest);
         while let Some((created, claim)) = self.by_age.pop_first() {
-            if created >= self.forgotten_before {
+            if created >= self.pruned_before {
                 self.by_age.insert((created, claim));
                 return;
             }
             if let Some(KnownClaim {
-                standing: ClaimStanding::Holds(name),
+                status: ClaimStatus::Holds(name),
                 ..
             }) = self.claims.remove(&claim)
             {
@@ -86,17 +86,17 @@
             return false;
         }
         if offset > self.next_offset {
-            self.coverage.miss(offset);
+            self.coverage.record_missed(offset);
         }
         self.next_offset = offset + 1;
         true
     }
 
-    fn pass_over(&mut self, offset: LogOffset, newer_rules: bool) -> ClaimJudgement {
+    fn skip(&mut self, offset: LogOffset, newer_rules: bool) -> ClaimJudgement {
         if !self.advance(offset) {
             return ClaimJudgement::Repeated;
         }
-        self.unjudgeable |= newer_rules;
+        self.saw_newer_rules |= newer_rules;
         match newer_rules {
             true => ClaimJudgement::UnknownRules,
             false => ClaimJudgement::Ignored,
@@ -113,11 +113,11 @@
             // The withdrawal overtook the claim, whose append was under way
             // while its writer gave up. Its caller was told that it did not
             // run, so the claim must not block the key.
-            Some(known) if known.standing == ClaimStanding::Withdrawn => {
+            Some(known) if known.status == ClaimStatus::Withdrawn => {
                 return ClaimJudgement::AlreadyWithdrawn;
             }
             Some(_) => return ClaimJudgement::Repeated,
-            None if details.created < self.forgotten_before => return ClaimJudgement::TooOld,
+            None if details.created < self.pruned_before => return ClaimJudgement::TooOld,
             None => {}
         }
         let held = HeldKey {
@@ -129,44 +129,44 @@
             fingerprint: details.fingerprint,
             outcome: None,
         };
-        let (standing, judgement) = match self.holders.entry(details.name.clone()) {
+        let (status, judgement) = match self.holders.entry(details.name.clone()) {
             Entry::Vacant(entry) => {
                 entry.insert(held);
-                let standing = ClaimStanding::Holds(details.name.clone());
-                (standing, ClaimJudgement::Won)
+                let status = ClaimStatus::Holds(details.name.clone());
+                (status, ClaimJudgement::Won)
             }
             Entry::Occupied(entry) => {
-                let other = entry.get();
+                let existing = entry.get();
                 let judgement = ClaimJudgement::Lost {
-                    mismatched: other.fingerprint != details.fingerprint,
-                    holder: other.holder.clone(),
+                    mismatched: existing.fingerprint != details.fingerprint,
+                    holder: existing.holder.clone(),
                 };
-                (ClaimStanding::Lost, judgement)
+                (ClaimStatus::Lost, judgement)
             }
         };
-        self.remember(claim, details.created, KnownClaim { owner, standing });
+        self.track(claim, details.created, KnownClaim { owner, status });
         judgement
     }
 
     fn apply_withdrawal(&mut self, owner: ClaimOwner, claim: &ClaimRef) -> ClaimJudgement {
-        let standing = ClaimStanding::Withdrawn;
+        let status = ClaimStatus::Withdrawn;
         let Some(known) = self.claims.get_mut(&claim.claim) else {
-            let known = KnownClaim { owner, standing };
-            self.remember(&claim.claim, claim.created, known);
+            let known = KnownClaim { owner, status };
+            self.track(&claim.claim, claim.created, known);
             return ClaimJudgement::Settled;
         };
         if known.owner != owner {
             return ClaimJudgement::Ignored;
         }
-        match &known.standing {
-            ClaimStanding::Holds(name) if self.holders.get(name).is_some_and(HeldKey::ended) => {
+        match &known.status {
+            ClaimStatus::Holds(name) if self.holders.get(name).is_some_and(HeldKey::has_ended) => {
                 return ClaimJudgement::Ignored;
             }
-            ClaimStanding::Holds(name) => {
+            ClaimStatus::Holds(name) => {
                 self.holders.remove(name);
-                known.standing = standing;
+                known.status = status;
             }
-            ClaimStanding::Lost | ClaimStanding::Withdrawn => {}
+            ClaimStatus::Lost | ClaimStatus::Withdrawn => {}
         }
         ClaimJudgement::Settled
     }
@@ -180,7 +180,7 @@
         let Some(known) = self.claims.get(&claim.claim) else {
             return ClaimJudgement::Ignored;
         };
-        let ClaimStanding::Holds(name) = &known.standing else {
+        let ClaimStatus::Holds(name) = &known.status else {
             return ClaimJudgement::Ignored;
         };
         match self.holders.get_mut(name) {
@@ -192,14 +192,14 @@
         }
     }
 
-    fn remember(&mut self, claim: &RecordId, created: SystemTime, known: KnownClaim) {
+    fn track(&mut self, claim: &RecordId, created: SystemTime, known: KnownClaim) {
         self.by_age.insert((created, claim.clone()));
         self.claims.insert(claim.clone(), known);
     }
 }
 
 impl HeldKey {
-    fn ended(&self) -> bool {
+    fn has_ended(&self) -> bool {
         self.outcome.is_some()
     }
 }
--- a/src/claims/table/queries.rs
+++ b/src/claims/table/queries.rs
@@ -27,12 +27,12 @@
     /// takes no non-idempotent requests.
     pub fn covers(&self, now: SystemTime) -> bool {
         let complete_at = self.coverage.complete_at(&self.window);
-        !self.unjudgeable && complete_at.is_some_and(|time| time < now)
+        !self.saw_newer_rules && complete_at.is_some_and(|time| time < now)
     }
 
     /// How long until [`Self::covers`] may hold; `None` if that is not known.
     pub fn time_until_covered(&self, now: SystemTime) -> Option<Duration> {
-        if self.unjudgeable {
+        if self.saw_newer_rules {
             return None;
         }
         let complete_at = self.coverage.complete_at(&self.window)?;
@@ -47,8 +47,8 @@
     /// Refuses keys that are too old or from the future, and all keys while
     /// claims may be missing.
     pub fn admit(&self, created: SystemTime, now: SystemTime) -> Result<(), ClaimRefusal> {
-        let forgotten = created < self.forgotten_before;
-        if forgotten || self.window.is_expired(created, now) {
+        let pruned = created < self.pruned_before;
+        if pruned || self.window.is_expired(created, now) {
             return Err(ClaimRefusal::KeyExpired);
         }
         if self.window.is_from_future(created, now) {
@@ -90,7 +90,7 @@
 
     /// Whether a key needs no further care at `now`, because no host can
     /// accept it any more.
-    pub fn is_forgettable(&self, created: SystemTime, now: SystemTime) -> bool {
-        created < self.window.forget_before(now)
+    pub fn is_prunable(&self, created: SystemTime, now: SystemTime) -> bool {
+        created < self.window.prune_before(now)
     }
 }
--- a/src/claims/window.rs
+++ b/src/claims/window.rs
@@ -64,12 +64,12 @@
     ///
     /// The claimant's clock may have been ahead by the skew, and it takes
     /// keys that are ahead of its clock by the skew.
-    pub(super) fn forgettable_at(&self, before: SystemTime) -> SystemTime {
+    pub(super) fn all_expired_at(&self, before: SystemTime) -> SystemTime {
         before + self.window + self.skew * 2
     }
 
     /// Keys made before this need not be remembered at `now`.
-    pub(super) fn forget_before(&self, now: SystemTime) -> SystemTime {
+    pub(super) fn prune_before(&self, now: SystemTime) -> SystemTime {
         now.checked_sub(self.window + self.skew * 2)
             .unwrap_or(SystemTime::UNIX_EPOCH)
     }
--- a/src/run/driver.rs
+++ b/src/run/driver.rs
@@ -42,13 +42,13 @@
         hooks,
         tokens,
         deadline,
-        announced: Vec::new(),
+        reported_leaving: Vec::new(),
     };
     driver.run().await
 }
 
 /// A decision that takes time; at most one is open.
-enum OpenWork {
+enum PendingOperation {
     Step {
         target: TargetId,
         order: StepOrder,
@@ -76,7 +76,7 @@
     tokens: mpsc::Sender<DeliveredToken>,
     deadline: Instant,
     /// Leaving targets that the machine was told of.
-    announced: Vec<TargetId>,
+    reported_leaving: Vec<TargetId>,
 }
 
 impl<C, A, L, O> RunDriver<C, A, L, O>
@@ -88,10 +88,10 @@
 {
     async fn run(mut self) -> RunOutcome {
         let mut events = VecDeque::from([RunEvent::Started]);
-        let mut open = None;
+        let mut pending = None;
         loop {
             while let Some(event) = events.pop_front() {
-                self.announce_leaving();
+                self.report_leaving();
                 let decisions = self.handle(event, &mut events);
                 for decision in decisions {
                     match decision {
@@ -102,12 +102,12 @@
                                 events.push_back(event);
                             }
                         }
-                        other => open = self.begin(other, &mut events).or(open),
+                        other => pending = self.start(other, &mut events).or(pending),
                     }
                 }
             }
-            let event = match open.take() {
-                Some(work) => self.carry_out(work).await,
+            let event = match pending.take() {
+                Some(operation) => self.execute(operation).await,
                 // Cannot happen: a run that has not ended awaits something.
                 // Should it, the run ends at its deadline rather than never.
                 None => self.interruption().await,
@@ -120,13 +120,13 @@
     /// brought it has still ended, and nothing else would wake the run; so a
     /// failure follows.
     fn handle(&mut self, event: RunEvent, events: &mut VecDeque<RunEvent>) -> Vec<RunDecision> {
-        let answered = match &event {
+        let responder = match &event {
             RunEvent::ResponseReceived { target, .. } => Some(target.clone()),
             _ => None,
         };
         let dropped = self.machine.dropped_responses();
         let decisions = self.machine.handle(event, Instant::now());
-        match (answered, self.machine.awaited_order()) {
+        match (responder, self.machine.awaited_order()) {
             (Some(target), Some(order)) if self.machine.dropped_responses() > dropped => {
                 events.push_back(RunEvent::StepFailed {
                     label: order.label.clone(),
@@ -145,13 +145,18 @@
         decisions
     }
 
-    fn announce_leaving(&mut self) {
-        let is_news = |target: &&TargetId| {
-            !self.announced.contains(target) && (self.hooks.is_leaving)(target)
+    fn report_leaving(&mut self) {
+        let is_unreported = |target: &&TargetId| {
+            !self.reported_leaving.contains(target) && (self.hooks.is_leaving)(target)
         };
-        let leaving: Vec<TargetId> = self.machine.targets().filter(is_news).cloned().collect();
+        let leaving: Vec<TargetId> = self
+            .machine
+            .targets()
+            .filter(is_unreported)
+            .cloned()
+            .collect();
         for target in leaving {
-            self.announced.push(target.clone());
+            self.reported_leaving.push(target.clone());
             let event = RunEvent::TargetLeaving { target };
             // Only noted by the machine; it acts when the stage is due.
             self.machine.handle(event, Instant::now());
@@ -167,14 +172,18 @@
     }
 
     /// Carries out a decision that takes no time, or gives back the work.
-    fn begin(&self, decision: RunDecision, events: &mut VecDeque<RunEvent>) -> Option<OpenWork> {
+    fn start(
+        &self,
+        decision: RunDecision,
+        events: &mut VecDeque<RunEvent>,
+    ) -> Option<PendingOperation> {
         match decision {
             RunDecision::SendStep {
                 target,
                 order,
                 retry,
                 delay,
-            } => Some(OpenWork::Step {
+            } => Some(PendingOperation::Step {
                 target,
                 order,
                 retry,
@@ -185,7 +194,7 @@
                 from_session,
                 to,
                 to_session,
-            } => Some(OpenWork::Move {
+            } => Some(PendingOperation::Move {
                 from,
                 from_session,
                 to,
@@ -225,9 +234,9 @@
         tokio::spawn(async move { client.cancel(address, &session).await });
     }
 
-    async fn carry_out(&self, work: OpenWork) -> RunEvent {
-        match work {
-            OpenWork::Step {
+    async fn execute(&self, operation: PendingOperation) -> RunEvent {
+        match operation {
+            PendingOperation::Step {
                 target,
                 order,
                 retry,
@@ -238,9 +247,9 @@
                     event = self.interruption() => return event,
                     () = sleep(delay) => {}
                 }
-                self.step(target, order, retry).await
+                self.send_step(target, order, retry).await
             }
-            OpenWork::Move {
+            PendingOperation::Move {
                 from,
                 from_session,
                 to,
@@ -260,7 +269,7 @@
         }
     }
 
-    async fn step(
+    async fn send_step(
         &self,
         target: TargetId,
         order: StepOrder,
--- a/src/run/machine.rs
+++ b/src/run/machine.rs
@@ -6,13 +6,13 @@
 //! prompt), decoding (one position) and repair (from position zero, if a stage
 //! lost its session).
 
-mod answers;
+mod forward_pass;
+mod order_counts;
 mod queries;
 mod repair;
-mod send_ledger;
+mod responses;
 mod sending;
 mod stage_session;
-mod token_wave;
 
 use std::time::Instant;
 
@@ -24,9 +24,9 @@
 use crate::reason::{RefusalReason, RetryReason};
 use crate::target::wire::StepOrder;
 use crate::verdict::RunVerdict;
-use send_ledger::SendLedger;
+use forward_pass::ForwardPass;
+use order_counts::OrderCounts;
 use stage_session::StageSession;
-use token_wave::TokenWave;
 
 /// One request over one pipeline.
 ///
@@ -44,11 +44,11 @@
     delivered: u64,
     /// Highest attempt used by any stage.
     attempt: AttemptNumber,
-    wave: TokenWave,
+    pass: ForwardPass,
     phase: RunPhase,
     /// Targets that failed this run.
     excluded: Vec<TargetId>,
-    ledger: SendLedger,
+    order_counts: OrderCounts,
     dropped: u64,
 }
 
@@ -58,7 +58,7 @@
     /// Nothing was decided yet.
     Idle,
     /// The answer to a step.
-    AwaitAnswer(AwaitedStep),
+    AwaitResponse(AwaitedStep),
     /// Another target for a stage.
     AwaitReplacement {
         stage: StageIndex,
@@ -96,10 +96,10 @@
             sequence,
             delivered: plan.already_delivered,
             attempt: 0,
-            wave: TokenWave::default(),
+            pass: ForwardPass::default(),
             phase: RunPhase::Idle,
             excluded: Vec::new(),
-            ledger: SendLedger::new(plan.already_delivered > 0),
+            order_counts: OrderCounts::new(plan.already_delivered > 0),
             dropped: 0,
             jitter: SmallRng::seed_from_u64(limits.jitter_seed),
             plan,
@@ -112,7 +112,7 @@
         let mut decisions = Vec::new();
         match event {
             RunEvent::ResponseReceived { target, response } => {
-                self.on_answer(&target, &response, &mut decisions);
+                self.on_response(&target, &response, &mut decisions);
             }
             _ if self.phase == RunPhase::Finished => {}
             RunEvent::Started => self.on_started(&mut decisions),
@@ -145,7 +145,7 @@
             () if self.delivered >= self.plan.max_tokens => self.complete(decisions),
             () if self.stages.is_empty() => self.give_up(RefusalReason::NoRoute, decisions),
             () if self.sequence.is_empty() => self.give_up(RefusalReason::Malformed, decisions),
-            () => self.begin_wave(None, decisions),
+            () => self.begin_pass(None, decisions),
         }
     }
 
@@ -156,7 +156,7 @@
 
     /// Ends the run without the whole answer.
     fn give_up(&mut self, reason: RefusalReason, decisions: &mut Vec<RunDecision>) {
-        self.finish(self.ledger.verdict(), Some(reason), decisions);
+        self.finish(self.order_counts.verdict(), Some(reason), decisions);
     }
 
     fn finish(
--- a/src/run/machine/token_wave.rs
+++ b/src/run/machine/forward_pass.rs
@@ -4,7 +4,7 @@
 
 /// Consecutive positions on their way to a stage.
 #[derive(Debug, Default)]
-pub(super) struct TokenWave {
+pub(super) struct ForwardPass {
     /// Stage that runs them next.
     pub(super) stage: StageIndex,
     /// First position.
@@ -13,7 +13,7 @@
     pub(super) inputs: Vec<u64>,
 }
 
-impl TokenWave {
+impl ForwardPass {
     /// Position after the last one.
     pub(super) fn end(&self) -> TokenPosition {
         self.start + self.inputs.len() as TokenPosition
@@ -27,7 +27,7 @@
     }
 
     /// Drops the positions below `start`, but never the last one.
-    pub(super) fn skip_to(&mut self, start: TokenPosition) {
+    pub(super) fn skip_before(&mut self, start: TokenPosition) {
         let last = self.end().saturating_sub(1);
         let skipped = start.min(last).saturating_sub(self.start);
         self.inputs.drain(..skipped as usize);
--- a/src/run/machine/send_ledger.rs
+++ b/src/run/machine/order_counts.rs
@@ -10,13 +10,13 @@
 /// although a target may be about to run it; the caller would repeat the
 /// request and it would run twice.
 #[derive(Debug)]
-pub(super) struct SendLedger {
+pub(super) struct OrderCounts {
     sent: u64,
     not_run: u64,
     ran_before: bool,
 }
 
-impl SendLedger {
+impl OrderCounts {
     /// `ran_before` if an earlier entry host already ran part of the request.
     pub(super) fn new(ran_before: bool) -> Self {
         Self {
--- a/src/run/machine/queries.rs
+++ b/src/run/machine/queries.rs
@@ -29,7 +29,7 @@
     /// The step whose answer is awaited.
     pub fn awaited_order(&self) -> Option<&StepOrder> {
         match &self.phase {
-            RunPhase::AwaitAnswer(awaited) => Some(&awaited.order),
+            RunPhase::AwaitResponse(awaited) => Some(&awaited.order),
             _ => None,
         }
     }
--- a/src/run/machine/repair.rs
+++ b/src/run/machine/repair.rs
@@ -28,24 +28,24 @@
         decisions: &mut Vec<RunDecision>,
     ) {
         let resends = match &self.phase {
-            RunPhase::AwaitAnswer(awaited)
+            RunPhase::AwaitResponse(awaited)
                 if awaited.order.label == *label && awaited.order.position == position =>
             {
                 awaited.resends
             }
             _ => return,
         };
-        self.ledger.record_failed(failure.verdict);
-        let stage = self.wave.stage;
-        match self.repair_for(failure, resends) {
+        self.order_counts.record_failed(failure.verdict);
+        let stage = self.pass.stage;
+        match self.choose_repair(failure, resends) {
             StepRepair::Resend => self.resend_step(resends, failure.reason, now, decisions),
             StepRepair::Reopen if self.has_repairs_left() => {
                 self.cancel_session(stage, decisions);
                 self.open_session(stage, decisions);
-                self.send_wave(Some(failure.reason), decisions);
+                self.continue_pass(Some(failure.reason), decisions);
             }
             StepRepair::Replace if self.has_repairs_left() => {
-                self.ask_replacement(stage, failure.reason, Some(resends), decisions);
+                self.request_replacement(stage, failure.reason, Some(resends), decisions);
             }
             StepRepair::Reopen | StepRepair::Replace => {
                 self.give_up(RefusalReason::RetryBudgetSpent, decisions);
@@ -53,7 +53,7 @@
         }
     }
 
-    fn repair_for(&self, failure: &StepFailure, resends: u32) -> StepRepair {
+    fn choose_repair(&self, failure: &StepFailure, resends: u32) -> StepRepair {
         let bound = match failure.timed_out {
             true => self.limits.resends_after_timeout,
             false => self.limits.resends_per_step,
@@ -61,7 +61,7 @@
         let may_resend = resends < bound;
         let refusal = failure.refusal.as_ref().map(|refusal| refusal.refused);
         match (failure.reason, refusal) {
-            (_, Some(TargetRefusalKind::UnknownPosition)) if self.wave.start > 0 => {
+            (_, Some(TargetRefusalKind::UnknownPosition)) if self.pass.start > 0 => {
                 StepRepair::Reopen
             }
             (_, Some(TargetRefusalKind::Overloaded)) if may_resend => StepRepair::Resend,
@@ -77,7 +77,7 @@
         self.attempt < self.limits.max_repairs
     }
 
-    pub(super) fn ask_replacement(
+    pub(super) fn request_replacement(
         &mut self,
         stage: StageIndex,
         reason: RetryReason,
@@ -123,14 +123,16 @@
                 self.cancel_session(chosen_stage, decisions);
                 self.stages[chosen_stage].replace_target(target);
                 self.open_session(chosen_stage, decisions);
-                self.send_wave(Some(reason), decisions);
+                self.continue_pass(Some(reason), decisions);
+            }
+            None => {
+                self.continue_without_replacement(chosen_stage, resends, reason, now, decisions);
             }
-            None => self.go_on_without_replacement(chosen_stage, resends, reason, now, decisions),
         }
     }
 
     /// The same target may be back, or may still serve although it is leaving.
-    fn go_on_without_replacement(
+    fn continue_without_replacement(
         &mut self,
         stage: StageIndex,
         resends: Option<u32>,
@@ -141,7 +143,7 @@
         match resends {
             None => {
                 self.stages[stage].is_leaving = false;
-                self.send_wave(None, decisions);
+                self.continue_pass(None, decisions);
             }
             Some(resends) if resends < self.limits.resends_per_step => {
                 self.resend_step(resends, reason, now, decisions);
@@ -154,12 +156,12 @@
     /// export from one that is dead or frozen would cost a whole timeout
     /// before the replay that is needed anyway.
     fn can_move_cache(&self, stage: StageIndex, reason: RetryReason) -> bool {
-        let still_answers = matches!(
+        let still_responds = matches!(
             reason,
             RetryReason::TargetLeaving | RetryReason::TargetRefused
         );
         let holds_cache = self.stages[stage].next_position > 0;
-        self.limits.recovery == RecoveryMode::MoveCache && still_answers && holds_cache
+        self.limits.recovery == RecoveryMode::MoveCache && still_responds && holds_cache
     }
 
     fn move_cache(
@@ -196,7 +198,7 @@
         next_position: Option<TokenPosition>,
         decisions: &mut Vec<RunDecision>,
     ) {
-        let (stage, reason, old) = match &self.phase {
+        let (stage, reason, cancel_old) = match &self.phase {
             RunPhase::AwaitMove {
                 stage,
                 reason,
@@ -207,15 +209,15 @@
                 .session()
                 == to_session =>
             {
-                let old = RunDecision::CancelSession {
+                let cancel_old = RunDecision::CancelSession {
                     target: from.clone(),
                     session: from_session.clone(),
                 };
-                (*stage, *reason, old)
+                (*stage, *reason, cancel_old)
             }
             _ => return,
         };
-        decisions.push(old);
+        decisions.push(cancel_old);
         match next_position {
             Some(position) => {
                 let end = self.sequence.len() as TokenPosition;
@@ -228,7 +230,7 @@
                 self.open_session(stage, decisions);
             }
         }
-        self.send_wave(Some(reason), decisions);
+        self.continue_pass(Some(reason), decisions);
     }
 
     pub(super) fn on_leaving(&mut self, target: &TargetId) {
@@ -245,11 +247,11 @@
         if self.limits.recovery != RecoveryMode::NewAttempt {
             return self.stages[stage].reopen(attempt);
         }
-        for other in 0..self.stages.len() {
-            if other != stage {
-                self.cancel_session(other, decisions);
+        for index in 0..self.stages.len() {
+            if index != stage {
+                self.cancel_session(index, decisions);
             }
-            self.stages[other].reopen(attempt);
+            self.stages[index].reopen(attempt);
         }
     }
 
--- a/src/run/machine/answers.rs
+++ b/src/run/machine/responses.rs
@@ -13,7 +13,7 @@
     /// for the awaited one, it would put a wrong value into all stages that
     /// follow and show only as wrong text. So each part of the label, the
     /// position, the count of outputs and the target asked are compared.
-    pub(super) fn on_answer(
+    pub(super) fn on_response(
         &mut self,
         target: &TargetId,
         response: &StepAnswer,
@@ -23,21 +23,21 @@
             self.dropped += 1;
             return;
         }
-        let end = self.wave.end();
-        let is_last = self.wave.stage + 1 == self.stages.len();
-        self.stages[self.wave.stage].next_position = end;
+        let end = self.pass.end();
+        let is_last = self.pass.stage + 1 == self.stages.len();
+        self.stages[self.pass.stage].next_position = end;
         match response.outputs.last() {
             Some(token) if is_last => self.deliver(*token, decisions),
             _ => {
-                self.wave.advance(&response.outputs);
-                self.send_wave(None, decisions);
+                self.pass.advance(&response.outputs);
+                self.continue_pass(None, decisions);
             }
         }
     }
 
     fn is_awaited(&self, target: &TargetId, response: &StepAnswer) -> bool {
         match &self.phase {
-            RunPhase::AwaitAnswer(awaited) => {
+            RunPhase::AwaitResponse(awaited) => {
                 awaited.target == *target
                     && awaited.order.label == response.label
                     && awaited.order.position == response.position
@@ -56,7 +56,7 @@
         self.sequence.push(token);
         match self.delivered >= self.plan.max_tokens {
             true => self.complete(decisions),
-            false => self.begin_wave(None, decisions),
+            false => self.begin_pass(None, decisions),
         }
     }
 }
--- a/src/run/machine/sending.rs
+++ b/src/run/machine/sending.rs
@@ -15,35 +15,35 @@
 
 impl RunMachine {
     /// Starts a wave at the first stage, from the earliest position needed.
-    pub(super) fn begin_wave(
+    pub(super) fn begin_pass(
         &mut self,
         retry: Option<RetryReason>,
         decisions: &mut Vec<RunDecision>,
     ) {
-        let start = self.needed_from(0).min(self.last_position());
-        self.wave.stage = 0;
-        self.wave.start = start;
-        self.wave.inputs.clear();
+        let start = self.earliest_needed(0).min(self.last_position());
+        self.pass.stage = 0;
+        self.pass.start = start;
+        self.pass.inputs.clear();
         let inputs = &self.sequence[start as usize..];
-        self.wave.inputs.extend_from_slice(inputs);
-        self.send_wave(retry, decisions);
+        self.pass.inputs.extend_from_slice(inputs);
+        self.continue_pass(retry, decisions);
     }
 
     /// Sends the wave to its stage, or first mends what stands in the way.
-    pub(super) fn send_wave(
+    pub(super) fn continue_pass(
         &mut self,
         retry: Option<RetryReason>,
         decisions: &mut Vec<RunDecision>,
     ) {
-        let stage = self.wave.stage;
-        let needed = self.needed_from(stage);
+        let stage = self.pass.stage;
+        let needed = self.earliest_needed(stage);
         match () {
-            () if needed < self.wave.start => self.begin_wave(retry, decisions),
+            () if needed < self.pass.start => self.begin_pass(retry, decisions),
             () if self.stages[stage].is_leaving && self.has_repairs_left() => {
-                self.ask_replacement(stage, RetryReason::TargetLeaving, None, decisions);
+                self.request_replacement(stage, RetryReason::TargetLeaving, None, decisions);
             }
             () => {
-                self.wave.skip_to(needed);
+                self.pass.skip_before(needed);
                 self.send_step(0, Duration::ZERO, retry, decisions);
             }
         }
@@ -72,10 +72,10 @@
         decisions: &mut Vec<RunDecision>,
     ) {
         let order = self.order();
-        let session = &mut self.stages[self.wave.stage];
+        let session = &mut self.stages[self.pass.stage];
         session.is_used = true;
-        self.ledger.record_sent();
-        self.phase = RunPhase::AwaitAnswer(AwaitedStep {
+        self.order_counts.record_sent();
+        self.phase = RunPhase::AwaitResponse(AwaitedStep {
             target: session.target.clone(),
             order: order.clone(),
             resends,
@@ -89,7 +89,7 @@
     }
 
     fn order(&self) -> StepOrder {
-        let stage = self.wave.stage;
+        let stage = self.pass.stage;
         let session = &self.stages[stage];
         StepOrder {
             label: session.label(&self.plan.request, stage),
@@ -97,14 +97,14 @@
             version: self.plan.version.clone(),
             first_layer: session.first_layer,
             last_layer: session.last_layer,
-            position: self.wave.start,
-            inputs: self.wave.inputs.clone(),
+            position: self.pass.start,
+            inputs: self.pass.inputs.clone(),
             priority: self.plan.priority,
         }
     }
 
     /// Earliest position that `stage` or one after it has not run.
-    fn needed_from(&self, stage: StageIndex) -> TokenPosition {
+    fn earliest_needed(&self, stage: StageIndex) -> TokenPosition {
         let sessions = self.stages[stage..].iter();
         let needed = sessions.map(|session| session.next_position).min();
         needed.unwrap_or(0)
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -48,7 +48,7 @@
 }
 
 fn machine(claim: &str, incarnation: u64, body: &[u8], now: ClaimTime) -> ClaimMachine {
-    let order = ClaimRequest {
+    let request = ClaimRequest {
         claim: claim.into(),
         name: ClaimName {
             organisation: "franchise".into(),
@@ -68,7 +68,7 @@
         query_timeout: SECOND,
         settle_delay: SECOND,
     };
-    ClaimMachine::new(order, owner, policy)
+    ClaimMachine::new(request, owner, policy)
 }
 
 const BEGIN: ClaimEvent = ClaimEvent::Begin {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn keys_carry_their_time_and_have_one_spelling() {
+fn keys_carry_their_creation_time_and_are_normalised() {
     let plain = parse_key("01932c07-a8e0-7000-8000-00000000002a").unwrap();
     let quoted = parse_key(" \"01932C07A8E0700080000000000002A0\" ");
     let capitals = parse_key("\"01932C07-A8E0-7000-8000-00000000002A\"").unwrap();
@@ -134,7 +134,7 @@
 /// Sequence: a newer program has written records under newer rules. Cause:
 /// such records skipped as if they said nothing.
 #[test]
-fn unknown_rules_end_coverage() {
+fn newer_rules_end_coverage() {
     let mut table = table();
     table.observe_read(0, at(0));
     assert!(table.covers(at(0)));
@@ -152,7 +152,7 @@
 /// the wall clock runs ahead, the table forgets, the clock is set back.
 /// Cause: the age of keys judged by the clock alone.
 #[test]
-fn clock_set_back_does_not_revive_forgotten_keys() {
+fn clock_set_back_does_not_revive_pruned_keys() {
     let mut table = table();
     table.observe_read(0, at(0));
     assert_eq!(table.admit(at(0), at(10)), Ok(()));
@@ -179,8 +179,8 @@
     };
     assert_eq!(table.apply(0, record), ClaimJudgement::Won);
 
-    let answer = machine("new", 2, b"pay", now).handle(BEGIN, &table, now);
-    assert_eq!(answer, [ClaimDecision::Respond(ClaimResponse::Unknown)]);
+    let response = machine("new", 2, b"pay", now).handle(BEGIN, &table, now);
+    assert_eq!(response, [ClaimDecision::Respond(ClaimResponse::Unknown)]);
     assert_eq!(ClaimResponse::Unknown.verdict(), RunVerdict::MayHaveRun);
     let other = machine("other", 2, b"pay twice", now).handle(BEGIN, &table, now);
     assert_eq!(refusal(&other), ClaimRefusal::KeyReused);
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -110,12 +110,12 @@
 }
 
 #[derive(Default)]
-struct NaiveJudge {
+struct NaiveTable {
     claims: Vec<NaiveClaim>,
     withdrawn: Vec<usize>,
 }
 
-impl NaiveJudge {
+impl NaiveTable {
     fn holder(&self, key: usize) -> Option<&NaiveClaim> {
         self.claims
             .iter()
@@ -217,15 +217,15 @@
     #![proptest_config(config(41, 2000))]
 
     #[test]
-    fn table_judges_like_a_scanned_list(entries in prop::collection::vec(entry(), 1..40)) {
+    fn table_agrees_with_naive_table(entries in prop::collection::vec(entry(), 1..40)) {
         let mut table = ClaimTable::new(window());
-        let mut judge = NaiveJudge::default();
+        let mut naive = NaiveTable::default();
         for (offset, entry) in (0..).zip(&entries) {
             let judgement = table.apply(offset, &table_record(entry));
-            let holds = judge.apply(entry);
+            let holds = naive.apply(entry);
             prop_assert_eq!(judgement == ClaimJudgement::Won, holds, "{:?}", entry);
             for key in 0..3 {
-                let expected = judge.holder(key).map(|held| (held.variant, held.ended));
+                let expected = naive.holder(key).map(|held| (held.variant, held.ended));
                 let found = match table.look_up(&name(key), &fingerprint(0)) {
                     KeyState::Free => None,
                     KeyState::Mismatched => {
@@ -244,14 +244,14 @@
 // ---- History: claimants over a log that loses answers, delays and expires. ----
 
 #[derive(Debug, Clone, Copy)]
-enum AppendFate {
+enum AppendOutcome {
     Stored,
-    AnswerLost,
-    Vanishes,
+    ResponseLost,
+    Dropped,
     /// Answer lost; stored when a later step says so.
     Delayed,
     /// Stored at once and again later.
-    Doubled,
+    Duplicated,
     Refused,
 }
 
@@ -280,12 +280,12 @@
     Advance {
         seconds: u64,
     },
-    Land,
+    StoreDelayed,
     Restart {
         host: usize,
     },
-    Fate {
-        fate: AppendFate,
+    SetAppendOutcome {
+        append_outcome: AppendOutcome,
     },
     /// The log drops all but the last records, long before its horizon.
     ExpireEarly {
@@ -293,26 +293,26 @@
     },
 }
 
-const HOSTS: usize = 3;
-const KEYS: usize = 3;
+const HOST_COUNT: usize = 3;
+const KEY_COUNT: usize = 3;
 
 fn step() -> impl Strategy<Value = Step> {
-    let host = 0..HOSTS;
+    let host = 0..HOST_COUNT;
     let verdict = prop_oneof![
         Just(RunVerdict::Ran),
         Just(RunVerdict::MayHaveRun),
         Just(RunVerdict::NotRun)
     ];
-    let fate = prop_oneof![
-        4 => Just(AppendFate::Stored),
-        2 => Just(AppendFate::AnswerLost),
-        1 => Just(AppendFate::Vanishes),
-        2 => Just(AppendFate::Delayed),
-        1 => Just(AppendFate::Doubled),
-        1 => Just(AppendFate::Refused),
+    let append_outcome = prop_oneof![
+        4 => Just(AppendOutcome::Stored),
+        2 => Just(AppendOutcome::ResponseLost),
+        1 => Just(AppendOutcome::Dropped),
+        2 => Just(AppendOutcome::Delayed),
+        1 => Just(AppendOutcome::Duplicated),
+        1 => Just(AppendOutcome::Refused),
     ];
     prop_oneof![
-        6 => (host.clone(), 0..KEYS, 0..10_usize)
+        6 => (host.clone(), 0..KEY_COUNT, 0..10_usize)
             .prop_map(|(host, key, variant)| Step::Request { host, key, variant: variant / 9 }),
         8 => (host.clone(), 1..6_usize).prop_map(|(host, count)| Step::Replay { host, count }),
         4 => host.clone().prop_map(|host| Step::Tick { host }),
@@ -320,14 +320,14 @@
         3 => (host.clone(), verdict).prop_map(|(host, verdict)| Step::Finish { host, verdict }),
         4 => prop_oneof![6 => 1..4_u64, 2 => 4..8_u64, 1 => 80..170_u64]
             .prop_map(|seconds| Step::Advance { seconds }),
-        3 => Just(Step::Land),
+        3 => Just(Step::StoreDelayed),
         1 => host.prop_map(|host| Step::Restart { host }),
-        5 => fate.prop_map(|fate| Step::Fate { fate }),
+        5 => append_outcome.prop_map(|append_outcome| Step::SetAppendOutcome { append_outcome }),
         1 => (0..3_usize).prop_map(|kept| Step::ExpireEarly { kept }),
     ]
 }
 
-struct StoredClaim {
+struct StoredRecord {
     body: String,
     appended: Duration,
 }
@@ -349,17 +349,17 @@
 struct Model {
     started: Instant,
     elapsed: Duration,
-    log: Vec<StoredClaim>,
+    log: Vec<StoredRecord>,
     delayed: Vec<String>,
-    fate: AppendFate,
+    append_outcome: AppendOutcome,
     hosts: Vec<ModelHost>,
     requests: usize,
     /// Creation time of each key, set at its first use.
     keys: BTreeMap<usize, SystemTime>,
     /// Claims whose dispatch may have run, by key.
     dispatched: BTreeMap<usize, RecordId>,
-    told_not_run: BTreeSet<RecordId>,
-    answered: BTreeSet<RecordId>,
+    reported_not_run: BTreeSet<RecordId>,
+    responded: BTreeSet<RecordId>,
     /// Keys with a claim whose writer is gone.
     orphaned: BTreeSet<usize>,
     wins: usize,
@@ -381,13 +381,13 @@
             elapsed: Duration::ZERO,
             log: Vec::new(),
             delayed: Vec::new(),
-            fate: AppendFate::Stored,
-            hosts: (0..HOSTS).map(host).collect(),
+            append_outcome: AppendOutcome::Stored,
+            hosts: (0..HOST_COUNT).map(host).collect(),
             requests: 0,
             keys: BTreeMap::new(),
             dispatched: BTreeMap::new(),
-            told_not_run: BTreeSet::new(),
-            answered: BTreeSet::new(),
+            reported_not_run: BTreeSet::new(),
+            responded: BTreeSet::new(),
             orphaned: BTreeSet::new(),
             wins: 0,
             expired: 0,
@@ -410,13 +410,13 @@
             Step::Dispatch { host } => self.dispatch(host),
             Step::Finish { host, verdict } => self.finish(host, verdict),
             Step::Advance { seconds } => self.elapsed += SECOND * u32::try_from(seconds).unwrap(),
-            Step::Land if self.delayed.is_empty() => {}
-            Step::Land => {
+            Step::StoreDelayed if self.delayed.is_empty() => {}
+            Step::StoreDelayed => {
                 let body = self.delayed.remove(0);
                 self.store(body);
             }
             Step::Restart { host } => self.restart(host),
-            Step::Fate { fate } => self.fate = fate,
+            Step::SetAppendOutcome { append_outcome } => self.append_outcome = append_outcome,
             Step::ExpireEarly { kept } => {
                 self.expired = self.expired.max(self.log.len().saturating_sub(kept));
                 self.expired_early = true;
@@ -429,7 +429,7 @@
         self.requests += 1;
         let created = *self.keys.entry(key).or_insert(now.wall);
         let incarnation = self.hosts[host].incarnation;
-        let order = ClaimRequest {
+        let request = ClaimRequest {
             claim: format!("{host}/{incarnation}/{}", self.requests).into(),
             name: name(key),
             created,
@@ -446,8 +446,8 @@
             query_timeout: SECOND,
             settle_delay: SECOND,
         };
-        let (claim, deadline) = (order.claim.clone(), order.deadline);
-        let machine = ClaimMachine::new(order, owner, policy);
+        let (claim, deadline) = (request.claim.clone(), request.deadline);
+        let machine = ClaimMachine::new(request, owner, policy);
         let to_dispatch = false;
         let entry = ModelClaim {
             machine,
@@ -474,10 +474,10 @@
             return;
         };
         let decisions = entry.machine.handle(event, table, now);
-        self.carry_out(host, claim, decisions);
+        self.execute(host, claim, decisions);
     }
 
-    fn carry_out(&mut self, host: usize, claim: &RecordId, decisions: Vec<ClaimDecision>) {
+    fn execute(&mut self, host: usize, claim: &RecordId, decisions: Vec<ClaimDecision>) {
         for decision in decisions {
             match decision {
                 ClaimDecision::Append(record) => {
@@ -496,14 +496,14 @@
                 ClaimDecision::QueryHolder(_) => {
                     self.event(host, claim, ClaimEvent::HolderUnavailable);
                 }
-                ClaimDecision::Respond(answer) => self.take_answer(host, claim, &answer),
+                ClaimDecision::Respond(response) => self.on_response(host, claim, &response),
             }
         }
     }
 
-    fn take_answer(&mut self, host: usize, claim: &RecordId, answer: &ClaimResponse) {
+    fn on_response(&mut self, host: usize, claim: &RecordId, response: &ClaimResponse) {
         assert!(
-            self.answered.insert(claim.clone()),
+            self.responded.insert(claim.clone()),
             "{claim} answered twice"
         );
         let entry = &self.hosts[host].machines[claim];
@@ -511,7 +511,7 @@
             !entry.machine.is_dispatched(),
             "{claim} answered after its dispatch"
         );
-        match answer {
+        match response {
             ClaimResponse::Known(outcome) => {
                 assert_ne!(outcome.verdict, RunVerdict::NotRun);
                 assert!(
@@ -519,36 +519,36 @@
                     "{claim}: nothing ran"
                 );
             }
-            answer if answer.verdict() == RunVerdict::NotRun => {
-                self.told_not_run.insert(claim.clone());
+            response if response.verdict() == RunVerdict::NotRun => {
+                self.reported_not_run.insert(claim.clone());
             }
             _ => {}
         }
     }
 
     fn append(&mut self, body: String) -> Option<AppendVerdict> {
-        match self.fate {
-            AppendFate::Stored => self.store(body),
-            AppendFate::Refused => return Some(AppendVerdict::NotAppended),
-            AppendFate::AnswerLost => self.store(body),
-            AppendFate::Delayed => self.delayed.push(body),
-            AppendFate::Doubled => {
+        match self.append_outcome {
+            AppendOutcome::Stored => self.store(body),
+            AppendOutcome::Refused => return Some(AppendVerdict::NotAppended),
+            AppendOutcome::ResponseLost => self.store(body),
+            AppendOutcome::Delayed => self.delayed.push(body),
+            AppendOutcome::Duplicated => {
                 self.delayed.push(body.clone());
                 self.store(body);
             }
-            AppendFate::Vanishes => {}
+            AppendOutcome::Dropped => {}
         }
-        let answered = matches!(self.fate, AppendFate::Stored);
-        (!answered).then_some(AppendVerdict::MayBeAppended)
+        let responded = matches!(self.append_outcome, AppendOutcome::Stored);
+        (!responded).then_some(AppendVerdict::MayBeAppended)
     }
 
     fn store(&mut self, body: String) {
         let appended = self.elapsed;
-        self.log.push(StoredClaim { body, appended });
+        self.log.push(StoredRecord { body, appended });
     }
 
     fn first_offset(&self) -> usize {
-        let kept = |stored: &StoredClaim| stored.appended + HORIZON >= self.elapsed;
+        let kept = |stored: &StoredRecord| stored.appended + HORIZON >= self.elapsed;
         let first = self.log.iter().position(kept).unwrap_or(self.log.len());
         first.max(self.expired)
     }
@@ -598,14 +598,14 @@
                 assert_eq!(*permit.claim(), claim);
                 assert!(now.instant < deadline, "{claim} dispatched too late");
                 assert!(
-                    !self.told_not_run.contains(&claim),
+                    !self.reported_not_run.contains(&claim),
                     "{claim} told not run, then ran"
                 );
-                let before = self.dispatched.insert(key, claim.clone());
-                assert_eq!(before, None, "key {key} dispatched again, by {claim}");
+                let previous = self.dispatched.insert(key, claim.clone());
+                assert_eq!(previous, None, "key {key} dispatched again, by {claim}");
                 self.wins += 1;
             }
-            Err(decisions) => self.carry_out(host, &claim, decisions),
+            Err(decisions) => self.execute(host, &claim, decisions),
         }
     }
 
@@ -635,20 +635,20 @@
     }
 
     /// Lets the log work again and everything come to rest.
-    fn heal(&mut self) {
-        self.fate = AppendFate::Stored;
+    fn recover(&mut self) {
+        self.append_outcome = AppendOutcome::Stored;
         while !self.delayed.is_empty() {
-            self.run(&Step::Land);
+            self.run(&Step::StoreDelayed);
         }
         for _ in 0..8 {
-            for host in 0..HOSTS {
+            for host in 0..HOST_COUNT {
                 self.replay(host, usize::MAX);
                 self.finish(host, RunVerdict::Ran);
                 self.tick(host);
             }
             self.elapsed += CLAIM_TIMEOUT;
         }
-        for host in 0..HOSTS {
+        for host in 0..HOST_COUNT {
             for _ in 0..self.requests {
                 self.dispatch(host);
             }
@@ -657,7 +657,7 @@
 
     /// Keys that were never dispatched can be claimed again.
     fn check_keys_free(&mut self) {
-        for key in 0..KEYS {
+        for key in 0..KEY_COUNT {
             self.requests += 1;
             let now = self.now(0);
             let blocked = self.expired_early
@@ -695,7 +695,7 @@
         for step in &steps {
             model.run(step);
         }
-        model.heal();
+        model.recover();
         for host in &model.hosts {
             for (claim, entry) in &host.machines {
                 prop_assert!(entry.machine.is_done(), "{} is never done", claim);
--- a/tests/run_model.rs
+++ b/tests/run_model.rs
@@ -2,8 +2,8 @@
 
 #[path = "run_model/engines.rs"]
 mod engines;
-#[path = "run_model/world.rs"]
-mod world;
+#[path = "run_model/simulation.rs"]
+mod simulation;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use world::{CROSSED_PARTS, Fault, ModelWorld};
+use simulation::{Fault, RESPONSE_PARTS, RunSimulation};
 
 fn limits(recovery: RecoveryMode, resends_per_step: u32) -> RunLimits {
     RunLimits {
@@ -37,12 +37,12 @@
         3 => Just(Fault::DieAfter),
         2 => Just(Fault::DieWithNeighbour),
         2 => Just(Fault::LoseOrder),
-        3 => Just(Fault::LoseAnswer),
+        3 => Just(Fault::LoseResponse),
         3 => (1..8_u32).prop_map(Fault::Freeze),
-        2 => Just(Fault::Forget),
-        1 => Just(Fault::ForgetAll),
+        2 => Just(Fault::LoseSessions),
+        1 => Just(Fault::LoseAllSessions),
         2 => refusal.prop_map(Fault::Refuse),
-        2 => (0..CROSSED_PARTS).prop_map(Fault::Cross),
+        2 => (0..RESPONSE_PARTS).prop_map(Fault::Mismatch),
         2 => any::<usize>().prop_map(Fault::Leave),
         1 => any::<usize>().prop_map(Fault::LeaveThenFailMove),
         1 => Just(Fault::NoSpare),
@@ -81,7 +81,7 @@
     /// Cause: an answer taken for another, a session resumed with a gap, a
     /// verdict that forgets an order on its way.
     #[test]
-    fn faults_never_change_the_answer(
+    fn faults_never_change_the_tokens(
         stages in 1..5_usize,
         prompt in prop::collection::vec(0..1000_u64, 1..6),
         count in 1..6_u64,
@@ -90,19 +90,19 @@
         script in prop::collection::btree_map(any_step(), any_fault(), 0..6),
         has_spares in prop::bool::weighted(0.85),
     ) {
-        let must_end_whole = has_spares && !script.values().any(|fault| fault.may_end());
-        let mut world = ModelWorld::new(stages, prompt, count, limits(mode, resends), script);
-        world.has_spares = has_spares;
-        world.run();
+        let must_complete = has_spares && !script.values().any(|fault| fault.may_end_early());
+        let mut simulation = RunSimulation::new(stages, prompt, count, limits(mode, resends), script);
+        simulation.has_spares = has_spares;
+        simulation.run();
 
-        let outcome = world.outcome.expect("the run ended");
-        prop_assert_eq!(outcome.delivered, world.tokens.len() as u64);
-        let is_whole = outcome.delivered == count;
-        prop_assert_eq!(is_whole, outcome.refusal.is_none());
-        prop_assert_eq!(is_whole, outcome.verdict == RunVerdict::Ran);
-        prop_assert!(is_whole || !must_end_whole, "given up: {:?}", outcome);
-        prop_assert!(outcome.verdict != RunVerdict::NotRun || !world.order_seen);
-        for (name, engine) in &world.engines {
+        let outcome = simulation.outcome.expect("the run ended");
+        prop_assert_eq!(outcome.delivered, simulation.tokens.len() as u64);
+        let is_complete = outcome.delivered == count;
+        prop_assert_eq!(is_complete, outcome.refusal.is_none());
+        prop_assert_eq!(is_complete, outcome.verdict == RunVerdict::Ran);
+        prop_assert!(is_complete || !must_complete, "given up: {:?}", outcome);
+        prop_assert!(outcome.verdict != RunVerdict::NotRun || !simulation.order_seen);
+        for (name, engine) in &simulation.engines {
             prop_assert!(engine.sessions.is_empty(), "{} still holds a session", name);
         }
     }
@@ -115,15 +115,16 @@
 #[test]
 fn run_without_connection_is_not_run() {
     let script = BTreeMap::from([(0, Fault::NoSpare), (1, Fault::DieBefore)]);
-    let mut world = ModelWorld::new(2, vec![1, 2], 3, limits(RecoveryMode::MoveCache, 1), script);
-    world
+    let mut simulation =
+        RunSimulation::new(2, vec![1, 2], 3, limits(RecoveryMode::MoveCache, 1), script);
+    simulation
         .engines
         .values_mut()
         .for_each(|engine| engine.is_dead = true);
-    world.run();
-    let outcome = world.outcome.expect("the run ended");
+    simulation.run();
+    let outcome = simulation.outcome.expect("the run ended");
     assert_eq!(outcome.verdict, RunVerdict::NotRun);
-    assert!(!world.order_seen);
+    assert!(!simulation.order_seen);
 }
 
 /// Cost of a run: round trips (a move takes two), values sent in steps, positions run, positions run that
@@ -131,18 +132,23 @@
 fn cost(mode: RecoveryMode, fault: Option<(u32, Fault)>) -> [u64; 4] {
     let prompt = (0..COST_PROMPT).collect();
     let script = fault.into_iter().collect();
-    let mut world = ModelWorld::new(COST_STAGES, prompt, COST_TOKENS, limits(mode, 1), script);
-    world.run();
-    assert_eq!(world.tokens.len() as u64, COST_TOKENS);
-    let computed = world.engines.values().map(|engine| engine.computed).sum();
-    let uncached = world
+    let mut simulation =
+        RunSimulation::new(COST_STAGES, prompt, COST_TOKENS, limits(mode, 1), script);
+    simulation.run();
+    assert_eq!(simulation.tokens.len() as u64, COST_TOKENS);
+    let computed = simulation
+        .engines
+        .values()
+        .map(|engine| engine.computed)
+        .sum();
+    let uncached = simulation
         .engines
         .values()
         .map(|engine| engine.computed_uncached)
         .sum();
     [
-        (world.sends + 2 * world.moves).into(),
-        world.values_sent,
+        (simulation.sends + 2 * simulation.moves).into(),
+        simulation.values_sent,
         computed,
         uncached,
     ]
--- a/tests/run_model/engines.rs
+++ b/tests/run_model/engines.rs
@@ -70,7 +70,7 @@
 }
 
 /// What a frozen engine will do once it wakes.
-pub(crate) enum HeldOrder {
+pub(crate) enum QueuedOrder {
     Step(StepOrder),
     Cancel(String),
 }
@@ -81,7 +81,7 @@
     pub(crate) is_dead: bool,
     /// Steps of the run until the engine wakes; zero if it is awake.
     pub(crate) frozen_for: u32,
-    pub(crate) held: Vec<HeldOrder>,
+    pub(crate) queued: Vec<QueuedOrder>,
     /// Positions run, and those of them that a prefix cache would not save.
     pub(crate) computed: u64,
     pub(crate) computed_uncached: u64,
--- a/tests/run_model/faults.rs
+++ b/tests/run_model/faults.rs
@@ -4,11 +4,11 @@
 use jackdawwick::run::RunEvent;
 use jackdawwick::target::wire::{StepAnswer, TargetRefusalKind};
 
-use super::{ModelWorld, PastAnswer};
-use crate::engines::HeldOrder;
+use super::{PastResponse, RunSimulation};
+use crate::engines::QueuedOrder;
 
 /// Parts of an answer, but for its target, that must match the order.
-pub(crate) const CROSSED_PARTS: u8 = 5;
+pub(crate) const RESPONSE_PARTS: u8 = 5;
 
 /// What goes wrong at one step of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -17,12 +17,12 @@
     DieAfter,
     DieWithNeighbour,
     LoseOrder,
-    LoseAnswer,
+    LoseResponse,
     Freeze(u32),
-    Forget,
-    ForgetAll,
+    LoseSessions,
+    LoseAllSessions,
     Refuse(TargetRefusalKind),
-    Cross(u8),
+    Mismatch(u8),
     Leave(usize),
     LeaveThenFailMove(usize),
     NoSpare,
@@ -32,7 +32,7 @@
 
 impl Fault {
     /// Whether the run may end without its whole answer.
-    pub(crate) fn may_end(self) -> bool {
+    pub(crate) fn may_end_early(self) -> bool {
         matches!(
             self,
             Self::NoSpare | Self::CallerGone | Self::DeadlineReached
@@ -40,11 +40,14 @@
     }
 }
 
-impl ModelWorld {
+impl RunSimulation {
     pub(super) fn apply(&mut self, fault: Option<Fault>, target: &TargetId) {
         let route: Vec<TargetId> = self.machine.targets().cloned().collect();
-        let place = route.iter().position(|other| other == target).unwrap_or(0);
-        let neighbour = route[(place + 1) % route.len()].clone();
+        let index = route
+            .iter()
+            .position(|candidate| candidate == target)
+            .unwrap_or(0);
+        let neighbour = route[(index + 1) % route.len()].clone();
         match fault {
             Some(Fault::DieBefore) => self.kill(target),
             Some(Fault::DieWithNeighbour) => {
@@ -57,27 +60,29 @@
                     .expect("known target")
                     .frozen_for = steps;
             }
-            Some(Fault::Forget) => {
+            Some(Fault::LoseSessions) => {
                 self.engines
                     .get_mut(target)
                     .expect("known target")
                     .sessions
                     .clear();
             }
-            Some(Fault::ForgetAll) => {
+            Some(Fault::LoseAllSessions) => {
                 self.engines
                     .values_mut()
                     .for_each(|engine| engine.sessions.clear());
             }
             Some(Fault::Leave(stage) | Fault::LeaveThenFailMove(stage)) => {
-                self.fails_moves = matches!(fault, Some(Fault::LeaveThenFailMove(_)));
+                self.fail_moves = matches!(fault, Some(Fault::LeaveThenFailMove(_)));
                 let target = route[stage % route.len()].clone();
-                self.due
+                self.pending_events
                     .push_back((RunEvent::TargetLeaving { target }, None));
             }
             Some(Fault::NoSpare) => self.has_spares = false,
-            Some(Fault::CallerGone) => self.due.push_back((RunEvent::CallerGone, None)),
-            Some(Fault::DeadlineReached) => self.due.push_back((RunEvent::DeadlineReached, None)),
+            Some(Fault::CallerGone) => self.pending_events.push_back((RunEvent::CallerGone, None)),
+            Some(Fault::DeadlineReached) => self
+                .pending_events
+                .push_back((RunEvent::DeadlineReached, None)),
             _ => {}
         }
     }
@@ -92,18 +97,18 @@
     pub(super) fn wake(&mut self, target: &TargetId) {
         let engine = self.engines.get_mut(target).expect("known target");
         engine.frozen_for = 0;
-        for held in std::mem::take(&mut engine.held) {
-            match held {
-                HeldOrder::Cancel(session) => drop(engine.sessions.remove(&session)),
-                HeldOrder::Step(order) => {
+        for queued in std::mem::take(&mut engine.queued) {
+            match queued {
+                QueuedOrder::Cancel(session) => drop(engine.sessions.remove(&session)),
+                QueuedOrder::Step(order) => {
                     let target = target.clone();
                     let run = engine.step(&order, self.stages).ok();
-                    let past = run.map(|(response, inputs)| PastAnswer {
+                    let past = run.map(|(response, inputs)| PastResponse {
                         target,
                         response,
                         inputs,
                     });
-                    self.past.extend(past);
+                    self.past_responses.extend(past);
                 }
             }
         }
@@ -111,7 +116,7 @@
 }
 
 /// The same answer, but for one part.
-pub(super) fn crossed_answer(mut response: StepAnswer, part: u8) -> StepAnswer {
+pub(super) fn mismatched_response(mut response: StepAnswer, part: u8) -> StepAnswer {
     match part {
         0 => response.label.request = "another".into(),
         1 => response.label.attempt += 1000,
--- a/tests/run_model/world.rs
+++ b/tests/run_model/simulation.rs
@@ -13,25 +13,25 @@
 use jackdawwick::target::wire::{StepAnswer, StepOrder, TargetRefusal};
 use jackdawwick::verdict::RunVerdict;
 
-use faults::crossed_answer;
-pub(crate) use faults::{CROSSED_PARTS, Fault};
+use faults::mismatched_response;
+pub(crate) use faults::{Fault, RESPONSE_PARTS};
 
-use super::engines::{HeldOrder, ModelEngine, ReferenceTrace, planned_stage};
+use super::engines::{ModelEngine, QueuedOrder, ReferenceTrace, planned_stage};
 
 /// Steps after which a run counts as endless.
-const MAX_SENDS: u32 = 400;
+const MAX_STEPS_SENT: u32 = 400;
 /// Earlier answers that come again before each event.
-const STALE_ANSWERS: usize = 8;
+const MAX_STALE_RESPONSES: usize = 8;
 
 /// An answer that was sent, with what its session had taken in.
 #[derive(Clone)]
-struct PastAnswer {
+struct PastResponse {
     target: TargetId,
     response: StepAnswer,
     inputs: Vec<u64>,
 }
 
-pub(crate) struct ModelWorld {
+pub(crate) struct RunSimulation {
     machine: RunMachine,
     now: Instant,
     stages: usize,
@@ -39,17 +39,17 @@
     trace: ReferenceTrace,
     pub(crate) engines: BTreeMap<TargetId, ModelEngine>,
     script: BTreeMap<u32, Fault>,
-    due: VecDeque<(RunEvent, Option<Vec<u64>>)>,
-    past: Vec<PastAnswer>,
+    pending_events: VecDeque<(RunEvent, Option<Vec<u64>>)>,
+    past_responses: Vec<PastResponse>,
     /// Inputs behind the answer last accepted for each stage.
-    chain: Vec<Vec<u64>>,
-    fails_moves: bool,
+    accepted_inputs: Vec<Vec<u64>>,
+    fail_moves: bool,
     pub(crate) has_spares: bool,
     /// Sessions ended or given up, and the target of each session used.
     closed: BTreeSet<String>,
     owners: BTreeMap<String, TargetId>,
     /// Step last sent, and how often in a row.
-    repeated: (String, u64, u32),
+    last_step: (String, u64, u32),
     max_resends: u32,
     pub(crate) sends: u32,
     pub(crate) moves: u32,
@@ -59,7 +59,7 @@
     pub(crate) outcome: Option<RunOutcome>,
 }
 
-impl ModelWorld {
+impl RunSimulation {
     pub(crate) fn new(
         stages: usize,
         prompt: Vec<TokenValue>,
@@ -91,14 +91,14 @@
             now,
             stages,
             script,
-            due: VecDeque::from([(RunEvent::Started, None)]),
-            past: Vec::new(),
-            chain: vec![Vec::new(); stages],
-            fails_moves: false,
+            pending_events: VecDeque::from([(RunEvent::Started, None)]),
+            past_responses: Vec::new(),
+            accepted_inputs: vec![Vec::new(); stages],
+            fail_moves: false,
             has_spares: true,
             closed: BTreeSet::new(),
             owners: BTreeMap::new(),
-            repeated: (String::new(), 0, 0),
+            last_step: (String::new(), 0, 0),
             max_resends: limits.resends_per_step,
             sends: 0,
             moves: 0,
@@ -111,31 +111,34 @@
 
     /// Runs to the end; every event is preceded by late and crossed answers.
     pub(crate) fn run(&mut self) {
-        while let Some((event, inputs)) = self.due.pop_front() {
-            assert!(self.sends < MAX_SENDS, "the run does not end");
-            self.repeat_past();
-            self.feed(event, inputs);
+        while let Some((event, inputs)) = self.pending_events.pop_front() {
+            assert!(self.sends < MAX_STEPS_SENT, "the run does not end");
+            self.replay_past_responses();
+            self.handle_event(event, inputs);
         }
         for engine in self.engines.keys().cloned().collect::<Vec<_>>() {
             self.wake(&engine);
         }
-        self.repeat_past();
-        self.feed(RunEvent::CallerGone, None);
+        self.replay_past_responses();
+        self.handle_event(RunEvent::CallerGone, None);
         assert!(self.outcome.is_some(), "the run stopped without an outcome");
     }
 
     /// Sends earlier answers again, then answers that match what is awaited but
     /// for one part and whose outputs are wrong.
-    fn repeat_past(&mut self) {
-        let skipped = self.past.len().saturating_sub(STALE_ANSWERS);
-        let stale: Vec<PastAnswer> = self.past[skipped..].to_vec();
-        for PastAnswer {
+    fn replay_past_responses(&mut self) {
+        let skipped = self
+            .past_responses
+            .len()
+            .saturating_sub(MAX_STALE_RESPONSES);
+        let stale: Vec<PastResponse> = self.past_responses[skipped..].to_vec();
+        for PastResponse {
             target,
             response,
             inputs,
         } in stale
         {
-            self.feed(
+            self.handle_event(
                 RunEvent::ResponseReceived { target, response },
                 Some(inputs),
             );
@@ -148,20 +151,20 @@
             label: order.label,
             position: order.position,
         };
-        let place = forged.label.stage;
-        let target = self.machine.targets().nth(place).cloned();
+        let index = forged.label.stage;
+        let target = self.machine.targets().nth(index).cloned();
         let target = target.expect("a stage of the route");
-        for part in 0..CROSSED_PARTS {
-            let response = crossed_answer(forged.clone(), part);
+        for part in 0..RESPONSE_PARTS {
+            let response = mismatched_response(forged.clone(), part);
             let target = target.clone();
-            self.feed(RunEvent::ResponseReceived { target, response }, None);
+            self.handle_event(RunEvent::ResponseReceived { target, response }, None);
         }
         let target = "another".into();
         let response = forged;
-        self.feed(RunEvent::ResponseReceived { target, response }, None);
+        self.handle_event(RunEvent::ResponseReceived { target, response }, None);
     }
 
-    fn feed(&mut self, event: RunEvent, inputs: Option<Vec<u64>>) {
+    fn handle_event(&mut self, event: RunEvent, inputs: Option<Vec<u64>>) {
         let stage = match &event {
             RunEvent::ResponseReceived { response, .. } => Some(response.label.stage),
             _ => None,
@@ -170,15 +173,15 @@
         let decisions = self.machine.handle(event, self.now);
         let is_accepted = stage.filter(|_| self.machine.dropped_responses() == dropped);
         if let Some(stage) = is_accepted {
-            self.chain[stage] = inputs.expect("a crossed answer was accepted");
+            self.accepted_inputs[stage] = inputs.expect("a crossed answer was accepted");
         }
         for decision in decisions {
             assert!(self.outcome.is_none(), "{decision:?} after the end");
-            self.carry_out(decision);
+            self.execute(decision);
         }
     }
 
-    fn carry_out(&mut self, decision: RunDecision) {
+    fn execute(&mut self, decision: RunDecision) {
         match decision {
             RunDecision::SendStep { target, order, .. } => self.send(&target, order),
             RunDecision::DeliverToken { number, token } => self.check_token(number, token),
@@ -192,7 +195,7 @@
                     self.engines.insert(name.clone(), ModelEngine::default());
                 }
                 let event = RunEvent::ReplacementChosen { stage, target };
-                self.due.push_back((event, None));
+                self.pending_events.push_back((event, None));
             }
             RunDecision::MoveCache {
                 from,
@@ -210,7 +213,7 @@
                 importer
                     .sessions
                     .extend(session.map(|session| (to_session.clone(), session)));
-                let next_position = moved.filter(|_| !self.fails_moves);
+                let next_position = moved.filter(|_| !self.fail_moves);
                 if next_position.is_none() {
                     // The import may still arrive, so the name is spent.
                     self.closed.insert(to_session.clone());
@@ -219,14 +222,14 @@
                     to_session,
                     next_position,
                 };
-                self.due.push_back((event, None));
+                self.pending_events.push_back((event, None));
             }
             RunDecision::CancelSession { target, session } => {
                 self.closed.insert(session.clone());
                 let engine = self.engines.get_mut(&target).expect("known target");
                 match engine.frozen_for {
                     0 => drop(engine.sessions.remove(&session)),
-                    _ => engine.held.push(HeldOrder::Cancel(session)),
+                    _ => engine.queued.push(QueuedOrder::Cancel(session)),
                 }
             }
             RunDecision::Finish(outcome) => self.outcome = Some(outcome),
@@ -239,9 +242,9 @@
         assert_eq!(number, self.tokens.len() as u64, "numbered without gap");
         assert_eq!(token, self.trace.tokens[self.tokens.len()], "wrong token");
         let end = self.prompt + self.tokens.len();
-        for (chain, right) in self.chain.iter().zip(&self.trace.inputs) {
+        for (accepted_inputs, right) in self.accepted_inputs.iter().zip(&self.trace.inputs) {
             assert_eq!(
-                chain[..],
+                accepted_inputs[..],
                 right[..end],
                 "position skipped, doubled or wrong"
             );
@@ -256,13 +259,13 @@
         assert!(!self.closed.contains(&session), "{session} used again");
         let owner = self.owners.entry(session.clone());
         assert_eq!(owner.or_insert_with(|| target.clone()), target);
-        let (last, position, times) = &self.repeated;
+        let (last, position, times) = &self.last_step;
         let times = match *last == session && *position == order.position {
             true => times + 1,
             false => 0,
         };
         assert!(times <= self.max_resends, "{session} resent too often");
-        self.repeated = (session, order.position, times);
+        self.last_step = (session, order.position, times);
     }
 
     fn send(&mut self, target: &TargetId, order: StepOrder) {
@@ -285,7 +288,7 @@
             _ if engine.is_dead => (RetryReason::ConnectFailed, RunVerdict::NotRun, None),
             _ if engine.frozen_for > 0 => {
                 self.order_seen = true;
-                engine.held.push(HeldOrder::Step(order.clone()));
+                engine.queued.push(QueuedOrder::Step(order.clone()));
                 lost()
             }
             Some(Fault::LoseOrder) => lost(),
@@ -306,26 +309,28 @@
                     self.order_seen = true;
                     engine.is_dead = fault == Some(Fault::DieAfter);
                     let target = target.clone();
-                    let past = PastAnswer {
+                    let past_responses = PastResponse {
                         target: target.clone(),
                         response,
                         inputs,
                     };
-                    self.past.push(past.clone());
+                    self.past_responses.push(past_responses.clone());
                     match fault {
-                        Some(Fault::DieAfter | Fault::LoseAnswer) => lost(),
-                        Some(Fault::Cross(part)) => {
-                            let response = crossed_answer(past.response, part);
+                        Some(Fault::DieAfter | Fault::LoseResponse) => lost(),
+                        Some(Fault::Mismatch(part)) => {
+                            let response = mismatched_response(past_responses.response, part);
                             let event = RunEvent::ResponseReceived { target, response };
-                            self.due.push_back((event, None));
+                            self.pending_events.push_back((event, None));
                             (RetryReason::AnswerMismatched, RunVerdict::MayHaveRun, None)
                         }
                         _ => {
                             let event = RunEvent::ResponseReceived {
                                 target,
-                                response: past.response,
+                                response: past_responses.response,
                             };
-                            return self.due.push_back((event, Some(past.inputs)));
+                            return self
+                                .pending_events
+                                .push_back((event, Some(past_responses.inputs)));
                         }
                     }
                 }
@@ -342,6 +347,6 @@
                 refusal,
             },
         };
-        self.due.push_back((event, None));
+        self.pending_events.push_back((event, None));
     }
 }
