--- a/src/claims/coverage.rs
+++ b/src/claims/coverage.rs
@@ -1,4 +1,4 @@
-//! Whether a reader knows every claim that still counts.
+//! Whether a reader knows every claim that is still valid.
 
 use std::time::SystemTime;
 
@@ -6,24 +6,24 @@
 use crate::claims::window::ClaimWindow;
 use crate::ids::LogOffset;
 
-/// What a reader has missed of the claim stream.
+/// Which part of the claim stream a reader has missed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LogCoverage {
     /// Nothing has been read yet.
     Unread,
-    /// Nothing was missed.
+    /// No record was missed.
     Complete,
-    /// Some records were missed, because they had expired.
+    /// Some records were missed because they had expired.
     Missed {
-        /// All missed records are below this offset.
+        /// All missed records have offsets below this one.
         below: LogOffset,
-        /// All missed records were appended before this; `None` if unknown.
+        /// All missed records were appended before this time; `None` if it is unknown.
         before: Option<SystemTime>,
     },
 }
 
 impl LogCoverage {
-    /// Notes that records below `below` were missed.
+    /// Records that the records with offsets less than `below` were missed.
     pub(super) fn record_missed(&mut self, below: LogOffset) {
         *self = Self::Missed {
             below,
@@ -31,8 +31,8 @@
         };
     }
 
-    /// Notes that a read succeeded at wall time `now`: what was missed has
-    /// been appended by then.
+    /// Records a successful read at wall time `now`. All missed records were appended
+    /// before that time.
     pub(super) fn observe_read(&mut self, now: SystemTime) {
         match self {
             Self::Unread => *self = Self::Complete,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Learns from a record's time mark how old the missed records are.
+    /// Bounds the age of the missed records by the time mark of a later record.
     pub(super) fn observe_mark(&mut self, mark: &TimeMark) {
         match self {
             Self::Missed { below, before } if mark.seen >= *below => {
@@ -52,7 +52,8 @@
         }
     }
 
-    /// From when on no missed claim counts; `None` if that is not known.
+    /// Returns the time from which no missed claim is valid any more; `None` if it is
+    /// unknown.
     pub(super) fn complete_at(&self, window: &ClaimWindow) -> Option<SystemTime> {
         match self {
             Self::Unread | Self::Missed { before: None, .. } => None,
--- a/src/claims/machine.rs
+++ b/src/claims/machine.rs
@@ -1,12 +1,12 @@
-//! What one host does for one non-idempotent request.
+//! State machine of one non-idempotent request on one host.
 //!
 //! ```text
-//!           append          replayed as won        authorise
-//! (begin) ─────────▶ Waiting ─────────────▶ Won ─────────────▶ Dispatched
-//!    │                  │  │                 │                     │
-//!    │    replayed as   │  │ deadline        │ deadline            │ finished
-//!    ▼    lost          ▼  ▼                 ▼                     ▼
-//!  Asking ◀─────────────┘  Closed (withdrawal)              Closed (outcome)
+//!            append          replayed as won        authorise
+//!  (begin) ─────────▶ Waiting ─────────────▶ Won ─────────────▶ Dispatched
+//!     │                  │  │                 │                     │
+//!     │    replayed as   │  │ deadline        │ deadline            │ finished
+//!     ▼    lost          ▼  ▼                 ▼                     ▼
+//!  Querying ◀────────────┘  Closed (withdrawal)              Closed (outcome)
 //! ```
 
 mod transitions;
@@ -20,42 +20,42 @@
 use crate::platform::error::AppendVerdict;
 use crate::records::LogRecord;
 
-/// A non-idempotent request that asks to be run.
+/// A non-idempotent request for which a claim is made.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// Record id for its claim; unique over all daemons and their lives.
+    /// Record id of the claim; unique over all daemons and their incarnations.
     pub claim: RecordId,
-    /// The key.
+    /// The idempotency key.
     pub name: ClaimName,
-    /// The key's creation time.
+    /// Creation time of the key.
     pub created: SystemTime,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// What it asks for.
+    /// Fingerprint of the request's content.
     pub fingerprint: RequestFingerprint,
-    /// Until when it must be dispatched, or else is refused.
+    /// Time by which the request must be dispatched; after it the request is refused.
     pub deadline: Instant,
 }
 
-/// Delays that a claimant uses.
+/// Delays and timeouts of a claimant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimPolicy {
-    /// When a refused caller may come back, if nothing better is known.
+    /// When a refused caller may retry, if no better time is known.
     pub retry_after: Duration,
-    /// How long the daemon that holds the key may take to tell how the
-    /// request ended.
+    /// How long the daemon that holds the key may take to report the outcome of the
+    /// request.
     pub query_timeout: Duration,
-    /// First delay before a withdrawal or outcome that does not show in the
-    /// log is appended again; doubled each time.
+    /// Delay before a withdrawal or outcome that has not appeared in the log is appended
+    /// again; doubled after each attempt.
     pub settle_delay: Duration,
 }
 
-/// What happened.
+/// An input of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// The request came.
+    /// The request arrived.
     Begin {
-        /// Whether the log can be reached, as far as is known.
+        /// Whether the log is reachable, as far as is known.
         log_available: bool,
     },
     /// The append of the claim failed.
@@ -64,44 +64,44 @@
     ClaimReplayed(ClaimJudgement),
     /// The record with the id [`ClaimMachine::settlement_id`] was replayed.
     SettlementReplayed,
-    /// The holder of the key said how the request ended.
+    /// The holder of the key reported the outcome of the request.
     HolderReplied(ClaimOutcome),
-    /// The holder of the key could not be asked, or does not know.
+    /// The holder of the key could not be reached, or does not know the outcome.
     HolderUnavailable,
     /// The dispatched request ended.
     Finished(ClaimOutcome),
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// What is to be done.
+/// An output of the state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClaimDecision {
     /// Append this record to the claim stream.
     Append(LogRecord<ClaimBody>),
-    /// The claim won: call [`ClaimMachine::authorise`] right before the first
-    /// byte is written to a target.
+    /// Dispatch the request, as the claim has won. [`ClaimMachine::authorise`] must be
+    /// called right before the first byte is written to a target.
     Dispatch,
-    /// Ask the daemon that holds the key how the request ends.
+    /// Query the daemon that holds the key for the outcome of the request.
     QueryHolder(ClaimHolder),
-    /// Answer the caller; given once, and never after a dispatch.
+    /// Respond to the caller. Decided at most once, and never after a dispatch.
     Respond(ClaimResponse),
 }
 
-/// Leave to dispatch a claimed request once. Cannot be copied.
+/// Permission to dispatch a claimed request once. It cannot be copied.
 #[derive(Debug, PartialEq, Eq)]
 pub struct DispatchPermit {
     claim: RecordId,
 }
 
 impl DispatchPermit {
-    /// The claim under which the request is dispatched.
+    /// Returns the id of the claim under which the request is dispatched.
     pub fn claim(&self) -> &RecordId {
         &self.claim
     }
 }
 
-/// The claimant's state for one request.
+/// State of one request on the host that claims its key.
 #[derive(Debug)]
 pub struct ClaimMachine {
     request: ClaimRequest,
@@ -113,24 +113,24 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ClaimState {
-    /// Not begun.
+    /// [`ClaimEvent::Begin`] has not been handled.
     New,
-    /// The claim was appended, perhaps; its record has not been replayed.
+    /// The claim may have been appended; its record has not been replayed.
     Waiting,
-    /// The claim holds the key; nothing was dispatched.
+    /// The claim holds the key; the request has not been dispatched.
     Won,
-    /// A permit was given out. It is never given again.
+    /// The dispatch permit was issued. It is never issued again.
     Dispatched,
-    /// Another daemon holds the key and is being asked.
+    /// Another daemon holds the key and is being queried.
     Querying {
-        /// Until when.
+        /// When the query times out.
         until: Instant,
     },
-    /// The caller has its answer, or the run has ended. No permit any more.
+    /// The caller has a response, or the request has ended. No permit is issued any more.
     Closed,
 }
 
-/// A withdrawal or outcome that is appended until it shows in the log.
+/// A withdrawal or outcome that is appended until it appears in the log.
 #[derive(Debug, Clone)]
 struct ClaimSettlement {
     record: LogRecord<ClaimBody>,
@@ -139,7 +139,7 @@
 }
 
 impl ClaimMachine {
-    /// A machine for a request of this daemon's.
+    /// Creates the state machine of a request that this daemon received.
     pub fn new(request: ClaimRequest, owner: ClaimOwner, policy: ClaimPolicy) -> Self {
         Self {
             request,
@@ -150,23 +150,23 @@
         }
     }
 
-    /// Id of the claim's record.
+    /// Returns the id of the claim's record.
     pub fn claim_id(&self) -> &RecordId {
         &self.request.claim
     }
 
-    /// Id of the record that withdraws the claim or says how it ended. A
-    /// machine appends only one of the two.
+    /// Returns the id of the record that withdraws the claim or states its outcome. A
+    /// state machine appends only one of the two.
     pub fn settlement_id(&self) -> RecordId {
         format!("{}/settled", self.request.claim).into()
     }
 
-    /// Whether nothing is left to do, so that the machine may be dropped.
+    /// Whether all work is done, so that the state machine may be dropped.
     pub fn is_done(&self) -> bool {
         self.state == ClaimState::Closed && self.settlement.is_none()
     }
 
-    /// Whether a permit was given out.
+    /// Whether the dispatch permit was issued.
     pub fn is_dispatched(&self) -> bool {
         self.state == ClaimState::Dispatched
     }
--- a/src/claims/machine/transitions.rs
+++ b/src/claims/machine/transitions.rs
@@ -1,4 +1,4 @@
-//! The claimant's transitions.
+//! State transitions of a claimant.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::records::{JUDGING_RULES, LogRecord};
 use crate::verdict::RunVerdict;
 
-/// How often the delay between appends of a settlement is doubled.
+/// Number of times that the delay between appends of a settlement is doubled.
 const MAX_SETTLE_DOUBLINGS: u32 = 6;
 
 impl ClaimMachine {
-    /// Takes in an event. The decisions are to be carried out in order.
+    /// Handles an event and returns the decisions, which must be executed in order.
     pub fn handle(
         &mut self,
         event: ClaimEvent,
@@ -58,18 +58,18 @@
                 Vec::new()
             }
             (_, ClaimEvent::Tick) => self.retry_settlement(table, now),
-            // Late or doubled events of a state that has passed.
+            // The event is late or repeated: its state has passed.
             _ => Vec::new(),
         }
     }
 
-    /// Gives leave to dispatch, once. To be called right before the first
-    /// byte is written.
+    /// Issues the dispatch permit, once. Must be called right before the first byte is
+    /// written to a target.
     ///
     /// # Errors
     ///
-    /// If the request must not be dispatched, gives what is to be done instead;
-    /// nothing if that was decided before.
+    /// Returns the decisions to execute instead if the request must not be dispatched;
+    /// none if they were returned before.
     pub fn authorise(
         &mut self,
         table: &ClaimTable,
@@ -78,10 +78,10 @@
         if self.state != ClaimState::Won {
             return Err(Vec::new());
         }
-        // A daemon that was frozen after its claim won does not notice. Its
-        // deadline, the key's window or its knowledge of the log may have
-        // lapsed meanwhile: it would show as a request run long after its
-        // caller left, or a second time after its claim expired everywhere.
+        // The daemon may have been suspended after its claim won. Meanwhile the deadline,
+        // the key's window or its coverage of the log may have expired. Without these
+        // checks the request could run long after its caller left, or a second time after
+        // its claim expired on every host.
         if self.is_past_deadline(now) {
             return Err(self.give_up(ClaimRefusal::DeadlinePassed, table, now));
         }
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Answers without a dispatch, because of what the log says of the key.
+    /// Responds without a dispatch, according to the state of the key in the log.
     fn respond_for_key(&mut self, key_state: KeyState, now: ClaimTime) -> Vec<ClaimDecision> {
         match key_state {
             KeyState::Ended(outcome) => self.respond(ClaimResponse::Known(outcome)),
@@ -170,12 +170,12 @@
         }
     }
 
-    /// Answers a caller whose request another daemon holds, from the log
-    /// alone, because that daemon cannot be asked.
+    /// Responds from the log alone to a caller whose key is held by a daemon that cannot
+    /// be queried.
     fn respond_from_log(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
         match table.look_up(&self.request.name, &self.request.fingerprint) {
             KeyState::Held(_) => self.respond(ClaimResponse::Unknown),
-            // A claim that was forgotten looks like one that was withdrawn.
+            // A pruned claim cannot be told from a withdrawn one.
             KeyState::Free if table.admit(self.request.created, now.wall).is_err() => {
                 self.respond(ClaimResponse::Unknown)
             }
@@ -183,17 +183,17 @@
         }
     }
 
-    /// Whether a claim was made by an earlier life of this daemon, which can
-    /// neither dispatch any more nor tell whether it did.
+    /// Whether a claim was made by an earlier incarnation of this daemon, which cannot
+    /// dispatch any more and cannot report whether it did.
     fn is_previous_incarnation(&self, holder: &ClaimHolder) -> bool {
         holder.owner.host == self.owner.host && holder.owner.incarnation != self.owner.incarnation
     }
 
-    /// Makes a claim unusable that may be in the log or turn up there.
+    /// Gives up a claim that is in the log or may still appear there.
     ///
-    /// The state is closed before the caller is answered: this daemon alone
-    /// may dispatch for the claim, and from here on it never will. The
-    /// withdrawal frees the key for the caller's next attempt.
+    /// The state is closed before the caller gets its response: only this daemon may
+    /// dispatch under the claim, and from here on it never does. The withdrawal frees the
+    /// key for the caller's next attempt.
     fn give_up(
         &mut self,
         refusal: ClaimRefusal,
@@ -223,7 +223,7 @@
         self.state = ClaimState::Closed;
         let claim = self.claim_ref();
         let entry = match outcome.verdict {
-            // The target itself refused: the caller may come back.
+            // The target itself refused the request, so the caller may retry.
             RunVerdict::NotRun => ClaimEntry::Withdraw(claim),
             RunVerdict::MayHaveRun | RunVerdict::Ran => ClaimEntry::Outcome { claim, outcome },
         };
@@ -240,8 +240,8 @@
         ClaimDecision::Append(record)
     }
 
-    /// Appends a settlement again that has not shown in the log. Without it
-    /// the key stays blocked until its window has passed.
+    /// Appends a settlement again that has not appeared in the log. Without it the key
+    /// stays blocked until its window has passed.
     fn retry_settlement(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
         if table.is_prunable(self.request.created, now.wall) {
             self.settlement = None;
--- a/src/claims/record.rs
+++ b/src/claims/record.rs
@@ -14,70 +14,71 @@
 };
 use crate::verdict::RunVerdict;
 
-/// Largest answer kept whole in the log, in bytes; larger ones are kept as a
-/// fingerprint.
+/// Size in bytes up to which a response body is stored whole in the log. Of a larger body
+/// only the digest is stored.
 pub const MAX_STORED_RESPONSE_BYTES: usize = 1024;
 
 /// Body of a record in the claim stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimBody {
-    /// When it was written, and what its writer had read by then.
+    /// When the record was written, and what its writer had read by then.
     pub mark: TimeMark,
-    /// What it says.
+    /// Content of the record.
     pub entry: ClaimEntry,
 }
 
-/// Ties offsets to wall time: all records below `seen` had been appended when
-/// the writer's wall clock showed `written`.
+/// Relates offsets to wall time: all records below `seen` had been appended when the
+/// writer's wall clock showed `written`.
 ///
-/// A record's own offset proves nothing of the kind, because an append may
-/// reach the log long after it was written.
+/// The offset of the record itself gives no such bound, because an append may reach the
+/// log long after the record was written.
 #[serde_as]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimeMark {
     /// Offset after the last record that the writer had read.
     pub seen: LogOffset,
-    /// The writer's wall clock, in unix milliseconds.
+    /// Wall clock of the writer, in Unix milliseconds.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub written: SystemTime,
 }
 
-/// What a record of the claim stream says.
+/// Content of a record of the claim stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimEntry {
     /// The writer wants to dispatch the request.
     Claim(ClaimDetails),
-    /// The writer will never dispatch for this claim, or its target refused.
+    /// The writer will never dispatch under this claim, or the target refused the
+    /// request.
     Withdraw(ClaimRef),
-    /// How the claimed request ended.
+    /// Outcome of the claimed request.
     Outcome {
         /// The claim.
         claim: ClaimRef,
-        /// How it ended.
+        /// The outcome.
         outcome: ClaimOutcome,
     },
-    /// Nothing but the time mark.
+    /// A time mark only.
     Mark,
 }
 
-/// A claim on an idempotency key. The record's id identifies the claim.
+/// A claim on an idempotency key. The id of the record identifies the claim.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimDetails {
-    /// What is claimed.
+    /// The claimed key.
     pub name: ClaimName,
-    /// The request that the writer got under the key.
+    /// Id of the request that the writer received under the key.
     pub request: RequestId,
-    /// What the request asks for.
+    /// Fingerprint of the request's content.
     #[serde_as(as = "DisplayFromStr")]
     pub fingerprint: RequestFingerprint,
-    /// The key's creation time, in unix milliseconds.
+    /// Creation time of the key, in Unix milliseconds.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub created: SystemTime,
 }
 
-/// A key, which is unique within its organisation.
+/// An idempotency key, which is unique within its organisation.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimName {
     /// Organisation that the request was authenticated for.
@@ -86,51 +87,52 @@
     pub key: IdempotencyKey,
 }
 
-/// Names a claim in a later record of its writer.
+/// Reference to a claim in a later record of its writer.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRef {
     /// Record id of the claim.
     pub claim: RecordId,
-    /// The claimed key's creation time, so that a reader which sees this
-    /// record without the claim knows how long to remember it.
+    /// Creation time of the claimed key. A reader that sees this record without the claim
+    /// derives from it how long to keep the entry.
     #[serde_as(as = "TimestampMilliSeconds<i64>")]
     pub created: SystemTime,
 }
 
-/// The daemon's life that wrote a claim, the only one that may dispatch for it.
+/// The daemon incarnation that wrote a claim. No other one may dispatch under it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClaimOwner {
-    /// Its host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// Its incarnation.
+    /// Incarnation of the daemon.
     pub incarnation: IncarnationId,
 }
 
-/// How a claimed request ended.
+/// Outcome of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimOutcome {
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// HTTP status that its caller was given.
+    /// HTTP status that the caller received.
     pub status: u16,
-    /// The answer's body.
+    /// Body of the response.
     pub answer: StoredResponse,
 }
 
-/// An answer's body, as far as it is kept.
+/// A response body as it is stored in the log.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoredResponse {
     /// The whole body.
     Whole(String),
-    /// Only its fingerprint: it was too large, or not text.
+    /// The digest only, because the body was too large or not text.
     Digest(#[serde_as(as = "DisplayFromStr")] RequestFingerprint),
 }
 
 impl StoredResponse {
-    /// Keeps a body whole if it is short text.
+    /// Stores a body whole if it is text of at most [`MAX_STORED_RESPONSE_BYTES`], or
+    /// else its digest.
     pub fn of(body: &[u8]) -> Self {
         match std::str::from_utf8(body) {
             Ok(text) if text.len() <= MAX_STORED_RESPONSE_BYTES => Self::Whole(text.to_owned()),
@@ -139,20 +141,20 @@
     }
 }
 
-/// SHA-256 over what a request asks for, written as 64 hex digits.
+/// SHA-256 hash of a request's resource and body, written as 64 hex digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RequestFingerprint([u8; 32]);
 
-/// Text that is not a fingerprint.
+/// The text is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a fingerprint is 64 hex digits")]
 pub struct FingerprintError;
 
 impl RequestFingerprint {
-    /// The fingerprint of a request with this body to this service or model.
+    /// Computes the fingerprint of a request with this body to a service or model.
     pub fn of(resource: &str, body: &[u8]) -> Self {
         let mut hasher = Sha256::new();
-        // The length keeps the name and the body apart.
+        // The length separates the name from the body.
         hasher.update(resource.len().to_be_bytes());
         hasher.update(resource);
         hasher.update(body);
--- a/src/claims/response.rs
+++ b/src/claims/response.rs
@@ -1,4 +1,4 @@
-//! What a caller of a non-idempotent request is told without a dispatch.
+//! Responses to callers whose non-idempotent requests are not dispatched.
 
 use std::time::Duration;
 
@@ -14,31 +14,31 @@
     /// The key is older than the window.
     #[error("the idempotency key is too old")]
     KeyExpired,
-    /// The key was made later than now.
-    #[error("the idempotency key comes from the future")]
+    /// The creation time of the key is in the future.
+    #[error("the idempotency key was created in the future")]
     KeyFromFuture,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     #[error("the idempotency key was used for a different request")]
     KeyReused,
     /// This host cannot know yet whether the key was claimed before.
-    #[error("this host does not know all claims yet")]
+    #[error("this host has not read all claims yet")]
     NotCovered,
-    /// The log cannot be reached, or refused the claim.
+    /// The log is unreachable, or rejected the claim.
     #[error("the log is unavailable")]
     LogUnavailable,
-    /// The claim did not show in the log by its deadline.
+    /// The claim did not appear in the log before its deadline.
     #[error("the claim could not be confirmed in time")]
     NotConfirmed,
-    /// The claim was confirmed, but too late to dispatch.
+    /// The claim was confirmed, but too late to dispatch the request.
     #[error("the claim's deadline passed before the request was sent")]
     DeadlinePassed,
-    /// The host that claimed the key withdrew its claim.
-    #[error("the host that claimed the idempotency key withdrew")]
+    /// The host that had claimed the key withdrew its claim.
+    #[error("the host that claimed the idempotency key withdrew its claim")]
     HolderWithdrew,
 }
 
 impl ClaimRefusal {
-    /// The reason under which it is counted.
+    /// Returns the reason under which the refusal is counted.
     pub fn reason(self) -> RefusalReason {
         match self {
             Self::KeyExpired => RefusalReason::KeyExpired,
@@ -51,19 +51,19 @@
     }
 }
 
-/// The answer to a caller whose request this host does not dispatch.
+/// The response to a caller whose request this host does not dispatch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimResponse {
-    /// This host did not run it and never will.
+    /// This host did not run the request and never will.
     Refused {
-        /// Why.
+        /// The cause.
         refusal: ClaimRefusal,
-        /// When the caller may come back with the same key, if at all.
+        /// When the caller may retry with the same key; `None` if it must not retry.
         retry_after: Option<Duration>,
     },
-    /// It ended elsewhere, or earlier, in a known way.
+    /// The request ended on another host, or earlier, with a known outcome.
     Known(ClaimOutcome),
-    /// Another daemon claimed it and cannot be asked.
+    /// Another daemon claimed the key and cannot be queried.
     Unknown,
 }
 
--- a/src/claims/table.rs
+++ b/src/claims/table.rs
@@ -1,4 +1,4 @@
-//! Judges the records of the claim stream, alike on every host.
+//! Applies the records of the claim stream, with the same result on every host.
 
 mod commands;
 mod queries;
@@ -18,35 +18,37 @@
     window: ClaimWindow,
     next_offset: LogOffset,
     coverage: LogCoverage,
-    /// Set once a record has come that this program cannot judge.
+    /// Set once a record was read whose rules this program does not know.
     saw_newer_rules: bool,
     claims: FastMap<RecordId, KnownClaim>,
-    /// The live or ended claim of each key.
+    /// The claim that holds each key, whether its request is in progress or has ended.
     holders: FastMap<ClaimName, HeldKey>,
-    /// Order in which claims are forgotten.
+    /// Claims in the order in which they are pruned.
     by_age: BTreeSet<(SystemTime, RecordId)>,
-    /// Keys made before this may have been forgotten. Never moves back, even
-    /// if the wall clock does.
+    /// Claims on keys created before this time may have been pruned. The time never moves
+    /// back, even if the wall clock does.
     pruned_before: SystemTime,
     last_mark: SystemTime,
 }
 
-/// A claim seen in the log, or named there by its writer before it shows.
+/// A claim that was read from the log, or that its writer withdrew before its record was
+/// read.
 #[derive(Debug, Clone)]
 struct KnownClaim {
     owner: ClaimOwner,
     status: ClaimStatus,
 }
 
-/// What has become of a claim.
+/// State of a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum ClaimStatus {
-    /// It holds its key: its owner may dispatch, may have dispatched, or has
+    /// The claim holds its key: its owner may dispatch, may have dispatched, or has
     /// finished.
     Holds(ClaimName),
-    /// Another claim held the key when it came.
+    /// Another claim held the key when the record was applied.
     Lost,
-    /// Its owner withdrew it; it never counts, even if it turns up later.
+    /// The owner withdrew the claim. It never takes effect, even if its record appears
+    /// later.
     Withdrawn,
 }
 
@@ -62,65 +64,65 @@
 pub struct ClaimHolder {
     /// Record id of the claim.
     pub claim: RecordId,
-    /// Who may dispatch for it.
+    /// The daemon that may dispatch under the claim.
     pub owner: ClaimOwner,
-    /// The request that the owner got.
+    /// Id of the request that the owner received.
     pub request: RequestId,
 }
 
-/// What the log says about a key.
+/// State of a key according to the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyState {
-    /// No claim holds it.
+    /// No claim holds the key.
     Free,
-    /// A claim holds it; the outcome is not known.
+    /// A claim holds the key; its outcome is unknown.
     Held(ClaimHolder),
-    /// The request under it has ended.
+    /// The request under the key has ended.
     Ended(ClaimOutcome),
-    /// It is held for another request.
+    /// The key is held for a different request.
     Mismatched,
 }
 
-/// How a record was judged.
+/// The result of applying a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimJudgement {
     /// The claim holds its key.
     Won,
-    /// The key is held by another claim.
+    /// Another claim holds the key.
     Lost {
-        /// Whether the other claim is for another request.
+        /// Whether the other claim is for a different request.
         mismatched: bool,
-        /// The other claim.
+        /// The claim that holds the key.
         holder: ClaimHolder,
     },
-    /// The claim had been withdrawn before it showed.
+    /// The claim had been withdrawn before its record appeared.
     AlreadyWithdrawn,
-    /// The key is so old that claims on it may have been forgotten.
+    /// The key is so old that claims on it may have been pruned.
     TooOld,
-    /// The withdrawal or outcome took effect, or had already.
+    /// The withdrawal or outcome took effect, now or earlier.
     Settled,
-    /// The withdrawal or outcome is not its owner's, or comes too late; or the
-    /// text is no record.
+    /// The withdrawal or outcome was not written by the claim's owner, or comes too late;
+    /// or the text is not a record.
     Ignored,
-    /// The record was seen before.
+    /// The offset was applied before.
     Repeated,
-    /// It carried only a time mark.
+    /// The record contains only a time mark.
     Marked,
-    /// It is to be judged by rules that this program does not know.
+    /// The record has rules that this program does not know.
     UnknownRules,
 }
 
-/// A record's id, as far as it could be read, and how it was judged.
+/// The result of applying a record, with the record's id if it could be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JudgedClaim {
-    /// The record's id.
+    /// Id of the record.
     pub id: Option<RecordId>,
-    /// The judgement.
+    /// The result.
     pub judgement: ClaimJudgement,
 }
 
 impl ClaimTable {
-    /// An empty table, to be filled from offset zero on.
+    /// Creates an empty table, which expects records from offset zero.
     pub fn new(window: ClaimWindow) -> Self {
         Self {
             window,
--- a/src/claims/table/commands.rs
+++ b/src/claims/table/commands.rs
@@ -1,4 +1,4 @@
-//! What changes the table.
+//! Operations that change the table.
 
 use std::collections::hash_map::Entry;
 use std::time::SystemTime;
@@ -13,8 +13,8 @@
 use crate::records::{JUDGING_RULES, LogRecord, RawRecord};
 
 impl ClaimTable {
-    /// Notes a read that succeeded at wall time `now`, before its records are
-    /// applied. If records expired unread, the table has missed them.
+    /// Records a successful read at wall time `now`, before its records are applied.
+    /// Records that expired before they were read count as missed.
     pub fn observe_read(&mut self, first_offset: LogOffset, now: SystemTime) {
         if first_offset > self.next_offset {
             self.next_offset = first_offset;
@@ -23,8 +23,8 @@
         self.coverage.observe_read(now);
     }
 
-    /// Judges the text of the record at an offset. Text that is no record is
-    /// ignored by all readers alike.
+    /// Applies the text of the record at an offset. Every reader ignores text that is not
+    /// a record.
     pub fn apply_raw(&mut self, offset: LogOffset, text: &str) -> JudgedClaim {
         match RawRecord::read(text) {
             RawRecord::Known(record) => JudgedClaim {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Judges the record at an offset. Records come in the log's order.
+    /// Applies the record at an offset. Records must be applied in log order.
     pub fn apply(&mut self, offset: LogOffset, record: &LogRecord<ClaimBody>) -> ClaimJudgement {
         if record.rules > JUDGING_RULES {
             return self.skip(offset, true);
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Forgets claims on keys that are too old to be accepted again.
+    /// Removes claims on keys that are too old to be accepted again.
     pub fn prune(&mut self, now: SystemTime) {
         let oldest = self.window.prune_before(now);
         self.pruned_before = self.pruned_before.max(oldest);
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Moves on to the record at an offset, unless it was seen before.
+    /// Advances to the record at an offset; returns `false` if it was applied before.
     fn advance(&mut self, offset: LogOffset) -> bool {
         if offset < self.next_offset {
             return false;
@@ -110,9 +110,9 @@
         details: &ClaimDetails,
     ) -> ClaimJudgement {
         match self.claims.get(claim) {
-            // The withdrawal overtook the claim, whose append was under way
-            // while its writer gave up. Its caller was told that it did not
-            // run, so the claim must not block the key.
+            // The withdrawal was appended before the claim, whose append was still in
+            // progress when its writer gave up. The caller got the response that the
+            // request did not run, so the claim must not block the key.
             Some(known) if known.status == ClaimStatus::Withdrawn => {
                 return ClaimJudgement::AlreadyWithdrawn;
             }
--- a/src/claims/table/queries.rs
+++ b/src/claims/table/queries.rs
@@ -1,4 +1,4 @@
-//! What the table tells.
+//! Queries of the table, without effect on it.
 
 use std::time::{Duration, SystemTime};
 
@@ -8,29 +8,29 @@
 use crate::ids::LogOffset;
 
 impl ClaimTable {
-    /// The offset that is to be applied next.
+    /// Returns the offset of the record to be applied next.
     pub fn next_offset(&self) -> LogOffset {
         self.next_offset
     }
 
-    /// Claims remembered, won, lost and withdrawn.
+    /// Returns the number of known claims: won, lost and withdrawn ones.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether no claim is remembered.
+    /// Whether no claim is known.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Whether every claim that counts at `now` is known. Until then a host
-    /// takes no non-idempotent requests.
+    /// Whether every claim that is valid at `now` is known. Until then a host accepts no
+    /// non-idempotent requests.
     pub fn covers(&self, now: SystemTime) -> bool {
         let complete_at = self.coverage.complete_at(&self.window);
         !self.saw_newer_rules && complete_at.is_some_and(|time| time < now)
     }
 
-    /// How long until [`Self::covers`] may hold; `None` if that is not known.
+    /// Returns the time until [`Self::covers`] may hold; `None` if it is unknown.
     pub fn time_until_covered(&self, now: SystemTime) -> Option<Duration> {
         if self.saw_newer_rules {
             return None;
@@ -39,13 +39,13 @@
         Some(complete_at.duration_since(now).unwrap_or_default())
     }
 
-    /// Whether a request under a key made at `created` may be claimed, or
-    /// dispatched after its claim has won, at `now`.
+    /// Checks whether a request under a key created at `created` may be claimed at `now`,
+    /// or dispatched after its claim has won.
     ///
     /// # Errors
     ///
-    /// Refuses keys that are too old or from the future, and all keys while
-    /// claims may be missing.
+    /// Refuses keys that are too old or from the future, and all keys while claims may be
+    /// missing.
     pub fn admit(&self, created: SystemTime, now: SystemTime) -> Result<(), ClaimRefusal> {
         let pruned = created < self.pruned_before;
         if pruned || self.window.is_expired(created, now) {
@@ -60,7 +60,7 @@
         Ok(())
     }
 
-    /// What is known about a key for a request with this fingerprint.
+    /// Returns the state of a key for a request with this fingerprint.
     pub fn look_up(&self, name: &ClaimName, fingerprint: &RequestFingerprint) -> KeyState {
         match self.holders.get(name) {
             None => KeyState::Free,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The time mark for a record written at `now`.
+    /// Returns the time mark of a record written at `now`.
     pub fn mark(&self, now: SystemTime) -> TimeMark {
         TimeMark {
             seen: self.next_offset,
@@ -81,15 +81,15 @@
         }
     }
 
-    /// Whether the stream has had no time mark for so long that one should be
-    /// appended. Each host adds a `stagger` of its own, so that they do not
-    /// all do so at once.
+    /// Whether the stream has had no time mark for so long that one should be appended.
+    /// Each host adds its own `stagger`, so that not all hosts append one at the same
+    /// time.
     pub fn mark_due(&self, now: SystemTime, stagger: Duration) -> bool {
         self.last_mark + self.window.mark_interval() + stagger < now
     }
 
-    /// Whether a key needs no further care at `now`, because no host can
-    /// accept it any more.
+    /// Whether state of a key may be dropped at `now`, because no host accepts the key
+    /// any more.
     pub fn is_prunable(&self, created: SystemTime, now: SystemTime) -> bool {
         created < self.window.prune_before(now)
     }
