--- a/src/reason.rs
+++ b/src/reason.rs
@@ -1,4 +1,4 @@
-//! The closed sets of reasons that feed counters, log lines and `explain`.
+//! Closed sets of reasons for counters, log lines and `explain`.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -13,11 +13,11 @@
     CapacityUsedUp,
     /// The organisation's queue is full.
     QueueFull,
-    /// The estimate says that the deadline cannot be met.
+    /// The request is not expected to end before its deadline.
     DeadlineUnreachable,
     /// The deadline passed.
     DeadlinePassed,
-    /// No usable target for some stage.
+    /// Some stage has no usable target.
     NoRoute,
     /// The daemon is shutting down.
     Draining,
@@ -33,24 +33,24 @@
     Unauthenticated,
     /// The request is malformed.
     Malformed,
-    /// No such model, service or resource.
+    /// The model, service or resource does not exist.
     Unknown,
     /// The retry budget is spent.
     RetryBudgetSpent,
-    /// A target failed and the request may not be repeated.
+    /// A target failed and the request must not be repeated.
     TargetFailed,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
     /// No engine has room for the request.
     NoRoom,
-    /// Targets crashed as they began to run the request.
+    /// Targets crashed when they began to run the request.
     PoisonRequest,
-    /// The targets limit their rate of requests, and it is used up.
+    /// The targets limit their request rate, and the limit is reached.
     NoPermit,
 }
 
 impl RefusalReason {
-    /// Every reason, for registering one counter each.
+    /// All reasons, for registering one counter each.
     pub const ALL: [Self; 19] = [
         Self::CapacityUsedUp,
         Self::QueueFull,
@@ -73,7 +73,7 @@
         Self::NoPermit,
     ];
 
-    /// The name used in metrics, logs and bodies.
+    /// Returns the name used in metrics, logs and response bodies.
     pub fn name(self) -> &'static str {
         match self {
             Self::CapacityUsedUp => "capacity_used_up",
@@ -99,28 +99,28 @@
     }
 }
 
-/// Why a step or an order was sent again, or a stage replaced.
+/// Why a step or an order was sent again, or a stage moved to another target.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum RetryReason {
-    /// The connection could not be made; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     ConnectFailed,
     /// The connection broke or timed out after bytes were sent.
     AnswerLost,
     /// The target refused the order.
     TargetRefused,
-    /// The target no longer knows the session.
+    /// The target has lost the session.
     SessionLost,
     /// The target is leaving or draining.
     TargetLeaving,
-    /// The target answered with something that does not match the order.
+    /// The target responded with something that does not match the order.
     AnswerMismatched,
 }
 
 impl RetryReason {
-    /// Every reason, for registering one counter each.
+    /// All reasons, for registering one counter each.
     pub const ALL: [Self; 6] = [
         Self::ConnectFailed,
         Self::AnswerLost,
@@ -130,7 +130,7 @@
         Self::AnswerMismatched,
     ];
 
-    /// The name used in metrics, logs and bodies.
+    /// Returns the name used in metrics, logs and response bodies.
     pub fn name(self) -> &'static str {
         match self {
             Self::ConnectFailed => "connect_failed",
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,4 +1,4 @@
-//! One request over one pipeline: stages, attempts, recovery and verdict.
+//! Runs one request through one pipeline: stages, attempts, recovery and verdict.
 
 mod decision;
 pub mod driver;
--- a/src/run/decision.rs
+++ b/src/run/decision.rs
@@ -1,4 +1,4 @@
-//! What a run decides.
+//! Decisions of the run's state machine.
 
 use std::time::Duration;
 
@@ -7,66 +7,66 @@
 use crate::target::wire::StepOrder;
 use crate::verdict::RunVerdict;
 
-/// Something that the shell has to carry out.
+/// An action that the driver has to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunDecision {
-    /// Send a step; also used to ask again for an answer that was lost.
+    /// Send a step; also used to request a lost response again.
     SendStep {
-        /// Target to send to.
+        /// Target that receives the step.
         target: TargetId,
         /// The order.
         order: StepOrder,
-        /// Why it is sent again, if it is.
+        /// Why the step is sent again; `None` if it is the first attempt.
         retry: Option<RetryReason>,
-        /// How long to wait before it is sent.
+        /// How long to wait before sending.
         delay: Duration,
     },
-    /// Give the caller one token.
+    /// Deliver one token to the caller.
     DeliverToken {
-        /// Number of the token in the answer, from zero.
+        /// Index of the token in the response, from zero.
         number: u64,
         /// The token.
         token: TokenValue,
     },
-    /// Ask the router for another target of a stage.
+    /// Choose another target for a stage.
     ChooseReplacement {
-        /// Stage concerned.
+        /// Stage to be served.
         stage: StageIndex,
-        /// Targets not to be chosen.
+        /// Targets that must not be chosen.
         excluded: Vec<TargetId>,
-        /// Why.
+        /// Why the stage needs another target.
         reason: RetryReason,
     },
-    /// Move a session's KV cache to another holder of the same range, and
-    /// report [`RunEvent::CacheMoved`](super::RunEvent::CacheMoved).
+    /// Move a session's KV cache to another target that holds the same layers, and report
+    /// [`RunEvent::CacheMoved`](super::RunEvent::CacheMoved).
     MoveCache {
         /// Target that holds the session.
         from: TargetId,
-        /// Session there.
+        /// Session on the source.
         from_session: String,
-        /// Target that takes over.
+        /// Target that receives the cache.
         to: TargetId,
-        /// Session there.
+        /// Session on the receiver.
         to_session: String,
     },
     /// Cancel a session that is no longer needed.
     CancelSession {
-        /// Target that holds it.
+        /// Target that holds the session.
         target: TargetId,
-        /// Its name.
+        /// Name of the session.
         session: String,
     },
-    /// End the run; nothing is decided after it.
+    /// End the run; no decision follows.
     Finish(RunOutcome),
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunOutcome {
-    /// Tokens delivered in all, including those of an earlier entry host.
+    /// Tokens delivered in total, including those of an earlier entry host.
     pub delivered: u64,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// Why it was given up; `None` if the answer is whole.
+    /// Why the run was given up; `None` if the response is complete.
     pub refusal: Option<RefusalReason>,
 }
--- a/src/run/driver.rs
+++ b/src/run/driver.rs
@@ -1,4 +1,4 @@
-//! The shell of a run: carries out decisions and turns answers into events.
+//! Drives a run: executes decisions and turns responses into events.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 use crate::target::wire::StepOrder;
 use crate::verdict::RunVerdict;
 
-/// Runs `machine` to its end and gives back the outcome.
+/// Runs `machine` to its end and returns the outcome.
 ///
-/// Tokens go into `tokens`; the run ends early if its receiver is dropped, also
-/// while no token is due, or at the plan's deadline. Sessions are cancelled in
-/// the background, so that the caller does not wait for that. Dropping the
-/// future leaves sessions on the engines: spawn it.
+/// Tokens are sent to `tokens`. The run ends early at the plan's deadline, or when the
+/// receiver is dropped, even while no token is due. Sessions are cancelled in the
+/// background, so that the caller does not wait for that. Dropping the future leaves
+/// sessions on the engines, so it should be spawned as a task.
 pub async fn drive_run<C, A, L, O>(
     machine: RunMachine,
     client: TargetClient,
@@ -47,7 +47,7 @@
     driver.run().await
 }
 
-/// A decision that takes time; at most one is open.
+/// A decision whose execution takes time; at most one is pending.
 enum PendingOperation {
     Step {
         target: TargetId,
@@ -75,7 +75,7 @@
     hooks: RunHooks<C, A, L, O>,
     tokens: mpsc::Sender<DeliveredToken>,
     deadline: Instant,
-    /// Leaving targets that the machine was told of.
+    /// Leaving targets that the state machine was notified of.
     reported_leaving: Vec<TargetId>,
 }
 
@@ -108,17 +108,17 @@
             }
             let event = match pending.take() {
                 Some(operation) => self.execute(operation).await,
-                // Cannot happen: a run that has not ended awaits something.
-                // Should it, the run ends at its deadline rather than never.
+                // Unreachable, as a run that has not ended awaits an event. If it
+                // happened, the run would end at its deadline instead of hanging.
                 None => self.interruption().await,
             };
             events.push_back(event);
         }
     }
 
-    /// Hands an event to the machine. If that drops an answer, the call that
-    /// brought it has still ended, and nothing else would wake the run; so a
-    /// failure follows.
+    /// Passes an event to the state machine. If the state machine drops a response, the
+    /// call that returned it has still ended and no other event would resume the run, so
+    /// a failure event is queued.
     fn handle(&mut self, event: RunEvent, events: &mut VecDeque<RunEvent>) -> Vec<RunDecision> {
         let responder = match &event {
             RunEvent::ResponseReceived { target, .. } => Some(target.clone()),
@@ -158,7 +158,8 @@
         for target in leaving {
             self.reported_leaving.push(target.clone());
             let event = RunEvent::TargetLeaving { target };
-            // Only noted by the machine; it acts when the stage is due.
+            // The state machine only records this event and acts on it when it next sends
+            // to the stage.
             self.machine.handle(event, Instant::now());
         }
     }
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Carries out a decision that takes no time, or gives back the work.
+    /// Executes a decision that completes at once, or returns it as a pending operation.
     fn start(
         &self,
         decision: RunDecision,
@@ -225,7 +226,8 @@
         }
     }
 
-    /// Best effort: a session left behind is dropped by the engine in time.
+    /// Cancels a session on a target in the background. The engine eventually drops a
+    /// session whose cancellation fails.
     fn cancel(&self, target: &TargetId, session: String) {
         let Some(address) = (self.hooks.address)(target) else {
             return;
@@ -348,7 +350,7 @@
         imported.ok().map(|()| export.next_position)
     }
 
-    /// Ends when the run has to stop before its time.
+    /// Completes when the run has to stop early.
     async fn interruption(&self) -> RunEvent {
         tokio::select! {
             biased;
--- a/src/run/event.rs
+++ b/src/run/event.rs
@@ -1,46 +1,46 @@
-//! What happens to a run.
+//! Events of a run.
 
 use crate::ids::{StageIndex, TargetId, TokenPosition};
 use crate::reason::RetryReason;
 use crate::target::wire::{StepAnswer, StepLabel, TargetRefusal};
 use crate::verdict::RunVerdict;
 
-/// Something that happened and that the run has to decide about.
+/// Something that happened and that the state machine has to handle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEvent {
-    /// The run may begin.
+    /// The run is started.
     Started,
-    /// A target answered a step.
+    /// A target responded to a step.
     ResponseReceived {
-        /// Target that answered.
+        /// Target that responded.
         target: TargetId,
-        /// Its answer, not yet matched against what is awaited.
+        /// Its response, not yet matched against the awaited step.
         response: StepAnswer,
     },
-    /// A step brought no answer.
+    /// A step failed without a usable response.
     StepFailed {
         /// Label of the order.
         label: StepLabel,
         /// Position of the order.
         position: TokenPosition,
-        /// What went wrong.
+        /// How the step failed.
         failure: StepFailure,
     },
     /// The router chose another target for a stage, or found none.
     ReplacementChosen {
-        /// Stage concerned.
+        /// Stage to be served.
         stage: StageIndex,
         /// The new target; `None` if no usable target is left.
         target: Option<TargetId>,
     },
-    /// A move of a KV cache ended.
+    /// A move of a KV cache ended, successfully or not.
     CacheMoved {
-        /// Session that was to take the cache.
+        /// Session that was to receive the cache.
         to_session: String,
-        /// Next position that it can run; `None` if the move failed.
+        /// Next position that the session can run; `None` if the move failed.
         next_position: Option<TokenPosition>,
     },
-    /// A target that serves a stage is leaving, but still answers.
+    /// A target that serves a stage is leaving, but still responds.
     TargetLeaving {
         /// The target.
         target: TargetId,
@@ -54,12 +54,12 @@
 /// How a step failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StepFailure {
-    /// Reason, as counted.
+    /// Reason under which the failure is counted.
     pub reason: RetryReason,
-    /// Whether nothing at all came back in time, as from a frozen target.
+    /// Whether the step timed out without any response, as with a frozen target.
     pub timed_out: bool,
     /// Whether the step may have run on the target.
     pub verdict: RunVerdict,
-    /// The target's own words, if it refused.
+    /// The refusal that the target returned, if it refused the step.
     pub refusal: Option<TargetRefusal>,
 }
--- a/src/run/hooks.rs
+++ b/src/run/hooks.rs
@@ -1,4 +1,4 @@
-//! What a run asks of the daemon around it.
+//! Interface between a run and the daemon.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,76 +7,78 @@
 use crate::reason::RetryReason;
 use crate::verdict::RunVerdict;
 
-/// A token for the caller.
+/// A token to be delivered to the caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DeliveredToken {
-    /// Number in the answer, from zero, without gaps.
+    /// Index in the response, from zero, without gaps.
     pub number: u64,
     /// The token.
     pub token: TokenValue,
 }
 
-/// What a run saw of a target.
+/// An observation of a run about its targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StepObservation {
     /// A step was sent.
     Sent {
-        /// Stage that the step is for.
+        /// Stage of the step.
         stage: StageIndex,
-        /// Target asked.
+        /// Target that the step was sent to.
         target: TargetId,
-        /// Positions in the step.
+        /// Number of positions in the step.
         positions: u64,
-        /// Why it was sent again, or to another target, if it was.
+        /// Why the step was sent again, or to another target; `None` if it is the first
+        /// attempt.
         retry: Option<RetryReason>,
     },
-    /// A step was answered.
+    /// The target responded to a step.
     Completed {
-        /// Target asked.
+        /// Target that the step was sent to.
         target: TargetId,
-        /// Positions in the step.
+        /// Number of positions in the step.
         positions: u64,
-        /// Time from sending to the end of the answer.
+        /// Time from sending to the end of the response.
         latency: Duration,
     },
     /// A step failed.
     Failed {
-        /// Target asked.
+        /// Target that the step was sent to.
         target: TargetId,
-        /// Positions in the step.
+        /// Number of positions in the step.
         positions: u64,
-        /// Reason.
+        /// Why the step failed.
         reason: RetryReason,
-        /// Whether it may have run.
+        /// Whether the step may have run.
         verdict: RunVerdict,
         /// Time from sending to the failure.
         latency: Duration,
     },
-    /// A step was given up unanswered: caller gone or deadline reached.
+    /// A step was abandoned without a response: the caller disconnected or the deadline
+    /// was reached.
     Abandoned {
-        /// Target asked.
+        /// Target that the step was sent to.
         target: TargetId,
-        /// Positions in the step.
+        /// Number of positions in the step.
         positions: u64,
     },
     /// A stage needs another target.
     Replacing {
-        /// Stage concerned.
+        /// Stage to be served.
         stage: StageIndex,
-        /// Why.
+        /// Why the stage needs another target.
         reason: RetryReason,
-        /// The target chosen, if there is one.
+        /// The chosen target; `None` if there is none.
         chosen: Option<TargetId>,
     },
-    /// An answer matched nothing awaited and was dropped.
+    /// A response did not match the awaited step and was dropped.
     ResponseDropped {
-        /// Target that sent it.
+        /// Target that sent the response.
         target: TargetId,
     },
 }
 
-/// Closures by which a run reaches the daemon's tables. They are called
-/// between awaits and must not block.
+/// Callbacks through which a run accesses the daemon's tables. They are called between
+/// awaits and must not block.
 #[derive(Debug)]
 pub struct RunHooks<C, A, L, O>
 where
@@ -85,13 +87,13 @@
     L: Fn(&TargetId) -> bool,
     O: Fn(StepObservation),
 {
-    /// Another target for a stage, none of those listed.
+    /// Returns another target for a stage, none of those listed.
     pub choose: C,
-    /// Address of a target.
+    /// Returns the address of a target.
     pub address: A,
-    /// Whether a target is leaving.
+    /// Returns whether a target is leaving.
     pub is_leaving: L,
-    /// Told of each step; every `Sent` is followed by exactly one of
-    /// `Completed`, `Failed` and `Abandoned`.
+    /// Receives each observation; every `Sent` is followed by exactly one of `Completed`,
+    /// `Failed` and `Abandoned`.
     pub observe: O,
 }
--- a/src/run/limits.rs
+++ b/src/run/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on what a run may spend on recovery.
+//! Limits on the recovery of a run.
 
 use std::time::Duration;
 
@@ -7,34 +7,34 @@
 /// How a stage gets its KV cache back after its target was replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RecoveryMode {
-    /// Move the cache if the old target still answers, else replay the stage.
+    /// Move the cache if the old target still responds, or else replay the stage.
     #[default]
     MoveCache,
-    /// Replay the stage: earlier stages hand back what they recorded, and only
-    /// the new target computes.
+    /// Replay the stage: earlier stages return their recorded outputs, and only the new
+    /// target computes.
     ReplayStage,
-    /// Begin all stages anew over the prompt and the tokens generated so far.
+    /// Run all stages again over the prompt and the tokens generated so far.
     NewAttempt,
 }
 
-/// Bounds for one run.
+/// Limits on the recovery of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunLimits {
-    /// Attempts that may be opened after the first, over all stages.
+    /// Number of attempts that may follow the first one, over all stages.
     pub max_repairs: AttemptNumber,
-    /// Times that one step is sent again to the same target.
+    /// How often one step is sent again to the same target.
     pub resends_per_step: u32,
-    /// The same, after a timeout. Each costs a further timeout if the target
-    /// is frozen, so another target is sought first; if there is none,
-    /// `resends_per_step` holds.
+    /// The same after a timeout. Each resend costs another timeout if the target is
+    /// frozen, so another target is chosen first; if there is none, `resends_per_step`
+    /// applies.
     pub resends_after_timeout: u32,
-    /// Wait before the first resend; doubled for each further one.
+    /// Delay before the first resend; doubled for each further one.
     pub backoff_base: Duration,
-    /// Longest wait before a resend.
+    /// Longest delay before a resend.
     pub backoff_cap: Duration,
     /// How a replaced stage gets its KV cache back.
     pub recovery: RecoveryMode,
-    /// Seed of the jitter on the waits.
+    /// Seed for the jitter of the delays.
     pub jitter_seed: u64,
 }
 
--- a/src/run/machine.rs
+++ b/src/run/machine.rs
@@ -1,10 +1,9 @@
-//! The state machine of one run: events in, decisions out, no I/O.
+//! State machine of one run: events in, decisions out, no I/O.
 //!
-//! One range of positions, the wave, travels through the stages. It always
-//! ends with the last known token; it begins with the earliest position that
-//! some stage ahead has not run yet. That one rule covers prefill (all of the
-//! prompt), decoding (one position) and repair (from position zero, if a stage
-//! lost its session).
+//! The run sends one range of positions at a time, a forward pass, through the stages.
+//! The range always ends with the last known token, and begins with the earliest position
+//! that a stage ahead has not run yet. This rule covers prefill (the whole prompt),
+//! decoding (one position) and repair (from position zero, if a stage lost its session).
 
 mod forward_pass;
 mod order_counts;
@@ -28,11 +27,11 @@
 use order_counts::OrderCounts;
 use stage_session::StageSession;
 
-/// One request over one pipeline.
+/// One request in one pipeline.
 ///
-/// Feed it [`RunEvent::Started`], carry out the decisions, feed it what comes
-/// of them. At most one of `SendStep`, `ChooseReplacement` and `MoveCache` is
-/// open at a time.
+/// The driver passes in [`RunEvent::Started`], executes the decisions and passes in the
+/// resulting events. At most one of `SendStep`, `ChooseReplacement` and `MoveCache` is
+/// pending at a time.
 #[derive(Debug)]
 pub struct RunMachine {
     plan: RunPlan,
@@ -42,43 +41,43 @@
     /// Prompt and generated tokens.
     sequence: Vec<TokenValue>,
     delivered: u64,
-    /// Highest attempt used by any stage.
+    /// Highest attempt number used by any stage.
     attempt: AttemptNumber,
     pass: ForwardPass,
     phase: RunPhase,
-    /// Targets that failed this run.
+    /// Targets that failed during this run.
     excluded: Vec<TargetId>,
     order_counts: OrderCounts,
     dropped: u64,
 }
 
-/// What the run waits for.
+/// The event that the run awaits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum RunPhase {
-    /// Nothing was decided yet.
+    /// The run has not started.
     Idle,
-    /// The answer to a step.
+    /// The response to a step.
     AwaitResponse(AwaitedStep),
-    /// Another target for a stage.
+    /// A replacement target for a stage.
     AwaitReplacement {
         stage: StageIndex,
         reason: RetryReason,
-        /// Resends spent on the step that failed; `None` if none failed and
-        /// the target is merely leaving.
+        /// Resends of the step that failed; `None` if no step failed and the target is
+        /// only leaving.
         resends: Option<u32>,
     },
-    /// The end of a move of a KV cache to the target now set for the stage.
+    /// The end of a KV cache move to the current target of the stage.
     AwaitMove {
         stage: StageIndex,
         reason: RetryReason,
         from: TargetId,
         from_session: String,
     },
-    /// Nothing any more.
+    /// Nothing; the run has ended.
     Finished,
 }
 
-/// A step that was sent.
+/// A step whose response is awaited.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct AwaitedStep {
     target: TargetId,
@@ -87,7 +86,7 @@
 }
 
 impl RunMachine {
-    /// A run that has not begun.
+    /// Creates a run that has not started.
     pub fn new(mut plan: RunPlan, limits: RunLimits) -> Self {
         let sequence = std::mem::take(&mut plan.prompt);
         let sessions = plan.stages.iter().map(StageSession::new);
@@ -107,7 +106,7 @@
         }
     }
 
-    /// Takes in what happened and says what to do about it, in order.
+    /// Handles an event and returns the decisions, in the order of execution.
     pub fn handle(&mut self, event: RunEvent, now: Instant) -> Vec<RunDecision> {
         let mut decisions = Vec::new();
         match event {
@@ -149,12 +148,12 @@
         }
     }
 
-    /// Ends the run with the whole answer.
+    /// Ends the run with the complete response.
     fn complete(&mut self, decisions: &mut Vec<RunDecision>) {
         self.finish(RunVerdict::Ran, None, decisions);
     }
 
-    /// Ends the run without the whole answer.
+    /// Ends the run before the response is complete.
     fn give_up(&mut self, reason: RefusalReason, decisions: &mut Vec<RunDecision>) {
         self.finish(self.order_counts.verdict(), Some(reason), decisions);
     }
@@ -185,8 +184,8 @@
         }));
     }
 
-    /// Frees what a stage's session holds: memory, and positions in a batch
-    /// that would run for nobody.
+    /// Cancels a stage's session if the target may hold it. This frees its memory and its
+    /// positions in a batch, which would run for no caller.
     fn cancel_session(&self, stage: StageIndex, decisions: &mut Vec<RunDecision>) {
         let session = &self.stages[stage];
         if !session.is_used {
--- a/src/run/machine/order_counts.rs
+++ b/src/run/machine/order_counts.rs
@@ -1,14 +1,14 @@
-//! What is known about the orders sent: the ground of the verdict.
+//! Counts of the orders sent, from which the verdict is derived.
 
 use crate::verdict::RunVerdict;
 
-/// Counts orders sent and those that certainly did not run.
+/// Counts the orders sent, and those among them that certainly did not run.
 ///
-/// An order counts as run from the moment it is decided until its failure is
-/// reported as `NotRun`. Were it the other way round, a deadline or a caller's
-/// leaving while an order is on its way would be answered with `NotRun`
-/// although a target may be about to run it; the caller would repeat the
-/// request and it would run twice.
+/// An order counts as run from the moment that the decision to send it is made until its
+/// failure is reported as `NotRun`. If it counted only once a response arrived, a run
+/// that ends while an order is in flight, because of the deadline or of the caller, would
+/// be reported as `NotRun` although a target may be about to run it. The caller would
+/// repeat the request and it would run twice.
 #[derive(Debug)]
 pub(super) struct OrderCounts {
     sent: u64,
@@ -17,7 +17,8 @@
 }
 
 impl OrderCounts {
-    /// `ran_before` if an earlier entry host already ran part of the request.
+    /// Creates empty counts; `ran_before` is set if an earlier entry host ran part of the
+    /// request.
     pub(super) fn new(ran_before: bool) -> Self {
         Self {
             sent: 0,
@@ -34,7 +35,7 @@
         self.not_run += u64::from(verdict == RunVerdict::NotRun);
     }
 
-    /// Verdict of a run that is given up now.
+    /// Returns the verdict of a run that is given up now.
     pub(super) fn verdict(&self) -> RunVerdict {
         match self.sent == self.not_run && !self.ran_before {
             true => RunVerdict::NotRun,
--- a/src/run/machine/queries.rs
+++ b/src/run/machine/queries.rs
@@ -1,4 +1,4 @@
-//! Questions about a run, without effect on it.
+//! Queries of a run, without effect on it.
 
 use super::{RunMachine, RunPhase};
 use crate::ids::{AttemptNumber, TargetId};
@@ -6,17 +6,18 @@
 use crate::target::wire::StepOrder;
 
 impl RunMachine {
-    /// Answers that matched nothing awaited.
+    /// Returns the number of responses that did not match the awaited step.
     pub fn dropped_responses(&self) -> u64 {
         self.dropped
     }
 
-    /// Tokens that the caller was given, with those of earlier entry hosts.
+    /// Returns the number of tokens that the caller received, including those of earlier
+    /// entry hosts.
     pub fn delivered(&self) -> u64 {
         self.delivered
     }
 
-    /// Attempts opened after the first.
+    /// Returns the number of attempts after the first one.
     pub fn repairs(&self) -> AttemptNumber {
         self.attempt
     }
@@ -26,7 +27,7 @@
         self.phase == RunPhase::Finished
     }
 
-    /// The step whose answer is awaited.
+    /// Returns the step whose response is awaited.
     pub fn awaited_order(&self) -> Option<&StepOrder> {
         match &self.phase {
             RunPhase::AwaitResponse(awaited) => Some(&awaited.order),
@@ -34,12 +35,12 @@
         }
     }
 
-    /// The plan, but for the prompt, and with the targets first chosen.
+    /// Returns the plan without the prompt, and with the targets as first chosen.
     pub fn plan(&self) -> &RunPlan {
         &self.plan
     }
 
-    /// Targets that serve the stages now, in order.
+    /// Returns the targets that currently serve the stages, in order.
     pub fn targets(&self) -> impl Iterator<Item = &TargetId> {
         self.stages.iter().map(|session| &session.target)
     }
--- a/src/run/machine/repair.rs
+++ b/src/run/machine/repair.rs
@@ -1,4 +1,4 @@
-//! Failures of a step: ask again, replace the stage, or give up.
+//! Handling of failed steps: resend the step, replace the target, or give up.
 
 use std::time::Instant;
 
@@ -8,13 +8,13 @@
 use crate::run::{RecoveryMode, RunDecision, StepFailure};
 use crate::target::wire::{StepLabel, TargetRefusalKind};
 
-/// What a failed step calls for.
+/// How a failed step is repaired.
 enum StepRepair {
-    /// The same step again: it hands back what it recorded, if it ran.
+    /// Send the same step again; the target returns the recorded outputs if it ran.
     Resend,
-    /// A new session on the same target, which forgot the old one.
+    /// Open a new session on the same target, which lost the old one.
     Reopen,
-    /// Another target.
+    /// Use another target.
     Replace,
 }
 
@@ -131,7 +131,8 @@
         }
     }
 
-    /// The same target may be back, or may still serve although it is leaving.
+    /// Continues with the old target, which may be reachable again, or may still serve
+    /// although it is leaving.
     fn continue_without_replacement(
         &mut self,
         stage: StageIndex,
@@ -152,9 +153,9 @@
         }
     }
 
-    /// A move is tried only if the old target itself has just answered: the
-    /// export from one that is dead or frozen would cost a whole timeout
-    /// before the replay that is needed anyway.
+    /// Whether the KV cache can be moved to the new target. A move is attempted only if
+    /// the old target itself has just responded: an export from a dead or frozen target
+    /// would cost a whole timeout before the replay that is needed anyway.
     fn can_move_cache(&self, stage: StageIndex, reason: RetryReason) -> bool {
         let still_responds = matches!(
             reason,
@@ -176,7 +177,7 @@
         let from_session = session.label(&self.plan.request, stage).session();
         let from = session.replace_target(to.clone());
         session.reopen(attempt);
-        // The import may take effect although its answer is lost.
+        // The import may take effect even if its response is lost.
         session.is_used = true;
         decisions.push(RunDecision::MoveCache {
             from: from.clone(),
@@ -223,8 +224,8 @@
                 let end = self.sequence.len() as TokenPosition;
                 self.stages[stage].next_position = position.min(end);
             }
-            // The import may still arrive and put an old cache in place of a
-            // live session, so the replay gets a label that no import names.
+            // The import may still arrive and replace a live session by an old cache, so
+            // the replay gets a label that no import uses.
             None => {
                 self.cancel_session(stage, decisions);
                 self.open_session(stage, decisions);
@@ -241,7 +242,7 @@
     }
 
     /// Gives a stage an empty session under a new label; with
-    /// [`RecoveryMode::NewAttempt`] every stage.
+    /// [`RecoveryMode::NewAttempt`], gives one to every stage.
     fn open_session(&mut self, stage: StageIndex, decisions: &mut Vec<RunDecision>) {
         let attempt = self.next_attempt();
         if self.limits.recovery != RecoveryMode::NewAttempt {
--- a/src/run/machine/responses.rs
+++ b/src/run/machine/responses.rs
@@ -1,4 +1,4 @@
-//! Taking in answers and delivering tokens.
+//! Handling of responses and delivery of tokens.
 
 use super::{RunMachine, RunPhase};
 use crate::ids::{TargetId, TokenValue};
@@ -6,13 +6,14 @@
 use crate::target::wire::StepAnswer;
 
 impl RunMachine {
-    /// Takes an answer if it is the one awaited, in every part.
+    /// Accepts a response if it matches the awaited step in every part, and drops it
+    /// otherwise.
     ///
-    /// An answer may be late (its stage was replaced since), doubled (the step
-    /// was asked again) or another's (crossed on a shared connection). Taken
-    /// for the awaited one, it would put a wrong value into all stages that
-    /// follow and show only as wrong text. So each part of the label, the
-    /// position, the count of outputs and the target asked are compared.
+    /// A response may be late (its stage was replaced since), duplicated (the step was
+    /// sent again) or belong to another request (mixed up on a shared connection). If
+    /// such a response were accepted, it would put a wrong value into all following
+    /// stages, and the only symptom would be wrong text. So every part of the label, the
+    /// position, the number of outputs and the target are compared.
     pub(super) fn on_response(
         &mut self,
         target: &TargetId,
--- a/src/run/machine/sending.rs
+++ b/src/run/machine/sending.rs
@@ -1,4 +1,4 @@
-//! Sending the wave to its next stage.
+//! Sending of a forward pass to its next stage.
 
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,11 @@
 use crate::run::RunDecision;
 use crate::target::wire::StepOrder;
 
-/// Smallest part of a wait that jitter leaves.
+/// Smallest fraction of a delay that remains after jitter.
 const JITTER_FLOOR: f64 = 0.5;
 
 impl RunMachine {
-    /// Starts a wave at the first stage, from the earliest position needed.
+    /// Starts a forward pass at the first stage, from the earliest position needed.
     pub(super) fn begin_pass(
         &mut self,
         retry: Option<RetryReason>,
@@ -29,7 +29,9 @@
         self.continue_pass(retry, decisions);
     }
 
-    /// Sends the wave to its stage, or first mends what stands in the way.
+    /// Sends the forward pass to its current stage. Starts a new pass first if the stage
+    /// lacks earlier positions, or requests a replacement if the stage's target is
+    /// leaving.
     pub(super) fn continue_pass(
         &mut self,
         retry: Option<RetryReason>,
@@ -49,7 +51,8 @@
         }
     }
 
-    /// Sends the wave's step again to the same target, if bounds allow it.
+    /// Sends the current step again to the same target after a delay, or gives up if the
+    /// delay reaches the deadline.
     pub(super) fn resend_step(
         &mut self,
         resends: u32,
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Earliest position that `stage` or one after it has not run.
+    /// Returns the earliest position that `stage` or a later one has not run.
     fn earliest_needed(&self, stage: StageIndex) -> TokenPosition {
         let sessions = self.stages[stage..].iter();
         let needed = sessions.map(|session| session.next_position).min();
--- a/src/run/machine/stage_session.rs
+++ b/src/run/machine/stage_session.rs
@@ -1,22 +1,22 @@
-//! One stage's session as the entry host knows it.
+//! Session of one stage as the entry host knows it.
 
 use crate::ids::{AttemptNumber, LayerIndex, RequestId, StageIndex, TargetId, TokenPosition};
 use crate::run::PlannedStage;
 use crate::target::wire::StepLabel;
 
-/// A stage with the target that serves it now.
+/// A stage and the target that currently serves it.
 #[derive(Debug)]
 pub(super) struct StageSession {
     pub(super) target: TargetId,
     pub(super) first_layer: LayerIndex,
     pub(super) last_layer: LayerIndex,
-    /// Attempt in the session's label.
+    /// Attempt number in the session's label.
     pub(super) attempt: AttemptNumber,
     /// Positions below this one are known to have run in this session.
     pub(super) next_position: TokenPosition,
-    /// Whether the target may hold something under this label.
+    /// Whether the target may hold a session under this label.
     pub(super) is_used: bool,
-    /// Whether the target is leaving and the stage should be moved.
+    /// Whether the target is leaving and the stage should be moved to another one.
     pub(super) is_leaving: bool,
 }
 
@@ -48,7 +48,7 @@
         self.is_used = false;
     }
 
-    /// Hands the stage to another target.
+    /// Assigns the stage to another target and returns the old one.
     pub(super) fn replace_target(&mut self, target: TargetId) -> TargetId {
         self.is_leaving = false;
         std::mem::replace(&mut self.target, target)
--- a/src/run/plan.rs
+++ b/src/run/plan.rs
@@ -1,4 +1,4 @@
-//! What a run sets out to do.
+//! The input of a run.
 
 use std::time::Instant;
 
@@ -7,27 +7,27 @@
 /// A request with the route chosen for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunPlan {
-    /// Name of this run, in every label. It must be new for each run, also of
-    /// one request that continues on another entry host: the first host may be
-    /// paused and go on, and two writers in one session would each take the
-    /// other's outputs.
+    /// Id of this run, part of every label. It must be new for each run, even if a
+    /// request continues on another entry host: the first host may be suspended and
+    /// resume, and two writers in one session would each receive the other's outputs.
     pub request: RequestId,
-    /// Model asked for.
+    /// The requested model.
     pub model: ModelId,
-    /// Version that the whole run stays on.
+    /// The model version, which stays the same during the run.
     pub version: VersionId,
-    /// One target a stage, in order; the layer ranges tile the model.
+    /// The stages in order, with one target each; their layer ranges cover the model
+    /// without gaps.
     pub stages: Vec<PlannedStage>,
-    /// Prompt, with the tokens that an earlier entry host already delivered
-    /// appended if the caller resumes.
+    /// Prompt; if the caller resumes, followed by the tokens that an earlier entry host
+    /// delivered.
     pub prompt: Vec<TokenValue>,
-    /// Number of tokens that the caller already holds.
+    /// Number of tokens that the caller already received.
     pub already_delivered: u64,
-    /// Tokens to generate in all, including those already delivered.
+    /// Number of tokens to generate in total, including those already delivered.
     pub max_tokens: u64,
     /// When the run is given up.
     pub deadline: Instant,
-    /// Priority passed to the engines.
+    /// Priority that is passed to the engines.
     pub priority: u8,
 }
 
