--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,6 +1,6 @@
-//! Single matters of claims that the model test does not single out.
+//! Cases of claims that the model test does not cover by themselves.
 
-#![allow(clippy::unwrap_used)] // A test ends at the first thing that is not there.
+#![allow(clippy::unwrap_used)] // A test may panic on a missing value.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -98,12 +98,11 @@
     assert_eq!(random, Err(KeyError::NoTime(4)));
 }
 
-/// Symptom: a host started during the day runs a charge a second time.
-/// Sequence: the claim on its key has expired from the log, sooner than the
-/// window; the new host reads what is left and takes the key for free. Cause:
-/// a host that counts itself ready without knowing how old the records are
-/// that it missed. A record written long ago but appended lately says nothing
-/// about that; one whose writer had read past them does.
+/// Guards against a second run of a request on a host that started recently. The claim on
+/// the key has expired from the log before its window ended, so the host finds the key
+/// free. It may accept keys only once it knows that the records it missed are old enough.
+/// A record's own time does not show that, as it may be appended late; the time mark of a
+/// writer that had read past the missed records does.
 #[test]
 fn starting_host_waits_until_missed_claims_no_longer_count() {
     let mut table = table();
@@ -114,25 +113,18 @@
     assert!(table.covers(at(1105)), "window and skew have passed");
 
     table.apply(50, &mark(49, at(800)));
-    assert!(
-        !table.covers(at(1000)),
-        "written at 800, appended later than 49"
-    );
+    assert!(!table.covers(at(1000)), "its writer had not read record 49");
     table.apply(51, &mark(50, at(895)));
     assert!(table.covers(at(1000)));
 
     table.observe_read(60, at(1010));
-    assert!(
-        !table.covers(at(1010)),
-        "frozen while 52..60 came and expired"
-    );
+    assert!(!table.covers(at(1010)), "records 52..60 expired unread");
     let begun = machine("c", 1, b"", time(at(1010))).handle(BEGIN, &table, time(at(1010)));
     assert_eq!(refusal(&begun), ClaimRefusal::NotCovered);
 }
 
-/// Symptom: a host reports itself ready and judges otherwise than the rest.
-/// Sequence: a newer program has written records under newer rules. Cause:
-/// such records skipped as if they said nothing.
+/// Guards against a host that reports itself ready and reaches other results than the
+/// rest, because it skips records with newer rules as if they were irrelevant.
 #[test]
 fn newer_rules_end_coverage() {
     let mut table = table();
@@ -140,7 +132,7 @@
     assert!(table.covers(at(0)));
     let junk = table.apply_raw(0, "{\"rules\":1}").judgement;
     assert_eq!(junk, ClaimJudgement::Ignored);
-    assert!(table.covers(at(0)), "no record of the system's");
+    assert!(table.covers(at(0)), "not a record of this system");
     let newer = format!("{{\"rules\":{},\"parts\":[]}}", JUDGING_RULES + 1);
     let judgement = table.apply_raw(1, &newer).judgement;
     assert_eq!(judgement, ClaimJudgement::UnknownRules);
@@ -148,9 +140,9 @@
     assert_eq!(table.next_offset(), 2);
 }
 
-/// Symptom: a key is accepted again after its claim was forgotten. Sequence:
-/// the wall clock runs ahead, the table forgets, the clock is set back.
-/// Cause: the age of keys judged by the clock alone.
+/// Guards against accepting a key again after its claim was pruned. The wall clock runs
+/// ahead, the table prunes, the clock is set back; the clock alone would then accept the
+/// key.
 #[test]
 fn clock_set_back_does_not_revive_pruned_keys() {
     let mut table = table();
@@ -164,10 +156,9 @@
     );
 }
 
-/// Symptom: a caller is told "not run" about a charge that an earlier life of
-/// the daemon sent, or another request under the same key runs. Sequence: the
-/// daemon claims, dies and starts again; the caller comes back with its key.
-/// Cause: a claim without a withdrawal taken for one that nobody carried out.
+/// Guards against a `NotRun` verdict on a request that an earlier incarnation of the
+/// daemon may have sent, and against running a different request under its key. A claim
+/// without a withdrawal must not count as one that was never dispatched.
 #[test]
 fn claim_of_a_dead_incarnation_stays_unknown() {
     let mut table = table();
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -1,6 +1,7 @@
-//! Claims against a naive judge, and several claimants over a faulty log.
+//! Compares the claim table with a naive one, and simulates several claimants on a faulty
+//! log.
 
-#![allow(clippy::unwrap_used)] // A test ends at the first thing that is not there.
+#![allow(clippy::unwrap_used)] // A test may panic on a missing value.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -66,7 +67,7 @@
     }
 }
 
-// ---- Differential: the table against a list that is scanned. ----
+// ---- Comparison: the table against a list that is scanned. ----
 
 #[derive(Debug, Clone)]
 enum Entry {
@@ -96,7 +97,7 @@
     ]
 }
 
-/// Claims have a fixed writer; other records name any writer.
+/// A claim has a fixed writer; withdrawals and outcomes may name any writer.
 fn writer_of(claim: usize) -> usize {
     claim % 4
 }
@@ -122,7 +123,7 @@
             .find(|held| held.key == key && held.holds)
     }
 
-    /// Whether a claim holds its key now; meaningless for other records.
+    /// Returns whether a claim holds its key now; `false` for other records.
     fn apply(&mut self, entry: &Entry) -> bool {
         match *entry {
             Entry::Claim {
@@ -241,16 +242,16 @@
     }
 }
 
-// ---- History: claimants over a log that loses answers, delays and expires. ----
+// ---- Simulation: claimants on a log that loses responses and delays or drops records. ----
 
 #[derive(Debug, Clone, Copy)]
 enum AppendOutcome {
     Stored,
     ResponseLost,
     Dropped,
-    /// Answer lost; stored when a later step says so.
+    /// The response is lost; the record is stored by a later [`Step::StoreDelayed`].
     Delayed,
-    /// Stored at once and again later.
+    /// The record is stored at once and once more later.
     Duplicated,
     Refused,
 }
@@ -269,7 +270,7 @@
     Tick {
         host: usize,
     },
-    /// Carries out one dispatch that was decided, perhaps long ago.
+    /// Executes one dispatch that may have been decided long ago.
     Dispatch {
         host: usize,
     },
@@ -356,14 +357,14 @@
     requests: usize,
     /// Creation time of each key, set at its first use.
     keys: BTreeMap<usize, SystemTime>,
-    /// Claims whose dispatch may have run, by key.
+    /// The claim of each key whose request may have run.
     dispatched: BTreeMap<usize, RecordId>,
     reported_not_run: BTreeSet<RecordId>,
     responded: BTreeSet<RecordId>,
-    /// Keys with a claim whose writer is gone.
+    /// Keys with a claim whose writer has restarted.
     orphaned: BTreeSet<usize>,
     wins: usize,
-    /// Records below this have been dropped.
+    /// Records below this offset were dropped early.
     expired: usize,
     expired_early: bool,
 }
@@ -504,19 +505,19 @@
     fn on_response(&mut self, host: usize, claim: &RecordId, response: &ClaimResponse) {
         assert!(
             self.responded.insert(claim.clone()),
-            "{claim} answered twice"
+            "{claim} got two responses"
         );
         let entry = &self.hosts[host].machines[claim];
         assert!(
             !entry.machine.is_dispatched(),
-            "{claim} answered after its dispatch"
+            "{claim} got a response after its dispatch"
         );
         match response {
             ClaimResponse::Known(outcome) => {
                 assert_ne!(outcome.verdict, RunVerdict::NotRun);
                 assert!(
                     self.dispatched.contains_key(&entry.key),
-                    "{claim}: nothing ran"
+                    "{claim} got an outcome, but nothing ran"
                 );
             }
             response if response.verdict() == RunVerdict::NotRun => {
@@ -599,7 +600,7 @@
                 assert!(now.instant < deadline, "{claim} dispatched too late");
                 assert!(
                     !self.reported_not_run.contains(&claim),
-                    "{claim} told not run, then ran"
+                    "{claim} ran after the verdict that it did not"
                 );
                 let previous = self.dispatched.insert(key, claim.clone());
                 assert_eq!(previous, None, "key {key} dispatched again, by {claim}");
@@ -634,7 +635,7 @@
         host.table = ClaimTable::new(window());
     }
 
-    /// Lets the log work again and everything come to rest.
+    /// Ends the faults of the log and runs until no claim makes progress.
     fn recover(&mut self) {
         self.append_outcome = AppendOutcome::Stored;
         while !self.delayed.is_empty() {
@@ -655,7 +656,7 @@
         }
     }
 
-    /// Keys that were never dispatched can be claimed again.
+    /// Checks that keys can be claimed again if no request was dispatched under them.
     fn check_keys_free(&mut self) {
         for key in 0..KEY_COUNT {
             self.requests += 1;
@@ -675,7 +676,7 @@
             assert_eq!(
                 self.wins,
                 wins + 1,
-                "key {key} is blocked by a claim of nobody's"
+                "key {key} is blocked by a claim without an owner"
             );
         }
     }
@@ -684,11 +685,10 @@
 proptest! {
     #![proptest_config(config(42, 2000))]
 
-    /// Symptom: a charge runs twice, or runs after its caller was told that it
-    /// did not. Sequence: any mix of one key at several hosts, lost, late and
-    /// doubled appends, outages, claimants frozen between claim and dispatch,
-    /// restarts, expired records and keys that return after their window.
-    /// Cause: any hole in the judging or in the claimant's transitions.
+    /// Guards against a request that runs twice, or runs after its caller got the
+    /// response that it did not. One key arrives at several hosts, under lost, late and
+    /// duplicated appends, outages, claimants suspended between claim and dispatch,
+    /// restarts, expired records, and keys that return after their window.
     #[test]
     fn claimants_dispatch_at_most_once(steps in prop::collection::vec(step(), 1..120)) {
         let mut model = Model::new();
--- a/tests/run_model.rs
+++ b/tests/run_model.rs
@@ -1,4 +1,4 @@
-//! The run's state machine against engines in memory, under random faults.
+//! Simulates the state machine of a run with engines in memory, under random faults.
 
 #[path = "run_model/engines.rs"]
 mod engines;
@@ -51,7 +51,7 @@
     ]
 }
 
-/// Rather an early step: few runs have late ones.
+/// Prefers early steps, as few runs have late ones.
 fn any_step() -> impl Strategy<Value = u32> {
     prop_oneof![0..5_u32, 0..28_u32]
 }
@@ -72,14 +72,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: wrong, missing, repeated or unnumbered tokens, a run that never
-    /// ends, or `not_run` said of something that ran.
-    /// Sequence: up to five faults at any steps: death before or after effect,
-    /// two stages at once, lost orders and answers, freezing and waking,
-    /// forgotten sessions, refusals, leaving; late, doubled and crossed
-    /// answers before every event.
-    /// Cause: an answer taken for another, a session resumed with a gap, a
-    /// verdict that forgets an order on its way.
+    /// Guards against wrong, missing, repeated or wrongly numbered tokens, a run that
+    /// never ends, and `not_run` for a request that ran. Up to five faults occur at any
+    /// steps: death before or after a step took effect, of up to two stages at once, lost
+    /// orders and responses, engines that freeze and wake, lost sessions, refusals and
+    /// departures. Late, duplicated and mismatched responses precede every event.
     #[test]
     fn faults_never_change_the_tokens(
         stages in 1..5_usize,
@@ -108,10 +105,9 @@
     }
 }
 
-/// Symptom: the caller is told `may_have_run`, and a clerk has to look into a
-/// request that certainly did not run. Sequence: no connection can be made to
-/// the first stage's target, nor is there another. Cause: a verdict that does
-/// not separate connecting from sending.
+/// Guards against `may_have_run` for a request that certainly did not run: no connection
+/// can be made to the first stage's target and there is no other target. The verdict must
+/// tell a failed connection from a failed send.
 #[test]
 fn run_without_connection_is_not_run() {
     let script = BTreeMap::from([(0, Fault::NoSpare), (1, Fault::DieBefore)]);
@@ -127,8 +123,8 @@
     assert!(!simulation.order_seen);
 }
 
-/// Cost of a run: round trips (a move takes two), values sent in steps, positions run, positions run that
-/// a prefix cache would not have saved.
+/// Returns the cost of a run: round trips (a cache move takes two), values sent in steps,
+/// positions run, and positions run that a prefix cache would not have saved.
 fn cost(mode: RecoveryMode, fault: Option<(u32, Fault)>) -> [u64; 4] {
     let prompt = (0..COST_PROMPT).collect();
     let script = fault.into_iter().collect();
@@ -158,8 +154,8 @@
 const COST_PROMPT: u64 = 512;
 const COST_TOKENS: u64 = 64;
 
-/// What each way of recovery costs over a run without a fault, as a table,
-/// and the order of the costs that the default rests on.
+/// Tabulates what each recovery mode costs over a run without faults, and checks the
+/// order of the costs, which is the reason for the default mode.
 #[test]
 fn recovery_costs_compare_as_designed() {
     let ways = [
@@ -184,7 +180,7 @@
                 table += &format!("{point} {stage} {way}: {extra:?}\n");
                 computed.push(extra[2]);
             }
-            assert_eq!(computed[0], 0, "a moved cache is not run again");
+            assert_eq!(computed[0], 0, "a moved cache is not recomputed");
             assert!(computed[1] <= computed[2], "a replay runs one stage only");
         }
     }
--- a/tests/run_model/engines.rs
+++ b/tests/run_model/engines.rs
@@ -1,4 +1,4 @@
-//! Engines in memory, and the right answer computed without them.
+//! Engines in memory, and the expected tokens, computed without the engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,7 +14,7 @@
     (mixed ^ (mixed >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
 }
 
-/// Runs one position through layers, each of which folds it into its KV state.
+/// Runs one position through the layers; each layer mixes it into its KV state.
 fn run_layers(first_layer: u32, kv: &mut [u64], input: u64) -> u64 {
     let layers = kv.iter_mut().zip(first_layer..);
     layers.fold(input, |value, (kv, layer)| {
@@ -23,7 +23,7 @@
     })
 }
 
-/// Every stage's inputs and the tokens, computed from scratch.
+/// Inputs of every stage and the generated tokens, computed from scratch.
 pub(crate) struct ReferenceTrace {
     pub(crate) inputs: Vec<Vec<u64>>,
     pub(crate) tokens: Vec<TokenValue>,
@@ -69,7 +69,7 @@
     outputs: Vec<u64>,
 }
 
-/// What a frozen engine will do once it wakes.
+/// What a frozen engine executes once it wakes.
 pub(crate) enum QueuedOrder {
     Step(StepOrder),
     Cancel(String),
@@ -79,17 +79,17 @@
 pub(crate) struct ModelEngine {
     pub(crate) sessions: BTreeMap<String, ModelSession>,
     pub(crate) is_dead: bool,
-    /// Steps of the run until the engine wakes; zero if it is awake.
+    /// Number of steps of the run until the engine wakes; zero if it is awake.
     pub(crate) frozen_for: u32,
     pub(crate) queued: Vec<QueuedOrder>,
-    /// Positions run, and those of them that a prefix cache would not save.
+    /// Positions run, and those among them that a prefix cache would not have saved.
     pub(crate) computed: u64,
     pub(crate) computed_uncached: u64,
     cached: BTreeSet<(usize, u64)>,
 }
 
 impl ModelEngine {
-    /// Hands back recorded outputs, runs what follows them, refuses a gap.
+    /// Returns recorded outputs, runs the positions that follow them, and refuses a gap.
     pub(crate) fn step(
         &mut self,
         order: &StepOrder,
--- a/tests/run_model/faults.rs
+++ b/tests/run_model/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a script, and what they do to engines and answers.
+//! The faults of a script, and their effects on engines and responses.
 
 use jackdawwick::ids::TargetId;
 use jackdawwick::run::RunEvent;
@@ -7,10 +7,10 @@
 use super::{PastResponse, RunSimulation};
 use crate::engines::QueuedOrder;
 
-/// Parts of an answer, but for its target, that must match the order.
+/// Number of parts of a response, besides its target, that must match the order.
 pub(crate) const RESPONSE_PARTS: u8 = 5;
 
-/// What goes wrong at one step of a run.
+/// A fault at one step of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Fault {
     DieBefore,
@@ -31,7 +31,7 @@
 }
 
 impl Fault {
-    /// Whether the run may end without its whole answer.
+    /// Whether the run may end before the response is complete.
     pub(crate) fn may_end_early(self) -> bool {
         matches!(
             self,
@@ -93,7 +93,8 @@
         engine.sessions.clear();
     }
 
-    /// A frozen engine goes on with what it was sent; its answers come late.
+    /// Lets a frozen engine execute the orders that it was sent; its responses arrive
+    /// late.
     pub(super) fn wake(&mut self, target: &TargetId) {
         let engine = self.engines.get_mut(target).expect("known target");
         engine.frozen_for = 0;
@@ -115,7 +116,7 @@
     }
 }
 
-/// The same answer, but for one part.
+/// Returns the response with one part changed.
 pub(super) fn mismatched_response(mut response: StepAnswer, part: u8) -> StepAnswer {
     match part {
         0 => response.label.request = "another".into(),
--- a/tests/run_model/simulation.rs
+++ b/tests/run_model/simulation.rs
@@ -1,4 +1,4 @@
-//! Drives a machine against engines in memory, with a script of faults.
+//! Drives a run's state machine with engines in memory and a script of faults.
 
 mod faults;
 
@@ -18,12 +18,12 @@
 
 use super::engines::{ModelEngine, QueuedOrder, ReferenceTrace, planned_stage};
 
-/// Steps after which a run counts as endless.
+/// Number of steps after which a run counts as endless.
 const MAX_STEPS_SENT: u32 = 400;
-/// Earlier answers that come again before each event.
+/// Number of earlier responses that are repeated before each event.
 const MAX_STALE_RESPONSES: usize = 8;
 
-/// An answer that was sent, with what its session had taken in.
+/// A response that was sent, and the inputs that its session had run.
 #[derive(Clone)]
 struct PastResponse {
     target: TargetId,
@@ -41,14 +41,14 @@
     script: BTreeMap<u32, Fault>,
     pending_events: VecDeque<(RunEvent, Option<Vec<u64>>)>,
     past_responses: Vec<PastResponse>,
-    /// Inputs behind the answer last accepted for each stage.
+    /// Inputs of the session that gave the last accepted response, per stage.
     accepted_inputs: Vec<Vec<u64>>,
     fail_moves: bool,
     pub(crate) has_spares: bool,
-    /// Sessions ended or given up, and the target of each session used.
+    /// Sessions that ended or were given up, and the target of each session.
     closed: BTreeSet<String>,
     owners: BTreeMap<String, TargetId>,
-    /// Step last sent, and how often in a row.
+    /// The last step sent, and how often it was repeated in a row.
     last_step: (String, u64, u32),
     max_resends: u32,
     pub(crate) sends: u32,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Runs to the end; every event is preceded by late and crossed answers.
+    /// Runs to the end; late and mismatched responses precede every event.
     pub(crate) fn run(&mut self) {
         while let Some((event, inputs)) = self.pending_events.pop_front() {
             assert!(self.sends < MAX_STEPS_SENT, "the run does not end");
@@ -124,8 +124,8 @@
         assert!(self.outcome.is_some(), "the run stopped without an outcome");
     }
 
-    /// Sends earlier answers again, then answers that match what is awaited but
-    /// for one part and whose outputs are wrong.
+    /// Repeats earlier responses, then sends responses with wrong outputs that match the
+    /// awaited step in all parts but one.
     fn replay_past_responses(&mut self) {
         let skipped = self
             .past_responses
@@ -173,7 +173,7 @@
         let decisions = self.machine.handle(event, self.now);
         let is_accepted = stage.filter(|_| self.machine.dropped_responses() == dropped);
         if let Some(stage) = is_accepted {
-            self.accepted_inputs[stage] = inputs.expect("a crossed answer was accepted");
+            self.accepted_inputs[stage] = inputs.expect("a mismatched response was accepted");
         }
         for decision in decisions {
             assert!(self.outcome.is_none(), "{decision:?} after the end");
@@ -215,7 +215,8 @@
                     .extend(session.map(|session| (to_session.clone(), session)));
                 let next_position = moved.filter(|_| !self.fail_moves);
                 if next_position.is_none() {
-                    // The import may still arrive, so the name is spent.
+                    // The import may still arrive, so the session name must not be used
+                    // again.
                     self.closed.insert(to_session.clone());
                 }
                 let event = RunEvent::CacheMoved {
@@ -236,8 +237,8 @@
         }
     }
 
-    /// A delivered token is the right one, and in the sessions behind it each
-    /// stage took in each position once, in order, with the right input.
+    /// Checks that a delivered token is correct, and that in the sessions that produced
+    /// it each stage ran each position once, in order and with the correct input.
     fn check_token(&mut self, number: u64, token: TokenValue) {
         assert_eq!(number, self.tokens.len() as u64, "numbered without gap");
         assert_eq!(token, self.trace.tokens[self.tokens.len()], "wrong token");
@@ -246,14 +247,14 @@
             assert_eq!(
                 accepted_inputs[..],
                 right[..end],
-                "position skipped, doubled or wrong"
+                "position skipped, repeated or wrong"
             );
         }
         self.tokens.push(token);
     }
 
-    /// A session is of one target and never used after its end, and a step is
-    /// not resent for ever.
+    /// Checks that a session belongs to one target and is not used after its end, and
+    /// that a step is not resent without limit.
     fn check_session(&mut self, target: &TargetId, order: &StepOrder) {
         let session = order.label.session();
         assert!(!self.closed.contains(&session), "{session} used again");
