--- a/src/claims/coverage.rs
+++ b/src/claims/coverage.rs
@@ -1,4 +1,4 @@
-//! Whether a reader knows every claim that still counts.
+//! Whether a reader knows every claim that is still valid.
 
 use std::time::SystemTime;
 
@@ -6,43 +6,43 @@
 use crate::claims::window::ClaimWindow;
 use crate::ids::LogOffset;
 
-/// What a reader has missed of the claim stream.
+/// Which part of the claim stream a reader has missed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LogCoverage {
     /// Nothing has been read yet.
     Unread,
-    /// Nothing was missed.
-    Whole,
-    /// Some records were missed, because they had expired.
+    /// No record was missed.
+    Complete,
+    /// Some records were missed because they had expired.
     Missed {
-        /// All missed records are below this offset.
+        /// All missed records have offsets below this one.
         below: LogOffset,
-        /// All missed records were appended before this; `None` if unknown.
+        /// All missed records were appended before this time; `None` if it is unknown.
         before: Option<SystemTime>,
     },
 }
 
 impl LogCoverage {
-    /// Notes that records below `below` were missed.
-    pub(super) fn miss(&mut self, below: LogOffset) {
+    /// Records that the records with offsets less than `below` were missed.
+    pub(super) fn record_missed(&mut self, below: LogOffset) {
         *self = Self::Missed {
             below,
             before: None,
         };
     }
 
-    /// Notes that a read succeeded at wall time `now`: what was missed has
-    /// been appended by then.
-    pub(super) fn note_read(&mut self, now: SystemTime) {
+    /// Records a successful read at wall time `now`. All missed records were appended
+    /// before that time.
+    pub(super) fn observe_read(&mut self, now: SystemTime) {
         match self {
-            Self::Unread => *self = Self::Whole,
+            Self::Unread => *self = Self::Complete,
             Self::Missed { before, .. } if before.is_none() => *before = Some(now),
-            Self::Whole | Self::Missed { .. } => {}
+            Self::Complete | Self::Missed { .. } => {}
         }
     }
 
-    /// Learns from a record's time mark how old the missed records are.
-    pub(super) fn note_mark(&mut self, mark: &TimeMark) {
+    /// Bounds the age of the missed records by the time mark of a later record.
+    pub(super) fn observe_mark(&mut self, mark: &TimeMark) {
         match self {
             Self::Missed { below, before } if mark.seen >= *below => {
                 let written = before.map_or(mark.written, |time| time.min(mark.written));
@@ -52,15 +52,16 @@
         }
     }
 
-    /// From when on no missed claim counts; `None` if that is not known.
+    /// Returns the time from which no missed claim is valid any more; `None` if it is
+    /// unknown.
     pub(super) fn complete_at(&self, window: &ClaimWindow) -> Option<SystemTime> {
         match self {
             Self::Unread | Self::Missed { before: None, .. } => None,
-            Self::Whole => Some(SystemTime::UNIX_EPOCH),
+            Self::Complete => Some(SystemTime::UNIX_EPOCH),
             Self::Missed {
                 before: Some(before),
                 ..
-            } => Some(window.forgettable_at(*before)),
+            } => Some(window.all_expired_at(*before)),
         }
     }
 }
--- a/src/claims/machine/transitions.rs
+++ b/src/claims/machine/transitions.rs
@@ -1,10 +1,10 @@
-//! The claimant's transitions.
+//! State transitions of a claimant.
 
 use std::time::Duration;
 
 use super::{ClaimDecision, ClaimEvent, ClaimMachine, ClaimSettlement, ClaimState, DispatchPermit};
-use crate::claims::answer::{ClaimAnswer, ClaimRefusal};
 use crate::claims::record::{ClaimBody, ClaimDetails, ClaimEntry, ClaimOutcome, ClaimRef};
+use crate::claims::response::{ClaimRefusal, ClaimResponse};
 use crate::claims::table::{ClaimHolder, ClaimJudgement, ClaimTable, KeyState};
 use crate::claims::window::ClaimTime;
 use crate::ids::RecordId;
@@ -12,11 +12,11 @@
 use crate::records::{JUDGING_RULES, LogRecord};
 use crate::verdict::RunVerdict;
 
-/// How often the delay between appends of a settlement is doubled.
+/// Number of times that the delay between appends of a settlement is doubled.
 const MAX_SETTLE_DOUBLINGS: u32 = 6;
 
 impl ClaimMachine {
-    /// Takes in an event. The decisions are to be carried out in order.
+    /// Handles an event and returns the decisions, which must be executed in order.
     pub fn handle(
         &mut self,
         event: ClaimEvent,
@@ -31,21 +31,23 @@
                 self.refuse(ClaimRefusal::LogUnavailable, table, now)
             }
             (ClaimState::Waiting, ClaimEvent::ClaimReplayed(judgement)) => {
-                self.take_judgement(judgement, table, now)
+                self.on_judgement(judgement, table, now)
             }
-            (ClaimState::Waiting, ClaimEvent::Tick) if self.is_late(now) => {
+            (ClaimState::Waiting, ClaimEvent::Tick) if self.is_past_deadline(now) => {
                 self.give_up(ClaimRefusal::NotConfirmed, table, now)
             }
-            (ClaimState::Won, ClaimEvent::Tick) if self.is_late(now) => {
+            (ClaimState::Won, ClaimEvent::Tick) if self.is_past_deadline(now) => {
                 self.give_up(ClaimRefusal::DeadlinePassed, table, now)
             }
-            (ClaimState::Asking { .. }, ClaimEvent::HolderAnswered(outcome)) => {
-                self.answer(ClaimAnswer::Known(outcome))
+            (ClaimState::Querying { .. }, ClaimEvent::HolderReplied(outcome)) => {
+                self.respond(ClaimResponse::Known(outcome))
             }
-            (ClaimState::Asking { .. }, ClaimEvent::HolderSilent) => self.answer_from(table, now),
-            (ClaimState::Asking { until }, ClaimEvent::Tick) if until <= now.instant => {
-                let mut decisions = self.answer_from(table, now);
-                decisions.extend(self.settle_again(table, now));
+            (ClaimState::Querying { .. }, ClaimEvent::HolderUnavailable) => {
+                self.respond_from_log(table, now)
+            }
+            (ClaimState::Querying { until }, ClaimEvent::Tick) if until <= now.instant => {
+                let mut decisions = self.respond_from_log(table, now);
+                decisions.extend(self.retry_settlement(table, now));
                 decisions
             }
             (ClaimState::Dispatched, ClaimEvent::Finished(outcome)) => {
@@ -55,19 +57,19 @@
                 self.settlement = None;
                 Vec::new()
             }
-            (_, ClaimEvent::Tick) => self.settle_again(table, now),
-            // Late or doubled events of a state that has passed.
+            (_, ClaimEvent::Tick) => self.retry_settlement(table, now),
+            // The event is late or repeated: its state has passed.
             _ => Vec::new(),
         }
     }
 
-    /// Gives leave to dispatch, once. To be called right before the first
-    /// byte is written.
+    /// Issues the dispatch permit, once. Must be called right before the first byte is
+    /// written to a target.
     ///
     /// # Errors
     ///
-    /// If the request must not be dispatched, gives what is to be done instead;
-    /// nothing if that was decided before.
+    /// Returns the decisions to execute instead if the request must not be dispatched;
+    /// none if they were returned before.
     pub fn authorise(
         &mut self,
         table: &ClaimTable,
@@ -76,19 +78,19 @@
         if self.state != ClaimState::Won {
             return Err(Vec::new());
         }
-        // A daemon that was frozen after its claim won does not notice. Its
-        // deadline, the key's window or its knowledge of the log may have
-        // lapsed meanwhile: it would show as a request run long after its
-        // caller left, or a second time after its claim expired everywhere.
-        if self.is_late(now) {
+        // The daemon may have been suspended after its claim won. Meanwhile the deadline,
+        // the key's window or its coverage of the log may have expired. Without these
+        // checks the request could run long after its caller left, or a second time after
+        // its claim expired on every host.
+        if self.is_past_deadline(now) {
             return Err(self.give_up(ClaimRefusal::DeadlinePassed, table, now));
         }
-        if let Err(refusal) = table.admit(self.order.created, now.wall) {
+        if let Err(refusal) = table.admit(self.request.created, now.wall) {
             return Err(self.give_up(refusal, table, now));
         }
         self.state = ClaimState::Dispatched;
         Ok(DispatchPermit {
-            claim: self.order.claim.clone(),
+            claim: self.request.claim.clone(),
         })
     }
 
@@ -98,11 +100,11 @@
         table: &ClaimTable,
         now: ClaimTime,
     ) -> Vec<ClaimDecision> {
-        let key_state = table.look_up(&self.order.name, &self.order.fingerprint);
+        let key_state = table.look_up(&self.request.name, &self.request.fingerprint);
         if key_state != KeyState::Free {
-            return self.defer_to(key_state, now);
+            return self.respond_for_key(key_state, now);
         }
-        if let Err(refusal) = table.admit(self.order.created, now.wall) {
+        if let Err(refusal) = table.admit(self.request.created, now.wall) {
             return self.refuse(refusal, table, now);
         }
         if !log_available {
@@ -110,23 +112,23 @@
         }
         self.state = ClaimState::Waiting;
         let entry = ClaimEntry::Claim(ClaimDetails {
-            name: self.order.name.clone(),
-            request: self.order.request.clone(),
-            fingerprint: self.order.fingerprint,
-            created: self.order.created,
+            name: self.request.name.clone(),
+            request: self.request.request.clone(),
+            fingerprint: self.request.fingerprint,
+            created: self.request.created,
         });
-        let record = self.record(self.order.claim.clone(), entry, table, now);
+        let record = self.record(self.request.claim.clone(), entry, table, now);
         vec![ClaimDecision::Append(record)]
     }
 
-    fn take_judgement(
+    fn on_judgement(
         &mut self,
         judgement: ClaimJudgement,
         table: &ClaimTable,
         now: ClaimTime,
     ) -> Vec<ClaimDecision> {
         match judgement {
-            ClaimJudgement::Won if self.is_late(now) => {
+            ClaimJudgement::Won if self.is_past_deadline(now) => {
                 self.give_up(ClaimRefusal::DeadlinePassed, table, now)
             }
             ClaimJudgement::Won => {
@@ -135,11 +137,11 @@
             }
             ClaimJudgement::Lost {
                 mismatched: true, ..
-            } => self.defer_to(KeyState::Mismatched, now),
+            } => self.respond_for_key(KeyState::Mismatched, now),
             ClaimJudgement::Lost { holder, .. } => {
-                match table.look_up(&self.order.name, &self.order.fingerprint) {
-                    KeyState::Ended(outcome) => self.defer_to(KeyState::Ended(outcome), now),
-                    _ => self.defer_to(KeyState::Held(holder), now),
+                match table.look_up(&self.request.name, &self.request.fingerprint) {
+                    KeyState::Ended(outcome) => self.respond_for_key(KeyState::Ended(outcome), now),
+                    _ => self.respond_for_key(KeyState::Held(holder), now),
                 }
             }
             ClaimJudgement::TooOld => self.give_up(ClaimRefusal::KeyExpired, table, now),
@@ -147,64 +149,64 @@
         }
     }
 
-    /// Answers without a dispatch, because of what the log says of the key.
-    fn defer_to(&mut self, key_state: KeyState, now: ClaimTime) -> Vec<ClaimDecision> {
+    /// Responds without a dispatch, according to the state of the key in the log.
+    fn respond_for_key(&mut self, key_state: KeyState, now: ClaimTime) -> Vec<ClaimDecision> {
         match key_state {
-            KeyState::Ended(outcome) => self.answer(ClaimAnswer::Known(outcome)),
-            KeyState::Held(holder) if self.is_own_past(&holder) => {
-                self.answer(ClaimAnswer::Unknown)
+            KeyState::Ended(outcome) => self.respond(ClaimResponse::Known(outcome)),
+            KeyState::Held(holder) if self.is_previous_incarnation(&holder) => {
+                self.respond(ClaimResponse::Unknown)
             }
             KeyState::Held(holder) => {
-                self.state = ClaimState::Asking {
-                    until: now.instant + self.policy.ask_timeout,
+                self.state = ClaimState::Querying {
+                    until: now.instant + self.policy.query_timeout,
                 };
-                vec![ClaimDecision::AskHolder(holder)]
+                vec![ClaimDecision::QueryHolder(holder)]
             }
-            KeyState::Mismatched => self.answer_refused(ClaimRefusal::KeyReused, None),
+            KeyState::Mismatched => self.respond_refused(ClaimRefusal::KeyReused, None),
             KeyState::Free => {
                 let retry_after = Some(self.policy.retry_after);
-                self.answer_refused(ClaimRefusal::WinnerWithdrew, retry_after)
+                self.respond_refused(ClaimRefusal::HolderWithdrew, retry_after)
             }
         }
     }
 
-    /// Answers a caller whose request another daemon holds, from the log
-    /// alone, because that daemon cannot be asked.
-    fn answer_from(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
-        match table.look_up(&self.order.name, &self.order.fingerprint) {
-            KeyState::Held(_) => self.answer(ClaimAnswer::Unknown),
-            // A claim that was forgotten looks like one that was withdrawn.
-            KeyState::Free if table.admit(self.order.created, now.wall).is_err() => {
-                self.answer(ClaimAnswer::Unknown)
+    /// Responds from the log alone to a caller whose key is held by a daemon that cannot
+    /// be queried.
+    fn respond_from_log(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
+        match table.look_up(&self.request.name, &self.request.fingerprint) {
+            KeyState::Held(_) => self.respond(ClaimResponse::Unknown),
+            // A pruned claim cannot be told from a withdrawn one.
+            KeyState::Free if table.admit(self.request.created, now.wall).is_err() => {
+                self.respond(ClaimResponse::Unknown)
             }
-            key_state => self.defer_to(key_state, now),
+            key_state => self.respond_for_key(key_state, now),
         }
     }
 
-    /// Whether a claim was made by an earlier life of this daemon, which can
-    /// neither dispatch any more nor tell whether it did.
-    fn is_own_past(&self, holder: &ClaimHolder) -> bool {
+    /// Whether a claim was made by an earlier incarnation of this daemon, which cannot
+    /// dispatch any more and cannot report whether it did.
+    fn is_previous_incarnation(&self, holder: &ClaimHolder) -> bool {
         holder.owner.host == self.owner.host && holder.owner.incarnation != self.owner.incarnation
     }
 
-    /// Makes a claim unusable that may be in the log or turn up there.
+    /// Gives up a claim that is in the log or may still appear there.
     ///
-    /// The state is closed before the caller is answered: this daemon alone
-    /// may dispatch for the claim, and from here on it never will. The
-    /// withdrawal frees the key for the caller's next attempt.
+    /// The state is closed before the caller gets its response: only this daemon may
+    /// dispatch under the claim, and from here on it never does. The withdrawal frees the
+    /// key for the caller's next attempt.
     fn give_up(
         &mut self,
         refusal: ClaimRefusal,
         table: &ClaimTable,
         now: ClaimTime,
     ) -> Vec<ClaimDecision> {
-        let held_by_other = match table.look_up(&self.order.name, &self.order.fingerprint) {
-            KeyState::Held(holder) if holder.claim == self.order.claim => None,
+        let other_key_state = match table.look_up(&self.request.name, &self.request.fingerprint) {
+            KeyState::Held(holder) if holder.claim == self.request.claim => None,
             KeyState::Free => None,
             key_state => Some(key_state),
         };
-        let mut decisions = match held_by_other {
-            Some(key_state) => self.defer_to(key_state, now),
+        let mut decisions = match other_key_state {
+            Some(key_state) => self.respond_for_key(key_state, now),
             None => self.refuse(refusal, table, now),
         };
         let withdrawal = ClaimEntry::Withdraw(self.claim_ref());
@@ -221,7 +223,7 @@
         self.state = ClaimState::Closed;
         let claim = self.claim_ref();
         let entry = match outcome.verdict {
-            // The target itself refused: the caller may come back.
+            // The target itself refused the request, so the caller may retry.
             RunVerdict::NotRun => ClaimEntry::Withdraw(claim),
             RunVerdict::MayHaveRun | RunVerdict::Ran => ClaimEntry::Outcome { claim, outcome },
         };
@@ -232,23 +234,23 @@
         let record = self.record(self.settlement_id(), entry, table, now);
         self.settlement = Some(ClaimSettlement {
             record: record.clone(),
-            next_try: now.instant + self.policy.settle_delay,
+            next_attempt: now.instant + self.policy.settle_delay,
             delay: self.policy.settle_delay,
         });
         ClaimDecision::Append(record)
     }
 
-    /// Appends a settlement again that has not shown in the log. Without it
-    /// the key stays blocked until its window has passed.
-    fn settle_again(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
-        if table.is_forgettable(self.order.created, now.wall) {
+    /// Appends a settlement again that has not appeared in the log. Without it the key
+    /// stays blocked until its window has passed.
+    fn retry_settlement(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
+        if table.is_prunable(self.request.created, now.wall) {
             self.settlement = None;
         }
         match &mut self.settlement {
-            Some(settlement) if settlement.next_try <= now.instant => {
+            Some(settlement) if settlement.next_attempt <= now.instant => {
                 let longest = self.policy.settle_delay * 2_u32.pow(MAX_SETTLE_DOUBLINGS);
                 settlement.delay = (settlement.delay * 2).min(longest);
-                settlement.next_try = now.instant + settlement.delay;
+                settlement.next_attempt = now.instant + settlement.delay;
                 vec![ClaimDecision::Append(settlement.record.clone())]
             }
             _ => Vec::new(),
@@ -266,37 +268,37 @@
                 None
             }
             ClaimRefusal::NotCovered => table
-                .covered_in(now.wall)
+                .time_until_covered(now.wall)
                 .map(|delay| delay.max(self.policy.retry_after)),
             _ => Some(self.policy.retry_after),
         };
-        self.answer_refused(refusal, retry_after)
+        self.respond_refused(refusal, retry_after)
     }
 
-    fn answer_refused(
+    fn respond_refused(
         &mut self,
         refusal: ClaimRefusal,
         retry_after: Option<Duration>,
     ) -> Vec<ClaimDecision> {
-        self.answer(ClaimAnswer::Refused {
+        self.respond(ClaimResponse::Refused {
             refusal,
             retry_after,
         })
     }
 
-    fn answer(&mut self, answer: ClaimAnswer) -> Vec<ClaimDecision> {
+    fn respond(&mut self, response: ClaimResponse) -> Vec<ClaimDecision> {
         self.state = ClaimState::Closed;
-        vec![ClaimDecision::Answer(answer)]
+        vec![ClaimDecision::Respond(response)]
     }
 
-    fn is_late(&self, now: ClaimTime) -> bool {
-        now.instant >= self.order.deadline
+    fn is_past_deadline(&self, now: ClaimTime) -> bool {
+        now.instant >= self.request.deadline
     }
 
     fn claim_ref(&self) -> ClaimRef {
         ClaimRef {
-            claim: self.order.claim.clone(),
-            created: self.order.created,
+            claim: self.request.claim.clone(),
+            created: self.request.created,
         }
     }
 
--- a/src/daemon/claims/events.rs
+++ b/src/daemon/claims/events.rs
@@ -5,9 +5,9 @@
 use std::time::{Instant, SystemTime};
 
 use super::local_state::{ActiveClaim, ClaimState, ClaimStep};
-use crate::claims::answer::{ClaimAnswer, ClaimRefusal};
 use crate::claims::machine::{ClaimDecision, ClaimEvent};
-use crate::claims::record::{ClaimBody, ClaimEntry, ClaimOutcome, KeptAnswer};
+use crate::claims::record::{ClaimBody, ClaimEntry, ClaimOutcome, StoredResponse};
+use crate::claims::response::{ClaimRefusal, ClaimResponse};
 use crate::claims::window::ClaimTime;
 use crate::daemon::core::DaemonCore;
 use crate::ids::{LogOffset, RecordId};
@@ -62,15 +62,15 @@
         match decision {
             ClaimDecision::Append(record) => next = append(core, active, &record).or(next),
             ClaimDecision::Dispatch => send_step(active, ClaimStep::Dispatch),
-            ClaimDecision::AskHolder(holder) => {
+            ClaimDecision::QueryHolder(holder) => {
                 record_loss(core, active);
                 let host = holder.owner.host.clone();
                 core.record_event(&active.request, JournalEvent::ClaimLost { holder: host });
                 send_step(active, ClaimStep::QueryHolder(holder));
             }
-            ClaimDecision::Answer(answer) => {
-                record_answer(core, active, &answer);
-                send_step(active, ClaimStep::Respond(answer));
+            ClaimDecision::Respond(response) => {
+                record_answer(core, active, &response);
+                send_step(active, ClaimStep::Respond(response));
             }
         }
     }
@@ -144,13 +144,13 @@
 
 /// Counts the result of a claim that is not dispatched, and publishes to hosts that query
 /// the request that it was refused here.
-fn record_answer(core: &DaemonCore, active: &mut ActiveClaim, answer: &ClaimAnswer) {
-    let ClaimAnswer::Refused { refusal, .. } = answer else {
+fn record_answer(core: &DaemonCore, active: &mut ActiveClaim, response: &ClaimResponse) {
+    let ClaimResponse::Refused { refusal, .. } = response else {
         return record_loss(core, active);
     };
     match refusal {
         ClaimRefusal::LogUnavailable => core.metrics.claim_settled(ClaimResult::Unavailable),
-        ClaimRefusal::KeyReused | ClaimRefusal::WinnerWithdrew => record_loss(core, active),
+        ClaimRefusal::KeyReused | ClaimRefusal::HolderWithdrew => record_loss(core, active),
         _ => {}
     }
     active.outcome.send_replace(Some(not_run_outcome()));
@@ -161,6 +161,6 @@
     ClaimOutcome {
         verdict: RunVerdict::NotRun,
         status: 0,
-        answer: KeptAnswer::Whole(String::new()),
+        answer: StoredResponse::Whole(String::new()),
     }
 }
--- a/src/daemon/claims/stream.rs
+++ b/src/daemon/claims/stream.rs
@@ -77,7 +77,7 @@
             first_offset,
         } => {
             state.log_available = true;
-            state.table.note_read(first_offset, SystemTime::now());
+            state.table.observe_read(first_offset, SystemTime::now());
             for record in &records {
                 apply(core, &mut state, record);
             }
--- a/src/daemon/claims/ticket.rs
+++ b/src/daemon/claims/ticket.rs
@@ -10,9 +10,11 @@
 };
 use super::local_state::{ActiveClaim, ClaimStep};
 use super::outcome_query::query_holder;
-use crate::claims::answer::ClaimAnswer;
-use crate::claims::machine::{ClaimEvent, ClaimMachine, ClaimOrder, ClaimPolicy};
-use crate::claims::record::{ClaimName, ClaimOutcome, ClaimOwner, KeptAnswer, RequestFingerprint};
+use crate::claims::machine::{ClaimEvent, ClaimMachine, ClaimPolicy, ClaimRequest};
+use crate::claims::record::{
+    ClaimName, ClaimOutcome, ClaimOwner, RequestFingerprint, StoredResponse,
+};
+use crate::claims::response::ClaimResponse;
 use crate::daemon::core::DaemonCore;
 use crate::ids::{OrganisationId, RecordId, RequestId};
 use crate::verdict::RunVerdict;
@@ -71,18 +73,19 @@
     pub(in crate::daemon) async fn claim(
         core: &Arc<DaemonCore>,
         subject: ClaimSubject,
-    ) -> Result<Self, ClaimAnswer> {
+    ) -> Result<Self, ClaimResponse> {
         let mut ticket = Self::open(core, subject);
         loop {
             match ticket.steps.recv().await {
                 Some(ClaimStep::Dispatch) => return Ok(ticket),
                 Some(ClaimStep::QueryHolder(holder)) => {
-                    let event = query_holder(core, &ticket.claim, &holder, ask_timeout(core)).await;
+                    let event =
+                        query_holder(core, &ticket.claim, &holder, query_timeout(core)).await;
                     handle_event(core, &ticket.claim, event);
                 }
-                Some(ClaimStep::Respond(answer)) => return Err(answer),
+                Some(ClaimStep::Respond(response)) => return Err(response),
                 // Unreachable: a state machine answers before it is dropped.
-                None => return Err(ClaimAnswer::Unknown),
+                None => return Err(ClaimResponse::Unknown),
             }
         }
     }
@@ -93,7 +96,7 @@
         let claim: RecordId = format!("{host}/{incarnation:x}/{}", core.next_run_number()).into();
         let claim_deadline = Instant::now() + core.options.timing.claim_timeout;
         let name = subject.name();
-        let order = ClaimOrder {
+        let order = ClaimRequest {
             claim: claim.clone(),
             name: name.clone(),
             created: subject.key.created,
@@ -107,7 +110,7 @@
         };
         let policy = ClaimPolicy {
             retry_after: RETRY_AFTER,
-            ask_timeout: ask_timeout(core),
+            query_timeout: query_timeout(core),
             settle_delay: SETTLE_DELAY,
         };
         let mut state = core.tables.claims.lock();
@@ -140,7 +143,7 @@
     ///
     /// # Errors
     /// Returns the answer for the caller if permission is no longer given.
-    pub(in crate::daemon) async fn authorise(mut self) -> Result<DispatchedClaim, ClaimAnswer> {
+    pub(in crate::daemon) async fn authorise(mut self) -> Result<DispatchedClaim, ClaimResponse> {
         if self.try_authorise() {
             self.is_open = false;
             return Ok(DispatchedClaim {
@@ -150,11 +153,11 @@
             });
         }
         while let Some(step) = self.steps.recv().await {
-            if let ClaimStep::Respond(answer) = step {
-                return Err(answer);
+            if let ClaimStep::Respond(response) = step {
+                return Err(response);
             }
         }
-        Err(ClaimAnswer::Unknown)
+        Err(ClaimResponse::Unknown)
     }
 
     fn try_authorise(&self) -> bool {
@@ -192,10 +195,12 @@
         let outcome = ClaimOutcome {
             verdict,
             status,
-            answer: KeptAnswer::of(body),
+            answer: StoredResponse::of(body),
         };
         let shared = match std::str::from_utf8(body) {
-            Ok(text) if text.len() <= MAX_SHARED_BODY_BYTES => KeptAnswer::Whole(text.to_owned()),
+            Ok(text) if text.len() <= MAX_SHARED_BODY_BYTES => {
+                StoredResponse::Whole(text.to_owned())
+            }
             _ => outcome.answer.clone(),
         };
         close(&self.core, &self.claim, outcome, shared);
@@ -211,7 +216,7 @@
         let outcome = ClaimOutcome {
             verdict,
             status: http::StatusCode::OK.as_u16(),
-            answer: KeptAnswer::Digest(digest),
+            answer: StoredResponse::Digest(digest),
         };
         let shared = outcome.answer.clone();
         close(&self.core, &self.claim, outcome, shared);
@@ -225,7 +230,7 @@
             let outcome = ClaimOutcome {
                 verdict: RunVerdict::MayHaveRun,
                 status,
-                answer: KeptAnswer::Whole(String::new()),
+                answer: StoredResponse::Whole(String::new()),
             };
             let shared = outcome.answer.clone();
             close(&self.core, &self.claim, outcome, shared);
@@ -235,7 +240,7 @@
 
 /// Ends a dispatched claim: publishes the outcome to local waiters, with the part of the
 /// response in `shared`, and appends it to the log.
-fn close(core: &Arc<DaemonCore>, claim: &RecordId, outcome: ClaimOutcome, shared: KeptAnswer) {
+fn close(core: &Arc<DaemonCore>, claim: &RecordId, outcome: ClaimOutcome, shared: StoredResponse) {
     let mut state = core.tables.claims.lock();
     if let Some(active) = state.active.get(claim) {
         active.outcome.send_replace(Some(ClaimOutcome {
@@ -248,6 +253,6 @@
 
 /// Returns how long the holder of a key may take to report the outcome of its request:
 /// the time allowed for the claim and for the call.
-fn ask_timeout(core: &DaemonCore) -> Duration {
+fn query_timeout(core: &DaemonCore) -> Duration {
     core.options.timing.claim_timeout + core.options.timing.step_timeout
 }
--- a/src/run/driver.rs
+++ b/src/run/driver.rs
@@ -1,4 +1,4 @@
-//! The shell of a run: carries out decisions and turns answers into events.
+//! Drives a run: executes decisions and turns responses into events.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 use crate::target::wire::StepOrder;
 use crate::verdict::RunVerdict;
 
-/// Runs `machine` to its end and gives back the outcome.
+/// Runs `machine` to its end and returns the outcome.
 ///
-/// Tokens go into `tokens`; the run ends early if its receiver is dropped, also
-/// while no token is due, or at the plan's deadline. Sessions are cancelled in
-/// the background, so that the caller does not wait for that. Dropping the
-/// future leaves sessions on the engines: spawn it.
+/// Tokens are sent to `tokens`. The run ends early at the plan's deadline, or when the
+/// receiver is dropped, even while no token is due. Sessions are cancelled in the
+/// background, so that the caller does not wait for that. Dropping the future leaves
+/// sessions on the engines, so it should be spawned as a task.
 pub async fn drive_run<C, A, L, O>(
     machine: RunMachine,
     client: TargetClient,
@@ -42,13 +42,13 @@
         hooks,
         tokens,
         deadline,
-        announced: Vec::new(),
+        reported_leaving: Vec::new(),
     };
     driver.run().await
 }
 
-/// A decision that takes time; at most one is open.
-enum OpenWork {
+/// A decision whose execution takes time; at most one is pending.
+enum PendingOperation {
     Step {
         target: TargetId,
         order: StepOrder,
@@ -75,8 +75,8 @@
     hooks: RunHooks<C, A, L, O>,
     tokens: mpsc::Sender<DeliveredToken>,
     deadline: Instant,
-    /// Leaving targets that the machine was told of.
-    announced: Vec<TargetId>,
+    /// Leaving targets that the state machine was notified of.
+    reported_leaving: Vec<TargetId>,
 }
 
 impl<C, A, L, O> RunDriver<C, A, L, O>
@@ -88,10 +88,10 @@
 {
     async fn run(mut self) -> RunOutcome {
         let mut events = VecDeque::from([RunEvent::Started]);
-        let mut open = None;
+        let mut pending = None;
         loop {
             while let Some(event) = events.pop_front() {
-                self.announce_leaving();
+                self.report_leaving();
                 let decisions = self.handle(event, &mut events);
                 for decision in decisions {
                     match decision {
@@ -102,32 +102,32 @@
                                 events.push_back(event);
                             }
                         }
-                        other => open = self.begin(other, &mut events).or(open),
+                        other => pending = self.start(other, &mut events).or(pending),
                     }
                 }
             }
-            let event = match open.take() {
-                Some(work) => self.carry_out(work).await,
-                // Cannot happen: a run that has not ended awaits something.
-                // Should it, the run ends at its deadline rather than never.
+            let event = match pending.take() {
+                Some(operation) => self.execute(operation).await,
+                // Unreachable, as a run that has not ended awaits an event. If it
+                // happened, the run would end at its deadline instead of hanging.
                 None => self.interruption().await,
             };
             events.push_back(event);
         }
     }
 
-    /// Hands an event to the machine. If that drops an answer, the call that
-    /// brought it has still ended, and nothing else would wake the run; so a
-    /// failure follows.
+    /// Passes an event to the state machine. If the state machine drops a response, the
+    /// call that returned it has still ended and no other event would resume the run, so
+    /// a failure event is queued.
     fn handle(&mut self, event: RunEvent, events: &mut VecDeque<RunEvent>) -> Vec<RunDecision> {
-        let answered = match &event {
-            RunEvent::StepAnswered { target, .. } => Some(target.clone()),
+        let responder = match &event {
+            RunEvent::ResponseReceived { target, .. } => Some(target.clone()),
             _ => None,
         };
-        let dropped = self.machine.dropped();
+        let dropped = self.machine.dropped_responses();
         let decisions = self.machine.handle(event, Instant::now());
-        match (answered, self.machine.awaited_order()) {
-            (Some(target), Some(order)) if self.machine.dropped() > dropped => {
+        match (responder, self.machine.awaited_order()) {
+            (Some(target), Some(order)) if self.machine.dropped_responses() > dropped => {
                 events.push_back(RunEvent::StepFailed {
                     label: order.label.clone(),
                     position: order.position,
@@ -138,22 +138,28 @@
                         refusal: None,
                     },
                 });
-                (self.hooks.observe)(StepObservation::AnswerDropped { target });
+                (self.hooks.observe)(StepObservation::ResponseDropped { target });
             }
             _ => {}
         }
         decisions
     }
 
-    fn announce_leaving(&mut self) {
-        let is_news = |target: &&TargetId| {
-            !self.announced.contains(target) && (self.hooks.is_leaving)(target)
+    fn report_leaving(&mut self) {
+        let is_unreported = |target: &&TargetId| {
+            !self.reported_leaving.contains(target) && (self.hooks.is_leaving)(target)
         };
-        let leaving: Vec<TargetId> = self.machine.targets().filter(is_news).cloned().collect();
+        let leaving: Vec<TargetId> = self
+            .machine
+            .targets()
+            .filter(is_unreported)
+            .cloned()
+            .collect();
         for target in leaving {
-            self.announced.push(target.clone());
+            self.reported_leaving.push(target.clone());
             let event = RunEvent::TargetLeaving { target };
-            // Only noted by the machine; it acts when the stage is due.
+            // The state machine only records this event and acts on it when it next sends
+            // to the stage.
             self.machine.handle(event, Instant::now());
         }
     }
@@ -166,15 +172,19 @@
         }
     }
 
-    /// Carries out a decision that takes no time, or gives back the work.
-    fn begin(&self, decision: RunDecision, events: &mut VecDeque<RunEvent>) -> Option<OpenWork> {
+    /// Executes a decision that completes at once, or returns it as a pending operation.
+    fn start(
+        &self,
+        decision: RunDecision,
+        events: &mut VecDeque<RunEvent>,
+    ) -> Option<PendingOperation> {
         match decision {
             RunDecision::SendStep {
                 target,
                 order,
                 retry,
                 delay,
-            } => Some(OpenWork::Step {
+            } => Some(PendingOperation::Step {
                 target,
                 order,
                 retry,
@@ -185,7 +195,7 @@
                 from_session,
                 to,
                 to_session,
-            } => Some(OpenWork::Move {
+            } => Some(PendingOperation::Move {
                 from,
                 from_session,
                 to,
@@ -216,7 +226,8 @@
         }
     }
 
-    /// Best effort: a session left behind is dropped by the engine in time.
+    /// Cancels a session on a target in the background. The engine eventually drops a
+    /// session whose cancellation fails.
     fn cancel(&self, target: &TargetId, session: String) {
         let Some(address) = (self.hooks.address)(target) else {
             return;
@@ -225,9 +236,9 @@
         tokio::spawn(async move { client.cancel(address, &session).await });
     }
 
-    async fn carry_out(&self, work: OpenWork) -> RunEvent {
-        match work {
-            OpenWork::Step {
+    async fn execute(&self, operation: PendingOperation) -> RunEvent {
+        match operation {
+            PendingOperation::Step {
                 target,
                 order,
                 retry,
@@ -238,9 +249,9 @@
                     event = self.interruption() => return event,
                     () = sleep(delay) => {}
                 }
-                self.step(target, order, retry).await
+                self.send_step(target, order, retry).await
             }
-            OpenWork::Move {
+            PendingOperation::Move {
                 from,
                 from_session,
                 to,
@@ -260,7 +271,7 @@
         }
     }
 
-    async fn step(
+    async fn send_step(
         &self,
         target: TargetId,
         order: StepOrder,
@@ -274,23 +285,23 @@
             retry,
         });
         let began = Instant::now();
-        let answer = tokio::select! {
+        let response = tokio::select! {
             biased;
             event = self.interruption() => {
                 (self.hooks.observe)(StepObservation::Abandoned { target, positions });
                 return event;
             }
-            answer = self.call(&target, &order) => answer,
+            response = self.call(&target, &order) => response,
         };
         let latency = began.elapsed();
-        match answer {
-            Ok(answer) => {
-                (self.hooks.observe)(StepObservation::Answered {
+        match response {
+            Ok(response) => {
+                (self.hooks.observe)(StepObservation::Completed {
                     target: target.clone(),
                     positions,
                     latency,
                 });
-                RunEvent::StepAnswered { target, answer }
+                RunEvent::ResponseReceived { target, response }
             }
             Err(failure) => {
                 (self.hooks.observe)(StepObservation::Failed {
@@ -339,7 +350,7 @@
         imported.ok().map(|()| export.next_position)
     }
 
-    /// Ends when the run has to stop before its time.
+    /// Completes when the run has to stop early.
     async fn interruption(&self) -> RunEvent {
         tokio::select! {
             biased;
--- a/src/run/machine/repair.rs
+++ b/src/run/machine/repair.rs
@@ -1,4 +1,4 @@
-//! Failures of a step: ask again, replace the stage, or give up.
+//! Handling of failed steps: resend the step, replace the target, or give up.
 
 use std::time::Instant;
 
@@ -8,13 +8,13 @@
 use crate::run::{RecoveryMode, RunDecision, StepFailure};
 use crate::target::wire::{StepLabel, TargetRefusalKind};
 
-/// What a failed step calls for.
+/// How a failed step is repaired.
 enum StepRepair {
-    /// The same step again: it hands back what it recorded, if it ran.
+    /// Send the same step again; the target returns the recorded outputs if it ran.
     Resend,
-    /// A new session on the same target, which forgot the old one.
+    /// Open a new session on the same target, which lost the old one.
     Reopen,
-    /// Another target.
+    /// Use another target.
     Replace,
 }
 
@@ -28,24 +28,24 @@
         decisions: &mut Vec<RunDecision>,
     ) {
         let resends = match &self.phase {
-            RunPhase::AwaitAnswer(awaited)
+            RunPhase::AwaitResponse(awaited)
                 if awaited.order.label == *label && awaited.order.position == position =>
             {
                 awaited.resends
             }
             _ => return,
         };
-        self.ledger.record_failed(failure.verdict);
-        let stage = self.wave.stage;
-        match self.repair_for(failure, resends) {
+        self.order_counts.record_failed(failure.verdict);
+        let stage = self.pass.stage;
+        match self.choose_repair(failure, resends) {
             StepRepair::Resend => self.resend_step(resends, failure.reason, now, decisions),
             StepRepair::Reopen if self.has_repairs_left() => {
                 self.cancel_session(stage, decisions);
                 self.open_session(stage, decisions);
-                self.send_wave(Some(failure.reason), decisions);
+                self.continue_pass(Some(failure.reason), decisions);
             }
             StepRepair::Replace if self.has_repairs_left() => {
-                self.ask_replacement(stage, failure.reason, Some(resends), decisions);
+                self.request_replacement(stage, failure.reason, Some(resends), decisions);
             }
             StepRepair::Reopen | StepRepair::Replace => {
                 self.give_up(RefusalReason::RetryBudgetSpent, decisions);
@@ -53,7 +53,7 @@
         }
     }
 
-    fn repair_for(&self, failure: &StepFailure, resends: u32) -> StepRepair {
+    fn choose_repair(&self, failure: &StepFailure, resends: u32) -> StepRepair {
         let bound = match failure.timed_out {
             true => self.limits.resends_after_timeout,
             false => self.limits.resends_per_step,
@@ -61,7 +61,7 @@
         let may_resend = resends < bound;
         let refusal = failure.refusal.as_ref().map(|refusal| refusal.refused);
         match (failure.reason, refusal) {
-            (_, Some(TargetRefusalKind::UnknownPosition)) if self.wave.start > 0 => {
+            (_, Some(TargetRefusalKind::UnknownPosition)) if self.pass.start > 0 => {
                 StepRepair::Reopen
             }
             (_, Some(TargetRefusalKind::Overloaded)) if may_resend => StepRepair::Resend,
@@ -77,7 +77,7 @@
         self.attempt < self.limits.max_repairs
     }
 
-    pub(super) fn ask_replacement(
+    pub(super) fn request_replacement(
         &mut self,
         stage: StageIndex,
         reason: RetryReason,
@@ -123,14 +123,17 @@
                 self.cancel_session(chosen_stage, decisions);
                 self.stages[chosen_stage].replace_target(target);
                 self.open_session(chosen_stage, decisions);
-                self.send_wave(Some(reason), decisions);
+                self.continue_pass(Some(reason), decisions);
+            }
+            None => {
+                self.continue_without_replacement(chosen_stage, resends, reason, now, decisions);
             }
-            None => self.go_on_without_replacement(chosen_stage, resends, reason, now, decisions),
         }
     }
 
-    /// The same target may be back, or may still serve although it is leaving.
-    fn go_on_without_replacement(
+    /// Continues with the old target, which may be reachable again, or may still serve
+    /// although it is leaving.
+    fn continue_without_replacement(
         &mut self,
         stage: StageIndex,
         resends: Option<u32>,
@@ -141,7 +144,7 @@
         match resends {
             None => {
                 self.stages[stage].is_leaving = false;
-                self.send_wave(None, decisions);
+                self.continue_pass(None, decisions);
             }
             Some(resends) if resends < self.limits.resends_per_step => {
                 self.resend_step(resends, reason, now, decisions);
@@ -150,16 +153,16 @@
         }
     }
 
-    /// A move is tried only if the old target itself has just answered: the
-    /// export from one that is dead or frozen would cost a whole timeout
-    /// before the replay that is needed anyway.
+    /// Whether the KV cache can be moved to the new target. A move is attempted only if
+    /// the old target itself has just responded: an export from a dead or frozen target
+    /// would cost a whole timeout before the replay that is needed anyway.
     fn can_move_cache(&self, stage: StageIndex, reason: RetryReason) -> bool {
-        let still_answers = matches!(
+        let still_responds = matches!(
             reason,
             RetryReason::TargetLeaving | RetryReason::TargetRefused
         );
         let holds_cache = self.stages[stage].next_position > 0;
-        self.limits.recovery == RecoveryMode::MoveCache && still_answers && holds_cache
+        self.limits.recovery == RecoveryMode::MoveCache && still_responds && holds_cache
     }
 
     fn move_cache(
@@ -174,7 +177,7 @@
         let from_session = session.label(&self.plan.request, stage).session();
         let from = session.replace_target(to.clone());
         session.reopen(attempt);
-        // The import may take effect although its answer is lost.
+        // The import may take effect even if its response is lost.
         session.is_used = true;
         decisions.push(RunDecision::MoveCache {
             from: from.clone(),
@@ -196,7 +199,7 @@
         next_position: Option<TokenPosition>,
         decisions: &mut Vec<RunDecision>,
     ) {
-        let (stage, reason, old) = match &self.phase {
+        let (stage, reason, cancel_old) = match &self.phase {
             RunPhase::AwaitMove {
                 stage,
                 reason,
@@ -207,28 +210,28 @@
                 .session()
                 == to_session =>
             {
-                let old = RunDecision::CancelSession {
+                let cancel_old = RunDecision::CancelSession {
                     target: from.clone(),
                     session: from_session.clone(),
                 };
-                (*stage, *reason, old)
+                (*stage, *reason, cancel_old)
             }
             _ => return,
         };
-        decisions.push(old);
+        decisions.push(cancel_old);
         match next_position {
             Some(position) => {
                 let end = self.sequence.len() as TokenPosition;
                 self.stages[stage].next_position = position.min(end);
             }
-            // The import may still arrive and put an old cache in place of a
-            // live session, so the replay gets a label that no import names.
+            // The import may still arrive and replace a live session by an old cache, so
+            // the replay gets a label that no import uses.
             None => {
                 self.cancel_session(stage, decisions);
                 self.open_session(stage, decisions);
             }
         }
-        self.send_wave(Some(reason), decisions);
+        self.continue_pass(Some(reason), decisions);
     }
 
     pub(super) fn on_leaving(&mut self, target: &TargetId) {
@@ -239,17 +242,17 @@
     }
 
     /// Gives a stage an empty session under a new label; with
-    /// [`RecoveryMode::NewAttempt`] every stage.
+    /// [`RecoveryMode::NewAttempt`], gives one to every stage.
     fn open_session(&mut self, stage: StageIndex, decisions: &mut Vec<RunDecision>) {
         let attempt = self.next_attempt();
         if self.limits.recovery != RecoveryMode::NewAttempt {
             return self.stages[stage].reopen(attempt);
         }
-        for other in 0..self.stages.len() {
-            if other != stage {
-                self.cancel_session(other, decisions);
+        for index in 0..self.stages.len() {
+            if index != stage {
+                self.cancel_session(index, decisions);
             }
-            self.stages[other].reopen(attempt);
+            self.stages[index].reopen(attempt);
         }
     }
 
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,17 +1,17 @@
-//! Single matters of claims that the model test does not single out.
+//! Cases of claims that the model test does not cover by themselves.
 
-#![allow(clippy::unwrap_used)] // A test ends at the first thing that is not there.
+#![allow(clippy::unwrap_used)] // A test may panic on a missing value.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use jackdawwick::claims::answer::{ClaimAnswer, ClaimRefusal};
 use jackdawwick::claims::key::{KeyError, parse_key};
 use jackdawwick::claims::machine::{
-    ClaimDecision, ClaimEvent, ClaimMachine, ClaimOrder, ClaimPolicy,
+    ClaimDecision, ClaimEvent, ClaimMachine, ClaimPolicy, ClaimRequest,
 };
 use jackdawwick::claims::record::{
     ClaimBody, ClaimEntry, ClaimName, ClaimOwner, RequestFingerprint, TimeMark,
 };
+use jackdawwick::claims::response::{ClaimRefusal, ClaimResponse};
 use jackdawwick::claims::table::{ClaimJudgement, ClaimTable};
 use jackdawwick::claims::window::{ClaimTime, ClaimWindow};
 use jackdawwick::records::{JUDGING_RULES, LogRecord};
@@ -48,7 +48,7 @@
 }
 
 fn machine(claim: &str, incarnation: u64, body: &[u8], now: ClaimTime) -> ClaimMachine {
-    let order = ClaimOrder {
+    let request = ClaimRequest {
         claim: claim.into(),
         name: ClaimName {
             organisation: "franchise".into(),
@@ -65,10 +65,10 @@
     };
     let policy = ClaimPolicy {
         retry_after: SECOND,
-        ask_timeout: SECOND,
+        query_timeout: SECOND,
         settle_delay: SECOND,
     };
-    ClaimMachine::new(order, owner, policy)
+    ClaimMachine::new(request, owner, policy)
 }
 
 const BEGIN: ClaimEvent = ClaimEvent::Begin {
@@ -77,13 +77,13 @@
 
 fn refusal(decisions: &[ClaimDecision]) -> ClaimRefusal {
     match decisions.first().unwrap() {
-        ClaimDecision::Answer(ClaimAnswer::Refused { refusal, .. }) => *refusal,
+        ClaimDecision::Respond(ClaimResponse::Refused { refusal, .. }) => *refusal,
         other => panic!("not refused: {other:?}"),
     }
 }
 
 #[test]
-fn keys_carry_their_time_and_have_one_spelling() {
+fn keys_carry_their_creation_time_and_are_normalised() {
     let plain = parse_key("01932c07-a8e0-7000-8000-00000000002a").unwrap();
     let quoted = parse_key(" \"01932C07A8E0700080000000000002A0\" ");
     let capitals = parse_key("\"01932C07-A8E0-7000-8000-00000000002A\"").unwrap();
@@ -98,49 +98,41 @@
     assert_eq!(random, Err(KeyError::NoTime(4)));
 }
 
-/// Symptom: a host started during the day runs a charge a second time.
-/// Sequence: the claim on its key has expired from the log, sooner than the
-/// window; the new host reads what is left and takes the key for free. Cause:
-/// a host that counts itself ready without knowing how old the records are
-/// that it missed. A record written long ago but appended lately says nothing
-/// about that; one whose writer had read past them does.
+/// Guards against a second run of a request on a host that started recently. The claim on
+/// the key has expired from the log before its window ended, so the host finds the key
+/// free. It may accept keys only once it knows that the records it missed are old enough.
+/// A record's own time does not show that, as it may be appended late; the time mark of a
+/// writer that had read past the missed records does.
 #[test]
 fn starting_host_waits_until_missed_claims_no_longer_count() {
     let mut table = table();
     assert!(!table.covers(at(0)), "nothing read yet");
-    table.note_read(50, at(1000));
+    table.observe_read(50, at(1000));
     assert!(!table.covers(at(1000)));
     assert!(!table.covers(at(1104)));
     assert!(table.covers(at(1105)), "window and skew have passed");
 
     table.apply(50, &mark(49, at(800)));
-    assert!(
-        !table.covers(at(1000)),
-        "written at 800, appended later than 49"
-    );
+    assert!(!table.covers(at(1000)), "its writer had not read record 49");
     table.apply(51, &mark(50, at(895)));
     assert!(table.covers(at(1000)));
 
-    table.note_read(60, at(1010));
-    assert!(
-        !table.covers(at(1010)),
-        "frozen while 52..60 came and expired"
-    );
+    table.observe_read(60, at(1010));
+    assert!(!table.covers(at(1010)), "records 52..60 expired unread");
     let begun = machine("c", 1, b"", time(at(1010))).handle(BEGIN, &table, time(at(1010)));
     assert_eq!(refusal(&begun), ClaimRefusal::NotCovered);
 }
 
-/// Symptom: a host reports itself ready and judges otherwise than the rest.
-/// Sequence: a newer program has written records under newer rules. Cause:
-/// such records skipped as if they said nothing.
+/// Guards against a host that reports itself ready and reaches other results than the
+/// rest, because it skips records with newer rules as if they were irrelevant.
 #[test]
-fn unknown_rules_end_coverage() {
+fn newer_rules_end_coverage() {
     let mut table = table();
-    table.note_read(0, at(0));
+    table.observe_read(0, at(0));
     assert!(table.covers(at(0)));
     let junk = table.apply_raw(0, "{\"rules\":1}").judgement;
     assert_eq!(junk, ClaimJudgement::Ignored);
-    assert!(table.covers(at(0)), "no record of the system's");
+    assert!(table.covers(at(0)), "not a record of this system");
     let newer = format!("{{\"rules\":{},\"parts\":[]}}", JUDGING_RULES + 1);
     let judgement = table.apply_raw(1, &newer).judgement;
     assert_eq!(judgement, ClaimJudgement::UnknownRules);
@@ -148,13 +140,13 @@
     assert_eq!(table.next_offset(), 2);
 }
 
-/// Symptom: a key is accepted again after its claim was forgotten. Sequence:
-/// the wall clock runs ahead, the table forgets, the clock is set back.
-/// Cause: the age of keys judged by the clock alone.
+/// Guards against accepting a key again after its claim was pruned. The wall clock runs
+/// ahead, the table prunes, the clock is set back; the clock alone would then accept the
+/// key.
 #[test]
-fn clock_set_back_does_not_revive_forgotten_keys() {
+fn clock_set_back_does_not_revive_pruned_keys() {
     let mut table = table();
-    table.note_read(0, at(0));
+    table.observe_read(0, at(0));
     assert_eq!(table.admit(at(0), at(10)), Ok(()));
     table.prune(at(500));
     assert_eq!(table.admit(at(0), at(10)), Err(ClaimRefusal::KeyExpired));
@@ -164,24 +156,23 @@
     );
 }
 
-/// Symptom: a caller is told "not run" about a charge that an earlier life of
-/// the daemon sent, or another request under the same key runs. Sequence: the
-/// daemon claims, dies and starts again; the caller comes back with its key.
-/// Cause: a claim without a withdrawal taken for one that nobody carried out.
+/// Guards against a `NotRun` verdict on a request that an earlier incarnation of the
+/// daemon may have sent, and against running a different request under its key. A claim
+/// without a withdrawal must not count as one that was never dispatched.
 #[test]
 fn claim_of_a_dead_incarnation_stays_unknown() {
     let mut table = table();
     let now = time(at(0));
-    table.note_read(0, now.wall);
+    table.observe_read(0, now.wall);
     let begun = machine("old", 1, b"pay", now).handle(BEGIN, &table, now);
     let [ClaimDecision::Append(record)] = &begun[..] else {
         panic!("no claim appended: {begun:?}");
     };
     assert_eq!(table.apply(0, record), ClaimJudgement::Won);
 
-    let answer = machine("new", 2, b"pay", now).handle(BEGIN, &table, now);
-    assert_eq!(answer, [ClaimDecision::Answer(ClaimAnswer::Unknown)]);
-    assert_eq!(ClaimAnswer::Unknown.verdict(), RunVerdict::MayHaveRun);
+    let response = machine("new", 2, b"pay", now).handle(BEGIN, &table, now);
+    assert_eq!(response, [ClaimDecision::Respond(ClaimResponse::Unknown)]);
+    assert_eq!(ClaimResponse::Unknown.verdict(), RunVerdict::MayHaveRun);
     let other = machine("other", 2, b"pay twice", now).handle(BEGIN, &table, now);
     assert_eq!(refusal(&other), ClaimRefusal::KeyReused);
 }
@@ -190,17 +181,17 @@
 fn log_outage_refuses_at_once() {
     let mut table = table();
     let now = time(at(0));
-    table.note_read(0, now.wall);
+    table.observe_read(0, now.wall);
     let outage = ClaimEvent::Begin {
         log_available: false,
     };
     let decisions = machine("c", 1, b"pay", now).handle(outage, &table, now);
-    let refused = ClaimAnswer::Refused {
+    let refused = ClaimResponse::Refused {
         refusal: ClaimRefusal::LogUnavailable,
         retry_after: Some(SECOND),
     };
     assert_eq!(refused.verdict(), RunVerdict::NotRun);
-    assert_eq!(decisions, [ClaimDecision::Answer(refused)]);
+    assert_eq!(decisions, [ClaimDecision::Respond(refused)]);
 }
 
 #[test]
--- a/tests/run_model.rs
+++ b/tests/run_model.rs
@@ -1,9 +1,9 @@
-//! The run's state machine against engines in memory, under random faults.
+//! Simulates the state machine of a run with engines in memory, under random faults.
 
 #[path = "run_model/engines.rs"]
 mod engines;
-#[path = "run_model/world.rs"]
-mod world;
+#[path = "run_model/simulation.rs"]
+mod simulation;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use world::{CROSSED_PARTS, Fault, ModelWorld};
+use simulation::{Fault, RESPONSE_PARTS, RunSimulation};
 
 fn limits(recovery: RecoveryMode, resends_per_step: u32) -> RunLimits {
     RunLimits {
@@ -37,12 +37,12 @@
         3 => Just(Fault::DieAfter),
         2 => Just(Fault::DieWithNeighbour),
         2 => Just(Fault::LoseOrder),
-        3 => Just(Fault::LoseAnswer),
+        3 => Just(Fault::LoseResponse),
         3 => (1..8_u32).prop_map(Fault::Freeze),
-        2 => Just(Fault::Forget),
-        1 => Just(Fault::ForgetAll),
+        2 => Just(Fault::LoseSessions),
+        1 => Just(Fault::LoseAllSessions),
         2 => refusal.prop_map(Fault::Refuse),
-        2 => (0..CROSSED_PARTS).prop_map(Fault::Cross),
+        2 => (0..RESPONSE_PARTS).prop_map(Fault::Mismatch),
         2 => any::<usize>().prop_map(Fault::Leave),
         1 => any::<usize>().prop_map(Fault::LeaveThenFailMove),
         1 => Just(Fault::NoSpare),
@@ -51,7 +51,7 @@
     ]
 }
 
-/// Rather an early step: few runs have late ones.
+/// Prefers early steps, as few runs have late ones.
 fn any_step() -> impl Strategy<Value = u32> {
     prop_oneof![0..5_u32, 0..28_u32]
 }
@@ -72,16 +72,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Symptom: wrong, missing, repeated or unnumbered tokens, a run that never
-    /// ends, or `not_run` said of something that ran.
-    /// Sequence: up to five faults at any steps: death before or after effect,
-    /// two stages at once, lost orders and answers, freezing and waking,
-    /// forgotten sessions, refusals, leaving; late, doubled and crossed
-    /// answers before every event.
-    /// Cause: an answer taken for another, a session resumed with a gap, a
-    /// verdict that forgets an order on its way.
+    /// Guards against wrong, missing, repeated or wrongly numbered tokens, a run that
+    /// never ends, and `not_run` for a request that ran. Up to five faults occur at any
+    /// steps: death before or after a step took effect, of up to two stages at once, lost
+    /// orders and responses, engines that freeze and wake, lost sessions, refusals and
+    /// departures. Late, duplicated and mismatched responses precede every event.
     #[test]
-    fn faults_never_change_the_answer(
+    fn faults_never_change_the_tokens(
         stages in 1..5_usize,
         prompt in prop::collection::vec(0..1000_u64, 1..6),
         count in 1..6_u64,
@@ -90,59 +87,64 @@
         script in prop::collection::btree_map(any_step(), any_fault(), 0..6),
         has_spares in prop::bool::weighted(0.85),
     ) {
-        let must_end_whole = has_spares && !script.values().any(|fault| fault.may_end());
-        let mut world = ModelWorld::new(stages, prompt, count, limits(mode, resends), script);
-        world.has_spares = has_spares;
-        world.run();
+        let must_complete = has_spares && !script.values().any(|fault| fault.may_end_early());
+        let mut simulation = RunSimulation::new(stages, prompt, count, limits(mode, resends), script);
+        simulation.has_spares = has_spares;
+        simulation.run();
 
-        let outcome = world.outcome.expect("the run ended");
-        prop_assert_eq!(outcome.delivered, world.tokens.len() as u64);
-        let is_whole = outcome.delivered == count;
-        prop_assert_eq!(is_whole, outcome.refusal.is_none());
-        prop_assert_eq!(is_whole, outcome.verdict == RunVerdict::Ran);
-        prop_assert!(is_whole || !must_end_whole, "given up: {:?}", outcome);
-        prop_assert!(outcome.verdict != RunVerdict::NotRun || !world.order_seen);
-        for (name, engine) in &world.engines {
+        let outcome = simulation.outcome.expect("the run ended");
+        prop_assert_eq!(outcome.delivered, simulation.tokens.len() as u64);
+        let is_complete = outcome.delivered == count;
+        prop_assert_eq!(is_complete, outcome.refusal.is_none());
+        prop_assert_eq!(is_complete, outcome.verdict == RunVerdict::Ran);
+        prop_assert!(is_complete || !must_complete, "given up: {:?}", outcome);
+        prop_assert!(outcome.verdict != RunVerdict::NotRun || !simulation.order_seen);
+        for (name, engine) in &simulation.engines {
             prop_assert!(engine.sessions.is_empty(), "{} still holds a session", name);
         }
     }
 }
 
-/// Symptom: the caller is told `may_have_run`, and a clerk has to look into a
-/// request that certainly did not run. Sequence: no connection can be made to
-/// the first stage's target, nor is there another. Cause: a verdict that does
-/// not separate connecting from sending.
+/// Guards against `may_have_run` for a request that certainly did not run: no connection
+/// can be made to the first stage's target and there is no other target. The verdict must
+/// tell a failed connection from a failed send.
 #[test]
 fn run_without_connection_is_not_run() {
     let script = BTreeMap::from([(0, Fault::NoSpare), (1, Fault::DieBefore)]);
-    let mut world = ModelWorld::new(2, vec![1, 2], 3, limits(RecoveryMode::MoveCache, 1), script);
-    world
+    let mut simulation =
+        RunSimulation::new(2, vec![1, 2], 3, limits(RecoveryMode::MoveCache, 1), script);
+    simulation
         .engines
         .values_mut()
         .for_each(|engine| engine.is_dead = true);
-    world.run();
-    let outcome = world.outcome.expect("the run ended");
+    simulation.run();
+    let outcome = simulation.outcome.expect("the run ended");
     assert_eq!(outcome.verdict, RunVerdict::NotRun);
-    assert!(!world.order_seen);
+    assert!(!simulation.order_seen);
 }
 
-/// Cost of a run: round trips (a move takes two), values sent in steps, positions run, positions run that
-/// a prefix cache would not have saved.
+/// Returns the cost of a run: round trips (a cache move takes two), values sent in steps,
+/// positions run, and positions run that a prefix cache would not have saved.
 fn cost(mode: RecoveryMode, fault: Option<(u32, Fault)>) -> [u64; 4] {
     let prompt = (0..COST_PROMPT).collect();
     let script = fault.into_iter().collect();
-    let mut world = ModelWorld::new(COST_STAGES, prompt, COST_TOKENS, limits(mode, 1), script);
-    world.run();
-    assert_eq!(world.tokens.len() as u64, COST_TOKENS);
-    let computed = world.engines.values().map(|engine| engine.computed).sum();
-    let uncached = world
+    let mut simulation =
+        RunSimulation::new(COST_STAGES, prompt, COST_TOKENS, limits(mode, 1), script);
+    simulation.run();
+    assert_eq!(simulation.tokens.len() as u64, COST_TOKENS);
+    let computed = simulation
+        .engines
+        .values()
+        .map(|engine| engine.computed)
+        .sum();
+    let uncached = simulation
         .engines
         .values()
         .map(|engine| engine.computed_uncached)
         .sum();
     [
-        (world.sends + 2 * world.moves).into(),
-        world.values_sent,
+        (simulation.sends + 2 * simulation.moves).into(),
+        simulation.values_sent,
         computed,
         uncached,
     ]
@@ -152,8 +154,8 @@
 const COST_PROMPT: u64 = 512;
 const COST_TOKENS: u64 = 64;
 
-/// What each way of recovery costs over a run without a fault, as a table,
-/// and the order of the costs that the default rests on.
+/// Tabulates what each recovery mode costs over a run without faults, and checks the
+/// order of the costs, which is the reason for the default mode.
 #[test]
 fn recovery_costs_compare_as_designed() {
     let ways = [
@@ -178,7 +180,7 @@
                 table += &format!("{point} {stage} {way}: {extra:?}\n");
                 computed.push(extra[2]);
             }
-            assert_eq!(computed[0], 0, "a moved cache is not run again");
+            assert_eq!(computed[0], 0, "a moved cache is not recomputed");
             assert!(computed[1] <= computed[2], "a replay runs one stage only");
         }
     }
--- a/tests/run_model/faults.rs
+++ b/tests/run_model/faults.rs
@@ -1,28 +1,28 @@
-//! The faults of a script, and what they do to engines and answers.
+//! The faults of a script, and their effects on engines and responses.
 
 use jackdawwick::ids::TargetId;
 use jackdawwick::run::RunEvent;
 use jackdawwick::target::wire::{StepAnswer, TargetRefusalKind};
 
-use super::{ModelWorld, PastAnswer};
-use crate::engines::HeldOrder;
+use super::{PastResponse, RunSimulation};
+use crate::engines::QueuedOrder;
 
-/// Parts of an answer, but for its target, that must match the order.
-pub(crate) const CROSSED_PARTS: u8 = 5;
+/// Number of parts of a response, besides its target, that must match the order.
+pub(crate) const RESPONSE_PARTS: u8 = 5;
 
-/// What goes wrong at one step of a run.
+/// A fault at one step of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Fault {
     DieBefore,
     DieAfter,
     DieWithNeighbour,
     LoseOrder,
-    LoseAnswer,
+    LoseResponse,
     Freeze(u32),
-    Forget,
-    ForgetAll,
+    LoseSessions,
+    LoseAllSessions,
     Refuse(TargetRefusalKind),
-    Cross(u8),
+    Mismatch(u8),
     Leave(usize),
     LeaveThenFailMove(usize),
     NoSpare,
@@ -31,8 +31,8 @@
 }
 
 impl Fault {
-    /// Whether the run may end without its whole answer.
-    pub(crate) fn may_end(self) -> bool {
+    /// Whether the run may end before the response is complete.
+    pub(crate) fn may_end_early(self) -> bool {
         matches!(
             self,
             Self::NoSpare | Self::CallerGone | Self::DeadlineReached
@@ -40,11 +40,14 @@
     }
 }
 
-impl ModelWorld {
+impl RunSimulation {
     pub(super) fn apply(&mut self, fault: Option<Fault>, target: &TargetId) {
         let route: Vec<TargetId> = self.machine.targets().cloned().collect();
-        let place = route.iter().position(|other| other == target).unwrap_or(0);
-        let neighbour = route[(place + 1) % route.len()].clone();
+        let index = route
+            .iter()
+            .position(|candidate| candidate == target)
+            .unwrap_or(0);
+        let neighbour = route[(index + 1) % route.len()].clone();
         match fault {
             Some(Fault::DieBefore) => self.kill(target),
             Some(Fault::DieWithNeighbour) => {
@@ -57,27 +60,29 @@
                     .expect("known target")
                     .frozen_for = steps;
             }
-            Some(Fault::Forget) => {
+            Some(Fault::LoseSessions) => {
                 self.engines
                     .get_mut(target)
                     .expect("known target")
                     .sessions
                     .clear();
             }
-            Some(Fault::ForgetAll) => {
+            Some(Fault::LoseAllSessions) => {
                 self.engines
                     .values_mut()
                     .for_each(|engine| engine.sessions.clear());
             }
             Some(Fault::Leave(stage) | Fault::LeaveThenFailMove(stage)) => {
-                self.fails_moves = matches!(fault, Some(Fault::LeaveThenFailMove(_)));
+                self.fail_moves = matches!(fault, Some(Fault::LeaveThenFailMove(_)));
                 let target = route[stage % route.len()].clone();
-                self.due
+                self.pending_events
                     .push_back((RunEvent::TargetLeaving { target }, None));
             }
             Some(Fault::NoSpare) => self.has_spares = false,
-            Some(Fault::CallerGone) => self.due.push_back((RunEvent::CallerGone, None)),
-            Some(Fault::DeadlineReached) => self.due.push_back((RunEvent::DeadlineReached, None)),
+            Some(Fault::CallerGone) => self.pending_events.push_back((RunEvent::CallerGone, None)),
+            Some(Fault::DeadlineReached) => self
+                .pending_events
+                .push_back((RunEvent::DeadlineReached, None)),
             _ => {}
         }
     }
@@ -88,36 +93,37 @@
         engine.sessions.clear();
     }
 
-    /// A frozen engine goes on with what it was sent; its answers come late.
+    /// Lets a frozen engine execute the orders that it was sent; its responses arrive
+    /// late.
     pub(super) fn wake(&mut self, target: &TargetId) {
         let engine = self.engines.get_mut(target).expect("known target");
         engine.frozen_for = 0;
-        for held in std::mem::take(&mut engine.held) {
-            match held {
-                HeldOrder::Cancel(session) => drop(engine.sessions.remove(&session)),
-                HeldOrder::Step(order) => {
+        for queued in std::mem::take(&mut engine.queued) {
+            match queued {
+                QueuedOrder::Cancel(session) => drop(engine.sessions.remove(&session)),
+                QueuedOrder::Step(order) => {
                     let target = target.clone();
                     let run = engine.step(&order, self.stages).ok();
-                    let past = run.map(|(answer, inputs)| PastAnswer {
+                    let past = run.map(|(response, inputs)| PastResponse {
                         target,
-                        answer,
+                        response,
                         inputs,
                     });
-                    self.past.extend(past);
+                    self.past_responses.extend(past);
                 }
             }
         }
     }
 }
 
-/// The same answer, but for one part.
-pub(super) fn crossed_answer(mut answer: StepAnswer, part: u8) -> StepAnswer {
+/// Returns the response with one part changed.
+pub(super) fn mismatched_response(mut response: StepAnswer, part: u8) -> StepAnswer {
     match part {
-        0 => answer.label.request = "another".into(),
-        1 => answer.label.attempt += 1000,
-        2 => answer.label.stage += 1000,
-        3 => answer.position += 1000,
-        _ => answer.outputs.push(0),
+        0 => response.label.request = "another".into(),
+        1 => response.label.attempt += 1000,
+        2 => response.label.stage += 1000,
+        3 => response.position += 1000,
+        _ => response.outputs.push(0),
     }
-    answer
+    response
 }
--- a/tests/run_model/world.rs
+++ b/tests/run_model/simulation.rs
@@ -1,4 +1,4 @@
-//! Drives a machine against engines in memory, with a script of faults.
+//! Drives a run's state machine with engines in memory and a script of faults.
 
 mod faults;
 
@@ -13,25 +13,25 @@
 use jackdawwick::target::wire::{StepAnswer, StepOrder, TargetRefusal};
 use jackdawwick::verdict::RunVerdict;
 
-use faults::crossed_answer;
-pub(crate) use faults::{CROSSED_PARTS, Fault};
+use faults::mismatched_response;
+pub(crate) use faults::{Fault, RESPONSE_PARTS};
 
-use super::engines::{HeldOrder, ModelEngine, ReferenceTrace, planned_stage};
+use super::engines::{ModelEngine, QueuedOrder, ReferenceTrace, planned_stage};
 
-/// Steps after which a run counts as endless.
-const MAX_SENDS: u32 = 400;
-/// Earlier answers that come again before each event.
-const STALE_ANSWERS: usize = 8;
+/// Number of steps after which a run counts as endless.
+const MAX_STEPS_SENT: u32 = 400;
+/// Number of earlier responses that are repeated before each event.
+const MAX_STALE_RESPONSES: usize = 8;
 
-/// An answer that was sent, with what its session had taken in.
+/// A response that was sent, and the inputs that its session had run.
 #[derive(Clone)]
-struct PastAnswer {
+struct PastResponse {
     target: TargetId,
-    answer: StepAnswer,
+    response: StepAnswer,
     inputs: Vec<u64>,
 }
 
-pub(crate) struct ModelWorld {
+pub(crate) struct RunSimulation {
     machine: RunMachine,
     now: Instant,
     stages: usize,
@@ -39,17 +39,17 @@
     trace: ReferenceTrace,
     pub(crate) engines: BTreeMap<TargetId, ModelEngine>,
     script: BTreeMap<u32, Fault>,
-    due: VecDeque<(RunEvent, Option<Vec<u64>>)>,
-    past: Vec<PastAnswer>,
-    /// Inputs behind the answer last accepted for each stage.
-    chain: Vec<Vec<u64>>,
-    fails_moves: bool,
+    pending_events: VecDeque<(RunEvent, Option<Vec<u64>>)>,
+    past_responses: Vec<PastResponse>,
+    /// Inputs of the session that gave the last accepted response, per stage.
+    accepted_inputs: Vec<Vec<u64>>,
+    fail_moves: bool,
     pub(crate) has_spares: bool,
-    /// Sessions ended or given up, and the target of each session used.
+    /// Sessions that ended or were given up, and the target of each session.
     closed: BTreeSet<String>,
     owners: BTreeMap<String, TargetId>,
-    /// Step last sent, and how often in a row.
-    repeated: (String, u64, u32),
+    /// The last step sent, and how often it was repeated in a row.
+    last_step: (String, u64, u32),
     max_resends: u32,
     pub(crate) sends: u32,
     pub(crate) moves: u32,
@@ -59,7 +59,7 @@
     pub(crate) outcome: Option<RunOutcome>,
 }
 
-impl ModelWorld {
+impl RunSimulation {
     pub(crate) fn new(
         stages: usize,
         prompt: Vec<TokenValue>,
@@ -91,14 +91,14 @@
             now,
             stages,
             script,
-            due: VecDeque::from([(RunEvent::Started, None)]),
-            past: Vec::new(),
-            chain: vec![Vec::new(); stages],
-            fails_moves: false,
+            pending_events: VecDeque::from([(RunEvent::Started, None)]),
+            past_responses: Vec::new(),
+            accepted_inputs: vec![Vec::new(); stages],
+            fail_moves: false,
             has_spares: true,
             closed: BTreeSet::new(),
             owners: BTreeMap::new(),
-            repeated: (String::new(), 0, 0),
+            last_step: (String::new(), 0, 0),
             max_resends: limits.resends_per_step,
             sends: 0,
             moves: 0,
@@ -109,33 +109,39 @@
         }
     }
 
-    /// Runs to the end; every event is preceded by late and crossed answers.
+    /// Runs to the end; late and mismatched responses precede every event.
     pub(crate) fn run(&mut self) {
-        while let Some((event, inputs)) = self.due.pop_front() {
-            assert!(self.sends < MAX_SENDS, "the run does not end");
-            self.repeat_past();
-            self.feed(event, inputs);
+        while let Some((event, inputs)) = self.pending_events.pop_front() {
+            assert!(self.sends < MAX_STEPS_SENT, "the run does not end");
+            self.replay_past_responses();
+            self.handle_event(event, inputs);
         }
         for engine in self.engines.keys().cloned().collect::<Vec<_>>() {
             self.wake(&engine);
         }
-        self.repeat_past();
-        self.feed(RunEvent::CallerGone, None);
+        self.replay_past_responses();
+        self.handle_event(RunEvent::CallerGone, None);
         assert!(self.outcome.is_some(), "the run stopped without an outcome");
     }
 
-    /// Sends earlier answers again, then answers that match what is awaited but
-    /// for one part and whose outputs are wrong.
-    fn repeat_past(&mut self) {
-        let skipped = self.past.len().saturating_sub(STALE_ANSWERS);
-        let stale: Vec<PastAnswer> = self.past[skipped..].to_vec();
-        for PastAnswer {
+    /// Repeats earlier responses, then sends responses with wrong outputs that match the
+    /// awaited step in all parts but one.
+    fn replay_past_responses(&mut self) {
+        let skipped = self
+            .past_responses
+            .len()
+            .saturating_sub(MAX_STALE_RESPONSES);
+        let stale: Vec<PastResponse> = self.past_responses[skipped..].to_vec();
+        for PastResponse {
             target,
-            answer,
+            response,
             inputs,
         } in stale
         {
-            self.feed(RunEvent::StepAnswered { target, answer }, Some(inputs));
+            self.handle_event(
+                RunEvent::ResponseReceived { target, response },
+                Some(inputs),
+            );
         }
         let Some(order) = self.machine.awaited_order().cloned() else {
             return;
@@ -145,37 +151,37 @@
             label: order.label,
             position: order.position,
         };
-        let place = forged.label.stage;
-        let target = self.machine.targets().nth(place).cloned();
+        let index = forged.label.stage;
+        let target = self.machine.targets().nth(index).cloned();
         let target = target.expect("a stage of the route");
-        for part in 0..CROSSED_PARTS {
-            let answer = crossed_answer(forged.clone(), part);
+        for part in 0..RESPONSE_PARTS {
+            let response = mismatched_response(forged.clone(), part);
             let target = target.clone();
-            self.feed(RunEvent::StepAnswered { target, answer }, None);
+            self.handle_event(RunEvent::ResponseReceived { target, response }, None);
         }
         let target = "another".into();
-        let answer = forged;
-        self.feed(RunEvent::StepAnswered { target, answer }, None);
+        let response = forged;
+        self.handle_event(RunEvent::ResponseReceived { target, response }, None);
     }
 
-    fn feed(&mut self, event: RunEvent, inputs: Option<Vec<u64>>) {
+    fn handle_event(&mut self, event: RunEvent, inputs: Option<Vec<u64>>) {
         let stage = match &event {
-            RunEvent::StepAnswered { answer, .. } => Some(answer.label.stage),
+            RunEvent::ResponseReceived { response, .. } => Some(response.label.stage),
             _ => None,
         };
-        let dropped = self.machine.dropped();
+        let dropped = self.machine.dropped_responses();
         let decisions = self.machine.handle(event, self.now);
-        let is_accepted = stage.filter(|_| self.machine.dropped() == dropped);
+        let is_accepted = stage.filter(|_| self.machine.dropped_responses() == dropped);
         if let Some(stage) = is_accepted {
-            self.chain[stage] = inputs.expect("a crossed answer was accepted");
+            self.accepted_inputs[stage] = inputs.expect("a mismatched response was accepted");
         }
         for decision in decisions {
             assert!(self.outcome.is_none(), "{decision:?} after the end");
-            self.carry_out(decision);
+            self.execute(decision);
         }
     }
 
-    fn carry_out(&mut self, decision: RunDecision) {
+    fn execute(&mut self, decision: RunDecision) {
         match decision {
             RunDecision::SendStep { target, order, .. } => self.send(&target, order),
             RunDecision::DeliverToken { number, token } => self.check_token(number, token),
@@ -189,7 +195,7 @@
                     self.engines.insert(name.clone(), ModelEngine::default());
                 }
                 let event = RunEvent::ReplacementChosen { stage, target };
-                self.due.push_back((event, None));
+                self.pending_events.push_back((event, None));
             }
             RunDecision::MoveCache {
                 from,
@@ -207,59 +213,60 @@
                 importer
                     .sessions
                     .extend(session.map(|session| (to_session.clone(), session)));
-                let next_position = moved.filter(|_| !self.fails_moves);
+                let next_position = moved.filter(|_| !self.fail_moves);
                 if next_position.is_none() {
-                    // The import may still arrive, so the name is spent.
+                    // The import may still arrive, so the session name must not be used
+                    // again.
                     self.closed.insert(to_session.clone());
                 }
                 let event = RunEvent::CacheMoved {
                     to_session,
                     next_position,
                 };
-                self.due.push_back((event, None));
+                self.pending_events.push_back((event, None));
             }
             RunDecision::CancelSession { target, session } => {
                 self.closed.insert(session.clone());
                 let engine = self.engines.get_mut(&target).expect("known target");
                 match engine.frozen_for {
                     0 => drop(engine.sessions.remove(&session)),
-                    _ => engine.held.push(HeldOrder::Cancel(session)),
+                    _ => engine.queued.push(QueuedOrder::Cancel(session)),
                 }
             }
             RunDecision::Finish(outcome) => self.outcome = Some(outcome),
         }
     }
 
-    /// A delivered token is the right one, and in the sessions behind it each
-    /// stage took in each position once, in order, with the right input.
+    /// Checks that a delivered token is correct, and that in the sessions that produced
+    /// it each stage ran each position once, in order and with the correct input.
     fn check_token(&mut self, number: u64, token: TokenValue) {
         assert_eq!(number, self.tokens.len() as u64, "numbered without gap");
         assert_eq!(token, self.trace.tokens[self.tokens.len()], "wrong token");
         let end = self.prompt + self.tokens.len();
-        for (chain, right) in self.chain.iter().zip(&self.trace.inputs) {
+        for (accepted_inputs, right) in self.accepted_inputs.iter().zip(&self.trace.inputs) {
             assert_eq!(
-                chain[..],
+                accepted_inputs[..],
                 right[..end],
-                "position skipped, doubled or wrong"
+                "position skipped, repeated or wrong"
             );
         }
         self.tokens.push(token);
     }
 
-    /// A session is of one target and never used after its end, and a step is
-    /// not resent for ever.
+    /// Checks that a session belongs to one target and is not used after its end, and
+    /// that a step is not resent without limit.
     fn check_session(&mut self, target: &TargetId, order: &StepOrder) {
         let session = order.label.session();
         assert!(!self.closed.contains(&session), "{session} used again");
         let owner = self.owners.entry(session.clone());
         assert_eq!(owner.or_insert_with(|| target.clone()), target);
-        let (last, position, times) = &self.repeated;
+        let (last, position, times) = &self.last_step;
         let times = match *last == session && *position == order.position {
             true => times + 1,
             false => 0,
         };
         assert!(times <= self.max_resends, "{session} resent too often");
-        self.repeated = (session, order.position, times);
+        self.last_step = (session, order.position, times);
     }
 
     fn send(&mut self, target: &TargetId, order: StepOrder) {
@@ -282,7 +289,7 @@
             _ if engine.is_dead => (RetryReason::ConnectFailed, RunVerdict::NotRun, None),
             _ if engine.frozen_for > 0 => {
                 self.order_seen = true;
-                engine.held.push(HeldOrder::Step(order.clone()));
+                engine.queued.push(QueuedOrder::Step(order.clone()));
                 lost()
             }
             Some(Fault::LoseOrder) => lost(),
@@ -299,30 +306,32 @@
             }
             _ => match engine.step(&order, self.stages) {
                 Err(refusal) => (RetryReason::SessionLost, RunVerdict::NotRun, Some(refusal)),
-                Ok((answer, inputs)) => {
+                Ok((response, inputs)) => {
                     self.order_seen = true;
                     engine.is_dead = fault == Some(Fault::DieAfter);
                     let target = target.clone();
-                    let past = PastAnswer {
+                    let past_responses = PastResponse {
                         target: target.clone(),
-                        answer,
+                        response,
                         inputs,
                     };
-                    self.past.push(past.clone());
+                    self.past_responses.push(past_responses.clone());
                     match fault {
-                        Some(Fault::DieAfter | Fault::LoseAnswer) => lost(),
-                        Some(Fault::Cross(part)) => {
-                            let answer = crossed_answer(past.answer, part);
-                            let event = RunEvent::StepAnswered { target, answer };
-                            self.due.push_back((event, None));
+                        Some(Fault::DieAfter | Fault::LoseResponse) => lost(),
+                        Some(Fault::Mismatch(part)) => {
+                            let response = mismatched_response(past_responses.response, part);
+                            let event = RunEvent::ResponseReceived { target, response };
+                            self.pending_events.push_back((event, None));
                             (RetryReason::AnswerMismatched, RunVerdict::MayHaveRun, None)
                         }
                         _ => {
-                            let event = RunEvent::StepAnswered {
+                            let event = RunEvent::ResponseReceived {
                                 target,
-                                answer: past.answer,
+                                response: past_responses.response,
                             };
-                            return self.due.push_back((event, Some(past.inputs)));
+                            return self
+                                .pending_events
+                                .push_back((event, Some(past_responses.inputs)));
                         }
                     }
                 }
@@ -339,6 +348,6 @@
                 refusal,
             },
         };
-        self.due.push_back((event, None));
+        self.pending_events.push_back((event, None));
     }
 }
