--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -38,7 +38,7 @@
 }
 
 /// Status and body of an answer.
-struct RawAnswer {
+struct RawResponse {
     status: StatusCode,
     body: Bytes,
 }
@@ -154,7 +154,7 @@
     fn change_answer(
         &self,
         key: &ResourceKey,
-        answer: &RawAnswer,
+        answer: &RawResponse,
     ) -> Result<AcceptedBody, CliError> {
         match serde_json::from_slice::<ConflictBody>(&answer.body) {
             Ok(conflict) if answer.status == StatusCode::CONFLICT => Err(CliError::LostRace {
@@ -165,7 +165,7 @@
         }
     }
 
-    async fn send(&self, method: Method, path: &str, body: Bytes) -> Result<RawAnswer, CliError> {
+    async fn send(&self, method: Method, path: &str, body: Bytes) -> Result<RawResponse, CliError> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.server))
@@ -179,7 +179,7 @@
         }
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<RawAnswer, CliError> {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<RawResponse, CliError> {
         let response = match self.client.request(request).await {
             Ok(response) => response,
             Err(error) if error.is_connect() => {
@@ -196,7 +196,7 @@
             .collect()
             .await
             .map_err(|error| self.no_answer(&error))?;
-        Ok(RawAnswer {
+        Ok(RawResponse {
             status,
             body: body.to_bytes(),
         })
@@ -212,7 +212,7 @@
         }
     }
 
-    fn decode<T>(&self, answer: &RawAnswer) -> Result<T, CliError>
+    fn decode<T>(&self, answer: &RawResponse) -> Result<T, CliError>
     where
         T: DeserializeOwned,
     {
--- a/src/daemon/claims/ask.rs
+++ b/src/daemon/claims/ask.rs
@@ -13,7 +13,7 @@
 use crate::claims::table::ClaimHolder;
 use crate::daemon::core::DaemonCore;
 use crate::ids::RecordId;
-use crate::peer::{ClaimOutcome as PeerOutcome, ClaimQuestion};
+use crate::peer::{ClaimOutcome as PeerOutcome, ClaimQuery};
 use crate::verdict::RunVerdict;
 
 /// Asks the holder of a key how its request ended, and waits for the end.
@@ -55,7 +55,7 @@
     // Heartbeats share the bound on open calls to a peer. Were all taken by
     // questions, the peer would look dead.
     let _slot = core.claim_questions.try_acquire().ok()?;
-    let question = ClaimQuestion {
+    let question = ClaimQuery {
         request: holder.request.clone(),
         service: "".into(),
         operation: String::new(),
@@ -82,7 +82,7 @@
 /// Answers a host that lost a key to this one.
 pub(in crate::daemon) async fn answer_peer(
     core: Arc<DaemonCore>,
-    question: ClaimQuestion,
+    question: ClaimQuery,
 ) -> PeerOutcome {
     let name = ClaimName {
         organisation: question.organisation,
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -114,9 +114,9 @@
         }
         let again = match peers.heartbeat(address, beat).await {
             // An address may have passed to another host.
-            Ok(reply) if reply.beat.host == to => take_reply(&core, &reply, sent.as_ref()),
+            Ok(reply) if reply.heartbeat.host == to => take_reply(&core, &reply, sent.as_ref()),
             Ok(reply) => {
-                log::warn!("{address} is {} and not {to}", reply.beat.host);
+                log::warn!("{address} is {} and not {to}", reply.heartbeat.host);
                 false
             }
             Err(error) => {
@@ -145,7 +145,7 @@
 
 /// Takes in an answer; says whether to send another heartbeat at once.
 fn take_reply(core: &Arc<DaemonCore>, reply: &PeerReply, sent: Option<&OutgoingReport>) -> bool {
-    take_beat(core, &reply.beat);
+    take_beat(core, &reply.heartbeat);
     let Some(lease) = reply.lease_offset else {
         return false;
     };
@@ -154,7 +154,7 @@
             take_grants(core, lease, &reply.grants, sent.sent_at)
         }
         _ => {
-            hear_holder(core, &reply.beat.host, lease);
+            hear_holder(core, &reply.heartbeat.host, lease);
             false
         }
     }
@@ -166,7 +166,7 @@
     let remote = beat.zone != *core.zone();
     let grants = answer_report(core, beat);
     PeerReply {
-        beat: own_beat(core, remote),
+        heartbeat: own_beat(core, remote),
         lease_offset: dividing_lease(core).filter(|_| !remote),
         grants: grants.unwrap_or_default(),
     }
--- a/src/daemon/relaying.rs
+++ b/src/daemon/relaying.rs
@@ -9,7 +9,7 @@
 use super::declarations::apply_record;
 use super::in_force::put_in_force;
 use crate::membership::MemberPhase;
-use crate::peer::{PeerHandle, RecordsQuestion, RelayedRange};
+use crate::peer::{PeerHandle, RecordsRequest, RelayedRange};
 use crate::records::DECLARATION_STREAM;
 use crate::replay::{DeclarationTable, RelayError, RelayRange};
 
@@ -20,7 +20,7 @@
 const LOG_HEAD_START: Duration = Duration::from_millis(300);
 
 /// Answers a peer that asks for records.
-pub(super) fn relay_records(core: &DaemonCore, question: &RecordsQuestion) -> RelayedRange {
+pub(super) fn relay_records(core: &DaemonCore, question: &RecordsRequest) -> RelayedRange {
     if question.stream != DECLARATION_STREAM {
         return RelayedRange::default();
     }
@@ -79,7 +79,7 @@
 async fn follow_peer(core: &DaemonCore, peers: &PeerHandle, peer: SocketAddr) {
     loop {
         let from = core.tables.declarations.read().applied();
-        let question = RecordsQuestion {
+        let question = RecordsRequest {
             stream: DECLARATION_STREAM.to_owned(),
             from,
             limit: RELAY_LIMIT,
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -18,7 +18,7 @@
 use crate::reason::{RefusalReason, RetryReason};
 use crate::resources::ServiceSpec;
 use crate::target::TargetFailure;
-use crate::target::client::{CallAnswer, CallOrder};
+use crate::target::client::{CallRequest, CallResponse};
 use crate::target::wire::{IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER};
 use crate::verdict::RunVerdict;
 use claimed::call_claimed;
@@ -140,11 +140,11 @@
     core: &DaemonCore,
     call: &ServiceCall,
     target: &TargetId,
-) -> Result<CallAnswer, TargetFailure> {
+) -> Result<CallResponse, TargetFailure> {
     let Some(address) = core.target_address(target) else {
         return Err(TargetFailure::Connect("no longer declared".to_owned()));
     };
-    let order = CallOrder {
+    let order = CallRequest {
         operation: call.operation.to_string(),
         headers: call_headers(call),
         body: call.body.clone(),
@@ -162,7 +162,7 @@
     core: &DaemonCore,
     call: &ServiceCall,
     target: &TargetId,
-    answer: &Result<CallAnswer, TargetFailure>,
+    answer: &Result<CallResponse, TargetFailure>,
     latency: Duration,
 ) {
     match answer {
@@ -199,7 +199,7 @@
     headers
 }
 
-fn reply(answer: CallAnswer) -> ServiceReply {
+fn reply(answer: CallResponse) -> ServiceReply {
     let content_type = answer.headers.get(CONTENT_TYPE);
     ServiceReply {
         status: answer.status.as_u16(),
--- a/src/daemon/services/claimed.rs
+++ b/src/daemon/services/claimed.rs
@@ -19,7 +19,7 @@
 use crate::daemon::core::DaemonCore;
 use crate::ids::{IdempotencyKey, RequestId, TargetId};
 use crate::reason::RefusalReason;
-use crate::target::client::{CallAnswer, CallOrder, SingleCall};
+use crate::target::client::{CallRequest, CallResponse, SingleCall};
 use crate::target::{CallFailure, TargetFailure};
 use crate::verdict::RunVerdict;
 
@@ -169,8 +169,8 @@
     call: &ServiceCall,
     target: &TargetId,
     connection: SingleCall,
-) -> Result<CallAnswer, CallFailure> {
-    let order = CallOrder {
+) -> Result<CallResponse, CallFailure> {
+    let order = CallRequest {
         operation: call.operation.to_string(),
         headers: call_headers(call),
         body: call.body.clone(),
@@ -186,7 +186,7 @@
 fn finish(
     call: &ServiceCall,
     dispatched: DispatchedClaim,
-    answer: Result<CallAnswer, CallFailure>,
+    answer: Result<CallResponse, CallFailure>,
 ) -> Result<ServiceReply, RefusalBody> {
     match answer {
         Ok(answer) => {
--- a/src/daemon/spawn.rs
+++ b/src/daemon/spawn.rs
@@ -264,7 +264,7 @@
 fn open_platform(options: &DaemonOptions) -> PlatformClient {
     let timeouts = PlatformTimeouts {
         connect: options.timing.connect_timeout,
-        answer: PLATFORM_ANSWER_TIMEOUT,
+        response: PLATFORM_ANSWER_TIMEOUT,
     };
     PlatformClient::open(options.platform.address, timeouts)
 }
@@ -272,7 +272,7 @@
 fn target_timeouts(options: &DaemonOptions) -> TargetTimeouts {
     TargetTimeouts {
         connect: options.timing.connect_timeout,
-        answer: options.timing.step_timeout,
+        response: options.timing.step_timeout,
         ..TargetTimeouts::default()
     }
 }
--- a/src/entry/follow_cursor.rs
+++ b/src/entry/follow_cursor.rs
@@ -2,7 +2,7 @@
 
 use crate::collections::FastMap;
 use crate::ids::{HostId, IncarnationId};
-use crate::peer::FollowQuestion;
+use crate::peer::FollowRequest;
 
 /// Stands for a start of another host than the one that is asked. A host that
 /// has lost the log then knows that the asking one has targets, and need not
@@ -33,17 +33,17 @@
 
 impl FollowCursor {
     /// What to ask a host that may know of configurations after `version`.
-    pub fn question(&self, host: &HostId, version: u64) -> FollowQuestion {
+    pub fn question(&self, host: &HostId, version: u64) -> FollowRequest {
         let (incarnation, from) = match self.places.get(host) {
             Some(place) => (place.incarnation, place.from),
             None if !self.places.is_empty() => (FOREIGN_INCARNATION, 0),
             None => (0, 0),
         };
-        FollowQuestion {
+        FollowRequest {
             configuration_version: version,
             incarnation,
             from,
-            ..FollowQuestion::default()
+            ..FollowRequest::default()
         }
     }
 
--- a/src/entry/log_copy.rs
+++ b/src/entry/log_copy.rs
@@ -16,7 +16,7 @@
 use crate::fleet::TargetEntry;
 use crate::forward::ServingTables;
 use crate::ids::{LogOffset, TargetId};
-use crate::peer::{FollowAnswer, FollowQuestion};
+use crate::peer::{FollowReply, FollowRequest};
 use crate::platform::configuration_record::parse_configuration;
 use crate::platform::target_record::parse_target;
 
@@ -93,13 +93,13 @@
     }
 
     /// Whether an answer to a question would hold anything that is news.
-    pub(super) fn has_news(&self, question: FollowQuestion) -> bool {
+    pub(super) fn has_news(&self, question: FollowRequest) -> bool {
         question.configuration_version < self.configuration_version()
             || question.from < self.kept.lock().targets.next_change()
     }
 
     /// What the asking host does not have yet.
-    pub fn answer(&self, question: FollowQuestion, known: bool, now: Instant) -> FollowAnswer {
+    pub fn answer(&self, question: FollowRequest, known: bool, now: Instant) -> FollowReply {
         let version = self.configuration_version();
         let kept = self.kept.lock();
         let changes = match known {
@@ -107,14 +107,14 @@
             false => None,
         };
         let configuration = kept.configuration.clone();
-        FollowAnswer {
+        FollowReply {
             configuration: configuration.filter(|_| question.configuration_version < version),
             whole: changes.is_none(),
             targets: changes.unwrap_or_else(|| kept.targets.all()),
             next: kept.targets.next_change(),
             read_to: kept.targets.read_to(),
             log: kept.continuity.followed(now),
-            ..FollowAnswer::default()
+            ..FollowReply::default()
         }
     }
 
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -14,8 +14,7 @@
 use crate::ids::{HostId, IncarnationId, ZoneId};
 use crate::membership::{GossipTable, host_weight};
 use crate::peer::{
-    self, EntryHandlers, FollowAnswer, FollowQuestion, HostView, PeerError, PeerHandle,
-    PeerSettings,
+    self, EntryHandlers, FollowReply, FollowRequest, HostView, PeerError, PeerHandle, PeerSettings,
 };
 use crate::permits::PermitRequest;
 
@@ -151,7 +150,7 @@
         is_neighbour: bool,
         now: Instant,
     ) -> HostView {
-        let uses = match view.scope {
+        let usage = match view.scope {
             // What one host alone does is of no use to another zone.
             UsageScope::Host if !is_neighbour => Vec::new(),
             scope => self.tables.fleet.lock().usage(scope, listener),
@@ -159,7 +158,7 @@
         HostView {
             configuration_version: self.copy.configuration_version(),
             log: self.copy.log_ages(now),
-            uses,
+            usage,
             ..view
         }
     }
@@ -212,7 +211,7 @@
         let source = UsageSource::of(view.scope, &view.host, &view.zone, &self.zone);
         if let Some(source) = source {
             let mut fleet = self.tables.fleet.lock();
-            fleet.observe_usage(source, view.uses.clone(), now);
+            fleet.observe_usage(source, view.usage.clone(), now);
         }
     }
 
@@ -287,7 +286,7 @@
 
     /// Passes on what this host has read, as soon as there is news or after a
     /// while.
-    async fn answer_follow(&self, question: FollowQuestion) -> FollowAnswer {
+    async fn answer_follow(&self, question: FollowRequest) -> FollowReply {
         let known = question.incarnation == self.incarnation;
         let news = self.copy.news.notified();
         // Without the log there will be no news: the other host looks for one
@@ -302,14 +301,14 @@
         let fresh = age < FRESH_AGE;
         if !fresh && question.incarnation != 0 {
             // The asking host has targets, and would not take these.
-            return FollowAnswer::default();
+            return FollowReply::default();
         }
         // Taken first, so that its lock is not held while the copy's is taken.
         let remote = match question.wants_remote {
             true => self.tables.fleet.lock().remote_usage(),
             false => Vec::new(),
         };
-        FollowAnswer {
+        FollowReply {
             incarnation: self.incarnation,
             fresh,
             age,
--- a/src/entry/relayed_log.rs
+++ b/src/entry/relayed_log.rs
@@ -8,7 +8,7 @@
 use crate::entry::log_copy::LogCopy;
 use crate::forward::ServingTables;
 use crate::ids::HostId;
-use crate::peer::{FollowAnswer, FollowQuestion, TargetChange};
+use crate::peer::{FollowReply, FollowRequest, TargetChange};
 
 /// Shortest time for which a question is kept.
 const LEAST_HOLD: Duration = Duration::from_millis(20);
@@ -37,12 +37,12 @@
     }
 
     /// What to ask a host, which may keep the question for so long.
-    pub fn question(&self, host: &HostId, hold: Duration, now: Instant) -> FollowQuestion {
+    pub fn question(&self, host: &HostId, hold: Duration, now: Instant) -> FollowRequest {
         // A doubt ends on time, also where there is no news.
         let due = self.copy.next_due();
         let due = due.map(|due| due.saturating_duration_since(now));
         let hold = due.map_or(hold, |due| hold.min(due.max(LEAST_HOLD)));
-        FollowQuestion {
+        FollowRequest {
             hold,
             wants_remote: self.wants_remote(now),
             ..self
@@ -61,7 +61,7 @@
     }
 
     /// Takes in what a host answers.
-    pub fn take(&mut self, host: &HostId, mut answer: FollowAnswer, now: Instant) {
+    pub fn take(&mut self, host: &HostId, mut answer: FollowReply, now: Instant) {
         if let Some(configuration) = &answer.configuration {
             self.copy.apply_configuration(configuration, "peer");
         }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -22,7 +22,7 @@
 use crate::forward::{ServingTables, serve};
 use crate::peer::PeerError;
 use crate::platform::host_settings::{SettingsError, read_settings};
-use crate::platform::log_calls::{CallLimits, LogClient};
+use crate::platform::log_calls::{CallTimeouts, LogClient};
 
 /// How long the log service may take. It answers in 4 ms when it is well, and
 /// slow answers of a quarter of a second still count.
@@ -33,9 +33,9 @@
 /// some hundred kilobytes, which take a quarter of a second on a small host's
 /// link, longer where every host of a fleet reads them at once: to begin again
 /// after 0.6 s kept hosts without configuration for 1.6 s after a start of 195.
-const STORE_LIMITS: CallLimits = CallLimits {
+const STORE_LIMITS: CallTimeouts = CallTimeouts {
     connect: Duration::from_millis(250),
-    answer: Duration::from_millis(600),
+    response: Duration::from_millis(600),
     newest: Duration::from_millis(1500),
 };
 /// Port of the metrics; `deploy/system.toml` names the same.
--- a/src/forward/limits.rs
+++ b/src/forward/limits.rs
@@ -9,7 +9,7 @@
 use crate::fleet::target_key;
 use crate::ids::{HostId, TargetId, TargetKey};
 use crate::permits::{LimitChange, LimitObservation, RateLimit};
-use crate::platform::limit_header::{NamedRate, named_rate};
+use crate::platform::limit_header::{LimitHeader, parse_limit_header};
 use crate::platform::names;
 
 impl ServingTables {
@@ -23,18 +23,18 @@
         sent: Instant,
         now: Instant,
     ) {
-        let rate = match named_rate(headers) {
+        let rate = match parse_limit_header(headers) {
             // Another target at the same address may have sent it.
             _ if status == StatusCode::MISDIRECTED_REQUEST => return,
             // Only a response of the target itself shows that there is no limit.
-            NamedRate::Absent if !headers.contains_key(names::SERVER_SEAL) => return,
-            NamedRate::Absent if self.limits.lock().is_empty() => return,
-            NamedRate::Absent => None,
-            NamedRate::PerSecond(named) => match RateLimit::new(named) {
+            LimitHeader::Absent if !headers.contains_key(names::SERVER_SEAL) => return,
+            LimitHeader::Absent if self.limits.lock().is_empty() => return,
+            LimitHeader::Absent => None,
+            LimitHeader::PerSecond(named) => match RateLimit::new(named) {
                 None => return self.record_unusable_limit(target, headers),
                 rate => rate,
             },
-            NamedRate::Unreadable => return self.record_unusable_limit(target, headers),
+            LimitHeader::Unreadable => return self.record_unusable_limit(target, headers),
         };
         let observation = LimitObservation {
             rate,
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -81,7 +81,7 @@
             configuration_version: 0,
             weight: self.weight,
             scope,
-            uses: Vec::new(),
+            usage: Vec::new(),
             listing,
             seen,
             counts,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -22,12 +22,12 @@
 pub use handle::{PeerHandle, spawn, spawn_on};
 pub use handlers::{EntryHandlers, PeerHandlers, ServedCalls};
 pub use message::{
-    ClaimOutcome, ClaimQuestion, PeerDemand, PeerGrant, PeerHeartbeat, PeerLoad, PeerReply,
-    RecordsQuestion, RelayedRange, ZoneDigest,
+    ClaimOutcome, ClaimQuery, PeerDemand, PeerGrant, PeerHeartbeat, PeerLoad, PeerReply,
+    RecordsRequest, RelayedRange, ZoneDigest,
 };
 pub use settings::PeerSettings;
 pub use traffic::PeerTraffic;
 pub use view::{
-    FollowAnswer, FollowQuestion, FollowedLog, HostListing, HostView, KnownHost, LogAges,
+    FollowReply, FollowRequest, FollowedLog, HostListing, HostView, KnownHost, LogAges,
     SeenListing, TargetChange, ZoneCount,
 };
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -207,7 +207,7 @@
 
 /// Encodes the answer to a heartbeat.
 pub(super) fn write_reply(mut builder: wire::heartbeat_reply::Builder<'_>, reply: &PeerReply) {
-    let beat = &reply.beat;
+    let beat = &reply.heartbeat;
     builder.set_host(&*beat.host);
     builder.set_zone(&*beat.zone);
     builder.set_incarnation(beat.incarnation);
@@ -240,7 +240,7 @@
         entry.set_concurrent_requests(grant.concurrent_requests);
         entry.set_requests_per_minute(grant.requests_per_minute);
         entry.set_number(grant.number);
-        entry.set_lapses_after_ms(grant.lapse.map_or(0, milliseconds));
+        entry.set_lapses_after_ms(grant.expires_after.map_or(0, milliseconds));
     }
 }
 
@@ -254,9 +254,9 @@
                 concurrent_requests: entry.get_concurrent_requests(),
                 requests_per_minute: entry.get_requests_per_minute(),
                 number: entry.get_number(),
-                lapse: match entry.get_lapses_after_ms() {
+                expires_after: match entry.get_lapses_after_ms() {
                     0 => None,
-                    lapse => Some(Duration::from_millis(lapse)),
+                    expiry => Some(Duration::from_millis(expiry)),
                 },
             })
         })
@@ -273,7 +273,7 @@
         false => None,
     };
     Ok(PeerReply {
-        beat: PeerHeartbeat {
+        heartbeat: PeerHeartbeat {
             host: text(reader.get_host())?,
             zone: text(reader.get_zone())?,
             incarnation: reader.get_incarnation(),
--- a/src/peer/convert/claim.rs
+++ b/src/peer/convert/claim.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use super::{string, text};
-use crate::peer::message::{ClaimOutcome, ClaimQuestion};
+use crate::peer::message::{ClaimOutcome, ClaimQuery};
 use crate::peer_capnp as wire;
 use crate::verdict::RunVerdict;
 
@@ -14,7 +14,7 @@
 /// Encodes a question about a claim.
 pub(in crate::peer) fn write_question(
     mut builder: wire::peer_call::Builder<'_>,
-    question: &ClaimQuestion,
+    question: &ClaimQuery,
 ) {
     builder.set_request_id(&*question.request);
     builder.set_service(&*question.service);
@@ -29,8 +29,8 @@
 /// As [`read_heartbeat`].
 pub(in crate::peer) fn read_question(
     reader: wire::peer_call::Reader<'_>,
-) -> capnp::Result<ClaimQuestion> {
-    Ok(ClaimQuestion {
+) -> capnp::Result<ClaimQuery> {
+    Ok(ClaimQuery {
         request: text(reader.get_request_id())?,
         service: text(reader.get_service())?,
         operation: string(reader.get_operation())?,
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -8,7 +8,7 @@
 use super::{address, length, milliseconds, short_milliseconds, text};
 use crate::fleet::{TargetLoad, TargetUsage, UsageScope, ZoneUsage};
 use crate::peer::view::{
-    FollowAnswer, FollowQuestion, FollowedLog, HostListing, HostView, KnownHost, LogAges,
+    FollowReply, FollowRequest, FollowedLog, HostListing, HostView, KnownHost, LogAges,
     SeenListing, TargetChange, ZoneCount,
 };
 use crate::peer_capnp as wire;
@@ -29,7 +29,7 @@
     builder.set_configuration_version(view.configuration_version);
     builder.set_strength(view.weight);
     builder.set_scope(write_scope(view.scope));
-    write_uses(builder.reborrow().init_uses(), &view.uses);
+    write_uses(builder.reborrow().init_uses(), &view.usage);
     builder.set_listed_from(view.listing.from);
     builder.set_listed_to(view.listing.to);
     builder.set_seen_incarnation(view.seen.incarnation);
@@ -80,7 +80,7 @@
         configuration_version: reader.get_configuration_version(),
         weight: reader.get_strength(),
         scope: read_scope(reader.get_scope()?),
-        uses: read_uses(reader.get_uses()?)?,
+        usage: read_uses(reader.get_uses()?)?,
         listing: read_listing(reader)?,
         seen: SeenListing {
             incarnation: reader.get_seen_incarnation(),
@@ -233,7 +233,7 @@
 /// Encodes a question for what is read from the log.
 pub(in crate::peer) fn write_follow_question(
     mut builder: wire::follow_question::Builder<'_>,
-    question: FollowQuestion,
+    question: FollowRequest,
 ) {
     builder.set_configuration_version(question.configuration_version);
     builder.set_incarnation(question.incarnation);
@@ -245,8 +245,8 @@
 /// Decodes a question for what is read from the log.
 pub(in crate::peer) fn read_follow_question(
     reader: wire::follow_question::Reader<'_>,
-) -> FollowQuestion {
-    FollowQuestion {
+) -> FollowRequest {
+    FollowRequest {
         configuration_version: reader.get_configuration_version(),
         incarnation: reader.get_incarnation(),
         from: reader.get_from(),
@@ -258,7 +258,7 @@
 /// Encodes what was read from the log.
 pub(in crate::peer) fn write_follow_answer(
     mut builder: wire::follow_answer::Builder<'_>,
-    answer: &FollowAnswer,
+    answer: &FollowReply,
 ) {
     builder.set_incarnation(answer.incarnation);
     builder.set_fresh(answer.fresh);
@@ -294,7 +294,7 @@
 /// As [`read_view`].
 pub(in crate::peer) fn read_follow_answer(
     reader: wire::follow_answer::Reader<'_>,
-) -> capnp::Result<FollowAnswer> {
+) -> capnp::Result<FollowReply> {
     let targets = reader.get_targets()?.iter().map(|entry| {
         Ok(TargetChange {
             id: text(entry.get_id())?,
@@ -309,7 +309,7 @@
             usage: read_uses(entry.get_uses()?)?,
         })
     });
-    Ok(FollowAnswer {
+    Ok(FollowReply {
         incarnation: reader.get_incarnation(),
         fresh: reader.get_fresh(),
         age: Duration::from_millis(reader.get_age_ms()),
--- a/src/peer/handle.rs
+++ b/src/peer/handle.rs
@@ -9,12 +9,12 @@
 use super::error::PeerError;
 use super::handlers::ServedCalls;
 use super::message::{
-    ClaimOutcome, ClaimQuestion, PeerHeartbeat, PeerReply, RecordsQuestion, RelayedRange,
+    ClaimOutcome, ClaimQuery, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
 };
 use super::settings::PeerSettings;
 use super::traffic::PeerTraffic;
-use super::view::{FollowAnswer, FollowQuestion, HostView};
-use super::worker::{self, AnswerSender, PeerCommand};
+use super::view::{FollowReply, FollowRequest, HostView};
+use super::worker::{self, PeerCommand, ReplySender};
 use crate::permits::{PermitReply, PermitRequest};
 
 /// Calls that may wait for the thread of the RPC library.
@@ -114,7 +114,7 @@
     pub async fn records(
         &self,
         address: SocketAddr,
-        question: RecordsQuestion,
+        question: RecordsRequest,
     ) -> Result<RelayedRange, PeerError> {
         self.ask(|answer| PeerCommand::Records {
             address,
@@ -132,7 +132,7 @@
     pub async fn claim_outcome(
         &self,
         address: SocketAddr,
-        question: ClaimQuestion,
+        question: ClaimQuery,
         wait: Duration,
     ) -> Result<ClaimOutcome, PeerError> {
         self.ask(|answer| PeerCommand::ClaimOutcome {
@@ -170,9 +170,9 @@
     pub async fn follow(
         &self,
         address: SocketAddr,
-        question: FollowQuestion,
+        question: FollowRequest,
         wait: Duration,
-    ) -> Result<FollowAnswer, PeerError> {
+    ) -> Result<FollowReply, PeerError> {
         self.ask(|answer| PeerCommand::Follow {
             address,
             question,
@@ -217,7 +217,7 @@
 
     async fn ask<T, F>(&self, command: F) -> Result<T, PeerError>
     where
-        F: FnOnce(AnswerSender<T>) -> PeerCommand,
+        F: FnOnce(ReplySender<T>) -> PeerCommand,
     {
         let (sender, answer) = oneshot::channel();
         self.commands
--- a/src/peer/handlers.rs
+++ b/src/peer/handlers.rs
@@ -6,9 +6,9 @@
 use futures::future::BoxFuture;
 
 use super::message::{
-    ClaimOutcome, ClaimQuestion, PeerHeartbeat, PeerReply, RecordsQuestion, RelayedRange,
+    ClaimOutcome, ClaimQuery, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
 };
-use super::view::{FollowAnswer, FollowQuestion, HostView};
+use super::view::{FollowReply, FollowRequest, HostView};
 use crate::permits::{PermitReply, PermitRequest};
 
 /// Functions that answer incoming calls.
@@ -20,9 +20,9 @@
     /// Takes in a heartbeat and answers with the host's own.
     pub heartbeat: Arc<dyn Fn(PeerHeartbeat) -> PeerReply + Send + Sync>,
     /// Passes on log records.
-    pub records: Arc<dyn Fn(RecordsQuestion) -> RelayedRange + Send + Sync>,
+    pub records: Arc<dyn Fn(RecordsRequest) -> RelayedRange + Send + Sync>,
     /// Tells what became of a claimed request; may wait for its end.
-    pub claim_outcome: Arc<dyn Fn(ClaimQuestion) -> BoxFuture<'static, ClaimOutcome> + Send + Sync>,
+    pub claim_outcome: Arc<dyn Fn(ClaimQuery) -> BoxFuture<'static, ClaimOutcome> + Send + Sync>,
 }
 
 impl fmt::Debug for PeerHandlers {
@@ -41,7 +41,7 @@
     /// Takes in a host's view and answers with this host's own.
     pub exchange: Arc<dyn Fn(HostView) -> HostView + Send + Sync>,
     /// Passes on what is read from the platform's log; waits a little for news.
-    pub follow: Arc<dyn Fn(FollowQuestion) -> BoxFuture<'static, FollowAnswer> + Send + Sync>,
+    pub follow: Arc<dyn Fn(FollowRequest) -> BoxFuture<'static, FollowReply> + Send + Sync>,
     /// Hands out permits for a target, or passes the question on.
     pub permit: Arc<dyn Fn(PermitRequest) -> BoxFuture<'static, PermitReply> + Send + Sync>,
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -22,7 +22,7 @@
 
 /// How long a call may take and what it means if it takes longer.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum CallLimit {
+pub(super) enum TimeoutPolicy {
     /// The peer should have answered at once, so it hangs: the connection is
     /// closed. Every further call on it would wait in vain and keep its memory.
     CloseLink,
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// Connecting failed or is not tried yet, or the call brought no answer.
-    pub(super) async fn call<F, R, T>(&self, limit: CallLimit, send: F) -> Result<T, PeerError>
+    pub(super) async fn call<F, R, T>(&self, limit: TimeoutPolicy, send: F) -> Result<T, PeerError>
     where
         F: FnOnce(&peer::Client) -> R,
         R: Future<Output = capnp::Result<T>>,
@@ -98,8 +98,8 @@
         self.last_used.set(Instant::now());
         let (client, generation) = self.client().await?;
         let timeout = match limit {
-            CallLimit::CloseLink => self.settings.call_timeout,
-            CallLimit::KeepLink(wait) => wait,
+            TimeoutPolicy::CloseLink => self.settings.call_timeout,
+            TimeoutPolicy::KeepLink(wait) => wait,
         };
         match tokio::time::timeout(timeout, send(&client)).await {
             Ok(Ok(answer)) => {
@@ -116,7 +116,7 @@
                 })
             }
             Err(_) => {
-                if matches!(limit, CallLimit::CloseLink) {
+                if matches!(limit, TimeoutPolicy::CloseLink) {
                     self.close(generation);
                     self.back_off();
                 }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -90,7 +90,7 @@
     pub number: u64,
     /// Time after which it ends unless renewed, counted from when the host
     /// sent the heartbeat that it answers; `None` if it stays.
-    pub lapse: Option<Duration>,
+    pub expires_after: Option<Duration>,
 }
 
 /// A bounded summary of one availability zone, as one of its hosts sees it.
@@ -115,7 +115,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerReply {
     /// The receiver's own heartbeat.
-    pub beat: PeerHeartbeat,
+    pub heartbeat: PeerHeartbeat,
     /// Lease under which the grants are given; `None` if it holds none.
     pub lease_offset: Option<LogOffset>,
     /// Grants to the caller.
@@ -124,7 +124,7 @@
 
 /// Asks a peer for log records that it has replayed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RecordsQuestion {
+pub struct RecordsRequest {
     /// Stream of the log.
     pub stream: String,
     /// First offset wanted.
@@ -148,7 +148,7 @@
 
 /// Asks the host that won a claim what became of the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ClaimQuestion {
+pub struct ClaimQuery {
     /// The request of the asking host.
     pub request: RequestId,
     /// Service called.
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -15,7 +15,7 @@
 
 use super::convert;
 use super::handlers::ServedCalls;
-use super::message::RecordsQuestion;
+use super::message::RecordsRequest;
 use super::settings::PeerSettings;
 use super::stream::{CountedStream, ReadClock};
 use super::traffic::PeerTraffic;
@@ -52,7 +52,7 @@
         mut results: peer::RecordsResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        let question = RecordsQuestion {
+        let question = RecordsRequest {
             stream: params.get_stream()?.to_string()?,
             from: params.get_from(),
             limit: params.get_limit(),
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -29,10 +29,10 @@
     pub configuration_version: u64,
     /// What it has for duties besides its callers' requests.
     pub weight: HostWeight,
-    /// Whose requests `uses` are.
+    /// Whose requests `usage` are.
     pub scope: UsageScope,
     /// Requests under way on targets.
-    pub uses: Vec<TargetUsage>,
+    pub usage: Vec<TargetUsage>,
     /// Hosts that it knows, as far as they are news to the listener.
     pub listing: HostListing,
     /// What the speaker has taken in of the listener's own listings.
@@ -107,7 +107,7 @@
 
 /// Asks a host for what it reads from the platform's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct FollowQuestion {
+pub struct FollowRequest {
     /// Version of the configuration that the asking host has; 0 if none.
     pub configuration_version: u64,
     /// Incarnation of the host that gave `from`; 0 at the first question, the
@@ -123,7 +123,7 @@
 
 /// What a host has read from the platform's log since a question before.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct FollowAnswer {
+pub struct FollowReply {
     /// Incarnation of the answering host.
     pub incarnation: IncarnationId,
     /// Whether it has the log without trouble, read by itself or passed on.
--- a/src/peer/worker.rs
+++ b/src/peer/worker.rs
@@ -12,20 +12,20 @@
 use super::convert;
 use super::error::PeerError;
 use super::handlers::ServedCalls;
-use super::link::CallLimit;
+use super::link::TimeoutPolicy;
 use super::link_table::LinkTable;
 use super::message::{
-    ClaimOutcome, ClaimQuestion, PeerHeartbeat, PeerReply, RecordsQuestion, RelayedRange,
+    ClaimOutcome, ClaimQuery, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
 };
 use super::server::accept_connections;
 use super::settings::PeerSettings;
 use super::traffic::PeerTraffic;
-use super::view::{FollowAnswer, FollowQuestion, HostView};
+use super::view::{FollowReply, FollowRequest, HostView};
 use crate::peer_capnp::peer;
 use crate::permits::{PermitReply, PermitRequest};
 
 /// Where the answer to a command goes.
-pub(super) type AnswerSender<T> = oneshot::Sender<Result<T, PeerError>>;
+pub(super) type ReplySender<T> = oneshot::Sender<Result<T, PeerError>>;
 
 /// A call to make, sent from any thread.
 pub(super) enum PeerCommand {
@@ -33,40 +33,40 @@
     Heartbeat {
         address: SocketAddr,
         beat: Box<PeerHeartbeat>,
-        answer: AnswerSender<PeerReply>,
+        answer: ReplySender<PeerReply>,
     },
     /// Ask for records.
     Records {
         address: SocketAddr,
-        question: RecordsQuestion,
-        answer: AnswerSender<RelayedRange>,
+        question: RecordsRequest,
+        answer: ReplySender<RelayedRange>,
     },
     /// Ask what became of a claim.
     ClaimOutcome {
         address: SocketAddr,
-        question: ClaimQuestion,
+        question: ClaimQuery,
         wait: Duration,
-        answer: AnswerSender<ClaimOutcome>,
+        answer: ReplySender<ClaimOutcome>,
     },
     /// Exchange views with an entry host.
     Exchange {
         address: SocketAddr,
         view: Box<HostView>,
-        answer: AnswerSender<HostView>,
+        answer: ReplySender<HostView>,
     },
     /// Ask an entry host for what it has read from the platform's log.
     Follow {
         address: SocketAddr,
-        question: FollowQuestion,
+        question: FollowRequest,
         wait: Duration,
-        answer: AnswerSender<FollowAnswer>,
+        answer: ReplySender<FollowReply>,
     },
     /// Ask an entry host for permits.
     Permit {
         address: SocketAddr,
         question: Box<PermitRequest>,
         wait: Duration,
-        answer: AnswerSender<PermitReply>,
+        answer: ReplySender<PermitReply>,
     },
     /// End the thread.
     Shutdown { done: oneshot::Sender<()> },
@@ -129,7 +129,7 @@
             answer,
         } => {
             let send = |client: &peer::Client| send_heartbeat(client, &beat);
-            call(table, address, CallLimit::CloseLink, send, answer).await;
+            call(table, address, TimeoutPolicy::CloseLink, send, answer).await;
         }
         PeerCommand::Records {
             address,
@@ -137,7 +137,7 @@
             answer,
         } => {
             let send = |client: &peer::Client| send_records(client, &question);
-            call(table, address, CallLimit::CloseLink, send, answer).await;
+            call(table, address, TimeoutPolicy::CloseLink, send, answer).await;
         }
         PeerCommand::ClaimOutcome {
             address,
@@ -146,7 +146,7 @@
             answer,
         } => {
             let send = |client: &peer::Client| send_question(client, &question);
-            call(table, address, CallLimit::KeepLink(wait), send, answer).await;
+            call(table, address, TimeoutPolicy::KeepLink(wait), send, answer).await;
         }
         PeerCommand::Exchange {
             address,
@@ -154,7 +154,7 @@
             answer,
         } => {
             let send = |client: &peer::Client| send_view(client, &view);
-            call(table, address, CallLimit::CloseLink, send, answer).await;
+            call(table, address, TimeoutPolicy::CloseLink, send, answer).await;
         }
         PeerCommand::Follow {
             address,
@@ -163,7 +163,7 @@
             answer,
         } => {
             let send = |client: &peer::Client| send_follow(client, question);
-            call(table, address, CallLimit::KeepLink(wait), send, answer).await;
+            call(table, address, TimeoutPolicy::KeepLink(wait), send, answer).await;
         }
         PeerCommand::Permit {
             address,
@@ -172,7 +172,7 @@
             answer,
         } => {
             let send = |client: &peer::Client| send_permit(client, &question);
-            call(table, address, CallLimit::KeepLink(wait), send, answer).await;
+            call(table, address, TimeoutPolicy::KeepLink(wait), send, answer).await;
         }
         PeerCommand::Shutdown { .. } => {}
     }
@@ -182,9 +182,9 @@
 async fn call<F, R, T>(
     table: &LinkTable,
     address: SocketAddr,
-    limit: CallLimit,
+    limit: TimeoutPolicy,
     send: F,
-    answer: AnswerSender<T>,
+    answer: ReplySender<T>,
 ) where
     F: FnOnce(&peer::Client) -> R,
     R: Future<Output = capnp::Result<T>>,
@@ -207,7 +207,7 @@
 
 fn send_records(
     client: &peer::Client,
-    question: &RecordsQuestion,
+    question: &RecordsRequest,
 ) -> impl Future<Output = capnp::Result<RelayedRange>> + use<> {
     let mut request = client.records_request();
     request.get().set_stream(question.stream.as_str());
@@ -219,7 +219,7 @@
 
 fn send_question(
     client: &peer::Client,
-    question: &ClaimQuestion,
+    question: &ClaimQuery,
 ) -> impl Future<Output = capnp::Result<ClaimOutcome>> + use<> {
     let mut request = client.claim_outcome_request();
     convert::write_question(request.get().init_call(), question);
@@ -239,8 +239,8 @@
 
 fn send_follow(
     client: &peer::Client,
-    question: FollowQuestion,
-) -> impl Future<Output = capnp::Result<FollowAnswer>> + use<> {
+    question: FollowRequest,
+) -> impl Future<Output = capnp::Result<FollowReply>> + use<> {
     let mut request = client.follow_request();
     convert::write_follow_question(request.get().init_question(), question);
     let response = request.send().promise;
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -13,7 +13,7 @@
 
 use crate::ids::LogOffset;
 use crate::platform::error::{AppendError, CallFailure, ReadError};
-use crate::platform::wire::{AppendAnswer, AppendBody, HostList, ReadAnswer};
+use crate::platform::wire::{AppendBody, AppendResponse, HostList, ReadResponse};
 
 /// Largest answer that is read, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
@@ -24,7 +24,7 @@
     /// Until the connection stands.
     pub connect: Duration,
     /// From the start of the call to the whole answer, long polling excluded.
-    pub answer: Duration,
+    pub response: Duration,
 }
 
 /// A client of the platform. Clones share their connections.
@@ -63,10 +63,10 @@
         &self,
         stream: &str,
         records: Vec<String>,
-    ) -> Result<AppendAnswer, AppendError> {
+    ) -> Result<AppendResponse, AppendError> {
         self.post_records(stream, records)
             .await
-            .map_err(AppendError::judge)
+            .map_err(AppendError::from_failure)
     }
 
     /// Reads up to `limit` records of a stream from offset `from` on, waiting
@@ -82,7 +82,7 @@
         from: LogOffset,
         limit: usize,
         wait: Duration,
-    ) -> Result<ReadAnswer, ReadError> {
+    ) -> Result<ReadResponse, ReadError> {
         self.get_records(stream, from, limit, wait)
             .await
             .map_err(|failure| ReadError { failure })
@@ -103,7 +103,7 @@
         &self,
         stream: &str,
         records: Vec<String>,
-    ) -> Result<AppendAnswer, CallFailure> {
+    ) -> Result<AppendResponse, CallFailure> {
         let body = serde_json::to_vec(&AppendBody { records })
             .map_err(|error| CallFailure::Request(error.to_string()))?;
         let path = format!("/v1/streams/{stream}/records");
@@ -116,7 +116,7 @@
         from: LogOffset,
         limit: usize,
         wait: Duration,
-    ) -> Result<ReadAnswer, CallFailure> {
+    ) -> Result<ReadResponse, CallFailure> {
         let wait_ms = wait.as_millis();
         let path =
             format!("/v1/streams/{stream}/records?from={from}&limit={limit}&wait_ms={wait_ms}");
@@ -148,7 +148,7 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| CallFailure::Request(error.to_string()))?;
-        let bytes = tokio::time::timeout(self.timeouts.answer + wait, self.exchange(request))
+        let bytes = tokio::time::timeout(self.timeouts.response + wait, self.exchange(request))
             .await
             .map_err(|_| CallFailure::Timeout)??;
         serde_json::from_slice(&bytes).map_err(|error| CallFailure::Malformed(error.to_string()))
@@ -179,7 +179,7 @@
 /// Replay judges by order. A gap that went unnoticed would show as hosts with
 /// different states at the same offset; an answer with one is refused, and
 /// read again.
-fn check_sequence(from: LogOffset, answer: &ReadAnswer) -> Result<(), CallFailure> {
+fn check_sequence(from: LogOffset, answer: &ReadResponse) -> Result<(), CallFailure> {
     let start = from.max(answer.first_offset);
     let follows = answer
         .records
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -51,7 +51,7 @@
     /// Only a failed connect, a request that could not be built and a refusal
     /// by the service itself prove that nothing was stored. All else may have
     /// taken effect, even a timeout before the first byte of the answer.
-    pub fn judge(failure: CallFailure) -> Self {
+    pub fn from_failure(failure: CallFailure) -> Self {
         let verdict = match &failure {
             CallFailure::Connect(_) | CallFailure::Request(_) => AppendVerdict::NotAppended,
             CallFailure::Status(status) if refuses(*status) => AppendVerdict::NotAppended,
--- a/src/platform/limit_header.rs
+++ b/src/platform/limit_header.rs
@@ -6,7 +6,7 @@
 
 /// What the head of an answer says of the target's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum NamedRate {
+pub enum LimitHeader {
     /// Nothing.
     Absent,
     /// Requests a second, as written: any number at all.
@@ -16,15 +16,15 @@
 }
 
 /// Reads the head of an answer.
-pub fn named_rate(headers: &HeaderMap) -> NamedRate {
+pub fn parse_limit_header(headers: &HeaderMap) -> LimitHeader {
     let mut values = headers.get_all(names::SERVER_LIMIT).iter();
     match (values.next(), values.next()) {
-        (None, _) => NamedRate::Absent,
+        (None, _) => LimitHeader::Absent,
         (Some(value), None) => {
             let text = value.to_str().unwrap_or_default();
             let rate = text.trim().parse().ok();
-            rate.map_or(NamedRate::Unreadable, NamedRate::PerSecond)
+            rate.map_or(LimitHeader::Unreadable, LimitHeader::PerSecond)
         }
-        _ => NamedRate::Unreadable,
+        _ => LimitHeader::Unreadable,
     }
 }
--- a/src/platform/log_calls.rs
+++ b/src/platform/log_calls.rs
@@ -25,7 +25,7 @@
     Connect(String),
     /// The connection broke, or nothing came in time.
     #[error("no answer: {0}")]
-    NoAnswer(String),
+    NoResponse(String),
     /// The service refused the call.
     #[error("refused with status {0}")]
     Status(u16),
@@ -62,16 +62,16 @@
 pub struct LogClient {
     address: SocketAddr,
     connection: Option<hyper::client::conn::http1::SendRequest<Full<Bytes>>>,
-    limits: CallLimits,
+    limits: CallTimeouts,
 }
 
 /// How long the parts of a call may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallLimits {
+pub struct CallTimeouts {
     /// A connection.
     pub connect: Duration,
     /// An answer, besides what it may wait for a record.
-    pub answer: Duration,
+    pub response: Duration,
     /// A page of the newest records of all keys.
     pub newest: Duration,
 }
@@ -101,7 +101,7 @@
 
 impl LogClient {
     /// Opens a client; it connects at its first call.
-    pub fn open(address: SocketAddr, limits: CallLimits) -> Self {
+    pub fn open(address: SocketAddr, limits: CallTimeouts) -> Self {
         Self {
             address,
             connection: None,
@@ -158,7 +158,7 @@
         let wait_ms = wait.as_millis();
         let path =
             format!("/jackdawwick/log-read?topic={topic}&part=0&from={from}&wait_ms={wait_ms}");
-        let bytes = self.get(path, self.limits.answer + wait).await?;
+        let bytes = self.get(path, self.limits.response + wait).await?;
         decode_records(from, &bytes)
     }
 
@@ -180,7 +180,7 @@
             path: format!("/jackdawwick/log-append?topic={topic}&part=0"),
             body: record.into(),
         };
-        self.call(call, self.limits.answer).await.map(|_| ())
+        self.call(call, self.limits.response).await.map(|_| ())
     }
 
     async fn get(&mut self, path: String, limit: Duration) -> Result<Bytes, LogError> {
@@ -194,9 +194,12 @@
 
     async fn call(&mut self, call: LogCall, limit: Duration) -> Result<Bytes, LogError> {
         let result = tokio::time::timeout(limit, self.exchange(call)).await;
-        let result = result.unwrap_or_else(|_| Err(LogError::NoAnswer("timeout".to_owned())));
+        let result = result.unwrap_or_else(|_| Err(LogError::NoResponse("timeout".to_owned())));
         // A connection on which an answer was lost gives nothing more.
-        if matches!(result, Err(LogError::NoAnswer(_) | LogError::Malformed(_))) {
+        if matches!(
+            result,
+            Err(LogError::NoResponse(_) | LogError::Malformed(_))
+        ) {
             self.connection = None;
         }
         result
@@ -210,7 +213,7 @@
         {
             self.connection = Some(self.connect().await?);
         }
-        let no_answer = |error: hyper::Error| LogError::NoAnswer(error.to_string());
+        let no_answer = |error: hyper::Error| LogError::NoResponse(error.to_string());
         let Some(sender) = self.connection.as_mut() else {
             return Err(LogError::Connect("no connection".to_owned()));
         };
@@ -227,7 +230,7 @@
             .collect()
             .await;
         let bytes = body
-            .map_err(|error| LogError::NoAnswer(error.to_string()))?
+            .map_err(|error| LogError::NoResponse(error.to_string()))?
             .to_bytes();
         match status {
             StatusCode::OK => Ok(bytes),
--- a/src/platform/log_tail.rs
+++ b/src/platform/log_tail.rs
@@ -11,7 +11,7 @@
 use crate::platform::backoff::BackoffPolicy;
 use crate::platform::client::PlatformClient;
 use crate::platform::error::ReadError;
-use crate::platform::wire::{ReadAnswer, StoredRecord};
+use crate::platform::wire::{ReadResponse, StoredRecord};
 
 /// How a stream is followed.
 #[derive(Debug, Clone)]
@@ -135,7 +135,11 @@
         }
     }
 
-    async fn hand_on(&mut self, answer: ReadAnswer, started: Instant) -> Result<(), ConsumerGone> {
+    async fn hand_on(
+        &mut self,
+        answer: ReadResponse,
+        started: Instant,
+    ) -> Result<(), ConsumerGone> {
         self.failures = 0;
         if answer.first_offset > self.next_offset {
             self.next_offset = answer.first_offset;
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -2,8 +2,8 @@
 //!
 //! | call | body | answer |
 //! |---|---|---|
-//! | `POST /v1/streams/{stream}/records` | [`AppendBody`] | 200 [`AppendAnswer`] |
-//! | `GET /v1/streams/{stream}/records?from=N&limit=M&wait_ms=T` | none | 200 [`ReadAnswer`] |
+//! | `POST /v1/streams/{stream}/records` | [`AppendBody`] | 200 [`AppendResponse`] |
+//! | `GET /v1/streams/{stream}/records?from=N&limit=M&wait_ms=T` | none | 200 [`ReadResponse`] |
 //! | `GET /v1/hosts` | none | 200 [`HostList`] |
 //!
 //! An append whose answer is lost may have taken effect. A read waits up to
@@ -23,7 +23,7 @@
 
 /// Where a batch was stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct AppendAnswer {
+pub struct AppendResponse {
     /// Offset of the first record; the others follow.
     pub first_offset: LogOffset,
 }
@@ -39,7 +39,7 @@
 
 /// Records from an offset on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct ReadAnswer {
+pub struct ReadResponse {
     /// Oldest offset still kept.
     pub first_offset: LogOffset,
     /// Offset that the next append will get.
--- a/src/replay/start.rs
+++ b/src/replay/start.rs
@@ -5,7 +5,7 @@
 use super::judgement::ApplyError;
 use super::table::{DeclarationTable, WindowRules};
 use crate::ids::LogOffset;
-use crate::platform::wire::ReadAnswer;
+use crate::platform::wire::ReadResponse;
 use crate::records::{DeclarationBody, LogRecord, StateCheckpoint};
 
 /// What to do next to start.
@@ -63,7 +63,7 @@
 
     /// Takes an answer of the log. The first may be of any offset, since it
     /// is needed for its bounds.
-    pub fn on_read(&mut self, answer: &ReadAnswer) -> StartDecision {
+    pub fn on_read(&mut self, answer: &ReadResponse) -> StartDecision {
         for record in &answer.records {
             self.held.insert(record.offset, record.body.clone());
         }
@@ -88,7 +88,7 @@
     }
 
     /// Decides when every record from `scan_from` to the end is held.
-    fn decide(&mut self, scan_from: LogOffset, answer: &ReadAnswer) -> StartDecision {
+    fn decide(&mut self, scan_from: LogOffset, answer: &ReadResponse) -> StartDecision {
         if let Some(table) = self.newest_usable(scan_from) {
             return self.replay(table);
         }
@@ -106,7 +106,7 @@
         StartDecision::ReadFrom(scan_from)
     }
 
-    fn look_back(&self, answer: &ReadAnswer) -> LogOffset {
+    fn look_back(&self, answer: &ReadResponse) -> LogOffset {
         let wanted = answer.end_offset.saturating_sub(self.lookback);
         wanted.max(answer.first_offset)
     }
--- a/src/run/decision.rs
+++ b/src/run/decision.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::{StageIndex, TargetId, TokenValue};
 use crate::reason::{RefusalReason, RetryReason};
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 use crate::verdict::RunVerdict;
 
 /// Something that the shell has to carry out.
@@ -15,7 +15,7 @@
         /// Target to send to.
         target: TargetId,
         /// The order.
-        order: StepOrder,
+        order: StepRequest,
         /// Why it is sent again, if it is.
         retry: Option<RetryReason>,
         /// How long to wait before it is sent.
--- a/src/run/driver.rs
+++ b/src/run/driver.rs
@@ -14,7 +14,7 @@
 use crate::ids::{StageIndex, TargetId, TokenPosition};
 use crate::reason::RetryReason;
 use crate::target::client::TargetClient;
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 use crate::verdict::RunVerdict;
 
 /// Runs `machine` to its end and gives back the outcome.
@@ -51,7 +51,7 @@
 enum OpenWork {
     Step {
         target: TargetId,
-        order: StepOrder,
+        order: StepRequest,
         retry: Option<RetryReason>,
         delay: Duration,
     },
@@ -263,7 +263,7 @@
     async fn step(
         &self,
         target: TargetId,
-        order: StepOrder,
+        order: StepRequest,
         retry: Option<RetryReason>,
     ) -> RunEvent {
         let positions = order.inputs.len() as u64;
@@ -312,8 +312,8 @@
     async fn call(
         &self,
         target: &TargetId,
-        order: &StepOrder,
-    ) -> Result<crate::target::wire::StepAnswer, StepFailure> {
+        order: &StepRequest,
+    ) -> Result<crate::target::wire::StepResponse, StepFailure> {
         match (self.hooks.address)(target) {
             Some(address) => self.client.step(address, order).await,
             None => Err(StepFailure {
--- a/src/run/event.rs
+++ b/src/run/event.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{StageIndex, TargetId, TokenPosition};
 use crate::reason::RetryReason;
-use crate::target::wire::{StepAnswer, StepLabel, TargetRefusal};
+use crate::target::wire::{StepLabel, StepResponse, TargetRefusal};
 use crate::verdict::RunVerdict;
 
 /// Something that happened and that the run has to decide about.
@@ -15,7 +15,7 @@
         /// Target that answered.
         target: TargetId,
         /// Its answer, not yet matched against what is awaited.
-        answer: StepAnswer,
+        answer: StepResponse,
     },
     /// A step brought no answer.
     StepFailed {
--- a/src/run/machine.rs
+++ b/src/run/machine.rs
@@ -22,7 +22,7 @@
 use super::{RunDecision, RunEvent, RunLimits, RunOutcome, RunPlan};
 use crate::ids::{AttemptNumber, StageIndex, TargetId, TokenValue};
 use crate::reason::{RefusalReason, RetryReason};
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 use crate::verdict::RunVerdict;
 use send_ledger::SendLedger;
 use stage_session::StageSession;
@@ -82,7 +82,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct AwaitedStep {
     target: TargetId,
-    order: StepOrder,
+    order: StepRequest,
     resends: u32,
 }
 
--- a/src/run/machine/answers.rs
+++ b/src/run/machine/answers.rs
@@ -3,7 +3,7 @@
 use super::{RunMachine, RunPhase};
 use crate::ids::{TargetId, TokenValue};
 use crate::run::RunDecision;
-use crate::target::wire::StepAnswer;
+use crate::target::wire::StepResponse;
 
 impl RunMachine {
     /// Takes an answer if it is the one awaited, in every part.
@@ -16,7 +16,7 @@
     pub(super) fn on_answer(
         &mut self,
         target: &TargetId,
-        answer: &StepAnswer,
+        answer: &StepResponse,
         decisions: &mut Vec<RunDecision>,
     ) {
         if !self.is_awaited(target, answer) {
@@ -35,7 +35,7 @@
         }
     }
 
-    fn is_awaited(&self, target: &TargetId, answer: &StepAnswer) -> bool {
+    fn is_awaited(&self, target: &TargetId, answer: &StepResponse) -> bool {
         match &self.phase {
             RunPhase::AwaitAnswer(awaited) => {
                 awaited.target == *target
--- a/src/run/machine/queries.rs
+++ b/src/run/machine/queries.rs
@@ -3,7 +3,7 @@
 use super::{RunMachine, RunPhase};
 use crate::ids::{AttemptNumber, TargetId};
 use crate::run::RunPlan;
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 
 impl RunMachine {
     /// Answers that matched nothing awaited.
@@ -27,7 +27,7 @@
     }
 
     /// The step whose answer is awaited.
-    pub fn awaited_order(&self) -> Option<&StepOrder> {
+    pub fn awaited_order(&self) -> Option<&StepRequest> {
         match &self.phase {
             RunPhase::AwaitAnswer(awaited) => Some(&awaited.order),
             _ => None,
--- a/src/run/machine/sending.rs
+++ b/src/run/machine/sending.rs
@@ -8,7 +8,7 @@
 use crate::ids::{StageIndex, TokenPosition};
 use crate::reason::{RefusalReason, RetryReason};
 use crate::run::RunDecision;
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 
 /// Smallest part of a wait that jitter leaves.
 const JITTER_FLOOR: f64 = 0.5;
@@ -88,10 +88,10 @@
         });
     }
 
-    fn order(&self) -> StepOrder {
+    fn order(&self) -> StepRequest {
         let stage = self.wave.stage;
         let session = &self.stages[stage];
-        StepOrder {
+        StepRequest {
             label: session.label(&self.plan.request, stage),
             model: self.plan.model.clone(),
             version: self.plan.version.clone(),
--- a/src/shares/grant_reply.rs
+++ b/src/shares/grant_reply.rs
@@ -65,7 +65,7 @@
             concurrent_requests: units.concurrent_requests,
             requests_per_minute: units.requests_per_minute,
             number: grant.number,
-            lapse: (!is_permanent).then_some(expiry),
+            expires_after: (!is_permanent).then_some(expiry),
         })
     }
 
--- a/src/shares/grant_user.rs
+++ b/src/shares/grant_user.rs
@@ -166,7 +166,7 @@
             lease,
             number: grant.number,
             units,
-            expires_at: grant.lapse.map(|lapse| sent_at + lapse),
+            expires_at: grant.expires_after.map(|expiry| sent_at + expiry),
         };
         self.grants.insert(grant.organisation.clone(), held);
         !before.is_within(units)
--- a/src/target/client.rs
+++ b/src/target/client.rs
@@ -16,9 +16,9 @@
 use serde::de::DeserializeOwned;
 
 use super::TargetFailure;
-use super::transport::{RawAnswer, TargetTransport};
+use super::transport::{RawResponse, TargetTransport};
 use path_segment::PathSegment;
-pub use service_calls::{CallAnswer, CallOrder};
+pub use service_calls::{CallRequest, CallResponse};
 pub use single_call::SingleCall;
 
 const JSON_CONTENT: HeaderValue = HeaderValue::from_static("application/json");
@@ -33,7 +33,7 @@
     /// For making a connection.
     pub connect: Duration,
     /// From sending a call to the end of its answer.
-    pub answer: Duration,
+    pub response: Duration,
     /// Added to `answer` for each position of a step beyond the first.
     pub per_position: Duration,
 }
@@ -42,7 +42,7 @@
     fn default() -> Self {
         Self {
             connect: Duration::from_millis(500),
-            answer: Duration::from_secs(2),
+            response: Duration::from_secs(2),
             per_position: Duration::from_millis(5),
         }
     }
@@ -76,8 +76,8 @@
         &self,
         request: Request<Full<Bytes>>,
         max_bytes: usize,
-    ) -> Result<RawAnswer, TargetFailure> {
-        let timeout = self.timeouts.answer;
+    ) -> Result<RawResponse, TargetFailure> {
+        let timeout = self.timeouts.response;
         let answer = self.transport.send(request, true, timeout, max_bytes);
         accept(answer.await?)
     }
@@ -117,14 +117,14 @@
 }
 
 /// Lets only answers with a 2xx status pass.
-fn accept(answer: RawAnswer) -> Result<RawAnswer, TargetFailure> {
+fn accept(answer: RawResponse) -> Result<RawResponse, TargetFailure> {
     match answer.status.is_success() {
         true => Ok(answer),
         false => Err(TargetFailure::Unusable(format!("status {}", answer.status))),
     }
 }
 
-fn parse<A>(answer: &RawAnswer) -> Result<A, TargetFailure>
+fn parse<A>(answer: &RawResponse) -> Result<A, TargetFailure>
 where
     A: DeserializeOwned,
 {
--- a/src/target/client/engine_calls.rs
+++ b/src/target/client/engine_calls.rs
@@ -11,7 +11,7 @@
 use crate::run::StepFailure;
 use crate::target::TargetFailure;
 use crate::target::wire::{
-    CacheEvents, CacheExport, LoadReport, StateOrder, StepAnswer, StepOrder, TargetState,
+    CacheEvents, CacheExport, LoadReport, StateOrder, StepRequest, StepResponse, TargetState,
 };
 
 impl TargetClient {
@@ -22,8 +22,8 @@
     pub async fn step(
         &self,
         address: SocketAddr,
-        order: &StepOrder,
-    ) -> Result<StepAnswer, StepFailure> {
+        order: &StepRequest,
+    ) -> Result<StepResponse, StepFailure> {
         let answer = self.try_step(address, order).await;
         answer.map_err(StepFailure::from)
     }
@@ -31,11 +31,11 @@
     async fn try_step(
         &self,
         address: SocketAddr,
-        order: &StepOrder,
-    ) -> Result<StepAnswer, TargetFailure> {
+        order: &StepRequest,
+    ) -> Result<StepResponse, TargetFailure> {
         let further = order.inputs.len().saturating_sub(1);
         let further = u32::try_from(further).unwrap_or(u32::MAX);
-        let timeout = self.timeouts.answer + self.timeouts.per_position.saturating_mul(further);
+        let timeout = self.timeouts.response + self.timeouts.per_position.saturating_mul(further);
         let request = request(Method::POST, address, "/v1/steps", encode(order)?)?;
         let answer = self
             .transport
--- a/src/target/client/service_calls.rs
+++ b/src/target/client/service_calls.rs
@@ -7,12 +7,12 @@
 use http_body_util::Full;
 
 use super::{MAX_ANSWER_BYTES, PathSegment, TargetClient, request};
-use crate::target::transport::RawAnswer;
+use crate::target::transport::RawResponse;
 use crate::target::{CallFailure, TargetFailure};
 
 /// A call to a plain service.
 #[derive(Debug, Clone)]
-pub struct CallOrder {
+pub struct CallRequest {
     /// Operation; it becomes one path segment.
     pub operation: String,
     /// Headers passed on, such as the request id.
@@ -29,7 +29,7 @@
 
 /// A service's own answer, of any status; it has run.
 #[derive(Debug, Clone)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -46,20 +46,20 @@
     pub async fn call(
         &self,
         address: SocketAddr,
-        order: CallOrder,
-    ) -> Result<CallAnswer, CallFailure> {
+        order: CallRequest,
+    ) -> Result<CallResponse, CallFailure> {
         let use_pool = order.use_pool;
         let request = call_request(address, order)?;
-        let timeout = self.timeouts.answer;
+        let timeout = self.timeouts.response;
         let answer = self
             .transport
             .send(request, use_pool, timeout, MAX_ANSWER_BYTES);
-        Ok(CallAnswer::from(answer.await?))
+        Ok(CallResponse::from(answer.await?))
     }
 }
 
-impl From<RawAnswer> for CallAnswer {
-    fn from(answer: RawAnswer) -> Self {
+impl From<RawResponse> for CallResponse {
+    fn from(answer: RawResponse) -> Self {
         Self {
             status: answer.status,
             headers: answer.headers,
@@ -70,7 +70,7 @@
 
 pub(super) fn call_request(
     address: SocketAddr,
-    order: CallOrder,
+    order: CallRequest,
 ) -> Result<Request<Full<Bytes>>, TargetFailure> {
     // Some servers resolve these two, also when encoded, to other paths.
     if matches!(order.operation.as_str(), "" | "." | "..") {
--- a/src/target/client/single_call.rs
+++ b/src/target/client/single_call.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::service_calls::{CallAnswer, CallOrder, call_request};
+use super::service_calls::{CallRequest, CallResponse, call_request};
 use super::{MAX_ANSWER_BYTES, TargetClient};
 use crate::target::transport::FreshConnection;
 use crate::target::{CallFailure, TargetFailure};
@@ -34,19 +34,19 @@
 }
 
 impl SingleCall {
-    /// Sends the call, once. [`CallOrder::use_pool`] has no meaning here.
+    /// Sends the call, once. [`CallRequest::use_pool`] has no meaning here.
     ///
     /// # Errors
     /// With the verdict on whether the call may have run.
-    pub async fn send(self, order: CallOrder) -> Result<CallAnswer, CallFailure> {
+    pub async fn send(self, order: CallRequest) -> Result<CallResponse, CallFailure> {
         let mut request = call_request(self.address, order)?;
         // On a connection of its own the request line names the path only.
         let path = request.uri().path_and_query().cloned();
         if let Some(path) = path {
             *request.uri_mut() = path.into();
         }
-        let timeout = self.client.timeouts.answer;
+        let timeout = self.client.timeouts.response;
         let answer = self.connection.send(request, timeout, MAX_ANSWER_BYTES);
-        Ok(CallAnswer::from(answer.await?))
+        Ok(CallResponse::from(answer.await?))
     }
 }
--- a/src/target/transport.rs
+++ b/src/target/transport.rs
@@ -24,7 +24,7 @@
 
 /// Whole answer that is not a [`TargetRefusal`], of any status.
 #[derive(Debug)]
-pub(super) struct RawAnswer {
+pub(super) struct RawResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
@@ -59,7 +59,7 @@
         use_pool: bool,
         answer_timeout: Duration,
         max_bytes: usize,
-    ) -> Result<RawAnswer, TargetFailure> {
+    ) -> Result<RawResponse, TargetFailure> {
         let client = match use_pool {
             true => &self.pooled,
             false => &self.unpooled,
@@ -97,7 +97,7 @@
     client: &Client<HttpConnector, Full<Bytes>>,
     request: Request<Full<Bytes>>,
     max_bytes: usize,
-) -> Result<RawAnswer, TargetFailure> {
+) -> Result<RawResponse, TargetFailure> {
     let sent = client.request(request).await;
     let response = sent.map_err(|error| send_failure(&error))?;
     read_answer(response, max_bytes).await
@@ -106,14 +106,14 @@
 async fn read_answer(
     response: Response<Incoming>,
     max_bytes: usize,
-) -> Result<RawAnswer, TargetFailure> {
+) -> Result<RawResponse, TargetFailure> {
     let (head, body) = response.into_parts();
     let collected = Limited::new(body, max_bytes).collect().await;
     let body = collected.map_err(|error| body_failure(error.as_ref()))?;
     let body = body.to_bytes();
     match refusal(head.status, &body) {
         Some(refusal) => Err(TargetFailure::Refused(refusal)),
-        None => Ok(RawAnswer {
+        None => Ok(RawResponse {
             status: head.status,
             headers: head.headers,
             body,
--- a/src/target/transport/fresh.rs
+++ b/src/target/transport/fresh.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use super::{RawAnswer, describe, read_answer};
+use super::{RawResponse, describe, read_answer};
 use crate::target::TargetFailure;
 
 /// An open connection on which nothing was sent yet.
@@ -44,7 +44,7 @@
         mut request: Request<Full<Bytes>>,
         timeout: Duration,
         max_bytes: usize,
-    ) -> Result<RawAnswer, TargetFailure> {
+    ) -> Result<RawResponse, TargetFailure> {
         let host = HeaderValue::from_str(&self.address.to_string());
         let host = host.map_err(|error| TargetFailure::Connect(error.to_string()))?;
         request.headers_mut().insert(header::HOST, host);
--- a/src/target/wire.rs
+++ b/src/target/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! | call | body | answer |
 //! |---|---|---|
-//! | `POST /v1/steps` | [`StepOrder`] | 200 [`StepAnswer`], else [`TargetRefusal`] |
+//! | `POST /v1/steps` | [`StepRequest`] | 200 [`StepResponse`], else [`TargetRefusal`] |
 //! | `DELETE /v1/sessions/{session}` | none | 204, also when unknown |
 //! | `GET /v1/sessions/{session}/cache` | none | 200 [`CacheExport`] or 404 |
 //! | `PUT /v1/sessions/{session}/cache` | [`CacheExport`] | 204 |
@@ -47,7 +47,7 @@
 
 /// An order to run consecutive positions through a layer range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct StepOrder {
+pub struct StepRequest {
     /// Request, attempt and stage.
     pub label: StepLabel,
     /// Model to run.
@@ -68,9 +68,9 @@
     pub priority: u8,
 }
 
-/// Outputs for the positions of a [`StepOrder`].
+/// Outputs for the positions of a [`StepRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
-pub struct StepAnswer {
+pub struct StepResponse {
     /// Copied from the order.
     pub label: StepLabel,
     /// Copied from the order.
--- a/standins/src/engine/calls.rs
+++ b/standins/src/engine/calls.rs
@@ -5,7 +5,7 @@
 
 use http::{Method, StatusCode};
 use jackdawwick::target::wire::{
-    CacheExport, StateOrder, StepAnswer, StepOrder, TargetRefusal, TargetRefusalKind,
+    CacheExport, StateOrder, StepRequest, StepResponse, TargetRefusal, TargetRefusalKind,
 };
 use parking_lot::Mutex;
 use tokio::time::sleep;
@@ -24,7 +24,7 @@
     pub(super) steps: StepRunner,
     ranges: Mutex<RangeStore>,
     /// Last answers of two different sessions, for the crossed answers.
-    recent_answers: Mutex<Vec<StepAnswer>>,
+    recent_answers: Mutex<Vec<StepResponse>>,
 }
 
 impl EngineCalls {
@@ -132,7 +132,7 @@
     }
 
     async fn step(&self, call: &ServedCall) -> Result<CallOutcome, CallOutcome> {
-        let order: StepOrder = match call.json() {
+        let order: StepRequest = match call.json() {
             Ok(order) => order,
             Err(_) => return Err(refusal_outcome(refused(TargetRefusalKind::Malformed))),
         };
@@ -156,7 +156,7 @@
         }
     }
 
-    fn admit(&self, order: &StepOrder) -> Result<(), TargetRefusal> {
+    fn admit(&self, order: &StepRequest) -> Result<(), TargetRefusal> {
         if order.inputs.is_empty() {
             return Err(refused(TargetRefusalKind::Malformed));
         }
@@ -170,7 +170,7 @@
     }
 
     /// Remembers `answer` and gives the last answer of another session.
-    fn cross(&self, answer: &StepAnswer) -> StepAnswer {
+    fn cross(&self, answer: &StepResponse) -> StepResponse {
         let mut recent = self.recent_answers.lock();
         recent.retain(|other| other.label != answer.label);
         let crossed = recent
@@ -186,7 +186,7 @@
 }
 
 /// An answer of a session that never was, while there is no other one.
-fn foreign_answer(answer: &StepAnswer) -> StepAnswer {
+fn foreign_answer(answer: &StepResponse) -> StepResponse {
     let mut foreign = answer.clone();
     foreign.label.request = format!("other-than-{}", foreign.label.request).into();
     foreign.outputs.iter_mut().for_each(|output| *output ^= 1);
--- a/standins/src/engine/range_store.rs
+++ b/standins/src/engine/range_store.rs
@@ -4,7 +4,7 @@
 
 use jackdawwick::ids::LogOffset;
 use jackdawwick::target::wire::{
-    EngineRole, LoadedRange, StateOrder, StepOrder, TargetRefusalKind, TargetState,
+    EngineRole, LoadedRange, StateOrder, StepRequest, TargetRefusalKind, TargetState,
 };
 
 use super::settings::FencingMode;
@@ -83,7 +83,7 @@
     }
 
     /// Whether a loaded range covers the layers of `order`.
-    pub(super) fn holds(&mut self, order: &StepOrder, now: Instant) -> bool {
+    pub(super) fn holds(&mut self, order: &StepRequest, now: Instant) -> bool {
         self.settle(now);
         self.loaded.iter().any(|range| {
             range.model == order.model
--- a/standins/src/engine/session.rs
+++ b/standins/src/engine/session.rs
@@ -4,7 +4,7 @@
 
 use jackdawwick::collections::FastMap;
 use jackdawwick::ids::{LayerIndex, ModelId, TokenPosition, VersionId};
-use jackdawwick::target::wire::{CacheExport, StepAnswer, StepOrder};
+use jackdawwick::target::wire::{CacheExport, StepRequest, StepResponse};
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
@@ -50,7 +50,7 @@
     }
 
     /// The session that `order` names, made anew if there is none.
-    pub(super) fn find_or_open(&self, order: &StepOrder) -> Arc<EngineSession> {
+    pub(super) fn find_or_open(&self, order: &StepRequest) -> Arc<EngineSession> {
         let mut sessions = self.sessions.lock();
         let session = sessions.entry(order.label.session());
         let open = || Arc::new(EngineSession::new(SessionData::open(order)));
@@ -91,7 +91,7 @@
     weights: u64,
     kv_states: Vec<u64>,
     outputs: Vec<u64>,
-    pub(super) last_answer: Option<StepAnswer>,
+    pub(super) last_answer: Option<StepResponse>,
 }
 
 /// What one position did.
@@ -102,7 +102,7 @@
 }
 
 impl SessionData {
-    fn open(order: &StepOrder) -> Self {
+    fn open(order: &StepRequest) -> Self {
         let layers = order.last_layer.saturating_sub(order.first_layer) + 1;
         Self {
             model: order.model.clone(),
@@ -146,7 +146,7 @@
     }
 
     /// Whether the order is for what this session was opened with.
-    pub(super) fn matches(&self, order: &StepOrder) -> bool {
+    pub(super) fn matches(&self, order: &StepRequest) -> bool {
         self.model == order.model
             && self.version == order.version
             && self.first_layer == order.first_layer
--- a/standins/src/engine/steps.rs
+++ b/standins/src/engine/steps.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use jackdawwick::ids::TokenPosition;
-use jackdawwick::target::wire::{StepAnswer, StepOrder, TargetRefusal, TargetRefusalKind};
+use jackdawwick::target::wire::{StepRequest, StepResponse, TargetRefusal, TargetRefusalKind};
 use parking_lot::Mutex;
 use tokio::time::sleep_until;
 
@@ -33,9 +33,9 @@
 /// What a step gives to its caller.
 #[derive(Debug)]
 pub(super) struct StepResult {
-    pub(super) answer: StepAnswer,
+    pub(super) answer: StepResponse,
     /// The session's answer before this one.
-    pub(super) previous: Option<StepAnswer>,
+    pub(super) previous: Option<StepResponse>,
 }
 
 impl StepRunner {
@@ -64,7 +64,7 @@
     }
 
     /// Runs the positions of `order` that have not run yet.
-    pub(super) async fn run(&self, order: &StepOrder) -> Result<StepResult, TargetRefusal> {
+    pub(super) async fn run(&self, order: &StepRequest) -> Result<StepResult, TargetRefusal> {
         let session = self.session_for(order)?;
         let mut data = session.data.lock().await;
         let result = self.run_in(order, &session, &mut data).await;
@@ -76,7 +76,7 @@
         result
     }
 
-    fn session_for(&self, order: &StepOrder) -> Result<Arc<EngineSession>, TargetRefusal> {
+    fn session_for(&self, order: &StepRequest) -> Result<Arc<EngineSession>, TargetRefusal> {
         match self.sessions.find(&order.label.session()) {
             Some(session) => Ok(session),
             None if order.position > 0 => Err(unknown_position(0)),
@@ -89,7 +89,7 @@
 
     async fn run_in(
         &self,
-        order: &StepOrder,
+        order: &StepRequest,
         session: &EngineSession,
         data: &mut SessionData,
     ) -> Result<StepResult, TargetRefusal> {
@@ -127,7 +127,7 @@
             outputs.push(run.output);
         }
         self.gauge.count(new_inputs.len());
-        let answer = StepAnswer {
+        let answer = StepResponse {
             label: order.label.clone(),
             position: order.position,
             outputs,
@@ -139,7 +139,7 @@
     /// Holds a slot of the batch for as long as the inputs take.
     async fn work(
         &self,
-        order: &StepOrder,
+        order: &StepRequest,
         inputs: &[u64],
         session: &EngineSession,
     ) -> Result<(), TargetRefusal> {
@@ -165,7 +165,7 @@
         Ok(())
     }
 
-    fn work_time(&self, order: &StepOrder, inputs: &[u64]) -> Duration {
+    fn work_time(&self, order: &StepRequest, inputs: &[u64]) -> Duration {
         let is_decode = order.position > 0 && inputs.len() == 1;
         let time = if is_decode {
             self.settings.step_time
@@ -177,7 +177,7 @@
         time.mul_f64(self.faults.read(|faults| faults.slow_factor).max(0.0))
     }
 
-    fn cached_inputs(&self, order: &StepOrder) -> usize {
+    fn cached_inputs(&self, order: &StepRequest) -> usize {
         match order.position {
             0 => self.cache.lock().cached_inputs(&order.inputs),
             _ => 0,
@@ -186,7 +186,7 @@
 
     fn note(
         &self,
-        order: &StepOrder,
+        order: &StepRequest,
         position: TokenPosition,
         input: u64,
         output: u64,
--- a/standins/src/load/calibrate.rs
+++ b/standins/src/load/calibrate.rs
@@ -5,7 +5,7 @@
 
 use futures::future::join_all;
 use jackdawwick::target::client::{TargetClient, TargetTimeouts};
-use jackdawwick::target::wire::{StepLabel, StepOrder};
+use jackdawwick::target::wire::{StepLabel, StepRequest};
 
 use crate::declarations::VERSION;
 use crate::engine::{EngineServer, EngineSettings};
@@ -58,7 +58,7 @@
     session: usize,
     until: Instant,
 ) -> usize {
-    let mut order = StepOrder {
+    let mut order = StepRequest {
         label: StepLabel {
             request: format!("calibrate-{session}").into(),
             attempt: 0,
--- a/standins/src/platform/calls.rs
+++ b/standins/src/platform/calls.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use http::{Method, StatusCode};
-use jackdawwick::platform::wire::{AppendAnswer, AppendBody, HostList};
+use jackdawwick::platform::wire::{AppendBody, AppendResponse, HostList};
 use parking_lot::Mutex;
 use tokio::time::sleep;
 
@@ -105,7 +105,7 @@
         {
             return CallOutcome::Close;
         }
-        CallOutcome::ok(&AppendAnswer { first_offset })
+        CallOutcome::ok(&AppendResponse { first_offset })
     }
 
     async fn read(&self, call: &ServedCall, stream: &str) -> CallOutcome {
--- a/standins/src/platform/log_store.rs
+++ b/standins/src/platform/log_store.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use jackdawwick::ids::LogOffset;
-use jackdawwick::platform::wire::{ReadAnswer, StoredRecord};
+use jackdawwick::platform::wire::{ReadResponse, StoredRecord};
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use tokio::time::timeout;
@@ -63,7 +63,7 @@
     }
 
     /// Reads at once, or as soon as there is something, or when the wait ends.
-    pub(super) async fn read(&self, stream: &str, range: ReadRange) -> ReadAnswer {
+    pub(super) async fn read(&self, stream: &str, range: ReadRange) -> ReadResponse {
         let mut appends = self.appends.subscribe();
         let something = async {
             loop {
@@ -80,7 +80,7 @@
         }
     }
 
-    fn read_now(&self, stream: &str, range: ReadRange) -> ReadAnswer {
+    fn read_now(&self, stream: &str, range: ReadRange) -> ReadResponse {
         let state = self.state.lock();
         let bodies = state.streams.get(stream).map_or(&[][..], Vec::as_slice);
         let end_offset = bodies.len() as u64;
@@ -88,7 +88,7 @@
         let limit = range.limit.unwrap_or(DEFAULT_READ_LIMIT);
         let start = range.from.clamp(first_offset, end_offset);
         let end = start.saturating_add(limit).min(end_offset);
-        ReadAnswer {
+        ReadResponse {
             first_offset,
             end_offset,
             records: stored_records(bodies, start, end),
--- a/standins/src/slopes/fleet.rs
+++ b/standins/src/slopes/fleet.rs
@@ -93,7 +93,7 @@
             .collect();
         let timeouts = PlatformTimeouts {
             connect: PLATFORM_PATIENCE,
-            answer: PLATFORM_PATIENCE,
+            response: PLATFORM_PATIENCE,
         };
         let client = PlatformClient::open(self.platform.local_addr(), timeouts);
         let appended = client.append(DECLARATION_STREAM, records?).await?;
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -5,7 +5,7 @@
 
 use http::{Method, StatusCode};
 use jackdawwick::target::wire::{
-    CacheEvents, CacheExport, LoadReport, StateOrder, StepAnswer, StepLabel, StepOrder,
+    CacheEvents, CacheExport, LoadReport, StateOrder, StepLabel, StepRequest, StepResponse,
     TargetRefusal, TargetRefusalKind, TargetState,
 };
 use standins::engine::{EngineServer, EngineSettings, FencingMode, StepKind};
@@ -28,8 +28,8 @@
     EngineServer::bind(SocketAddr::from(([127, 0, 0, 1], 0)), settings).await
 }
 
-fn order(request: &str, position: u64, inputs: &[u64]) -> StepOrder {
-    StepOrder {
+fn order(request: &str, position: u64, inputs: &[u64]) -> StepRequest {
+    StepRequest {
         label: StepLabel {
             request: request.into(),
             attempt: 0,
@@ -45,7 +45,7 @@
     }
 }
 
-async fn step(engine: &EngineServer, order: &StepOrder) -> Result<JsonReply, CallError> {
+async fn step(engine: &EngineServer, order: &StepRequest) -> Result<JsonReply, CallError> {
     call(Method::POST, engine.local_addr(), "/v1/steps", order).await
 }
 
@@ -81,7 +81,7 @@
     })
     .await?;
     let (holder, low) = (order("holder", 0, &[1]), order("low", 0, &[1]));
-    let high = StepOrder {
+    let high = StepRequest {
         priority: 9,
         ..order("high", 0, &[1])
     };
@@ -121,10 +121,10 @@
     step(&engine, &order("a", 0, &[1, 2])).await?;
     step(&engine, &order("b", 0, &[3])).await?;
     engine.faults().update(|faults| faults.cross_answers = 1);
-    let crossed: StepAnswer = step(&engine, &order("b", 1, &[4])).await?.json()?;
+    let crossed: StepResponse = step(&engine, &order("b", 1, &[4])).await?.json()?;
     assert_eq!(&crossed.label.request[..], "a");
     engine.faults().update(|faults| faults.repeat_answers = 1);
-    let repeated: StepAnswer = step(&engine, &order("a", 2, &[5])).await?.json()?;
+    let repeated: StepResponse = step(&engine, &order("a", 2, &[5])).await?.json()?;
     assert_eq!((repeated.position, repeated.outputs.len()), (0, 2));
     assert!(
         engine
@@ -144,9 +144,9 @@
     let path = format!("/v1/sessions/{}/cache", order("a", 0, &[]).label.session());
     let export: CacheExport = get(&old, &path).await?.json()?;
     call(Method::PUT, new.local_addr(), &path, &export).await?;
-    let answer: StepAnswer = step(&new, &order("a", 3, &right[..1])).await?.json()?;
+    let answer: StepResponse = step(&new, &order("a", 3, &right[..1])).await?.json()?;
     assert_eq!(answer.outputs, right[1..]);
-    let resumed: StepAnswer = step(&new, &order("a", 0, &prompt)).await?.json()?;
+    let resumed: StepResponse = step(&new, &order("a", 0, &prompt)).await?.json()?;
     assert_eq!(resumed.outputs[2], right[0]);
     Ok(())
 }
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use http::{Method, StatusCode};
-use jackdawwick::platform::wire::{AppendBody, ReadAnswer};
-use jackdawwick::target::wire::{StepAnswer, StepLabel, StepOrder, TargetRefusal};
+use jackdawwick::platform::wire::{AppendBody, ReadResponse};
+use jackdawwick::target::wire::{StepLabel, StepRequest, StepResponse, TargetRefusal};
 use standins::engine::{EngineServer, EngineSettings, StepKind};
 use standins::json_client::{CallError, JsonReply, call};
 use standins::platform::{PlatformServer, PlatformSettings};
@@ -27,9 +27,9 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn order(stage: usize, position: u64, inputs: &[u64]) -> StepOrder {
+fn order(stage: usize, position: u64, inputs: &[u64]) -> StepRequest {
     let (first_layer, last_layer) = RANGES[stage];
-    StepOrder {
+    StepRequest {
         label: StepLabel {
             request: "request-1".into(),
             attempt: 1,
@@ -45,7 +45,7 @@
     }
 }
 
-async fn step(addr: SocketAddr, order: &StepOrder) -> Result<JsonReply, CallError> {
+async fn step(addr: SocketAddr, order: &StepRequest) -> Result<JsonReply, CallError> {
     call(Method::POST, addr, "/v1/steps", order).await
 }
 
@@ -67,7 +67,7 @@
         let mut values = inputs.clone();
         for (stage, engine) in engines.iter().enumerate() {
             let answer = step(engine.local_addr(), &order(stage, position, &values)).await?;
-            values = answer.json::<StepAnswer>()?.outputs;
+            values = answer.json::<StepResponse>()?.outputs;
         }
         position += inputs.len() as u64;
         let token = values.last().copied().ok_or("no output")?;
@@ -132,7 +132,10 @@
         step(engine.local_addr(), &prefill),
         step(engine.local_addr(), &prefill)
     );
-    assert_eq!(first?.json::<StepAnswer>()?, second?.json::<StepAnswer>()?);
+    assert_eq!(
+        first?.json::<StepResponse>()?,
+        second?.json::<StepResponse>()?
+    );
     let kinds: Vec<_> = engine.record().iter().map(|entry| entry.kind).collect();
     let (ran, resumed) = kinds.split_at(PROMPT.len());
     assert!(ran.iter().all(|kind| *kind == StepKind::Ran));
@@ -199,7 +202,7 @@
 
     call(Method::PUT, addr, "/control/retention", &2).await?;
     let read = call(Method::GET, addr, &format!("{path}?from=0"), &()).await?;
-    let read: ReadAnswer = read.json()?;
+    let read: ReadResponse = read.json()?;
     assert_eq!((read.first_offset, read.end_offset), (1, 3));
     let bodies: Vec<_> = read.records.iter().map(|record| &record.body[..]).collect();
     assert_eq!(bodies, ["3", "4"]);
--- a/standins/tests/support/configuration.rs
+++ b/standins/tests/support/configuration.rs
@@ -55,7 +55,7 @@
 pub async fn append(platform: &PlatformServer, record: String) -> Result<LogOffset, TestError> {
     let timeouts = PlatformTimeouts {
         connect: Duration::from_secs(5),
-        answer: Duration::from_secs(5),
+        response: Duration::from_secs(5),
     };
     let client = PlatformClient::open(platform.local_addr(), timeouts);
     let answer = client.append(DECLARATION_STREAM, vec![record]).await?;
--- a/tests/entry_decisions.rs
+++ b/tests/entry_decisions.rs
@@ -176,7 +176,7 @@
         configuration_version: 0,
         weight: 0,
         scope: UsageScope::Host,
-        uses: Vec::new(),
+        usage: Vec::new(),
         listing: HostListing::default(),
         seen: SeenListing::default(),
         counts: Vec::new(),
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -7,7 +7,7 @@
 use futures::FutureExt;
 use jackdawwick::fleet::{TargetLoad, TargetUsage, UsageScope, ZoneUsage, target_key};
 use jackdawwick::peer::{
-    self, EntryHandlers, FollowAnswer, FollowQuestion, HostListing, HostView, KnownHost, LogAges,
+    self, EntryHandlers, FollowReply, FollowRequest, HostListing, HostView, KnownHost, LogAges,
     PeerHandle, PeerSettings, SeenListing, ZoneCount,
 };
 use jackdawwick::permits::{LimitDelta, LimitRecord, PermitReply, PermitRequest, RateLimit};
@@ -28,7 +28,7 @@
         configuration_version: 40,
         weight: 8,
         scope: UsageScope::Neighbours,
-        uses: Vec::new(),
+        usage: Vec::new(),
         listing: HostListing::default(),
         seen: SeenListing {
             incarnation: 1 << 51,
@@ -85,14 +85,14 @@
     }
 }
 
-fn remote_usage() -> FollowAnswer {
-    FollowAnswer {
+fn remote_usage() -> FollowReply {
+    FollowReply {
         incarnation: 5,
         remote: vec![ZoneUsage {
             zone: "vake".into(),
             usage: vec![used(1), used(2)],
         }],
-        ..FollowAnswer::default()
+        ..FollowReply::default()
     }
 }
 
@@ -136,7 +136,7 @@
     let (caller, callee) = (spawn(), spawn());
     let sent = HostView {
         scope: UsageScope::Group,
-        uses: (0..3).map(used).collect(),
+        usage: (0..3).map(used).collect(),
         listing: HostListing {
             from: 4,
             to: 9,
@@ -159,7 +159,7 @@
     let address = callee.local_address();
     let answer = caller.exchange(address, sent.clone()).await;
     assert_eq!(answer.expect("an answer"), sent);
-    let question = FollowQuestion::default();
+    let question = FollowRequest::default();
     let wait = Duration::from_secs(20);
     let followed = caller.follow(address, question, wait).await;
     assert_eq!(followed.expect("an answer"), remote_usage());
@@ -228,7 +228,7 @@
     let both_ways = 2 * ITEMS as u64;
     let empty = exchange_bytes(&view("front-saburtalo-1")).await;
     let with_uses = HostView {
-        uses: (0..ITEMS).map(used).collect(),
+        usage: (0..ITEMS).map(used).collect(),
         ..view("front-saburtalo-1")
     };
     let with_hosts = HostView {
--- a/tests/fleet_in_memory/mod.rs
+++ b/tests/fleet_in_memory/mod.rs
@@ -250,7 +250,7 @@
         let usage = host.fleet.usage(view.scope, listener);
         let poison = host.poison.listing_for(address, self.now);
         HostView {
-            uses: usage,
+            usage,
             poison,
             ..view
         }
@@ -266,7 +266,7 @@
             .take_listing(view.address, view.incarnation, &view.poison, now);
         let source = UsageSource::of(view.scope, &view.host, &view.zone, &host.zone);
         if let Some(source) = source {
-            host.fleet.observe_usage(source, view.uses.clone(), now);
+            host.fleet.observe_usage(source, view.usage.clone(), now);
         }
     }
 }
@@ -274,7 +274,7 @@
 /// Returns the size of a view on the wire in bytes.
 fn view_bytes(view: &HostView) -> usize {
     VIEW_BYTES
-        + USAGE_BYTES * view.uses.len()
+        + USAGE_BYTES * view.usage.len()
         + LISTED_BYTES * view.listing.hosts.len()
         + COUNT_BYTES * view.counts.len()
         + EVIDENCE_BYTES * view.poison.notes.len()
--- a/tests/leaving_fleet/host.rs
+++ b/tests/leaving_fleet/host.rs
@@ -6,7 +6,7 @@
 use jackdawwick::entry::{LogCopy, RelayedLog, TargetFollower, TargetPace};
 use jackdawwick::forward::ServingTables;
 use jackdawwick::ids::HostId;
-use jackdawwick::peer::{FollowAnswer, FollowQuestion};
+use jackdawwick::peer::{FollowReply, FollowRequest};
 use jackdawwick::retry::WindowSettings;
 
 use super::world::{DRAIN_MS, HEARTBEAT_MS, ZONES};
@@ -71,14 +71,9 @@
         self.read_ms.is_some_and(|read| now_ms < read + FRESH_MS)
     }
 
-    pub(super) fn answer(
-        &self,
-        question: FollowQuestion,
-        now_ms: u64,
-        now: Instant,
-    ) -> FollowAnswer {
+    pub(super) fn answer(&self, question: FollowRequest, now_ms: u64, now: Instant) -> FollowReply {
         let known = question.incarnation == self.incarnation;
-        FollowAnswer {
+        FollowReply {
             incarnation: self.incarnation,
             fresh: self.is_fresh(now_ms),
             age: self.age(now_ms),
--- a/tests/leaving_fleet/world.rs
+++ b/tests/leaving_fleet/world.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use jackdawwick::peer::FollowAnswer;
+use jackdawwick::peer::FollowReply;
 use jackdawwick::platform::log_calls::LogError;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -221,7 +221,7 @@
         let next = self.hosts[host].follower.next();
         let read = match reached {
             true => self.log.read(next),
-            false => Err(LogError::NoAnswer("cut".to_owned())),
+            false => Err(LogError::NoResponse("cut".to_owned())),
         };
         if read == Err(LogError::Deleted) {
             self.hosts[host].next_read_ms = self.now_ms;
@@ -264,7 +264,7 @@
         }
     }
 
-    fn ask(&self, host: usize, other: usize) -> Option<FollowAnswer> {
+    fn ask(&self, host: usize, other: usize) -> Option<FollowReply> {
         if !self.reach_each_other(host, other) {
             return None;
         }
@@ -274,7 +274,7 @@
         Some(self.hosts[other].answer(question, self.now_ms, now))
     }
 
-    fn take(&mut self, host: usize, other: usize, answer: FollowAnswer) {
+    fn take(&mut self, host: usize, other: usize, answer: FollowReply) {
         let now = self.now();
         let name = self.hosts[other].name.clone();
         self.hosts[host].relayed.take(&name, answer, now);
--- a/tests/log_reader.rs
+++ b/tests/log_reader.rs
@@ -6,15 +6,15 @@
 
 use jackdawwick::entry::{FollowCursor, LogCopy, LogDuty, TargetPace, follow_targets};
 use jackdawwick::forward::ServingTables;
-use jackdawwick::platform::log_calls::{CallLimits, LogClient, LogError};
+use jackdawwick::platform::log_calls::{CallTimeouts, LogClient, LogError};
 use jackdawwick::retry::WindowSettings;
 use proptest::prelude::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-const LIMIT: CallLimits = CallLimits {
+const LIMIT: CallTimeouts = CallTimeouts {
     connect: Duration::from_millis(150),
-    answer: Duration::from_millis(150),
+    response: Duration::from_millis(150),
     newest: Duration::from_millis(150),
 };
 const USUAL_PACE: TargetPace = TargetPace {
@@ -132,7 +132,7 @@
     let wait = Duration::from_millis(50);
     assert!(reader.read("keyed.op", 5, wait).await.is_ok());
     let lost = reader.read("keyed.op", 5, wait).await;
-    assert!(matches!(lost, Err(LogError::NoAnswer(_))), "{lost:?}");
+    assert!(matches!(lost, Err(LogError::NoResponse(_))), "{lost:?}");
     let read = reader
         .read("keyed.op", 5, wait)
         .await
@@ -174,7 +174,7 @@
 ) -> (Arc<ServingTables>, tokio::sync::watch::Sender<LogDuty>) {
     let reader = LogClient::open(spawn_log(vec![answers]).await, LIMIT);
     let budget = WindowSettings {
-        window: LIMIT.answer,
+        window: LIMIT.response,
         ratio: 0.0,
         slack: 0.0,
     };
@@ -385,10 +385,10 @@
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut part = [0; 4096];
         let _ = stream.read(&mut part).await;
-        tokio::time::sleep(2 * LIMIT.answer).await;
+        tokio::time::sleep(2 * LIMIT.response).await;
         let _ = stream.write_all(&answer("200 OK", body)).await;
     });
-    let limits = CallLimits {
+    let limits = CallTimeouts {
         newest: Duration::from_secs(20),
         ..LIMIT
     };
--- a/tests/peer_rpc.rs
+++ b/tests/peer_rpc.rs
@@ -9,8 +9,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use jackdawwick::peer::{
-    self, ClaimOutcome, ClaimQuestion, PeerDemand, PeerError, PeerGrant, PeerHandle, PeerHandlers,
-    PeerHeartbeat, PeerLoad, PeerReply, PeerSettings, RecordsQuestion, RelayedRange, ZoneDigest,
+    self, ClaimOutcome, ClaimQuery, PeerDemand, PeerError, PeerGrant, PeerHandle, PeerHandlers,
+    PeerHeartbeat, PeerLoad, PeerReply, PeerSettings, RecordsRequest, RelayedRange, ZoneDigest,
 };
 use jackdawwick::platform::wire::StoredRecord;
 use jackdawwick::verdict::RunVerdict;
@@ -67,7 +67,7 @@
         concurrent_requests: 9,
         requests_per_minute: 8,
         number: 7,
-        lapse: Some(Duration::from_millis(1500)),
+        expires_after: Some(Duration::from_millis(1500)),
     }
 }
 
@@ -92,7 +92,7 @@
 fn handlers(host: &'static str, incarnation: u64) -> PeerHandlers {
     PeerHandlers {
         heartbeat: Arc::new(move |heard: PeerHeartbeat| PeerReply {
-            beat: PeerHeartbeat {
+            heartbeat: PeerHeartbeat {
                 loads: heard.loads,
                 digest: heard.digest,
                 ..beat(host, incarnation)
@@ -149,7 +149,7 @@
         .await
         .expect("a reply");
     let expected = PeerReply {
-        beat: PeerHeartbeat {
+        heartbeat: PeerHeartbeat {
             loads: sent.loads,
             digest: sent.digest,
             ..beat("vake-2", 2)
@@ -159,7 +159,7 @@
     };
     assert_eq!(reply, expected);
 
-    let question = RecordsQuestion {
+    let question = RecordsRequest {
         stream: "declarations".to_owned(),
         from: 3,
         limit: 10,
@@ -169,7 +169,7 @@
     assert_eq!(range.records[0].body, "{}");
     assert_eq!(range.checkpoint.as_deref(), Some("declarations"));
 
-    let question = ClaimQuestion {
+    let question = ClaimQuery {
         request: "r".into(),
         service: "ledger".into(),
         operation: "settle".to_owned(),
@@ -281,7 +281,7 @@
         }
         tokio::task::yield_now().await;
     };
-    assert_eq!(reply.beat.incarnation, 3);
+    assert_eq!(reply.heartbeat.incarnation, 3);
     caller.shutdown().await;
     again.shutdown().await;
 }
--- a/tests/permits/main.rs
+++ b/tests/permits/main.rs
@@ -5,7 +5,7 @@
 use http::HeaderMap;
 use http::header::HeaderValue;
 use jackdawwick::permits::{LimitChange, LimitObservation, LimitTable, RateLimit};
-use jackdawwick::platform::limit_header::{NamedRate, named_rate};
+use jackdawwick::platform::limit_header::{LimitHeader, parse_limit_header};
 
 const TARGET: u64 = 7;
 
@@ -34,12 +34,24 @@
 
 #[test]
 fn a_limit_is_one_decimal_number() {
-    assert_eq!(named_rate(&headers(&[])), NamedRate::Absent);
-    assert_eq!(named_rate(&headers(&[" 6.4 "])), NamedRate::PerSecond(6.4));
-    assert_eq!(named_rate(&headers(&["0"])), NamedRate::PerSecond(0.0));
-    assert_eq!(named_rate(&headers(&["1e9"])), NamedRate::PerSecond(1e9));
+    assert_eq!(parse_limit_header(&headers(&[])), LimitHeader::Absent);
+    assert_eq!(
+        parse_limit_header(&headers(&[" 6.4 "])),
+        LimitHeader::PerSecond(6.4)
+    );
+    assert_eq!(
+        parse_limit_header(&headers(&["0"])),
+        LimitHeader::PerSecond(0.0)
+    );
+    assert_eq!(
+        parse_limit_header(&headers(&["1e9"])),
+        LimitHeader::PerSecond(1e9)
+    );
     for unreadable in [&[""][..], &["few"], &["6,4"], &["1", "2"]] {
-        assert_eq!(named_rate(&headers(unreadable)), NamedRate::Unreadable);
+        assert_eq!(
+            parse_limit_header(&headers(unreadable)),
+            LimitHeader::Unreadable
+        );
     }
 }
 
--- a/tests/platform_client.rs
+++ b/tests/platform_client.rs
@@ -13,7 +13,7 @@
 use jackdawwick::platform::client::{PlatformClient, PlatformTimeouts};
 use jackdawwick::platform::error::{AppendVerdict, CallFailure};
 use jackdawwick::platform::log_tail::{LogTail, TailEvent, TailOptions};
-use jackdawwick::platform::wire::{AppendBody, ReadAnswer, StoredRecord};
+use jackdawwick::platform::wire::{AppendBody, ReadResponse, StoredRecord};
 use parking_lot::Mutex;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -60,9 +60,9 @@
     }
 }
 
-fn client_of(address: SocketAddr, answer: Duration) -> PlatformClient {
+fn client_of(address: SocketAddr, response: Duration) -> PlatformClient {
     let connect = Duration::from_secs(10);
-    PlatformClient::open(address, PlatformTimeouts { connect, answer })
+    PlatformClient::open(address, PlatformTimeouts { connect, response })
 }
 
 async fn serve(
@@ -215,7 +215,7 @@
             body: format!("r{offset}"),
         })
         .collect();
-    let answer = ReadAnswer {
+    let answer = ReadResponse {
         first_offset,
         end_offset,
         records,
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use jackdawwick::ids::LogOffset;
-use jackdawwick::platform::wire::{ReadAnswer, StoredRecord};
+use jackdawwick::platform::wire::{ReadResponse, StoredRecord};
 use jackdawwick::records::{ChangeAction, JUDGING_RULES};
 use jackdawwick::replay::{
     ApplyError, CheckpointError, CheckpointSchedule, DeclarationTable, Judgement, LogHorizon,
@@ -53,9 +53,9 @@
 }
 
 /// What the log answers when it keeps the records from `first` on.
-fn answer(log: &[String], first: usize) -> ReadAnswer {
+fn answer(log: &[String], first: usize) -> ReadResponse {
     let kept = log.iter().enumerate().skip(first);
-    ReadAnswer {
+    ReadResponse {
         first_offset: first as LogOffset,
         end_offset: log.len() as LogOffset,
         records: kept
--- a/tests/replay_model.rs
+++ b/tests/replay_model.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use jackdawwick::ids::LogOffset;
-use jackdawwick::platform::wire::{ReadAnswer, StoredRecord};
+use jackdawwick::platform::wire::{ReadResponse, StoredRecord};
 use jackdawwick::records::{ChangeAction, DeclarationBody, ResourceChange, StateCheckpoint};
 use jackdawwick::replay::{DeclarationTable, Judgement, StartDecision, StartPlanner, WindowRules};
 use jackdawwick::resources::{ResourceKey, ResourceKind, ResourceSpec, TargetKind};
@@ -488,7 +488,7 @@
 }
 
 impl MovingLog {
-    fn read(&mut self, log: &[String], from: LogOffset) -> ReadAnswer {
+    fn read(&mut self, log: &[String], from: LogOffset) -> ReadResponse {
         self.end = log.len().min(self.end + self.grow);
         self.first = self.end.min(self.first + self.expire);
         let from = usize::try_from(from).expect("small").max(self.first);
@@ -496,7 +496,7 @@
             offset: offset as LogOffset,
             body: log[offset].clone(),
         };
-        ReadAnswer {
+        ReadResponse {
             first_offset: self.first as LogOffset,
             end_offset: self.end as LogOffset,
             records: (from..self.end).take(self.page).map(stored).collect(),
--- a/tests/run_model/engines.rs
+++ b/tests/run_model/engines.rs
@@ -4,7 +4,7 @@
 
 use jackdawwick::ids::{StageIndex, TokenValue};
 use jackdawwick::run::PlannedStage;
-use jackdawwick::target::wire::{StepAnswer, StepOrder, TargetRefusal, TargetRefusalKind};
+use jackdawwick::target::wire::{StepRequest, StepResponse, TargetRefusal, TargetRefusalKind};
 
 pub(crate) const LAYERS_PER_STAGE: u32 = 2;
 const VOCABULARY: u64 = 1000;
@@ -71,7 +71,7 @@
 
 /// What a frozen engine will do once it wakes.
 pub(crate) enum HeldOrder {
-    Step(StepOrder),
+    Step(StepRequest),
     Cancel(String),
 }
 
@@ -92,9 +92,9 @@
     /// Hands back recorded outputs, runs what follows them, refuses a gap.
     pub(crate) fn step(
         &mut self,
-        order: &StepOrder,
+        order: &StepRequest,
         stages: usize,
-    ) -> Result<(StepAnswer, Vec<u64>), TargetRefusal> {
+    ) -> Result<(StepResponse, Vec<u64>), TargetRefusal> {
         let name = order.label.session();
         let start = order.position as usize;
         let known = self.sessions.get(&name).map_or(0, |s| s.outputs.len());
@@ -117,7 +117,7 @@
             self.computed_uncached += u64::from(self.cached.insert((position, session.kv[0])));
         }
         let end = start + order.inputs.len();
-        let answer = StepAnswer {
+        let answer = StepResponse {
             label: order.label.clone(),
             position: order.position,
             outputs: session.outputs[start..end].to_vec(),
--- a/tests/run_model/faults.rs
+++ b/tests/run_model/faults.rs
@@ -2,7 +2,7 @@
 
 use jackdawwick::ids::TargetId;
 use jackdawwick::run::RunEvent;
-use jackdawwick::target::wire::{StepAnswer, TargetRefusalKind};
+use jackdawwick::target::wire::{StepResponse, TargetRefusalKind};
 
 use super::{ModelWorld, PastAnswer};
 use crate::engines::HeldOrder;
@@ -111,7 +111,7 @@
 }
 
 /// The same answer, but for one part.
-pub(super) fn crossed_answer(mut answer: StepAnswer, part: u8) -> StepAnswer {
+pub(super) fn crossed_answer(mut answer: StepResponse, part: u8) -> StepResponse {
     match part {
         0 => answer.label.request = "another".into(),
         1 => answer.label.attempt += 1000,
--- a/tests/run_model/world.rs
+++ b/tests/run_model/world.rs
@@ -10,7 +10,7 @@
 use jackdawwick::run::{
     RunDecision, RunEvent, RunLimits, RunMachine, RunOutcome, RunPlan, StepFailure,
 };
-use jackdawwick::target::wire::{StepAnswer, StepOrder, TargetRefusal};
+use jackdawwick::target::wire::{StepRequest, StepResponse, TargetRefusal};
 use jackdawwick::verdict::RunVerdict;
 
 use faults::crossed_answer;
@@ -27,7 +27,7 @@
 #[derive(Clone)]
 struct PastAnswer {
     target: TargetId,
-    answer: StepAnswer,
+    answer: StepResponse,
     inputs: Vec<u64>,
 }
 
@@ -140,7 +140,7 @@
         let Some(order) = self.machine.awaited_order().cloned() else {
             return;
         };
-        let forged = StepAnswer {
+        let forged = StepResponse {
             outputs: vec![u64::MAX; order.inputs.len()],
             label: order.label,
             position: order.position,
@@ -248,7 +248,7 @@
 
     /// A session is of one target and never used after its end, and a step is
     /// not resent for ever.
-    fn check_session(&mut self, target: &TargetId, order: &StepOrder) {
+    fn check_session(&mut self, target: &TargetId, order: &StepRequest) {
         let session = order.label.session();
         assert!(!self.closed.contains(&session), "{session} used again");
         let owner = self.owners.entry(session.clone());
@@ -262,7 +262,7 @@
         self.repeated = (session, order.position, times);
     }
 
-    fn send(&mut self, target: &TargetId, order: StepOrder) {
+    fn send(&mut self, target: &TargetId, order: StepRequest) {
         self.check_session(target, &order);
         let fault = self.script.remove(&self.sends);
         self.sends += 1;
--- a/tests/shares_support/mod.rs
+++ b/tests/shares_support/mod.rs
@@ -242,7 +242,7 @@
         };
         let host = &mut self.hosts[to];
         if let Some(grant) = reply.grants.last() {
-            host.holds_expiring = grant.lapse.is_some();
+            host.holds_expiring = grant.expires_after.is_some();
         }
         host.shares
             .observe_reply(reply.lease, &reply.grants, reply.sent_at);
--- a/tests/target_client.rs
+++ b/tests/target_client.rs
@@ -11,24 +11,24 @@
 
 use jackdawwick::reason::RetryReason;
 use jackdawwick::run::StepFailure;
-use jackdawwick::target::client::{CallOrder, TargetClient, TargetTimeouts};
-use jackdawwick::target::wire::{StepAnswer, StepLabel, StepOrder, TargetRefusalKind};
+use jackdawwick::target::client::{CallRequest, TargetClient, TargetTimeouts};
+use jackdawwick::target::wire::{StepLabel, StepRequest, StepResponse, TargetRefusalKind};
 use jackdawwick::verdict::RunVerdict;
 use tiny_server::{TinyReply, TinyServer};
 
 const SHORT: Duration = Duration::from_millis(500);
 const REFUSAL: &str = r#"{"refused":"overloaded"}"#;
 
-fn client(answer: Duration) -> TargetClient {
+fn client(response: Duration) -> TargetClient {
     TargetClient::open(TargetTimeouts {
         connect: Duration::from_secs(5),
-        answer,
+        response,
         per_position: Duration::ZERO,
     })
 }
 
-fn order() -> StepOrder {
-    StepOrder {
+fn order() -> StepRequest {
+    StepRequest {
         label: StepLabel {
             request: "r".into(),
             attempt: 0,
@@ -45,7 +45,7 @@
 }
 
 fn step_answer() -> String {
-    let answer = StepAnswer {
+    let answer = StepResponse {
         label: order().label,
         position: 0,
         outputs: vec![2],
@@ -55,7 +55,7 @@
 
 /// Asks a server that always replies with `reply`; also gives the number of
 /// requests that it read whole.
-async fn ask(reply: TinyReply) -> (Result<StepAnswer, StepFailure>, usize) {
+async fn ask(reply: TinyReply) -> (Result<StepResponse, StepFailure>, usize) {
     let server = TinyServer::bind(move |request| match (&reply, request) {
         (TinyReply::ResetUnread, _) => Some(TinyReply::ResetUnread),
         (_, None) => None,
@@ -176,7 +176,7 @@
             (reply, Some(_)) => Some(reply.clone()),
         });
         let server = server.await;
-        let call = CallOrder {
+        let call = CallRequest {
             operation: "charge".to_owned(),
             headers: http::HeaderMap::new(),
             body: bytes::Bytes::from_static(b"{}"),
@@ -217,7 +217,7 @@
         let client = client(SHORT);
         let mut answered = 0;
         for _ in 0..CALLS {
-            let call = CallOrder {
+            let call = CallRequest {
                 operation: "charge".to_owned(),
                 headers: http::HeaderMap::new(),
                 body: bytes::Bytes::from_static(b"{}"),
--- a/tests/target_client/driver.rs
+++ b/tests/target_client/driver.rs
@@ -11,7 +11,7 @@
     DeliveredToken, PlannedStage, RunHooks, RunLimits, RunMachine, RunOutcome, RunPlan,
     StepObservation, drive_run,
 };
-use jackdawwick::target::wire::{StepAnswer, StepOrder};
+use jackdawwick::target::wire::{StepRequest, StepResponse};
 use jackdawwick::verdict::RunVerdict;
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
@@ -41,11 +41,11 @@
 
 /// An engine whose output for a position is that position plus 100.
 fn engine_reply(request: &SeenRequest) -> TinyReply {
-    let Ok(order) = serde_json::from_slice::<StepOrder>(&request.body) else {
+    let Ok(order) = serde_json::from_slice::<StepRequest>(&request.body) else {
         return TinyReply::Answer(204, String::new());
     };
     let positions = order.position..order.position + order.inputs.len() as u64;
-    let answer = StepAnswer {
+    let answer = StepResponse {
         label: order.label,
         position: order.position,
         outputs: positions.map(|position| position + 100).collect(),
