--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -8,13 +8,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub(super) use claim::{read_outcome, read_question, write_outcome, write_question};
+pub(super) use claim::{
+    read_claim_outcome, read_claim_query, write_claim_outcome, write_claim_query,
+};
 pub(super) use permits::{
-    read_permit_answer, read_permit_question, write_permit_answer, write_permit_question,
+    read_permit_reply, read_permit_request, write_permit_reply, write_permit_request,
 };
 pub(super) use view::{
-    read_follow_answer, read_follow_question, read_view, write_follow_answer,
-    write_follow_question, write_view,
+    read_follow_reply, read_follow_request, read_view, write_follow_reply, write_follow_request,
+    write_view,
 };
 
 use super::message::{
--- a/src/peer/convert/claim.rs
+++ b/src/peer/convert/claim.rs
@@ -12,22 +12,22 @@
 const VERDICT_RAN: &str = "ran";
 
 /// Encodes a question about a claim.
-pub(in crate::peer) fn write_question(
+pub(in crate::peer) fn write_claim_query(
     mut builder: wire::peer_call::Builder<'_>,
-    question: &ClaimQuery,
+    query: &ClaimQuery,
 ) {
-    builder.set_request_id(&*question.request);
-    builder.set_service(&*question.service);
-    builder.set_operation(question.operation.as_str());
-    builder.set_idempotency_key(&*question.key);
-    builder.set_organisation(&*question.organisation);
+    builder.set_request_id(&*query.request);
+    builder.set_service(&*query.service);
+    builder.set_operation(query.operation.as_str());
+    builder.set_idempotency_key(&*query.key);
+    builder.set_organisation(&*query.organisation);
 }
 
 /// Decodes a question about a claim.
 ///
 /// # Errors
 /// As [`read_heartbeat`].
-pub(in crate::peer) fn read_question(
+pub(in crate::peer) fn read_claim_query(
     reader: wire::peer_call::Reader<'_>,
 ) -> capnp::Result<ClaimQuery> {
     Ok(ClaimQuery {
@@ -40,7 +40,7 @@
 }
 
 /// Encodes what became of a claim.
-pub(in crate::peer) fn write_outcome(
+pub(in crate::peer) fn write_claim_outcome(
     mut builder: wire::peer_call_reply::Builder<'_>,
     outcome: &ClaimOutcome,
 ) {
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 /// As [`read_heartbeat`].
-pub(in crate::peer) fn read_outcome(
+pub(in crate::peer) fn read_claim_outcome(
     reader: wire::peer_call_reply::Reader<'_>,
 ) -> capnp::Result<ClaimOutcome> {
     if !reader.get_known() {
--- a/src/peer/convert/permits.rs
+++ b/src/peer/convert/permits.rs
@@ -18,9 +18,9 @@
     if listing.records.is_empty() {
         return;
     }
-    let mut words = builder.init_words(length(listing.records.len()));
-    for (index, word) in (0..).zip(&listing.records) {
-        write_word(words.reborrow().get(index), word);
+    let mut entries = builder.init_words(length(listing.records.len()));
+    for (index, record) in (0..).zip(&listing.records) {
+        write_limit_record(entries.reborrow().get(index), record);
     }
 }
 
@@ -32,18 +32,18 @@
             to: reader.get_to(),
             seen_to: reader.get_seen_to(),
         },
-        records: reader.get_words()?.iter().map(read_word).collect(),
+        records: reader.get_words()?.iter().map(read_limit_record).collect(),
     })
 }
 
-fn write_word(mut builder: wire::limit_word::Builder<'_>, word: &LimitRecord) {
-    builder.set_target(word.target);
-    builder.set_per_second(word.rate.map_or(NO_LIMIT, RateLimit::per_second));
-    builder.set_sent_age_ms(short_milliseconds(word.sent_age));
-    builder.set_heard_age_ms(short_milliseconds(word.received_age));
+fn write_limit_record(mut builder: wire::limit_word::Builder<'_>, record: &LimitRecord) {
+    builder.set_target(record.target);
+    builder.set_per_second(record.rate.map_or(NO_LIMIT, RateLimit::per_second));
+    builder.set_sent_age_ms(short_milliseconds(record.sent_age));
+    builder.set_heard_age_ms(short_milliseconds(record.received_age));
 }
 
-fn read_word(reader: wire::limit_word::Reader<'_>) -> LimitRecord {
+fn read_limit_record(reader: wire::limit_word::Reader<'_>) -> LimitRecord {
     LimitRecord {
         target: reader.get_target(),
         rate: RateLimit::new(reader.get_per_second()),
@@ -53,18 +53,18 @@
 }
 
 /// Encodes a question for permits.
-pub(in crate::peer) fn write_permit_question(
+pub(in crate::peer) fn write_permit_request(
     mut builder: wire::permit_question::Builder<'_>,
-    question: &PermitRequest,
+    request: &PermitRequest,
 ) {
-    builder.set_host(&*question.host);
-    builder.set_zone(&*question.zone);
-    write_word(builder.reborrow().init_limit(), &question.limit);
-    builder.set_wanted(question.wanted);
-    builder.set_patience_ms(short_milliseconds(question.max_wait));
-    builder.set_relayed(question.relayed);
-    let mut unpermitted = builder.init_unpermitted(length(question.unpermitted.len()));
-    for (index, sends) in (0..).zip(&question.unpermitted) {
+    builder.set_host(&*request.host);
+    builder.set_zone(&*request.zone);
+    write_limit_record(builder.reborrow().init_limit(), &request.limit);
+    builder.set_wanted(request.wanted);
+    builder.set_patience_ms(short_milliseconds(request.max_wait));
+    builder.set_relayed(request.relayed);
+    let mut unpermitted = builder.init_unpermitted(length(request.unpermitted.len()));
+    for (index, sends) in (0..).zip(&request.unpermitted) {
         unpermitted.set(index, *sends);
     }
 }
@@ -73,13 +73,13 @@
 ///
 /// # Errors
 /// If a text is not UTF-8.
-pub(in crate::peer) fn read_permit_question(
+pub(in crate::peer) fn read_permit_request(
     reader: wire::permit_question::Reader<'_>,
 ) -> capnp::Result<PermitRequest> {
     Ok(PermitRequest {
         host: text(reader.get_host())?,
         zone: text(reader.get_zone())?,
-        limit: read_word(reader.get_limit()?),
+        limit: read_limit_record(reader.get_limit()?),
         wanted: reader.get_wanted(),
         max_wait: Duration::from_millis(reader.get_patience_ms().into()),
         unpermitted: reader.get_unpermitted()?.iter().collect(),
@@ -88,11 +88,11 @@
 }
 
 /// Encodes the answer to a question for permits.
-pub(in crate::peer) fn write_permit_answer(
+pub(in crate::peer) fn write_permit_reply(
     mut builder: wire::permit_answer::Builder<'_>,
-    answer: PermitReply,
+    reply: PermitReply,
 ) {
-    match answer {
+    match reply {
         PermitReply::Granted {
             permits,
             delay,
@@ -114,7 +114,7 @@
 ///
 /// # Errors
 /// If the answer is of a kind that this version does not know.
-pub(in crate::peer) fn read_permit_answer(
+pub(in crate::peer) fn read_permit_reply(
     reader: wire::permit_answer::Reader<'_>,
 ) -> capnp::Result<PermitReply> {
     use wire::permit_answer::Which;
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -29,7 +29,7 @@
     builder.set_configuration_version(view.configuration_version);
     builder.set_strength(view.weight);
     builder.set_scope(write_scope(view.scope));
-    write_uses(builder.reborrow().init_uses(), &view.usage);
+    write_usage(builder.reborrow().init_uses(), &view.usage);
     builder.set_listed_from(view.listing.from);
     builder.set_listed_to(view.listing.to);
     builder.set_seen_incarnation(view.seen.incarnation);
@@ -80,7 +80,7 @@
         configuration_version: reader.get_configuration_version(),
         weight: reader.get_strength(),
         scope: read_scope(reader.get_scope()?),
-        usage: read_uses(reader.get_uses()?)?,
+        usage: read_usage(reader.get_uses()?)?,
         listing: read_listing(reader)?,
         seen: SeenListing {
             incarnation: reader.get_seen_incarnation(),
@@ -138,27 +138,27 @@
 }
 
 /// One list for each field: a list of structures takes twice the bytes.
-fn write_uses(mut builder: wire::target_uses::Builder<'_>, uses: &[TargetUsage]) {
-    let count = length(uses.len());
+fn write_usage(mut builder: wire::target_uses::Builder<'_>, usage: &[TargetUsage]) {
+    let count = length(usage.len());
     let mut keys = builder.reborrow().init_keys(count);
-    for (index, used) in (0..).zip(uses) {
-        keys.set(index, used.key);
+    for (index, item) in (0..).zip(usage) {
+        keys.set(index, item.key);
     }
     let mut requests = builder.reborrow().init_requests(count);
-    for (index, used) in (0..).zip(uses) {
-        requests.set(index, used.load.requests);
+    for (index, item) in (0..).zip(usage) {
+        requests.set(index, item.load.requests);
     }
     let mut reserved = builder.reborrow().init_reserved(count);
-    for (index, used) in (0..).zip(uses) {
-        reserved.set(index, used.load.reserved as f32);
+    for (index, item) in (0..).zip(usage) {
+        reserved.set(index, item.load.reserved as f32);
     }
     let mut unread = builder.init_unread(count);
-    for (index, used) in (0..).zip(uses) {
-        unread.set(index, used.load.unread as f32);
+    for (index, item) in (0..).zip(usage) {
+        unread.set(index, item.load.unread as f32);
     }
 }
 
-fn read_uses(reader: wire::target_uses::Reader<'_>) -> capnp::Result<Vec<TargetUsage>> {
+fn read_usage(reader: wire::target_uses::Reader<'_>) -> capnp::Result<Vec<TargetUsage>> {
     let keys = reader.get_keys()?;
     let requests = reader.get_requests()?;
     let (reserved, unread) = (reader.get_reserved()?, reader.get_unread()?);
@@ -167,7 +167,7 @@
         let text = "the lists of uses differ in length";
         return Err(capnp::Error::failed(text.to_owned()));
     }
-    let uses = (0..keys.len()).map(|index| TargetUsage {
+    let usage = (0..keys.len()).map(|index| TargetUsage {
         key: keys.get(index),
         load: TargetLoad {
             requests: requests.get(index),
@@ -175,10 +175,10 @@
             unread: f64::from(unread.get(index)),
         },
     });
-    Ok(uses.collect())
+    Ok(usage.collect())
 }
 
-/// One list for each field, as in [`write_uses`].
+/// One list for each field, as in [`write_usage`].
 fn write_poison(mut builder: wire::poison_listing::Builder<'_>, listing: &PoisonListing) {
     builder.set_from(listing.bounds.from);
     builder.set_to(listing.bounds.to);
@@ -231,19 +231,19 @@
 }
 
 /// Encodes a question for what is read from the log.
-pub(in crate::peer) fn write_follow_question(
+pub(in crate::peer) fn write_follow_request(
     mut builder: wire::follow_question::Builder<'_>,
-    question: FollowRequest,
+    request: FollowRequest,
 ) {
-    builder.set_configuration_version(question.configuration_version);
-    builder.set_incarnation(question.incarnation);
-    builder.set_from(question.from);
-    builder.set_hold_ms(u32::try_from(question.hold.as_millis()).unwrap_or(u32::MAX));
-    builder.set_wants_remote(question.wants_remote);
+    builder.set_configuration_version(request.configuration_version);
+    builder.set_incarnation(request.incarnation);
+    builder.set_from(request.from);
+    builder.set_hold_ms(u32::try_from(request.hold.as_millis()).unwrap_or(u32::MAX));
+    builder.set_wants_remote(request.wants_remote);
 }
 
 /// Decodes a question for what is read from the log.
-pub(in crate::peer) fn read_follow_question(
+pub(in crate::peer) fn read_follow_request(
     reader: wire::follow_question::Reader<'_>,
 ) -> FollowRequest {
     FollowRequest {
@@ -256,35 +256,33 @@
 }
 
 /// Encodes what was read from the log.
-pub(in crate::peer) fn write_follow_answer(
+pub(in crate::peer) fn write_follow_reply(
     mut builder: wire::follow_answer::Builder<'_>,
-    answer: &FollowReply,
+    reply: &FollowReply,
 ) {
-    builder.set_incarnation(answer.incarnation);
-    builder.set_fresh(answer.fresh);
-    builder.set_age_ms(milliseconds(answer.age));
-    let log = answer.log;
+    builder.set_incarnation(reply.incarnation);
+    builder.set_fresh(reply.fresh);
+    builder.set_age_ms(milliseconds(reply.age));
+    let log = reply.log;
     builder.set_log_first_ms(log.map_or(0, |log| short_milliseconds(log.first)));
     builder.set_log_read_ms(log.map_or(0, |log| short_milliseconds(log.read)));
-    builder.set_configuration(answer.configuration.as_deref().unwrap_or_default());
-    builder.set_whole(answer.whole);
-    builder.set_next(answer.next);
-    builder.set_read_to(answer.read_to);
-    let mut targets = builder
-        .reborrow()
-        .init_targets(length(answer.targets.len()));
-    for (index, change) in (0..).zip(&answer.targets) {
+    builder.set_configuration(reply.configuration.as_deref().unwrap_or_default());
+    builder.set_whole(reply.whole);
+    builder.set_next(reply.next);
+    builder.set_read_to(reply.read_to);
+    let mut targets = builder.reborrow().init_targets(length(reply.targets.len()));
+    for (index, change) in (0..).zip(&reply.targets) {
         let mut entry = targets.reborrow().get(index);
         entry.set_id(&*change.id);
         entry.set_offset(change.offset);
         entry.set_value(change.value.as_deref().unwrap_or_default());
         entry.set_dropped_at(change.dropped_at.unwrap_or(0));
     }
-    let mut remote = builder.init_remote(length(answer.remote.len()));
-    for (index, zone) in (0..).zip(&answer.remote) {
+    let mut remote = builder.init_remote(length(reply.remote.len()));
+    for (index, zone) in (0..).zip(&reply.remote) {
         let mut entry = remote.reborrow().get(index);
         entry.set_zone(&*zone.zone);
-        write_uses(entry.init_uses(), &zone.usage);
+        write_usage(entry.init_uses(), &zone.usage);
     }
 }
 
@@ -292,28 +290,28 @@
 ///
 /// # Errors
 /// As [`read_view`].
-pub(in crate::peer) fn read_follow_answer(
+pub(in crate::peer) fn read_follow_reply(
     reader: wire::follow_answer::Reader<'_>,
 ) -> capnp::Result<FollowReply> {
     let targets = reader.get_targets()?.iter().map(|entry| {
         Ok(TargetChange {
             id: text(entry.get_id())?,
             offset: entry.get_offset(),
-            value: given(entry.get_value()?),
+            value: non_empty(entry.get_value()?),
             dropped_at: Some(entry.get_dropped_at()).filter(|offset| *offset > 0),
         })
     });
     let remote = reader.get_remote()?.iter().map(|entry| {
         Ok(ZoneUsage {
             zone: text(entry.get_zone())?,
-            usage: read_uses(entry.get_uses()?)?,
+            usage: read_usage(entry.get_uses()?)?,
         })
     });
     Ok(FollowReply {
         incarnation: reader.get_incarnation(),
         fresh: reader.get_fresh(),
         age: Duration::from_millis(reader.get_age_ms()),
-        configuration: given(reader.get_configuration()?),
+        configuration: non_empty(reader.get_configuration()?),
         whole: reader.get_whole(),
         targets: targets.collect::<capnp::Result<_>>()?,
         next: reader.get_next(),
@@ -325,6 +323,6 @@
 }
 
 /// An empty value stands for none.
-fn given(value: &[u8]) -> Option<Bytes> {
+fn non_empty(value: &[u8]) -> Option<Bytes> {
     (!value.is_empty()).then(|| Bytes::copy_from_slice(value))
 }
--- a/src/peer/handle.rs
+++ b/src/peer/handle.rs
@@ -99,10 +99,10 @@
         beat: PeerHeartbeat,
     ) -> Result<PeerReply, PeerError> {
         let beat = Box::new(beat);
-        self.ask(|answer| PeerCommand::Heartbeat {
+        self.send_command(|reply| PeerCommand::Heartbeat {
             address,
             beat,
-            answer,
+            reply,
         })
         .await
     }
@@ -114,12 +114,12 @@
     pub async fn records(
         &self,
         address: SocketAddr,
-        question: RecordsRequest,
+        request: RecordsRequest,
     ) -> Result<RelayedRange, PeerError> {
-        self.ask(|answer| PeerCommand::Records {
+        self.send_command(|reply| PeerCommand::Records {
             address,
-            question,
-            answer,
+            request,
+            reply,
         })
         .await
     }
@@ -132,14 +132,14 @@
     pub async fn claim_outcome(
         &self,
         address: SocketAddr,
-        question: ClaimQuery,
+        query: ClaimQuery,
         wait: Duration,
     ) -> Result<ClaimOutcome, PeerError> {
-        self.ask(|answer| PeerCommand::ClaimOutcome {
+        self.send_command(|reply| PeerCommand::ClaimOutcome {
             address,
-            question,
+            query,
             wait,
-            answer,
+            reply,
         })
         .await
     }
@@ -154,10 +154,10 @@
         view: HostView,
     ) -> Result<HostView, PeerError> {
         let view = Box::new(view);
-        self.ask(|answer| PeerCommand::Exchange {
+        self.send_command(|reply| PeerCommand::Exchange {
             address,
             view,
-            answer,
+            reply,
         })
         .await
     }
@@ -170,14 +170,14 @@
     pub async fn follow(
         &self,
         address: SocketAddr,
-        question: FollowRequest,
+        request: FollowRequest,
         wait: Duration,
     ) -> Result<FollowReply, PeerError> {
-        self.ask(|answer| PeerCommand::Follow {
+        self.send_command(|reply| PeerCommand::Follow {
             address,
-            question,
+            request,
             wait,
-            answer,
+            reply,
         })
         .await
     }
@@ -189,15 +189,15 @@
     pub async fn permit(
         &self,
         address: SocketAddr,
-        question: PermitRequest,
+        request: PermitRequest,
         wait: Duration,
     ) -> Result<PermitReply, PeerError> {
-        let question = Box::new(question);
-        self.ask(|answer| PeerCommand::Permit {
+        let request = Box::new(request);
+        self.send_command(|reply| PeerCommand::Permit {
             address,
-            question,
+            request,
             wait,
-            answer,
+            reply,
         })
         .await
     }
@@ -215,15 +215,15 @@
         }
     }
 
-    async fn ask<T, F>(&self, command: F) -> Result<T, PeerError>
+    async fn send_command<T, F>(&self, command: F) -> Result<T, PeerError>
     where
         F: FnOnce(ReplySender<T>) -> PeerCommand,
     {
-        let (sender, answer) = oneshot::channel();
+        let (sender, reply) = oneshot::channel();
         self.commands
             .send(command(sender))
             .await
             .map_err(|_| PeerError::Closed)?;
-        answer.await.unwrap_or(Err(PeerError::Closed))
+        reply.await.unwrap_or(Err(PeerError::Closed))
     }
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -43,7 +43,7 @@
     settings: Rc<PeerSettings>,
     traffic: Arc<PeerTraffic>,
     open: RefCell<Option<OpenLink>>,
-    dialling: tokio::sync::Mutex<()>,
+    connect_lock: tokio::sync::Mutex<()>,
     generation: Cell<u64>,
     failures: Cell<u32>,
     retry_at: Cell<Option<Instant>>,
@@ -65,7 +65,7 @@
             settings,
             traffic,
             open: RefCell::new(None),
-            dialling: tokio::sync::Mutex::new(()),
+            connect_lock: tokio::sync::Mutex::new(()),
             generation: Cell::new(0),
             failures: Cell::new(0),
             retry_at: Cell::new(None),
@@ -131,17 +131,17 @@
     async fn client(&self) -> Result<(peer::Client, u64), PeerError> {
         // Calls that come while one of them dials wait here, so that a peer
         // which accepts slowly is dialled once and not once for each call.
-        let _dialling = self.dialling.lock().await;
+        let _guard = self.connect_lock.lock().await;
         if let Some(open) = &*self.open.borrow() {
             return Ok((open.client.clone(), open.generation));
         }
-        self.check_pause()?;
-        let dialled = tokio::time::timeout(
+        self.check_backoff()?;
+        let connected = tokio::time::timeout(
             self.settings.connect_timeout,
             connect(self.address, Arc::clone(&self.traffic)),
         )
         .await;
-        let cause = match dialled {
+        let cause = match connected {
             Ok(Ok(stream)) => return Ok(self.open(stream)),
             Ok(Err(cause)) => cause.to_string(),
             Err(_) => format!("no answer within {:?}", self.settings.connect_timeout),
@@ -153,7 +153,7 @@
         })
     }
 
-    fn check_pause(&self) -> Result<(), PeerError> {
+    fn check_backoff(&self) -> Result<(), PeerError> {
         let now = Instant::now();
         match self.retry_at.get() {
             Some(retry_at) if retry_at > now => Err(PeerError::BackedOff {
@@ -195,12 +195,12 @@
     fn back_off(&self) {
         let failures = self.failures.get();
         self.failures.set(failures.saturating_add(1));
-        let pause = pause_after(&self.settings, failures);
+        let backoff = backoff_after(&self.settings, failures);
         // Half of the pause is drawn at random: hosts that lost the same peer
         // at the same moment would otherwise all come back at once.
-        let part = self.jitter.borrow_mut().random_range(0.5..=1.0);
+        let fraction = self.jitter.borrow_mut().random_range(0.5..=1.0);
         self.retry_at
-            .set(Some(Instant::now() + pause.mul_f64(part)));
+            .set(Some(Instant::now() + backoff.mul_f64(fraction)));
     }
 }
 
@@ -213,7 +213,7 @@
 }
 
 /// Pause after a number of failures in a row.
-fn pause_after(settings: &PeerSettings, failures: u32) -> Duration {
+fn backoff_after(settings: &PeerSettings, failures: u32) -> Duration {
     let factor = 2_u32.saturating_pow(failures.min(16));
     settings
         .first_backoff
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -52,12 +52,12 @@
         mut results: peer::RecordsResults,
     ) -> capnp::Result<()> {
         let params = params.get()?;
-        let question = RecordsRequest {
+        let request = RecordsRequest {
             stream: params.get_stream()?.to_string()?,
             from: params.get_from(),
             limit: params.get_limit(),
         };
-        let range = (self.handlers.daemon()?.records)(question);
+        let range = (self.handlers.daemon()?.records)(request);
         convert::write_range(results.get().init_range(), &range, self.range_limit);
         Ok(())
     }
@@ -67,9 +67,9 @@
         params: peer::ClaimOutcomeParams,
         mut results: peer::ClaimOutcomeResults,
     ) -> capnp::Result<()> {
-        let question = convert::read_question(params.get()?.get_call()?)?;
-        let outcome = (self.handlers.daemon()?.claim_outcome)(question).await;
-        convert::write_outcome(results.get().init_reply(), &outcome);
+        let query = convert::read_claim_query(params.get()?.get_call()?)?;
+        let outcome = (self.handlers.daemon()?.claim_outcome)(query).await;
+        convert::write_claim_outcome(results.get().init_reply(), &outcome);
         Ok(())
     }
 
@@ -89,9 +89,9 @@
         params: peer::FollowParams,
         mut results: peer::FollowResults,
     ) -> capnp::Result<()> {
-        let question = convert::read_follow_question(params.get()?.get_question()?);
-        let answer = (self.handlers.entry()?.follow)(question).await;
-        convert::write_follow_answer(results.get().init_answer(), &answer);
+        let request = convert::read_follow_request(params.get()?.get_question()?);
+        let reply = (self.handlers.entry()?.follow)(request).await;
+        convert::write_follow_reply(results.get().init_answer(), &reply);
         Ok(())
     }
 
@@ -100,9 +100,9 @@
         params: peer::PermitParams,
         mut results: peer::PermitResults,
     ) -> capnp::Result<()> {
-        let question = convert::read_permit_question(params.get()?.get_question()?)?;
-        let answer = (self.handlers.entry()?.permit)(question).await;
-        convert::write_permit_answer(results.get().init_answer(), answer);
+        let request = convert::read_permit_request(params.get()?.get_question()?)?;
+        let reply = (self.handlers.entry()?.permit)(request).await;
+        convert::write_permit_reply(results.get().init_answer(), reply);
         Ok(())
     }
 }
--- a/src/peer/worker.rs
+++ b/src/peer/worker.rs
@@ -33,40 +33,40 @@
     Heartbeat {
         address: SocketAddr,
         beat: Box<PeerHeartbeat>,
-        answer: ReplySender<PeerReply>,
+        reply: ReplySender<PeerReply>,
     },
     /// Ask for records.
     Records {
         address: SocketAddr,
-        question: RecordsRequest,
-        answer: ReplySender<RelayedRange>,
+        request: RecordsRequest,
+        reply: ReplySender<RelayedRange>,
     },
     /// Ask what became of a claim.
     ClaimOutcome {
         address: SocketAddr,
-        question: ClaimQuery,
+        query: ClaimQuery,
         wait: Duration,
-        answer: ReplySender<ClaimOutcome>,
+        reply: ReplySender<ClaimOutcome>,
     },
     /// Exchange views with an entry host.
     Exchange {
         address: SocketAddr,
         view: Box<HostView>,
-        answer: ReplySender<HostView>,
+        reply: ReplySender<HostView>,
     },
     /// Ask an entry host for what it has read from the platform's log.
     Follow {
         address: SocketAddr,
-        question: FollowRequest,
+        request: FollowRequest,
         wait: Duration,
-        answer: ReplySender<FollowReply>,
+        reply: ReplySender<FollowReply>,
     },
     /// Ask an entry host for permits.
     Permit {
         address: SocketAddr,
-        question: Box<PermitRequest>,
+        request: Box<PermitRequest>,
         wait: Duration,
-        answer: ReplySender<PermitReply>,
+        reply: ReplySender<PermitReply>,
     },
     /// End the thread.
     Shutdown { done: oneshot::Sender<()> },
@@ -126,53 +126,53 @@
         PeerCommand::Heartbeat {
             address,
             beat,
-            answer,
+            reply,
         } => {
             let send = |client: &peer::Client| send_heartbeat(client, &beat);
-            call(table, address, TimeoutPolicy::CloseLink, send, answer).await;
+            call(table, address, TimeoutPolicy::CloseLink, send, reply).await;
         }
         PeerCommand::Records {
             address,
-            question,
-            answer,
+            request,
+            reply,
         } => {
-            let send = |client: &peer::Client| send_records(client, &question);
-            call(table, address, TimeoutPolicy::CloseLink, send, answer).await;
+            let send = |client: &peer::Client| send_records_request(client, &request);
+            call(table, address, TimeoutPolicy::CloseLink, send, reply).await;
         }
         PeerCommand::ClaimOutcome {
             address,
-            question,
+            query,
             wait,
-            answer,
+            reply,
         } => {
-            let send = |client: &peer::Client| send_question(client, &question);
-            call(table, address, TimeoutPolicy::KeepLink(wait), send, answer).await;
+            let send = |client: &peer::Client| send_claim_query(client, &query);
+            call(table, address, TimeoutPolicy::KeepLink(wait), send, reply).await;
         }
         PeerCommand::Exchange {
             address,
             view,
-            answer,
+            reply,
         } => {
             let send = |client: &peer::Client| send_view(client, &view);
-            call(table, address, TimeoutPolicy::CloseLink, send, answer).await;
+            call(table, address, TimeoutPolicy::CloseLink, send, reply).await;
         }
         PeerCommand::Follow {
             address,
-            question,
+            request,
             wait,
-            answer,
+            reply,
         } => {
-            let send = |client: &peer::Client| send_follow(client, question);
-            call(table, address, TimeoutPolicy::KeepLink(wait), send, answer).await;
+            let send = |client: &peer::Client| send_follow_request(client, request);
+            call(table, address, TimeoutPolicy::KeepLink(wait), send, reply).await;
         }
         PeerCommand::Permit {
             address,
-            question,
+            request,
             wait,
-            answer,
+            reply,
         } => {
-            let send = |client: &peer::Client| send_permit(client, &question);
-            call(table, address, TimeoutPolicy::KeepLink(wait), send, answer).await;
+            let send = |client: &peer::Client| send_permit_request(client, &request);
+            call(table, address, TimeoutPolicy::KeepLink(wait), send, reply).await;
         }
         PeerCommand::Shutdown { .. } => {}
     }
@@ -184,7 +184,7 @@
     address: SocketAddr,
     limit: TimeoutPolicy,
     send: F,
-    answer: ReplySender<T>,
+    reply: ReplySender<T>,
 ) where
     F: FnOnce(&peer::Client) -> R,
     R: Future<Output = capnp::Result<T>>,
@@ -192,67 +192,67 @@
     let called = table.link(address).call(limit, send).await;
     table.traffic().count_call(called.is_err());
     // The asker may have gone away; then nobody needs the answer.
-    let _ = answer.send(called);
+    let _ = reply.send(called);
 }
 
 fn send_heartbeat(
     client: &peer::Client,
     beat: &PeerHeartbeat,
 ) -> impl Future<Output = capnp::Result<PeerReply>> + use<> {
-    let mut request = client.heartbeat_request();
-    convert::write_heartbeat(request.get().init_beat(), beat);
-    let response = request.send().promise;
+    let mut rpc_request = client.heartbeat_request();
+    convert::write_heartbeat(rpc_request.get().init_beat(), beat);
+    let response = rpc_request.send().promise;
     async move { convert::read_reply(response.await?.get()?.get_reply()?) }
 }
 
-fn send_records(
+fn send_records_request(
     client: &peer::Client,
-    question: &RecordsRequest,
+    request: &RecordsRequest,
 ) -> impl Future<Output = capnp::Result<RelayedRange>> + use<> {
-    let mut request = client.records_request();
-    request.get().set_stream(question.stream.as_str());
-    request.get().set_from(question.from);
-    request.get().set_limit(question.limit);
-    let response = request.send().promise;
+    let mut rpc_request = client.records_request();
+    rpc_request.get().set_stream(request.stream.as_str());
+    rpc_request.get().set_from(request.from);
+    rpc_request.get().set_limit(request.limit);
+    let response = rpc_request.send().promise;
     async move { convert::read_range(response.await?.get()?.get_range()?) }
 }
 
-fn send_question(
+fn send_claim_query(
     client: &peer::Client,
-    question: &ClaimQuery,
+    query: &ClaimQuery,
 ) -> impl Future<Output = capnp::Result<ClaimOutcome>> + use<> {
-    let mut request = client.claim_outcome_request();
-    convert::write_question(request.get().init_call(), question);
-    let response = request.send().promise;
-    async move { convert::read_outcome(response.await?.get()?.get_reply()?) }
+    let mut rpc_request = client.claim_outcome_request();
+    convert::write_claim_query(rpc_request.get().init_call(), query);
+    let response = rpc_request.send().promise;
+    async move { convert::read_claim_outcome(response.await?.get()?.get_reply()?) }
 }
 
 fn send_view(
     client: &peer::Client,
     view: &HostView,
 ) -> impl Future<Output = capnp::Result<HostView>> + use<> {
-    let mut request = client.exchange_request();
-    convert::write_view(request.get().init_view(), view);
-    let response = request.send().promise;
+    let mut rpc_request = client.exchange_request();
+    convert::write_view(rpc_request.get().init_view(), view);
+    let response = rpc_request.send().promise;
     async move { convert::read_view(response.await?.get()?.get_view()?) }
 }
 
-fn send_follow(
+fn send_follow_request(
     client: &peer::Client,
-    question: FollowRequest,
+    request: FollowRequest,
 ) -> impl Future<Output = capnp::Result<FollowReply>> + use<> {
-    let mut request = client.follow_request();
-    convert::write_follow_question(request.get().init_question(), question);
-    let response = request.send().promise;
-    async move { convert::read_follow_answer(response.await?.get()?.get_answer()?) }
+    let mut rpc_request = client.follow_request();
+    convert::write_follow_request(rpc_request.get().init_question(), request);
+    let response = rpc_request.send().promise;
+    async move { convert::read_follow_reply(response.await?.get()?.get_answer()?) }
 }
 
-fn send_permit(
+fn send_permit_request(
     client: &peer::Client,
-    question: &PermitRequest,
+    request: &PermitRequest,
 ) -> impl Future<Output = capnp::Result<PermitReply>> + use<> {
-    let mut request = client.permit_request();
-    convert::write_permit_question(request.get().init_question(), question);
-    let response = request.send().promise;
-    async move { convert::read_permit_answer(response.await?.get()?.get_answer()?) }
+    let mut rpc_request = client.permit_request();
+    convert::write_permit_request(rpc_request.get().init_question(), request);
+    let response = rpc_request.send().promise;
+    async move { convert::read_permit_reply(response.await?.get()?.get_answer()?) }
 }
