--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,8 +1,8 @@
-//! Calls between the daemons of one system, by Cap'n Proto RPC over TCP.
+//! RPC between the daemons of one system: Cap'n Proto over TCP.
 //!
-//! The RPC library is not `Send`, so everything of it runs on one thread of
-//! its own. The rest of the daemon talks to that thread by channels, through a
-//! [`PeerHandle`]; incoming calls are answered by [`PeerHandlers`].
+//! The types of the RPC library are not `Send`, so they all live on one dedicated thread.
+//! The rest of the daemon sends commands to that thread over a channel, through a
+//! [`PeerHandle`]; [`PeerHandlers`] serve incoming calls.
 
 mod convert;
 mod error;
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -1,4 +1,4 @@
-//! Translation between the messages of peers and their encoding.
+//! Conversion between peer messages and their Cap'n Proto encoding.
 
 mod claim;
 mod permits;
@@ -38,7 +38,7 @@
     let found = reader?.to_str()?;
     found
         .parse()
-        .map_err(|_| capnp::Error::failed(format!("{found:?} is not an IP address and port")))
+        .map_err(|_| capnp::Error::failed(format!("{found:?} is not an IP address with a port")))
 }
 
 fn length(items: usize) -> u32 {
@@ -49,13 +49,12 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Up to 49 days; the largest number stands for all longer times.
+/// Converts a time to milliseconds, saturating at `u32::MAX` (49 days).
 fn short_milliseconds(time: Duration) -> u32 {
     u32::try_from(milliseconds(time)).unwrap_or(u32::MAX)
 }
 
-/// Zero stands for "none": no lease record has offset zero in this encoding,
-/// because offsets are written with one added.
+/// Encodes an optional offset as the offset plus one; zero stands for `None`.
 fn write_offset(offset: Option<LogOffset>) -> u64 {
     offset.map_or(0, |offset| offset.saturating_add(1))
 }
@@ -186,7 +185,7 @@
 /// Decodes a heartbeat.
 ///
 /// # Errors
-/// Text that is not UTF-8, an address that is none, a pointer out of bounds.
+/// Fails on text that is not UTF-8, an invalid address or a pointer out of bounds.
 pub(super) fn read_heartbeat(reader: wire::heartbeat::Reader<'_>) -> capnp::Result<PeerHeartbeat> {
     let digest = match reader.has_digest() {
         true => Some(read_digest(reader.get_digest()?)?),
@@ -207,7 +206,7 @@
     })
 }
 
-/// Encodes the answer to a heartbeat.
+/// Encodes the reply to a heartbeat.
 pub(super) fn write_reply(mut builder: wire::heartbeat_reply::Builder<'_>, reply: &PeerReply) {
     let beat = &reply.heartbeat;
     builder.set_host(&*beat.host);
@@ -265,10 +264,10 @@
         .collect()
 }
 
-/// Decodes the answer to a heartbeat.
+/// Decodes the reply to a heartbeat.
 ///
 /// # Errors
-/// As [`read_heartbeat`].
+/// Fails as `read_heartbeat` does.
 pub(super) fn read_reply(reader: wire::heartbeat_reply::Reader<'_>) -> capnp::Result<PeerReply> {
     let digest = match reader.has_digest() {
         true => Some(read_digest(reader.get_digest()?)?),
@@ -293,11 +292,11 @@
     })
 }
 
-/// Encodes relayed records, as many of them as fit into `byte_limit`.
+/// Encodes relayed records, as many as fit into `byte_limit`.
 ///
-/// A range that is cut short still ends where it says: the reader asks on
-/// from its last record. Without the cut, one answer over the reader's
-/// message limit would close the connection, and the next one again.
+/// A truncated range keeps its `end_offset`, and the reader requests the rest from after
+/// its last record. Without the limit, a reply above the reader's message limit would
+/// close the connection, and so would every retry.
 pub(super) fn write_range(
     mut builder: wire::record_range::Builder<'_>,
     range: &RelayedRange,
@@ -328,7 +327,7 @@
 /// Decodes relayed records.
 ///
 /// # Errors
-/// As [`read_heartbeat`].
+/// Fails as `read_heartbeat` does.
 pub(super) fn read_range(reader: wire::record_range::Reader<'_>) -> capnp::Result<RelayedRange> {
     let records = reader
         .get_records()?
--- a/src/peer/convert/claim.rs
+++ b/src/peer/convert/claim.rs
@@ -1,4 +1,4 @@
-//! Conversions of the calls about claims.
+//! Encoding of the calls about claims.
 
 use bytes::Bytes;
 
@@ -11,7 +11,7 @@
 const VERDICT_MAY_HAVE_RUN: &str = "may_have_run";
 const VERDICT_RAN: &str = "ran";
 
-/// Encodes a question about a claim.
+/// Encodes a query about a claim.
 pub(in crate::peer) fn write_claim_query(
     mut builder: wire::peer_call::Builder<'_>,
     query: &ClaimQuery,
@@ -23,10 +23,10 @@
     builder.set_organisation(&*query.organisation);
 }
 
-/// Decodes a question about a claim.
+/// Decodes a query about a claim.
 ///
 /// # Errors
-/// As [`read_heartbeat`].
+/// Fails as `read_heartbeat` does.
 pub(in crate::peer) fn read_claim_query(
     reader: wire::peer_call::Reader<'_>,
 ) -> capnp::Result<ClaimQuery> {
@@ -39,7 +39,7 @@
     })
 }
 
-/// Encodes what became of a claim.
+/// Encodes the outcome of a claim.
 pub(in crate::peer) fn write_claim_outcome(
     mut builder: wire::peer_call_reply::Builder<'_>,
     outcome: &ClaimOutcome,
@@ -59,10 +59,10 @@
     builder.set_body(body);
 }
 
-/// Decodes what became of a claim.
+/// Decodes the outcome of a claim.
 ///
 /// # Errors
-/// As [`read_heartbeat`].
+/// Fails as `read_heartbeat` does.
 pub(in crate::peer) fn read_claim_outcome(
     reader: wire::peer_call_reply::Reader<'_>,
 ) -> capnp::Result<ClaimOutcome> {
@@ -84,8 +84,8 @@
     }
 }
 
-/// An unknown name comes from a newer program; the caller must not be told
-/// "not run" on its account, so it counts as "may have run".
+/// Converts the name of a verdict. An unknown name comes from a newer version and counts
+/// as "may have run", because "not run" would allow the caller to repeat the request.
 fn verdict_named(name: &str) -> RunVerdict {
     match name {
         VERDICT_NOT_RUN => RunVerdict::NotRun,
--- a/src/peer/convert/permits.rs
+++ b/src/peer/convert/permits.rs
@@ -1,4 +1,4 @@
-//! Conversions of what hosts tell and ask each other about limits of targets.
+//! Encoding of limits of targets and of permit calls.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use crate::permits::{LimitDelta, LimitRecord, PermitReply, PermitRequest, RateLimit};
 use crate::spread::ListingBounds;
 
-/// Stands for a limit that is over, in the place of its rate.
+/// Encodes an ended limit in the place of its rate.
 const NO_LIMIT: f64 = -1.0;
 
-/// Encodes words on limits.
+/// Encodes a delta of limits.
 pub(super) fn write_limits(mut builder: wire::limit_listing::Builder<'_>, listing: &LimitDelta) {
     builder.set_from(listing.bounds.from);
     builder.set_to(listing.bounds.to);
@@ -24,7 +24,7 @@
     }
 }
 
-/// Decodes words on limits.
+/// Decodes a delta of limits.
 pub(super) fn read_limits(reader: wire::limit_listing::Reader<'_>) -> capnp::Result<LimitDelta> {
     Ok(LimitDelta {
         bounds: ListingBounds {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Encodes a question for permits.
+/// Encodes a request for permits.
 pub(in crate::peer) fn write_permit_request(
     mut builder: wire::permit_question::Builder<'_>,
     request: &PermitRequest,
@@ -69,10 +69,10 @@
     }
 }
 
-/// Decodes a question for permits.
+/// Decodes a request for permits.
 ///
 /// # Errors
-/// If a text is not UTF-8.
+/// Fails if a text is not UTF-8.
 pub(in crate::peer) fn read_permit_request(
     reader: wire::permit_question::Reader<'_>,
 ) -> capnp::Result<PermitRequest> {
@@ -87,7 +87,7 @@
     })
 }
 
-/// Encodes the answer to a question for permits.
+/// Encodes the reply to a request for permits.
 pub(in crate::peer) fn write_permit_reply(
     mut builder: wire::permit_answer::Builder<'_>,
     reply: PermitReply,
@@ -110,10 +110,10 @@
     }
 }
 
-/// Decodes the answer to a question for permits.
+/// Decodes the reply to a request for permits.
 ///
 /// # Errors
-/// If the answer is of a kind that this version does not know.
+/// Fails if this version does not know the variant of the reply.
 pub(in crate::peer) fn read_permit_reply(
     reader: wire::permit_answer::Reader<'_>,
 ) -> capnp::Result<PermitReply> {
@@ -132,7 +132,7 @@
     })
 }
 
-/// Up to 71 minutes; the largest number stands for all longer times.
+/// Converts a time to microseconds, saturating at `u32::MAX` (71 minutes).
 fn short_microseconds(time: Duration) -> u32 {
     u32::try_from(time.as_micros()).unwrap_or(u32::MAX)
 }
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -1,4 +1,4 @@
-//! Conversions of the calls between entry hosts.
+//! Encoding of the calls between entry hosts.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use crate::poison::{PoisonEvent, PoisonListing, PoisonNote};
 use crate::spread::ListingBounds;
 
-/// Stands for a request that was survived, in the place of a target's key.
+/// Encodes the event that a target survived a request, in the place of the target's key.
 const SURVIVED: u64 = 0;
 
 /// Encodes a host's view.
@@ -63,7 +63,7 @@
 /// Decodes a host's view.
 ///
 /// # Errors
-/// If a text is not UTF-8 or an address not an IP address and port.
+/// Fails if a text is not UTF-8 or an address is not an IP address with a port.
 pub(in crate::peer) fn read_view(reader: wire::host_view::Reader<'_>) -> capnp::Result<HostView> {
     let counts = reader.get_counts()?.iter().map(|entry| {
         Ok(ZoneCount {
@@ -95,7 +95,7 @@
     })
 }
 
-/// Two ages of the log; two zeros stand for a host that never had it.
+/// Decodes two ages of the log; two zeros stand for a host that never had it.
 fn read_ages(first_ms: u32, last_ms: u32) -> Option<(Duration, Duration)> {
     let age = |ms: u32| Duration::from_millis(ms.into());
     (first_ms > 0 || last_ms > 0).then(|| (age(first_ms), age(last_ms)))
@@ -137,7 +137,7 @@
     }
 }
 
-/// One list for each field: a list of structures takes twice the bytes.
+/// Encodes usage as one list per field: a list of structures takes twice the bytes.
 fn write_usage(mut builder: wire::target_uses::Builder<'_>, usage: &[TargetUsage]) {
     let count = length(usage.len());
     let mut keys = builder.reborrow().init_keys(count);
@@ -164,7 +164,7 @@
     let (reserved, unread) = (reader.get_reserved()?, reader.get_unread()?);
     let shortest = [requests.len(), reserved.len(), unread.len()];
     if shortest.iter().any(|length| *length != keys.len()) {
-        let text = "the lists of uses differ in length";
+        let text = "the lists of target usage differ in length";
         return Err(capnp::Error::failed(text.to_owned()));
     }
     let usage = (0..keys.len()).map(|index| TargetUsage {
@@ -178,7 +178,7 @@
     Ok(usage.collect())
 }
 
-/// One list for each field, as in [`write_usage`].
+/// Encodes evidence as one list per field, as [`write_usage`] does.
 fn write_poison(mut builder: wire::poison_listing::Builder<'_>, listing: &PoisonListing) {
     builder.set_from(listing.bounds.from);
     builder.set_to(listing.bounds.to);
@@ -209,7 +209,7 @@
     let requests = reader.get_requests()?;
     let (targets, ages) = (reader.get_targets()?, reader.get_ages_ms()?);
     if targets.len() != requests.len() || ages.len() != requests.len() {
-        let text = "the lists of notes differ in length";
+        let text = "the lists of poison evidence differ in length";
         return Err(capnp::Error::failed(text.to_owned()));
     }
     let notes = (0..requests.len()).map(|index| PoisonNote {
@@ -230,7 +230,7 @@
     })
 }
 
-/// Encodes a question for what is read from the log.
+/// Encodes a request for what is read from the log.
 pub(in crate::peer) fn write_follow_request(
     mut builder: wire::follow_question::Builder<'_>,
     request: FollowRequest,
@@ -242,7 +242,7 @@
     builder.set_wants_remote(request.wants_remote);
 }
 
-/// Decodes a question for what is read from the log.
+/// Decodes a request for what is read from the log.
 pub(in crate::peer) fn read_follow_request(
     reader: wire::follow_question::Reader<'_>,
 ) -> FollowRequest {
@@ -255,7 +255,7 @@
     }
 }
 
-/// Encodes what was read from the log.
+/// Encodes a reply with what was read from the log.
 pub(in crate::peer) fn write_follow_reply(
     mut builder: wire::follow_answer::Builder<'_>,
     reply: &FollowReply,
@@ -286,10 +286,10 @@
     }
 }
 
-/// Decodes what was read from the log.
+/// Decodes a reply with what was read from the log.
 ///
 /// # Errors
-/// As [`read_view`].
+/// Fails as [`read_view`] does.
 pub(in crate::peer) fn read_follow_reply(
     reader: wire::follow_answer::Reader<'_>,
 ) -> capnp::Result<FollowReply> {
@@ -322,7 +322,7 @@
     })
 }
 
-/// An empty value stands for none.
+/// Decodes an optional value; an empty one stands for `None`.
 fn non_empty(value: &[u8]) -> Option<Bytes> {
     (!value.is_empty()).then(|| Bytes::copy_from_slice(value))
 }
--- a/src/peer/error.rs
+++ b/src/peer/error.rs
@@ -1,50 +1,50 @@
-//! What can go wrong with calls between peers.
+//! Errors of calls between peers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why a call to a peer brought no answer.
+/// Reason why a call to a peer returned no reply.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// The listening socket or the thread could not be set up.
-    #[error("peer calls cannot start: {0}")]
+    /// The listening socket or the RPC thread could not be set up.
+    #[error("cannot start the peer RPC thread: {0}")]
     Start(#[from] std::io::Error),
-    /// No connection could be made; nothing was sent.
+    /// The connection failed; nothing was sent.
     #[error("cannot connect to peer {address}: {cause}")]
     Connect {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system, or the timeout.
         cause: String,
     },
-    /// An earlier connection failed and the pause before the next one is not over.
-    #[error("peer {address} is not called again before {remaining:?} have passed")]
+    /// An earlier connection failed and the backoff has not elapsed.
+    #[error("backing off from peer {address} for another {remaining:?}")]
     BackedOff {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Rest of the pause.
+        /// Rest of the backoff.
         remaining: Duration,
     },
-    /// Too many calls to this peer are waiting for an answer.
-    #[error("too many calls to peer {address} are waiting")]
+    /// Too many calls to this peer are pending.
+    #[error("too many calls to peer {address} are pending")]
     Busy {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
     },
-    /// The answer did not come in time.
-    #[error("peer {address} did not answer within {timeout:?}")]
+    /// The reply did not arrive in time.
+    #[error("peer {address} did not reply within {timeout:?}")]
     Timeout {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Time allowed.
+        /// Timeout of the call.
         timeout: Duration,
     },
-    /// The call failed on the way or at the peer.
+    /// The call failed in transit or at the peer.
     #[error("call to peer {address} failed: {cause}")]
     Call {
-        /// Where to.
+        /// Address of the peer.
         address: SocketAddr,
-        /// What the RPC library said.
+        /// Error of the RPC library.
         cause: capnp::Error,
     },
     /// Peer calls have been shut down.
--- a/src/peer/handle.rs
+++ b/src/peer/handle.rs
@@ -1,4 +1,4 @@
-//! The handle by which the rest of the daemon calls its peers.
+//! Handle through which the rest of the daemon calls its peers.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use super::worker::{self, PeerCommand, ReplySender};
 use crate::permits::{PermitReply, PermitRequest};
 
-/// Calls that may wait for the thread of the RPC library.
+/// Capacity of the command channel to the RPC thread.
 const COMMAND_CAPACITY: usize = 1024;
-/// Name of that thread, as seen in a debugger.
+/// Name of the RPC thread.
 const THREAD_NAME: &str = "peers";
 
-/// Calls peers from any thread; clones share one set of connections.
+/// Calls peers from any thread; clones share the connections.
 #[derive(Debug, Clone)]
 pub struct PeerHandle {
     local_address: SocketAddr,
@@ -30,10 +30,10 @@
     commands: mpsc::Sender<PeerCommand>,
 }
 
-/// Listens for peers and starts the thread that serves and calls them.
+/// Listens for peers and starts the RPC thread.
 ///
 /// # Errors
-/// [`PeerError::Start`] if the address cannot be bound or no thread started.
+/// [`PeerError::Start`] if the address cannot be bound or the thread cannot be started.
 pub fn spawn<H>(settings: PeerSettings, handlers: H) -> Result<PeerHandle, PeerError>
 where
     H: Into<ServedCalls>,
@@ -42,11 +42,10 @@
     spawn_on(listener, settings, handlers)
 }
 
-/// Like [`spawn`], over a listener that stands already: for handlers that
-/// have to know their own address.
+/// Like [`spawn`], but with an existing listener, for handlers that need its address.
 ///
 /// # Errors
-/// [`PeerError::Start`] if the listener cannot be used or no thread started.
+/// [`PeerError::Start`] if the listener cannot be used or the thread cannot be started.
 pub fn spawn_on<H>(
     listener: TcpListener,
     settings: PeerSettings,
@@ -65,7 +64,7 @@
         .name(THREAD_NAME.to_owned())
         .spawn(move || {
             if let Err(cause) = worker::run(listener, settings, handlers, counted, receiver) {
-                log::error!("peer calls ended: {cause}");
+                log::error!("peer RPC thread failed: {cause}");
             }
         })?;
     Ok(PeerHandle {
@@ -76,23 +75,23 @@
 }
 
 impl PeerHandle {
-    /// The address that peers connect to.
+    /// Returns the address that peers connect to.
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
 
-    /// Counters of what the calls cost.
+    /// Returns the traffic counters.
     pub fn traffic(&self) -> &PeerTraffic {
         &self.traffic
     }
 
-    /// Sends a heartbeat and waits for the answer.
+    /// Sends a heartbeat and waits for the reply.
     ///
-    /// The answer names the host that gave it. An address may have passed to
-    /// another host, so whoever calls compares that name.
+    /// The reply names the host that sent it. The address may have passed to another
+    /// host, so the caller must compare the name.
     ///
     /// # Errors
-    /// No connection, no answer in time, or the call failed.
+    /// Fails without a connection, without a reply in time, or if the call fails.
     pub async fn heartbeat(
         &self,
         address: SocketAddr,
@@ -107,10 +106,10 @@
         .await
     }
 
-    /// Asks a peer for records of a log stream.
+    /// Requests records of a log stream from a peer.
     ///
     /// # Errors
-    /// No connection, no answer in time, or the call failed.
+    /// Fails without a connection, without a reply in time, or if the call fails.
     pub async fn records(
         &self,
         address: SocketAddr,
@@ -124,11 +123,11 @@
         .await
     }
 
-    /// Asks the winner of a claim what became of its request, and waits up to
-    /// `wait` for it to end. Running out of time leaves the connection as it is.
+    /// Queries the winner of a claim for the outcome of its request, and waits up to
+    /// `wait` for the request to end. A timeout does not close the connection.
     ///
     /// # Errors
-    /// No connection, no answer in time, or the call failed.
+    /// Fails without a connection, without a reply in time, or if the call fails.
     pub async fn claim_outcome(
         &self,
         address: SocketAddr,
@@ -147,7 +146,7 @@
     /// Exchanges views with an entry host.
     ///
     /// # Errors
-    /// No connection, no answer in time, or the call failed.
+    /// Fails without a connection, without a reply in time, or if the call fails.
     pub async fn exchange(
         &self,
         address: SocketAddr,
@@ -162,11 +161,11 @@
         .await
     }
 
-    /// Asks an entry host for what it reads from the platform's log; waits up
-    /// to `wait` for the answer.
+    /// Requests what an entry host reads from the platform's log; waits up to `wait` for
+    /// the reply.
     ///
     /// # Errors
-    /// No connection, no answer in time, or the call failed.
+    /// Fails without a connection, without a reply in time, or if the call fails.
     pub async fn follow(
         &self,
         address: SocketAddr,
@@ -182,10 +181,10 @@
         .await
     }
 
-    /// Asks an entry host for permits; waits up to `wait` for the answer.
+    /// Requests permits from an entry host; waits up to `wait` for the reply.
     ///
     /// # Errors
-    /// No connection, no answer in time, or the call failed.
+    /// Fails without a connection, without a reply in time, or if the call fails.
     pub async fn permit(
         &self,
         address: SocketAddr,
@@ -202,7 +201,7 @@
         .await
     }
 
-    /// Closes all connections and waits until the thread has let go of them.
+    /// Closes all connections and waits until the thread has released them.
     pub async fn shutdown(&self) {
         let (done, ended) = oneshot::channel();
         if self
--- a/src/peer/handlers.rs
+++ b/src/peer/handlers.rs
@@ -1,4 +1,4 @@
-//! Answers to incoming calls.
+//! Handlers of incoming calls.
 
 use std::fmt;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 use super::view::{FollowReply, FollowRequest, HostView};
 use crate::permits::{PermitReply, PermitRequest};
 
-/// Functions that answer incoming calls.
+/// Functions that serve the calls of other daemons.
 ///
-/// They run on the thread of the RPC library and so must return quickly:
-/// while one of them blocks, no peer is heard and none is called.
+/// They run on the RPC thread and must return quickly: while one of them blocks, the
+/// daemon neither receives nor makes peer calls.
 #[derive(Clone)]
 pub struct PeerHandlers {
-    /// Takes in a heartbeat and answers with the host's own.
+    /// Applies a heartbeat and returns the host's own.
     pub heartbeat: Arc<dyn Fn(PeerHeartbeat) -> PeerReply + Send + Sync>,
-    /// Passes on log records.
+    /// Relays log records.
     pub records: Arc<dyn Fn(RecordsRequest) -> RelayedRange + Send + Sync>,
-    /// Tells what became of a claimed request; may wait for its end.
+    /// Returns the outcome of a claimed request; may wait until the request has ended.
     pub claim_outcome: Arc<dyn Fn(ClaimQuery) -> BoxFuture<'static, ClaimOutcome> + Send + Sync>,
 }
 
@@ -33,25 +33,25 @@
     }
 }
 
-/// Functions that answer the calls of entry hosts on the users' platform.
+/// Functions that serve the calls of entry hosts on the users' platform.
 ///
 /// Like [`PeerHandlers`], they must return quickly.
 #[derive(Clone)]
 pub struct EntryHandlers {
-    /// Takes in a host's view and answers with this host's own.
+    /// Applies a host's view and returns this host's own.
     pub exchange: Arc<dyn Fn(HostView) -> HostView + Send + Sync>,
-    /// Passes on what is read from the platform's log; waits a little for news.
+    /// Relays what is read from the platform's log; waits up to `hold` for updates.
     pub follow: Arc<dyn Fn(FollowRequest) -> BoxFuture<'static, FollowReply> + Send + Sync>,
-    /// Hands out permits for a target, or passes the question on.
+    /// Grants permits for a target, or relays the request.
     pub permit: Arc<dyn Fn(PermitRequest) -> BoxFuture<'static, PermitReply> + Send + Sync>,
 }
 
-/// Which calls a listener answers.
+/// Set of calls that a listener serves.
 #[derive(Clone)]
 pub enum ServedCalls {
-    /// Those between daemons that speak the project's own interface.
+    /// Calls between daemons that use the project's own interface.
     Daemon(PeerHandlers),
-    /// Those between entry hosts on the users' platform.
+    /// Calls between entry hosts on the users' platform.
     Entry(EntryHandlers),
 }
 
@@ -84,5 +84,5 @@
 }
 
 fn not_served() -> capnp::Error {
-    capnp::Error::unimplemented("this listener does not answer the call".to_owned())
+    capnp::Error::unimplemented("this listener does not serve the call".to_owned())
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! One peer's connection, made when needed and made again after a pause.
+//! The connection to one peer, made on demand and remade after a backoff.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,24 +20,26 @@
 use super::traffic::PeerTraffic;
 use crate::peer_capnp::peer;
 
-/// How long a call may take and what it means if it takes longer.
+/// Timeout of a call and its effect on the connection.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum TimeoutPolicy {
-    /// The peer should have answered at once, so it hangs: the connection is
-    /// closed. Every further call on it would wait in vain and keep its memory.
+    /// Applies the default timeout and closes the connection: the peer replies to such
+    /// calls at once, so it hangs. Further calls on the connection would also wait until
+    /// their timeout, and keep their memory until then.
     CloseLink,
-    /// The peer may have good reason to wait; the connection stays.
+    /// Applies this timeout and keeps the connection: the peer may wait before it
+    /// replies.
     KeepLink(Duration),
 }
 
-/// A connection that stands.
+/// An established connection.
 struct OpenLink {
     client: peer::Client,
     generation: u64,
     driver: tokio::task::AbortHandle,
 }
 
-/// The way to one peer.
+/// The link to one peer, connected or not.
 pub(super) struct PeerLink {
     address: SocketAddr,
     settings: Rc<PeerSettings>,
@@ -53,7 +55,7 @@
 }
 
 impl PeerLink {
-    /// A link to `address`, not yet connected.
+    /// Creates a link to `address` without connecting.
     pub(super) fn new(
         address: SocketAddr,
         settings: Rc<PeerSettings>,
@@ -75,15 +77,16 @@
         }
     }
 
-    /// Whether a call began or waits after `limit`.
+    /// Returns whether a call is pending or began at `limit` or later.
     pub(super) fn is_used_since(&self, limit: Instant) -> bool {
         self.pending.get() > 0 || self.last_used.get() >= limit
     }
 
-    /// Makes one call: connects if needed, sends, waits for the answer.
+    /// Makes one call: connects if needed, sends, and waits for the reply.
     ///
     /// # Errors
-    /// Connecting failed or is not tried yet, or the call brought no answer.
+    /// Fails if connecting fails or is held back by the backoff, if too many calls are
+    /// pending, or if the call returns no reply.
     pub(super) async fn call<F, R, T>(&self, limit: TimeoutPolicy, send: F) -> Result<T, PeerError>
     where
         F: FnOnce(&peer::Client) -> R,
@@ -102,9 +105,9 @@
             TimeoutPolicy::KeepLink(wait) => wait,
         };
         match tokio::time::timeout(timeout, send(&client)).await {
-            Ok(Ok(answer)) => {
+            Ok(Ok(reply)) => {
                 self.failures.set(0);
-                Ok(answer)
+                Ok(reply)
             }
             Ok(Err(cause)) => {
                 if cause.kind == capnp::ErrorKind::Disconnected {
@@ -129,8 +132,8 @@
     }
 
     async fn client(&self) -> Result<(peer::Client, u64), PeerError> {
-        // Calls that come while one of them dials wait here, so that a peer
-        // which accepts slowly is dialled once and not once for each call.
+        // Concurrent calls wait here while one of them connects, so that a peer that
+        // accepts slowly gets one connection attempt and not one per call.
         let _guard = self.connect_lock.lock().await;
         if let Some(open) = &*self.open.borrow() {
             return Ok((open.client.clone(), open.generation));
@@ -144,7 +147,7 @@
         let cause = match connected {
             Ok(Ok(stream)) => return Ok(self.open(stream)),
             Ok(Err(cause)) => cause.to_string(),
-            Err(_) => format!("no answer within {:?}", self.settings.connect_timeout),
+            Err(_) => format!("no response within {:?}", self.settings.connect_timeout),
         };
         self.back_off();
         Err(PeerError::Connect {
@@ -181,8 +184,8 @@
         (client, generation)
     }
 
-    /// Closes the connection that a failed call used, unless a newer one has
-    /// taken its place already.
+    /// Closes the connection that a failed call used, unless a newer one has already
+    /// replaced it.
     fn close(&self, generation: u64) {
         let mut open = self.open.borrow_mut();
         match &*open {
@@ -196,8 +199,8 @@
         let failures = self.failures.get();
         self.failures.set(failures.saturating_add(1));
         let backoff = backoff_after(&self.settings, failures);
-        // Half of the pause is drawn at random: hosts that lost the same peer
-        // at the same moment would otherwise all come back at once.
+        // Half of the backoff is random; otherwise hosts that lost the same peer at the
+        // same moment would all reconnect at once.
         let fraction = self.jitter.borrow_mut().random_range(0.5..=1.0);
         self.retry_at
             .set(Some(Instant::now() + backoff.mul_f64(fraction)));
@@ -212,7 +215,7 @@
     }
 }
 
-/// Pause after a number of failures in a row.
+/// Returns the backoff after `failures` earlier consecutive failures.
 fn backoff_after(settings: &PeerSettings, failures: u32) -> Duration {
     let factor = 2_u32.saturating_pow(failures.min(16));
     settings
@@ -221,7 +224,7 @@
         .min(settings.last_backoff)
 }
 
-/// Counts a call while it waits, also when its task is dropped.
+/// Counts a call while it is pending, even if its task is dropped.
 struct PendingCall<'a> {
     pending: &'a Cell<usize>,
 }
--- a/src/peer/link_table.rs
+++ b/src/peer/link_table.rs
@@ -1,4 +1,4 @@
-//! The links to all peers that are called.
+//! Table of the links to peers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 }
 
 impl LinkTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub(super) fn new(settings: Rc<PeerSettings>, traffic: Arc<PeerTraffic>) -> Self {
         Self {
             settings,
@@ -29,10 +29,11 @@
         }
     }
 
-    /// The link to `address`; a new one takes the place of those long unused.
+    /// Returns the link to `address`; creating one removes the links that have been idle
+    /// for `idle_timeout`.
     ///
-    /// Hosts are replaced all the time and come back at new addresses, so a
-    /// table that only grows would in the end hold every address ever used.
+    /// Replaced hosts come back at new addresses, so a table without removal would end up
+    /// with every address ever used.
     pub(super) fn link(&self, address: SocketAddr) -> Rc<PeerLink> {
         let mut links = self.links.borrow_mut();
         if let Some(link) = links.get(&address) {
@@ -50,7 +51,7 @@
         link
     }
 
-    /// Counters of the network.
+    /// Returns the traffic counters.
     pub(super) fn traffic(&self) -> &PeerTraffic {
         &self.traffic
     }
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -1,4 +1,4 @@
-//! What peers say to each other, free of any encoding.
+//! Messages between daemons, independent of the encoding.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,43 +12,43 @@
 use crate::platform::wire::StoredRecord;
 use crate::verdict::RunVerdict;
 
-/// A host's statement about itself and about what it watches.
+/// A host's report on itself and on the targets that it watches.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerHeartbeat {
-    /// Host that speaks.
+    /// Host that sends the heartbeat.
     pub host: HostId,
     /// Its availability zone.
     pub zone: ZoneId,
     /// Its incarnation.
     pub incarnation: IncarnationId,
-    /// Grows by one with each statement of this incarnation.
+    /// Grows by one with each heartbeat of this incarnation.
     pub sequence: u64,
     /// Offset after the last applied declaration record.
     pub applied_offset: LogOffset,
-    /// Whether it accepts nothing new.
+    /// Whether it refuses new requests.
     pub draining: bool,
     /// Address on which it listens to peers.
     pub peer_address: SocketAddr,
     /// Loads of targets.
     pub loads: Vec<PeerLoad>,
-    /// What it asks of the holder of the zone's shares; empty towards others.
+    /// Demands on the holder of the zone's shares; empty towards other hosts.
     pub demands: Vec<PeerDemand>,
-    /// Offset of the lease whose holder the demands address.
+    /// Offset of the lease whose holder the demands are meant for.
     pub demands_for: Option<LogOffset>,
-    /// What it knows of its own zone, said only to hosts of other zones.
+    /// Summary of its own zone, sent only to hosts of other zones.
     pub digest: Option<ZoneDigest>,
 }
 
-/// Load of one target, as last measured by a host that watches it.
+/// Load of one target, as last observed by a host that watches it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerLoad {
     /// The target.
     pub target: TargetId,
-    /// Steps or calls running.
+    /// Running steps or calls.
     pub running: u32,
-    /// Steps or calls waiting.
+    /// Waiting steps or calls.
     pub waiting: u32,
-    /// Tokens a second over the last seconds.
+    /// Tokens per second over the last seconds.
     pub tokens_per_second: f64,
     /// Age of the figures when they were sent.
     pub age: Duration,
@@ -56,7 +56,7 @@
     pub leaving: bool,
 }
 
-/// What a host wants to use of an organisation's capacity, and what it holds.
+/// What a host demands of an organisation's capacity, and what it holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerDemand {
     /// The organisation.
@@ -65,19 +65,19 @@
     pub in_flight: u32,
     /// Requests waiting in the organisation's queue.
     pub waiting: u32,
-    /// Requests per minute asked of the host over the last seconds.
+    /// Requests per minute that reached the host over the last seconds.
     pub wanted_rate: u32,
-    /// Concurrent requests that the host may use until told otherwise.
+    /// Concurrent requests that the host may run under its last grant.
     pub held_grant: u32,
-    /// Requests per minute that the host may start until told otherwise.
+    /// Requests per minute that the host may start under its last grant.
     pub held_rate: u32,
-    /// Number of the last grant taken in.
+    /// Number of the last grant applied.
     pub grant_number: u64,
-    /// Lease under which that grant was given, if there was one.
+    /// Lease under which that grant was given, if any.
     pub grant_lease: Option<LogOffset>,
 }
 
-/// What a host may use of an organisation's capacity until told otherwise.
+/// What a host may use of an organisation's capacity until the next grant or the expiry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerGrant {
     /// The organisation.
@@ -88,8 +88,8 @@
     pub requests_per_minute: u32,
     /// Grows with each grant of one holder.
     pub number: u64,
-    /// Time after which it ends unless renewed, counted from when the host
-    /// sent the heartbeat that it answers; `None` if it stays.
+    /// Time until it expires unless renewed, counted from when the host sent the
+    /// heartbeat that is replied to; `None` if it does not expire.
     pub expires_after: Option<Duration>,
 }
 
@@ -98,20 +98,20 @@
 pub struct ZoneDigest {
     /// The zone.
     pub zone: ZoneId,
-    /// Hosts counted as live, the speaker among them.
+    /// Hosts counted as live, including the sender.
     pub live_hosts: u32,
-    /// Lowest applied offset over the live hosts.
+    /// Lowest applied offset of the live hosts.
     pub lowest_applied_offset: LogOffset,
     /// The live host with that offset.
     pub slowest_host: HostId,
-    /// Some of the hosts that cannot be reached.
+    /// Some of the unreachable hosts.
     pub unreachable: Vec<HostId>,
-    /// How many cannot be reached in all.
+    /// Total number of unreachable hosts.
     pub unreachable_count: u32,
 }
 
-/// Answer to a heartbeat: the receiver's own statement, and grants if it
-/// holds the lease on the zone's shares.
+/// Reply to a heartbeat: the receiver's own heartbeat, and grants if it holds the lease
+/// on the zone's shares.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerReply {
     /// The receiver's own heartbeat.
@@ -122,21 +122,21 @@
     pub grants: Vec<PeerGrant>,
 }
 
-/// Asks a peer for log records that it has replayed.
+/// Requests log records that a peer has replayed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordsRequest {
     /// Stream of the log.
     pub stream: String,
-    /// First offset wanted.
+    /// First offset requested.
     pub from: LogOffset,
-    /// Most records to send.
+    /// Maximum number of records.
     pub limit: u32,
 }
 
-/// Log records passed on by a peer.
+/// Log records relayed by a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RelayedRange {
-    /// Oldest offset that the sender can pass on.
+    /// Oldest offset that the sender can relay.
     pub first_offset: LogOffset,
     /// Offset after the last record that the sender knows of.
     pub end_offset: LogOffset,
@@ -146,33 +146,33 @@
     pub checkpoint: Option<String>,
 }
 
-/// Asks the host that won a claim what became of the request.
+/// Queries the host that won a claim for the outcome of the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimQuery {
-    /// The request of the asking host.
+    /// The request of the querying host.
     pub request: RequestId,
-    /// Service called.
+    /// Called service.
     pub service: ServiceId,
-    /// Operation called.
+    /// Called operation.
     pub operation: String,
-    /// Key under which it was claimed.
+    /// Idempotency key of the claim.
     pub key: IdempotencyKey,
     /// Organisation that pays.
     pub organisation: OrganisationId,
 }
 
-/// What became of a claimed request.
+/// Outcome of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The asked host knows nothing of the claim.
+    /// The queried host does not know the claim.
     Unknown,
-    /// The claim is known and its request has this verdict.
+    /// The claim is known, and its request has this verdict.
     Known {
         /// Whether it may have run.
         verdict: RunVerdict,
-        /// HTTP status of the answer; zero while there is none.
+        /// HTTP status of the response; zero while there is none.
         status: u16,
-        /// Body of the answer.
+        /// Body of the response.
         body: Bytes,
     },
 }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The serving side: incoming connections and the calls on them.
+//! Server side: accepts connections and serves the calls on them.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,14 +21,14 @@
 use super::traffic::PeerTraffic;
 use crate::peer_capnp::peer;
 
-/// Pause after a failed accept, which mostly means too many open files.
+/// Delay after a failed accept, usually caused by too many open files.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// Bytes in one word of a message.
 const WORD_BYTES: usize = 8;
-/// Deepest nesting of a message; ours have four levels.
+/// Maximum nesting of a message; the schema has four levels.
 const NESTING_LIMIT: i32 = 32;
 
-/// Answers the calls on one connection.
+/// Serves the calls on one connection.
 struct PeerServer {
     handlers: ServedCalls,
     range_limit: usize,
@@ -107,8 +107,8 @@
     }
 }
 
-/// Bounds on what is read from a peer: a longer message fails its connection
-/// before memory is set aside for it.
+/// Returns the limits on messages from a peer. A longer message fails its connection
+/// before memory is allocated for it.
 pub(super) fn reader_options(settings: &PeerSettings) -> ReaderOptions {
     let mut options = ReaderOptions::new();
     options.traversal_limit_in_words(Some(settings.message_limit / WORD_BYTES));
@@ -116,7 +116,7 @@
     options
 }
 
-/// Takes in connections until the thread of the RPC library ends.
+/// Accepts connections until the RPC thread ends.
 pub(super) async fn accept_connections(
     listener: TcpListener,
     settings: Rc<PeerSettings>,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Counts a connection for as long as it lives, also when its task panics.
+/// Counts a connection while it is open, even if its task panics.
 struct OpenConnection {
     open: Rc<Cell<usize>>,
 }
@@ -183,19 +183,20 @@
     tokio::select! {
         ended = system => {
             if let Err(cause) = ended {
-                log::debug!("a peer's connection ended: {cause}");
+                log::debug!("connection of a peer failed: {cause}");
             }
         }
         () = wait_idle(&last_read, settings.idle_timeout) => {
-            log::debug!("a peer's connection was idle and is closed");
+            log::debug!("closing the idle connection of a peer");
         }
     }
 }
 
-/// Returns once nothing was read for `idle_timeout`.
+/// Returns once nothing has been read for `idle_timeout`.
 ///
-/// A peer that is cut off never closes its connections. Without this they
-/// would stay, one for each of its restarts, until no file is left to open.
+/// A peer that is cut off by the network never closes its connections. Without the
+/// timeout, each of its restarts would leave one open, until the file descriptors run
+/// out.
 async fn wait_idle(last_read: &ReadClock, idle_timeout: Duration) {
     loop {
         let limit = last_read.get() + idle_timeout;
@@ -209,7 +210,7 @@
 /// Connects to a peer.
 ///
 /// # Errors
-/// What the system says.
+/// Returns the error of the operating system.
 pub(super) async fn connect(
     address: std::net::SocketAddr,
     traffic: Arc<PeerTraffic>,
--- a/src/peer/settings.rs
+++ b/src/peer/settings.rs
@@ -3,33 +3,33 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where to listen and how long to wait.
+/// Address, timeouts and limits of peer calls.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// Address to listen on; port 0 picks a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Time allowed for making a connection.
+    /// Timeout for making a connection.
     pub connect_timeout: Duration,
-    /// Time allowed for an answer once the connection stands.
+    /// Timeout for a reply once the connection is established.
     pub call_timeout: Duration,
-    /// Pause after the first failed connection; doubles with each further one.
+    /// Backoff after the first failed connection; doubles with each further failure.
     pub first_backoff: Duration,
-    /// Longest pause between connections.
+    /// Maximum backoff.
     pub last_backoff: Duration,
-    /// A connection on which nothing arrived for so long is closed.
+    /// Time without received data after which a connection is closed.
     pub idle_timeout: Duration,
-    /// Largest message taken in, in bytes.
+    /// Maximum size of a received message, in bytes.
     pub message_limit: usize,
-    /// Most incoming connections at once.
+    /// Maximum number of open incoming connections.
     pub connection_limit: usize,
-    /// Most calls to one peer that wait for an answer.
+    /// Maximum number of pending calls to one peer.
     pub pending_limit: usize,
-    /// Seed of the jitter on pauses.
+    /// Seed of the backoff's jitter.
     pub seed: u64,
 }
 
 impl PeerSettings {
-    /// Limits fit for a few hundred peers, listening on `listen`.
+    /// Returns settings for a few hundred peers that listen on `listen`.
     pub fn new(listen: SocketAddr) -> Self {
         Self {
             listen,
--- a/src/peer/stream.rs
+++ b/src/peer/stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts its bytes and remembers when it last read some.
+//! A TCP stream that counts its bytes and records the time of its last read.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -12,11 +12,10 @@
 
 use super::traffic::PeerTraffic;
 
-/// When something last arrived on a stream; shared with the task that closes
-/// idle connections.
+/// Time of the last read on a stream; shared with the task that closes idle connections.
 pub(super) type ReadClock = Rc<Cell<Instant>>;
 
-/// A TCP stream with counters.
+/// A TCP stream with traffic counters.
 #[derive(Debug)]
 pub(super) struct CountedStream {
     inner: TcpStream,
@@ -25,10 +24,10 @@
 }
 
 impl CountedStream {
-    /// Wraps a stream and switches off delayed sending.
+    /// Wraps a stream and disables Nagle's algorithm.
     ///
     /// # Errors
-    /// What the system says about the socket option.
+    /// Fails if the socket option cannot be set.
     pub(super) fn new(inner: TcpStream, traffic: Arc<PeerTraffic>) -> std::io::Result<Self> {
         inner.set_nodelay(true)?;
         traffic.count_connection();
@@ -39,7 +38,7 @@
         })
     }
 
-    /// The clock of this stream.
+    /// Returns the time of the last read, which the stream keeps up to date.
     pub(super) fn read_clock(&self) -> ReadClock {
         Rc::clone(&self.last_read)
     }
--- a/src/peer/traffic.rs
+++ b/src/peer/traffic.rs
@@ -1,8 +1,8 @@
-//! Counters of what peer calls cost on the network.
+//! Counters of the network traffic of peer calls.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bytes and calls since the start; read at any time from any thread.
+/// Bytes, calls and connections since the start; readable from any thread.
 #[derive(Debug, Default)]
 pub struct PeerTraffic {
     sent_bytes: AtomicU64,
@@ -14,32 +14,33 @@
 }
 
 impl PeerTraffic {
-    /// Bytes written to peers.
+    /// Returns the bytes written to peers.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bytes read from peers.
+    /// Returns the bytes read from peers.
     pub fn received_bytes(&self) -> u64 {
         self.received_bytes.load(Ordering::Relaxed)
     }
 
-    /// Calls made to peers.
+    /// Returns the number of calls made to peers.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::Relaxed)
     }
 
-    /// Calls that brought no answer.
+    /// Returns the number of calls that failed.
     pub fn failed_calls(&self) -> u64 {
         self.failed_calls.load(Ordering::Relaxed)
     }
 
-    /// Connections made or taken in.
+    /// Returns the number of connections made or accepted.
     pub fn connections(&self) -> u64 {
         self.connections.load(Ordering::Relaxed)
     }
 
-    /// Incoming connections that were closed because too many were open.
+    /// Returns the number of incoming connections that were closed because too many were
+    /// open.
     pub fn refused_connections(&self) -> u64 {
         self.refused_connections.load(Ordering::Relaxed)
     }
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -1,5 +1,4 @@
-//! What entry hosts on the users' platform say to each other, free of any
-//! encoding.
+//! Messages between entry hosts on the users' platform, independent of the encoding.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,11 +10,11 @@
 use crate::permits::LimitDelta;
 use crate::poison::PoisonListing;
 
-/// A host's statement about itself, requests on targets, and the hosts that it
-/// knows.
+/// A host's report on itself, on the requests that run on targets, and on the hosts that
+/// it knows.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostView {
-    /// Host that speaks.
+    /// Host that sends the view.
     pub host: HostId,
     /// Its availability zone.
     pub zone: ZoneId,
@@ -23,72 +22,73 @@
     pub address: SocketAddr,
     /// Its incarnation.
     pub incarnation: IncarnationId,
-    /// Grows with each statement of this incarnation.
+    /// Grows with each view of this incarnation.
     pub sequence: u64,
-    /// Version of the configuration in force there; 0 while none is known.
+    /// Version of the configuration in effect on the host; 0 while it has none.
     pub configuration_version: u64,
-    /// What it has for duties besides its callers' requests.
+    /// Capacity that it has for roles besides its callers' requests.
     pub weight: HostWeight,
-    /// Whose requests `usage` are.
+    /// Which hosts' requests `usage` counts.
     pub scope: UsageScope,
-    /// Requests under way on targets.
+    /// Requests in flight on targets.
     pub usage: Vec<TargetUsage>,
-    /// Hosts that it knows, as far as they are news to the listener.
+    /// Hosts that it knows and whose entries changed since the receiver's last
+    /// acknowledgement.
     pub listing: HostListing,
-    /// What the speaker has taken in of the listener's own listings.
+    /// How far the sender has applied the receiver's own listings.
     pub seen: SeenListing,
-    /// Hosts of each zone that were heard of lately.
+    /// Number of hosts of each zone that the sender has recently learned of.
     pub counts: Vec<ZoneCount>,
-    /// Since when it has had the log of targets; `None` if it never had.
+    /// How long it has had the log of targets; `None` if it never had it.
     pub log: Option<LogAges>,
-    /// What is known of requests that targets ended under.
+    /// Evidence on requests during which targets ended.
     pub poison: PoisonListing,
-    /// What is known of the limits that targets name.
+    /// Limits that targets have named.
     pub limits: LimitDelta,
 }
 
-/// Known hosts whose entries changed after one version of the speaker's table
-/// and up to another one.
+/// Known hosts whose entries changed after one version of the sender's table and up to
+/// another one.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HostListing {
-    /// Version from which on changes are listed; 0 lists everything.
+    /// Version after which changes are listed; 0 for a complete listing.
     pub from: u64,
-    /// Version up to which they are; 0 where nothing is listed.
+    /// Version up to which changes are listed; 0 if nothing is listed.
     pub to: u64,
-    /// The hosts, the speaker left out.
+    /// The hosts, without the sender.
     pub hosts: Vec<KnownHost>,
 }
 
-/// Up to where the listings of a host were taken in.
+/// Acknowledges the listings of a host that were applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SeenListing {
-    /// Incarnation of the host; another one has other versions.
+    /// Incarnation of the host; each incarnation counts its versions anew.
     pub incarnation: IncarnationId,
-    /// Version of its table; 0 if nothing was taken in.
+    /// Version of its table; 0 if nothing was applied.
     pub to: u64,
-    /// Scope of the view that held the last listing.
+    /// Scope of the view that carried the last listing.
     pub scope: UsageScope,
 }
 
-/// Since when a host has had the log of targets, read by itself or by a host of its zone.
+/// How long a host has had the log of targets, read by itself or by a host of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogAges {
-    /// Time since it began to have it without a break.
+    /// Time since the start of the span in which it has had the log without a gap.
     pub since: Duration,
-    /// Time since it last had it.
+    /// Time since the log was last read.
     pub read: Duration,
 }
 
-/// How many hosts a zone has.
+/// Number of hosts of a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneCount {
     /// The zone.
     pub zone: ZoneId,
-    /// Its hosts, those that fell silent a moment ago among them.
+    /// Its hosts, including those that fell silent only recently.
     pub hosts: u32,
 }
 
-/// A host that another one knows.
+/// A host that the sender of a listing knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownHost {
     /// The host.
@@ -99,72 +99,72 @@
     pub address: SocketAddr,
     /// Its incarnation.
     pub incarnation: IncarnationId,
-    /// What it has for duties besides its callers' requests.
+    /// Capacity that it has for roles besides its callers' requests.
     pub weight: HostWeight,
-    /// Time since it was last heard.
+    /// Time since the last exchange with it that the sender knows of.
     pub silent: Duration,
 }
 
-/// Asks a host for what it reads from the platform's log.
+/// Requests what a host reads from the platform's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct FollowRequest {
-    /// Version of the configuration that the asking host has; 0 if none.
+    /// Version of the configuration that the requesting host has; 0 if none.
     pub configuration_version: u64,
-    /// Incarnation of the host that gave `from`; 0 at the first question, the
-    /// largest number where another host gave it.
+    /// Incarnation of the host that issued `from`; 0 in the first request, the largest
+    /// number if another host issued it.
     pub incarnation: IncarnationId,
-    /// Change of targets to go on from, as the last answer said.
+    /// Position in the changes of targets to continue from: `next` of the last reply.
     pub from: u64,
-    /// How long the answer may wait for news.
+    /// How long the reply may wait for updates.
     pub hold: Duration,
-    /// Whether the answer is to hold the requests of other zones' hosts.
+    /// Whether the reply is to include the requests of other zones' hosts.
     pub wants_remote: bool,
 }
 
-/// What a host has read from the platform's log since a question before.
+/// What a host has read from the platform's log since an earlier request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FollowReply {
-    /// Incarnation of the answering host.
+    /// Incarnation of the replying host.
     pub incarnation: IncarnationId,
-    /// Whether it has the log without trouble, read by itself or passed on.
+    /// Whether it currently follows the log, directly or through another host.
     pub fresh: bool,
-    /// Time since the log was read, by whomever.
+    /// Time since the log was last read, by this host or by the one that relayed it.
     pub age: Duration,
-    /// A configuration record newer than the version in the question.
+    /// A configuration record newer than the version in the request.
     pub configuration: Option<Bytes>,
-    /// Whether `targets` are all that are known, and not just changes.
+    /// Whether `targets` holds all known targets instead of changes only.
     pub whole: bool,
     /// Records of targets.
     pub targets: Vec<TargetChange>,
-    /// Where the next question goes on from.
+    /// Position from which the next request continues.
     pub next: u64,
     /// Requests of other zones' hosts.
     pub remote: Vec<ZoneUsage>,
-    /// Offset up to which the answering host covers the log of targets.
+    /// Offset up to which the replying host has covered the log of targets.
     pub read_to: LogOffset,
-    /// What it has of the log of targets; `None` if it never had it.
+    /// How much of the log of targets it has; `None` if it never had it.
     pub log: Option<FollowedLog>,
 }
 
 /// How much of the log of targets a host has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowedLog {
-    /// Time since it first had the log. It has judged what left after that.
+    /// Time since it first had the log. It has evaluated all removals since then itself.
     pub first: Duration,
-    /// Time since it last had it.
+    /// Time since the log was last read.
     pub read: Duration,
 }
 
-/// What the log says of a target.
+/// State of a target according to the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetChange {
     /// The target.
     pub id: TargetId,
-    /// Where the record stands in the log.
+    /// Offset of the record in the log.
     pub offset: LogOffset,
-    /// The record; `None` if the target is gone.
+    /// The record; `None` if the target was removed.
     pub value: Option<Bytes>,
-    /// Where the log dropped the record, if the host that tells holds that it may have
-    /// lapsed.
+    /// Offset at which the log dropped the record, if the reporting host considers that
+    /// the record may merely have expired.
     pub dropped_at: Option<LogOffset>,
 }
--- a/src/peer/worker.rs
+++ b/src/peer/worker.rs
@@ -1,4 +1,4 @@
-//! The thread on which all of the RPC library runs.
+//! The thread that runs the RPC library.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,58 +24,58 @@
 use crate::peer_capnp::peer;
 use crate::permits::{PermitReply, PermitRequest};
 
-/// Where the answer to a command goes.
+/// Channel for the reply to a command.
 pub(super) type ReplySender<T> = oneshot::Sender<Result<T, PeerError>>;
 
-/// A call to make, sent from any thread.
+/// A command to the RPC thread, sent from any thread.
 pub(super) enum PeerCommand {
-    /// Send a heartbeat.
+    /// Sends a heartbeat.
     Heartbeat {
         address: SocketAddr,
         beat: Box<PeerHeartbeat>,
         reply: ReplySender<PeerReply>,
     },
-    /// Ask for records.
+    /// Requests records.
     Records {
         address: SocketAddr,
         request: RecordsRequest,
         reply: ReplySender<RelayedRange>,
     },
-    /// Ask what became of a claim.
+    /// Queries the outcome of a claim.
     ClaimOutcome {
         address: SocketAddr,
         query: ClaimQuery,
         wait: Duration,
         reply: ReplySender<ClaimOutcome>,
     },
-    /// Exchange views with an entry host.
+    /// Exchanges views with an entry host.
     Exchange {
         address: SocketAddr,
         view: Box<HostView>,
         reply: ReplySender<HostView>,
     },
-    /// Ask an entry host for what it has read from the platform's log.
+    /// Requests what an entry host has read from the platform's log.
     Follow {
         address: SocketAddr,
         request: FollowRequest,
         wait: Duration,
         reply: ReplySender<FollowReply>,
     },
-    /// Ask an entry host for permits.
+    /// Requests permits from an entry host.
     Permit {
         address: SocketAddr,
         request: Box<PermitRequest>,
         wait: Duration,
         reply: ReplySender<PermitReply>,
     },
-    /// End the thread.
+    /// Ends the thread.
     Shutdown { done: oneshot::Sender<()> },
 }
 
-/// Runs until a shutdown is asked for or every handle is gone.
+/// Runs until a shutdown command arrives or every handle is dropped.
 ///
 /// # Errors
-/// What the system says about the runtime or the listening socket.
+/// Fails if the runtime cannot be built or the listening socket cannot be used.
 pub(super) fn run(
     listener: std::net::TcpListener,
     settings: PeerSettings,
@@ -94,7 +94,7 @@
         tokio::task::spawn_local(accept_connections(listener, settings, handlers, traffic));
         Ok::<_, std::io::Error>(take_commands(Rc::new(table), commands).await)
     })?;
-    // Dropping the tasks closes the sockets; only then is the end reported.
+    // Dropping the tasks closes the sockets. The shutdown is reported only after that.
     drop(local);
     drop(runtime);
     if let Some(done) = done {
@@ -112,8 +112,8 @@
             PeerCommand::Shutdown { done } => return Some(done),
             call => {
                 let table = Rc::clone(&table);
-                // Each call is a task of its own: one peer that hangs delays
-                // no call to another.
+                // Each call runs in its own task, so that a hanging peer delays no call
+                // to another one.
                 tokio::task::spawn_local(async move { make_call(&table, call).await });
             }
         }
@@ -178,7 +178,7 @@
     }
 }
 
-/// Makes one call, counts it, and passes its answer on.
+/// Makes one call, counts it and forwards its reply.
 async fn call<F, R, T>(
     table: &LinkTable,
     address: SocketAddr,
@@ -191,7 +191,7 @@
 {
     let called = table.link(address).call(limit, send).await;
     table.traffic().count_call(called.is_err());
-    // The asker may have gone away; then nobody needs the answer.
+    // The caller may have dropped its receiver; the reply is not needed then.
     let _ = reply.send(called);
 }
 
