--- a/src/platform/append_queue.rs
+++ b/src/platform/append_queue.rs
@@ -173,8 +173,8 @@
     }
     let deadline = tokio::time::Instant::now() + options.interval;
     while batch.len() < limit {
-        let room = limit - batch.len();
-        match tokio::time::timeout_at(deadline, receiver.recv_many(&mut batch, room)).await {
+        let remaining = limit - batch.len();
+        match tokio::time::timeout_at(deadline, receiver.recv_many(&mut batch, remaining)).await {
             Ok(count) if count > 0 => {}
             _ => break,
         }
@@ -189,15 +189,15 @@
             .map(|record| (record.body, record.reply))
             .unzip();
         self.count(bodies.len());
-        let answer = self.client.append(&self.stream, bodies).await;
-        if let Err(error) = &answer {
+        let response = self.client.append(&self.stream, bodies).await;
+        if let Err(error) = &response {
             self.counters.failures.fetch_add(1, Ordering::Relaxed);
             log::debug!("stream {}: {error}", self.stream);
         }
         for (index, reply) in (0..).zip(replies) {
-            let result = answer
+            let result = response
                 .as_ref()
-                .map(|answer| answer.first_offset + index)
+                .map(|response| response.first_offset + index)
                 .map_err(Clone::clone);
             // A submitter that no longer waits has nothing left to decide.
             let _ = reply.send(result);
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -16,7 +16,7 @@
 use crate::platform::wire::{AppendBody, AppendResponse, HostList, ReadResponse};
 
 /// Largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
 /// How long the parts of a call may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -120,9 +120,9 @@
         let wait_ms = wait.as_millis();
         let path =
             format!("/v1/streams/{stream}/records?from={from}&limit={limit}&wait_ms={wait_ms}");
-        let answer = self.get(&path, wait).await?;
-        check_sequence(from, &answer)?;
-        Ok(answer)
+        let response = self.get(&path, wait).await?;
+        check_sequence(from, &response)?;
+        Ok(response)
     }
 
     async fn get<A>(&self, path: &str, wait: Duration) -> Result<A, CallFailure>
@@ -166,7 +166,7 @@
         if status != StatusCode::OK {
             return Err(CallFailure::Status(status));
         }
-        Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+        Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
             .map(http_body_util::Collected::to_bytes)
@@ -179,18 +179,18 @@
 /// Replay judges by order. A gap that went unnoticed would show as hosts with
 /// different states at the same offset; an answer with one is refused, and
 /// read again.
-fn check_sequence(from: LogOffset, answer: &ReadResponse) -> Result<(), CallFailure> {
-    let start = from.max(answer.first_offset);
-    let follows = answer
+fn check_sequence(from: LogOffset, response: &ReadResponse) -> Result<(), CallFailure> {
+    let start = from.max(response.first_offset);
+    let follows = response
         .records
         .iter()
         .zip(start..)
         .all(|(record, expected)| record.offset == expected);
-    let within = answer
+    let within = response
         .records
         .last()
-        .is_none_or(|record| record.offset < answer.end_offset);
-    if follows && within && answer.first_offset <= answer.end_offset {
+        .is_none_or(|record| record.offset < response.end_offset);
+    if follows && within && response.first_offset <= response.end_offset {
         return Ok(());
     }
     Err(CallFailure::Malformed(format!(
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -54,7 +54,7 @@
     pub fn from_failure(failure: CallFailure) -> Self {
         let verdict = match &failure {
             CallFailure::Connect(_) | CallFailure::Request(_) => AppendVerdict::NotAppended,
-            CallFailure::Status(status) if refuses(*status) => AppendVerdict::NotAppended,
+            CallFailure::Status(status) if is_refusal(*status) => AppendVerdict::NotAppended,
             CallFailure::Status(_)
             | CallFailure::Broken(_)
             | CallFailure::Timeout
@@ -76,6 +76,6 @@
 ///
 /// Other server errors (500, 502, 504) may come from a relay or from a
 /// failure after the records were stored.
-fn refuses(status: StatusCode) -> bool {
+fn is_refusal(status: StatusCode) -> bool {
     status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE
 }
--- a/src/platform/log_calls.rs
+++ b/src/platform/log_calls.rs
@@ -15,7 +15,7 @@
 use crate::ids::LogOffset;
 
 /// Largest answer that is read, in bytes: a read's limit plus what JSON adds.
-const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// Why a call to the log service failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -213,20 +213,20 @@
         {
             self.connection = Some(self.connect().await?);
         }
-        let no_answer = |error: hyper::Error| LogError::NoResponse(error.to_string());
+        let no_response = |error: hyper::Error| LogError::NoResponse(error.to_string());
         let Some(sender) = self.connection.as_mut() else {
             return Err(LogError::Connect("no connection".to_owned()));
         };
-        sender.ready().await.map_err(no_answer)?;
+        sender.ready().await.map_err(no_response)?;
         let request = Request::builder()
             .method(call.method)
             .uri(call.path)
             .header(http::header::HOST, self.address.to_string())
             .body(Full::new(call.body))
             .map_err(|error| LogError::Malformed(error.to_string()))?;
-        let response = sender.send_request(request).await.map_err(no_answer)?;
+        let response = sender.send_request(request).await.map_err(no_response)?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await;
         let bytes = body
@@ -245,8 +245,9 @@
         let connected = socket::connect(self.address, self.limits.connect).await;
         let stream = connected.map_err(|error| LogError::Connect(error.to_string()))?;
         let io = hyper_util::rt::TokioIo::new(stream);
-        let shaken = hyper::client::conn::http1::handshake(io).await;
-        let (sender, connection) = shaken.map_err(|error| LogError::Connect(error.to_string()))?;
+        let negotiated = hyper::client::conn::http1::handshake(io).await;
+        let (sender, connection) =
+            negotiated.map_err(|error| LogError::Connect(error.to_string()))?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
                 log::debug!("connection to the log service ended: {error}");
--- a/src/platform/log_tail.rs
+++ b/src/platform/log_tail.rs
@@ -130,33 +130,33 @@
             )
             .await;
         match read {
-            Ok(answer) => self.hand_on(answer, started).await,
+            Ok(response) => self.deliver(response, started).await,
             Err(error) => self.back_off(&error).await,
         }
     }
 
-    async fn hand_on(
+    async fn deliver(
         &mut self,
-        answer: ReadResponse,
+        response: ReadResponse,
         started: Instant,
     ) -> Result<(), ConsumerGone> {
         self.failures = 0;
-        if answer.first_offset > self.next_offset {
-            self.next_offset = answer.first_offset;
+        if response.first_offset > self.next_offset {
+            self.next_offset = response.first_offset;
             self.send(TailEvent::Expired {
-                first_offset: answer.first_offset,
-                end_offset: answer.end_offset,
+                first_offset: response.first_offset,
+                end_offset: response.end_offset,
             })
             .await?;
         }
-        let idle = answer.records.is_empty();
-        if let Some(last) = answer.records.last() {
+        let idle = response.records.is_empty();
+        if let Some(last) = response.records.last() {
             self.next_offset = last.offset + 1;
         }
         self.send(TailEvent::Records {
-            records: answer.records,
-            end_offset: answer.end_offset,
-            first_offset: answer.first_offset,
+            records: response.records,
+            end_offset: response.end_offset,
+            first_offset: response.first_offset,
         })
         .await?;
         // A service that ignores the wait would be asked again without pause;
--- a/src/target/client.rs
+++ b/src/target/client.rs
@@ -23,7 +23,7 @@
 
 const JSON_CONTENT: HeaderValue = HeaderValue::from_static("application/json");
 /// Largest answer that is read, but for exported caches.
-const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 /// Largest exported cache that is read.
 const MAX_EXPORT_BYTES: usize = 64 * 1024 * 1024;
 
@@ -69,7 +69,7 @@
         A: DeserializeOwned,
     {
         let request = request(Method::GET, address, path, Bytes::new())?;
-        parse(&self.send(request, MAX_ANSWER_BYTES).await?)
+        parse(&self.send(request, MAX_RESPONSE_BYTES).await?)
     }
 
     async fn send(
@@ -78,8 +78,8 @@
         max_bytes: usize,
     ) -> Result<RawResponse, TargetFailure> {
         let timeout = self.timeouts.response;
-        let answer = self.transport.send(request, true, timeout, max_bytes);
-        accept(answer.await?)
+        let response = self.transport.send(request, true, timeout, max_bytes);
+        check_status(response.await?)
     }
 }
 
@@ -117,17 +117,20 @@
 }
 
 /// Lets only answers with a 2xx status pass.
-fn accept(answer: RawResponse) -> Result<RawResponse, TargetFailure> {
-    match answer.status.is_success() {
-        true => Ok(answer),
-        false => Err(TargetFailure::Unusable(format!("status {}", answer.status))),
+fn check_status(response: RawResponse) -> Result<RawResponse, TargetFailure> {
+    match response.status.is_success() {
+        true => Ok(response),
+        false => Err(TargetFailure::Unusable(format!(
+            "status {}",
+            response.status
+        ))),
     }
 }
 
-fn parse<A>(answer: &RawResponse) -> Result<A, TargetFailure>
+fn parse<A>(response: &RawResponse) -> Result<A, TargetFailure>
 where
     A: DeserializeOwned,
 {
-    let parsed = serde_json::from_slice(&answer.body);
+    let parsed = serde_json::from_slice(&response.body);
     parsed.map_err(|error| TargetFailure::Unusable(error.to_string()))
 }
--- a/src/target/client/engine_calls.rs
+++ b/src/target/client/engine_calls.rs
@@ -6,7 +6,8 @@
 use http::Method;
 
 use super::{
-    MAX_ANSWER_BYTES, MAX_EXPORT_BYTES, PathSegment, TargetClient, accept, encode, parse, request,
+    MAX_EXPORT_BYTES, MAX_RESPONSE_BYTES, PathSegment, TargetClient, check_status, encode, parse,
+    request,
 };
 use crate::run::StepFailure;
 use crate::target::TargetFailure;
@@ -22,25 +23,25 @@
     pub async fn step(
         &self,
         address: SocketAddr,
-        order: &StepRequest,
+        step: &StepRequest,
     ) -> Result<StepResponse, StepFailure> {
-        let answer = self.try_step(address, order).await;
-        answer.map_err(StepFailure::from)
+        let response = self.try_step(address, step).await;
+        response.map_err(StepFailure::from)
     }
 
     async fn try_step(
         &self,
         address: SocketAddr,
-        order: &StepRequest,
+        step: &StepRequest,
     ) -> Result<StepResponse, TargetFailure> {
-        let further = order.inputs.len().saturating_sub(1);
+        let further = step.inputs.len().saturating_sub(1);
         let further = u32::try_from(further).unwrap_or(u32::MAX);
         let timeout = self.timeouts.response + self.timeouts.per_position.saturating_mul(further);
-        let request = request(Method::POST, address, "/v1/steps", encode(order)?)?;
-        let answer = self
+        let request = request(Method::POST, address, "/v1/steps", encode(step)?)?;
+        let response = self
             .transport
-            .send(request, true, timeout, MAX_ANSWER_BYTES);
-        parse(&accept(answer.await?)?)
+            .send(request, true, timeout, MAX_RESPONSE_BYTES);
+        parse(&check_status(response.await?)?)
     }
 
     /// Cancels a session; it is no error if the engine does not know it.
@@ -50,7 +51,7 @@
     pub async fn cancel(&self, address: SocketAddr, session: &str) -> Result<(), TargetFailure> {
         let path = format!("/v1/sessions/{}", PathSegment(session));
         let request = request(Method::DELETE, address, &path, Bytes::new())?;
-        self.send(request, MAX_ANSWER_BYTES).await.map(drop)
+        self.send(request, MAX_RESPONSE_BYTES).await.map(drop)
     }
 
     /// Reads a session's KV cache.
@@ -79,7 +80,7 @@
     ) -> Result<(), TargetFailure> {
         let path = format!("/v1/sessions/{}/cache", PathSegment(session));
         let request = request(Method::PUT, address, &path, encode(export)?)?;
-        self.send(request, MAX_ANSWER_BYTES).await.map(drop)
+        self.send(request, MAX_RESPONSE_BYTES).await.map(drop)
     }
 
     /// Reads the load, as late as the target reports it.
@@ -109,7 +110,7 @@
         order: &StateOrder,
     ) -> Result<TargetState, TargetFailure> {
         let request = request(Method::PUT, address, "/v1/state", encode(order)?)?;
-        parse(&self.send(request, MAX_ANSWER_BYTES).await?)
+        parse(&self.send(request, MAX_RESPONSE_BYTES).await?)
     }
 
     /// Reads changes of the prefix cache from number `from` on.
--- a/src/target/client/service_calls.rs
+++ b/src/target/client/service_calls.rs
@@ -6,7 +6,7 @@
 use http::{HeaderMap, Method, Request, StatusCode};
 use http_body_util::Full;
 
-use super::{MAX_ANSWER_BYTES, PathSegment, TargetClient, request};
+use super::{MAX_RESPONSE_BYTES, PathSegment, TargetClient, request};
 use crate::target::transport::RawResponse;
 use crate::target::{CallFailure, TargetFailure};
 
@@ -46,38 +46,38 @@
     pub async fn call(
         &self,
         address: SocketAddr,
-        order: CallRequest,
+        call: CallRequest,
     ) -> Result<CallResponse, CallFailure> {
-        let use_pool = order.use_pool;
-        let request = call_request(address, order)?;
+        let use_pool = call.use_pool;
+        let request = call_request(address, call)?;
         let timeout = self.timeouts.response;
-        let answer = self
+        let response = self
             .transport
-            .send(request, use_pool, timeout, MAX_ANSWER_BYTES);
-        Ok(CallResponse::from(answer.await?))
+            .send(request, use_pool, timeout, MAX_RESPONSE_BYTES);
+        Ok(CallResponse::from(response.await?))
     }
 }
 
 impl From<RawResponse> for CallResponse {
-    fn from(answer: RawResponse) -> Self {
+    fn from(response: RawResponse) -> Self {
         Self {
-            status: answer.status,
-            headers: answer.headers,
-            body: answer.body,
+            status: response.status,
+            headers: response.headers,
+            body: response.body,
         }
     }
 }
 
 pub(super) fn call_request(
     address: SocketAddr,
-    order: CallRequest,
+    call: CallRequest,
 ) -> Result<Request<Full<Bytes>>, TargetFailure> {
     // Some servers resolve these two, also when encoded, to other paths.
-    if matches!(order.operation.as_str(), "" | "." | "..") {
+    if matches!(call.operation.as_str(), "" | "." | "..") {
         return Err(TargetFailure::Connect("not an operation's name".to_owned()));
     }
-    let path = format!("/v1/calls/{}", PathSegment(&order.operation));
-    let mut request = request(Method::POST, address, &path, order.body)?;
-    request.headers_mut().extend(order.headers);
+    let path = format!("/v1/calls/{}", PathSegment(&call.operation));
+    let mut request = request(Method::POST, address, &path, call.body)?;
+    request.headers_mut().extend(call.headers);
     Ok(request)
 }
--- a/src/target/client/single_call.rs
+++ b/src/target/client/single_call.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::service_calls::{CallRequest, CallResponse, call_request};
-use super::{MAX_ANSWER_BYTES, TargetClient};
+use super::{MAX_RESPONSE_BYTES, TargetClient};
 use crate::target::transport::FreshConnection;
 use crate::target::{CallFailure, TargetFailure};
 
@@ -38,15 +38,15 @@
     ///
     /// # Errors
     /// With the verdict on whether the call may have run.
-    pub async fn send(self, order: CallRequest) -> Result<CallResponse, CallFailure> {
-        let mut request = call_request(self.address, order)?;
+    pub async fn send(self, call: CallRequest) -> Result<CallResponse, CallFailure> {
+        let mut request = call_request(self.address, call)?;
         // On a connection of its own the request line names the path only.
         let path = request.uri().path_and_query().cloned();
         if let Some(path) = path {
             *request.uri_mut() = path.into();
         }
         let timeout = self.client.timeouts.response;
-        let answer = self.connection.send(request, timeout, MAX_ANSWER_BYTES);
-        Ok(CallResponse::from(answer.await?))
+        let response = self.connection.send(request, timeout, MAX_RESPONSE_BYTES);
+        Ok(CallResponse::from(response.await?))
     }
 }
--- a/src/target/transport.rs
+++ b/src/target/transport.rs
@@ -57,7 +57,7 @@
         &self,
         request: Request<Full<Bytes>>,
         use_pool: bool,
-        answer_timeout: Duration,
+        response_timeout: Duration,
         max_bytes: usize,
     ) -> Result<RawResponse, TargetFailure> {
         let client = match use_pool {
@@ -65,8 +65,8 @@
             false => &self.unpooled,
         };
         let exchange = exchange(client, request, max_bytes);
-        match tokio::time::timeout(answer_timeout, exchange).await {
-            Ok(answer) => answer,
+        match tokio::time::timeout(response_timeout, exchange).await {
+            Ok(response) => response,
             // The order may be running on a target that is frozen or slow.
             Err(_) => Err(TargetFailure::TimedOut),
         }
@@ -100,10 +100,10 @@
 ) -> Result<RawResponse, TargetFailure> {
     let sent = client.request(request).await;
     let response = sent.map_err(|error| send_failure(&error))?;
-    read_answer(response, max_bytes).await
+    read_response(response, max_bytes).await
 }
 
-async fn read_answer(
+async fn read_response(
     response: Response<Incoming>,
     max_bytes: usize,
 ) -> Result<RawResponse, TargetFailure> {
--- a/src/target/transport/fresh.rs
+++ b/src/target/transport/fresh.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-use super::{RawResponse, describe, read_answer};
+use super::{RawResponse, describe, read_response};
 use crate::target::TargetFailure;
 
 /// An open connection on which nothing was sent yet.
@@ -51,10 +51,10 @@
         let exchange = async {
             let sent = self.sender.send_request(request).await;
             let response = sent.map_err(|error| TargetFailure::AnswerLost(describe(&error)))?;
-            read_answer(response, max_bytes).await
+            read_response(response, max_bytes).await
         };
         match tokio::time::timeout(timeout, exchange).await {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(_) => Err(TargetFailure::TimedOut),
         }
     }
