--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,7 +1,8 @@
-//! The client side of the platform: its log service and its host list.
+//! Clients of the platform's log service and host list, and the formats that it
+//! exchanges.
 //!
-//! [`client`] makes single calls, [`append_queue`] batches appends and
-//! [`log_tail`] follows a stream.
+//! [`client`] makes single calls, [`append_queue`] batches appends and [`log_tail`]
+//! follows a stream.
 
 pub mod append_queue;
 pub mod backoff;
--- a/src/platform/append_queue.rs
+++ b/src/platform/append_queue.rs
@@ -1,7 +1,7 @@
-//! Batches the records that one host writes to one stream.
+//! Batches the records that one host appends to one stream.
 //!
-//! The platform takes only several hundred appends a second from the whole
-//! system. Records submitted within a short interval share one append.
+//! The platform accepts only several hundred appends per second from the whole system, so
+//! records submitted within a short interval share one append.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,24 +15,24 @@
 use crate::platform::client::PlatformClient;
 use crate::platform::error::AppendError;
 
-/// How records are batched.
+/// Limits and intervals of batching.
 #[derive(Debug, Clone)]
 pub struct AppendOptions {
     /// Name of the stream.
     pub stream: String,
-    /// How long the first record of a batch waits for others.
+    /// How long the first record of a batch waits for further ones.
     pub interval: Duration,
-    /// Most records in one batch.
+    /// Maximum number of records in a batch.
     pub batch_limit: usize,
-    /// Most records that wait to be batched; more are refused.
+    /// Maximum number of records waiting to be batched; further ones are refused.
     pub capacity: usize,
-    /// Most appends in flight at once. With more than one, records of
-    /// different batches may be stored in another order than submitted.
+    /// Maximum number of appends in flight. With more than one, records of different
+    /// batches may be stored out of order.
     pub in_flight: usize,
 }
 
 impl AppendOptions {
-    /// Options that suit a stream of the system.
+    /// Returns the default options for a stream.
     pub fn for_stream(stream: &str) -> Self {
         Self {
             stream: stream.to_owned(),
@@ -44,32 +44,32 @@
     }
 }
 
-/// Why a record was not taken; it was not and will not be appended.
+/// Reason why a record was refused; it is never appended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SubmitError {
-    /// Too many records wait already.
-    #[error("too many records wait to be appended")]
+    /// Too many records are waiting.
+    #[error("too many records are waiting to be appended")]
     Full,
     /// The queue's task has ended.
     #[error("the append queue is closed")]
     Closed,
 }
 
-/// What became of one record: its offset, or the batch's error.
+/// Result of one record: its offset, or the error of its batch.
 pub type AppendResult = Result<LogOffset, AppendError>;
 
-/// Appends that were tried, and the records in them.
+/// Counts of attempted appends and of the records in them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct AppendCounts {
-    /// Calls to the platform.
+    /// Appends sent to the platform.
     pub appends: u64,
-    /// Records in these calls.
+    /// Records in these appends.
     pub records: u64,
-    /// Calls that failed.
+    /// Appends that failed.
     pub failures: u64,
 }
 
-/// A running queue. Dropping it ends the task once submitted records are sent.
+/// A running queue. After it is dropped, its task sends the submitted records and ends.
 #[derive(Debug)]
 pub struct AppendQueue {
     sender: mpsc::Sender<PendingRecord>,
@@ -78,7 +78,7 @@
 }
 
 impl AppendQueue {
-    /// Spawns the task that batches and appends.
+    /// Spawns the task that batches and appends records.
     pub fn spawn(client: PlatformClient, options: AppendOptions) -> Self {
         let (sender, receiver) = mpsc::channel(options.capacity.max(1));
         let counters = Arc::new(AppendCounters::default());
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Submits the JSON text of one record. The receiver yields what became
-    /// of it; if it yields an error, the record may have been appended.
+    /// Submits the JSON text of one record. The receiver yields the result of the append;
+    /// the record may have been appended even if that is an error.
     ///
     /// # Errors
     ///
-    /// Fails at once if the record cannot be taken; it is then not appended.
+    /// Fails if the queue is full or closed; the record is not appended then.
     pub fn submit(&self, body: String) -> Result<oneshot::Receiver<AppendResult>, SubmitError> {
         let (reply, receiver) = oneshot::channel();
         match self.sender.try_send(PendingRecord { body, reply }) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Calls and records so far, for the append budget.
+    /// Returns the counts so far, for the append budget.
     pub fn counts(&self) -> AppendCounts {
         AppendCounts {
             appends: self.counters.appends.load(Ordering::Relaxed),
@@ -160,8 +160,8 @@
     }
 }
 
-/// Waits for a record, then for others until the interval or the limit is
-/// reached. Empty if the queue was dropped.
+/// Waits for a record, then collects further ones until the interval ends or the limit is
+/// reached. Returns an empty batch if the queue was dropped.
 async fn collect_batch(
     receiver: &mut mpsc::Receiver<PendingRecord>,
     options: &AppendOptions,
@@ -192,14 +192,14 @@
         let response = self.client.append(&self.stream, bodies).await;
         if let Err(error) = &response {
             self.counters.failures.fetch_add(1, Ordering::Relaxed);
-            log::debug!("stream {}: {error}", self.stream);
+            log::debug!("append to stream {}: {error}", self.stream);
         }
         for (index, reply) in (0..).zip(replies) {
             let result = response
                 .as_ref()
                 .map(|response| response.first_offset + index)
                 .map_err(Clone::clone);
-            // A submitter that no longer waits has nothing left to decide.
+            // A submitter that dropped its receiver does not need the result.
             let _ = reply.send(result);
         }
     }
--- a/src/platform/backoff.rs
+++ b/src/platform/backoff.rs
@@ -1,10 +1,10 @@
-//! Jittered exponential backoff between attempts at a call.
+//! Exponential backoff with jitter between attempts of a call.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// Doublings after which the delay stops growing, against overflow.
+/// Limit on doublings, so that the factor cannot overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Bounds of the delay between attempts.
@@ -16,7 +16,8 @@
     pub max: Duration,
 }
 
-/// Bounds for calls to the platform: quick at first, then once a second.
+/// Bounds for calls to the platform: quick retries at first, later at most one second
+/// apart.
 impl Default for BackoffPolicy {
     fn default() -> Self {
         Self {
@@ -27,10 +28,10 @@
 }
 
 impl BackoffPolicy {
-    /// The delay after `failures` failures in a row (one or more).
+    /// Returns the delay after `failures` consecutive failures (one or more).
     ///
-    /// Drawn between half the bound and the bound, so that hosts which lost
-    /// the platform at the same moment do not come back at the same moment.
+    /// It is random between half of the bound and the bound, so that hosts that lost the
+    /// platform at the same moment do not all retry at once.
     pub fn delay<R>(&self, failures: u32, generator: &mut R) -> Duration
     where
         R: Rng,
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! Single calls to the platform over HTTP/1.1.
+//! Client for single calls to the platform over HTTP/1.1.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,19 +15,20 @@
 use crate::platform::error::{AppendError, CallFailure, ReadError};
 use crate::platform::wire::{AppendBody, AppendResponse, HostList, ReadResponse};
 
-/// Largest answer that is read, in bytes.
+/// Maximum size of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// How long the parts of a call may take.
+/// Timeouts of the parts of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformTimeouts {
-    /// Until the connection stands.
+    /// For making a connection.
     pub connect: Duration,
-    /// From the start of the call to the whole answer, long polling excluded.
+    /// From the start of the call to the end of the response, without the time of long
+    /// polling.
     pub response: Duration,
 }
 
-/// A client of the platform. Clones share their connections.
+/// Client of the platform. Clones share their connections.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -36,14 +37,14 @@
 }
 
 impl PlatformClient {
-    /// Opens a client; connections are made when calls need them.
+    /// Creates a client; it connects on demand.
     pub fn open(address: SocketAddr, timeouts: PlatformTimeouts) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(timeouts.connect));
         connector.set_nodelay(true);
-        // The library would by itself repeat a request on a new connection
-        // when a pooled one turns out closed. Appends are repeated only by
-        // those who know that their record ids make it harmless.
+        // By default the library repeats a request on a new connection if a pooled one
+        // turns out to be closed. Only a caller whose record ids make a duplicate
+        // harmless may repeat an append.
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build(connector);
@@ -58,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// The error's verdict says whether the records may have been stored.
+    /// Fails with a verdict on whether the records may have been stored.
     pub async fn append(
         &self,
         stream: &str,
@@ -69,13 +70,13 @@
             .map_err(AppendError::from_failure)
     }
 
-    /// Reads up to `limit` records of a stream from offset `from` on, waiting
-    /// up to `wait` when none is there yet.
+    /// Reads up to `limit` records of a stream from offset `from`, and waits up to `wait`
+    /// while there is none.
     ///
     /// # Errors
     ///
-    /// Fails if no whole answer comes, or if its records do not follow on
-    /// from `from` (or from the oldest kept offset) without gaps.
+    /// Fails without a complete response, or if the records do not continue without gaps
+    /// from `from` (or from the oldest retained offset).
     pub async fn read(
         &self,
         stream: &str,
@@ -88,11 +89,11 @@
             .map_err(|failure| ReadError { failure })
     }
 
-    /// The platform's list of live and leaving hosts and targets.
+    /// Returns the platform's list of live and leaving hosts and targets.
     ///
     /// # Errors
     ///
-    /// Fails if no whole answer comes.
+    /// Fails without a complete response.
     pub async fn hosts(&self) -> Result<HostList, ReadError> {
         self.get("/v1/hosts", Duration::ZERO)
             .await
@@ -174,11 +175,11 @@
     }
 }
 
-/// Checks that the records follow on without gaps.
+/// Checks that the records continue without gaps.
 ///
-/// Replay judges by order. A gap that went unnoticed would show as hosts with
-/// different states at the same offset; an answer with one is refused, and
-/// read again.
+/// Replay depends on the order of records, so an undetected gap would give hosts
+/// different states at the same offset. A response with a gap is rejected, and the
+/// records are read again.
 fn check_sequence(from: LogOffset, response: &ReadResponse) -> Result<(), CallFailure> {
     let start = from.max(response.first_offset);
     let follows = response
@@ -194,6 +195,6 @@
         return Ok(());
     }
     Err(CallFailure::Malformed(format!(
-        "records do not follow on from offset {start}"
+        "records do not continue from offset {start} without gaps"
     )))
 }
--- a/src/platform/configuration_record.rs
+++ b/src/platform/configuration_record.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration as it stands in the log.
+//! Format of the operators' configuration in the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     kind: String,
     #[serde(default = "default_timeout")]
     timeout_ms: f64,
-    /// Time to the answer (streams: to the first event) that is on time.
+    /// Time within which a response (of a stream: its first event) is on time.
     target_latency_ms: Option<f64>,
     gap_aim_ms: Option<f64>,
     #[serde(default)]
@@ -124,11 +124,11 @@
     priority: Option<u8>,
 }
 
-/// Converts the value of a configuration record.
+/// Parses the value of a configuration record.
 ///
 /// # Errors
 ///
-/// If the value is not what operators publish; the message names the field.
+/// Fails if the value is not a valid configuration; the message names the field.
 pub fn parse_configuration(value: &[u8]) -> Result<IngressConfiguration, String> {
     let mut deserializer = serde_json::Deserializer::from_slice(value);
     let body: ConfigurationBody =
@@ -185,7 +185,7 @@
         .into_iter()
         .map(|part| ServiceShare {
             service: part.service.into(),
-            // Weights may be fractions; thousandths keep their ratios.
+            // Weights may be fractions; counting in thousandths keeps their ratios.
             weight: (part.weight * 1000.0).round() as u32,
         });
     let parts = parts.collect::<Vec<_>>();
@@ -203,7 +203,7 @@
     }
 }
 
-/// `None` for engines that hold whole models: they are plain targets.
+/// Returns `None` for engines that hold whole models: they are plain targets.
 fn convert_engine(body: EngineBody) -> Option<EngineModel> {
     if body.layers == 0 || body.kind_list.is_empty() {
         return None;
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -1,25 +1,25 @@
-//! What went wrong with a call to the platform, and what it may have done.
+//! Errors of calls to the platform, and whether a failed append may have taken effect.
 
 use http::StatusCode;
 use thiserror::Error;
 
-/// Why a call had no usable answer.
+/// Reason why a call returned no usable response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CallFailure {
-    /// No connection could be made.
+    /// The connection failed.
     #[error("cannot connect to the platform: {0}")]
     Connect(String),
     /// The connection broke after the request may have been sent.
     #[error("the connection to the platform broke: {0}")]
     Broken(String),
-    /// No whole answer came within the time allowed.
-    #[error("the platform did not answer in time")]
+    /// No complete response arrived in time.
+    #[error("the platform did not respond in time")]
     Timeout,
-    /// The platform answered with an error status.
-    #[error("the platform answered with status {0}")]
+    /// The platform responded with an error status.
+    #[error("the platform responded with status {0}")]
     Status(StatusCode),
-    /// The answer cannot be read, or contradicts what was asked.
-    #[error("the platform's answer is malformed: {0}")]
+    /// The response cannot be parsed, or does not match the request.
+    #[error("the response of the platform is malformed: {0}")]
     Malformed(String),
     /// The request could not be built.
     #[error("the request to the platform is malformed: {0}")]
@@ -29,28 +29,28 @@
 /// Whether a failed append may have stored its records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendVerdict {
-    /// Nothing was stored, now or later.
+    /// Nothing was stored, and nothing will be.
     NotAppended,
-    /// The records may be in the log already or turn up later.
+    /// The records may be in the log already or appear later.
     MayBeAppended,
 }
 
-/// An append without a usable answer.
+/// An append without a usable response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("append failed ({verdict:?}): {failure}")]
 pub struct AppendError {
-    /// What may have become of the records.
+    /// Whether the records may have been stored.
     pub verdict: AppendVerdict,
-    /// What went wrong.
+    /// Reason of the failure.
     pub failure: CallFailure,
 }
 
 impl AppendError {
-    /// Judges a failed append.
+    /// Derives the verdict from the failure of an append.
     ///
-    /// Only a failed connect, a request that could not be built and a refusal
-    /// by the service itself prove that nothing was stored. All else may have
-    /// taken effect, even a timeout before the first byte of the answer.
+    /// Only a failed connection, a request that could not be built and a refusal by the
+    /// service itself prove that nothing was stored. After any other failure the append
+    /// may have taken effect, even after a timeout before the first byte of the response.
     pub fn from_failure(failure: CallFailure) -> Self {
         let verdict = match &failure {
             CallFailure::Connect(_) | CallFailure::Request(_) => AppendVerdict::NotAppended,
@@ -64,18 +64,18 @@
     }
 }
 
-/// A read or a listing without a usable answer.
+/// A read or a listing without a usable response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("read failed: {failure}")]
 pub struct ReadError {
-    /// What went wrong.
+    /// Reason of the failure.
     pub failure: CallFailure,
 }
 
-/// Whether a status says that the service itself refused the request.
+/// Returns whether a status shows that the service itself refused the request.
 ///
-/// Other server errors (500, 502, 504) may come from a relay or from a
-/// failure after the records were stored.
+/// Other server errors (500, 502, 504) may come from a proxy or from a failure after the
+/// records were stored.
 fn is_refusal(status: StatusCode) -> bool {
     status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE
 }
--- a/src/platform/host_settings.rs
+++ b/src/platform/host_settings.rs
@@ -10,13 +10,13 @@
 use crate::collections::FastMap;
 use crate::entry::{EntryBounds, EntrySettings};
 
-/// Why the settings cannot be used.
+/// Reason why the settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("cannot read the settings file: {0}")]
     Read(#[from] std::io::Error),
-    /// The text is not what the platform writes.
+    /// The text is not in the platform's format.
     #[error("cannot parse the settings: {0}")]
     Parse(String),
 }
@@ -80,22 +80,22 @@
     budget_slack: f64,
 }
 
-/// Reads and converts the settings file.
+/// Reads and parses the settings file.
 ///
 /// # Errors
 ///
-/// If the file cannot be read, or is not what the platform writes; the
-/// message names the key.
+/// Fails if the file cannot be read or is not in the platform's format; the message names
+/// the key.
 pub fn read_settings(path: &Path) -> Result<EntrySettings, SettingsError> {
     let text = std::fs::read_to_string(path)?;
     parse_settings(&text)
 }
 
-/// Converts the text of the settings file.
+/// Parses the text of the settings file.
 ///
 /// # Errors
 ///
-/// If the text is not what the platform writes; the message names the key.
+/// Fails if the text is not in the platform's format; the message names the key.
 pub fn parse_settings(text: &str) -> Result<EntrySettings, SettingsError> {
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let body: SettingsBody = serde_path_to_error::deserialize(&mut deserializer)
--- a/src/platform/limit_header.rs
+++ b/src/platform/limit_header.rs
@@ -1,21 +1,21 @@
-//! The header in which a target names the rate of requests that it takes.
+//! The header in which a target names its limit on the rate of requests.
 
 use http::HeaderMap;
 
 use crate::platform::names;
 
-/// What the head of an answer says of the target's limit.
+/// Content of the limit header of a response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LimitHeader {
-    /// Nothing.
+    /// The header is absent.
     Absent,
-    /// Requests a second, as written: any number at all.
+    /// Requests per second as written, which may be any number.
     PerSecond(f64),
-    /// Something else than one number.
+    /// The header is repeated or not a number.
     Unreadable,
 }
 
-/// Reads the head of an answer.
+/// Parses the limit header of a response.
 pub fn parse_limit_header(headers: &HeaderMap) -> LimitHeader {
     let mut values = headers.get_all(names::SERVER_LIMIT).iter();
     match (values.next(), values.next()) {
--- a/src/platform/log_calls.rs
+++ b/src/platform/log_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's log service: one connection, one call at a time.
+//! Client of the platform's keyed log: one connection, one call at a time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,50 +14,50 @@
 use crate::forward::socket;
 use crate::ids::LogOffset;
 
-/// Largest answer that is read, in bytes: a read's limit plus what JSON adds.
+/// Maximum size of a response, in bytes: the limit of a read plus the overhead of JSON.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a call to the log service failed.
+/// Reason why a call to the log service failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LogError {
-    /// No connection within the time.
+    /// No connection was made in time.
     #[error("cannot connect: {0}")]
     Connect(String),
-    /// The connection broke, or nothing came in time.
-    #[error("no answer: {0}")]
+    /// The connection broke, or no response arrived in time.
+    #[error("no response: {0}")]
     NoResponse(String),
     /// The service refused the call.
     #[error("refused with status {0}")]
     Status(u16),
-    /// The records asked for are gone.
-    #[error("the records asked for were deleted")]
+    /// The requested records are no longer retained.
+    #[error("the requested records were deleted")]
     Deleted,
-    /// The answer is not in the service's format.
-    #[error("malformed answer: {0}")]
+    /// The response is not in the service's format.
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
-/// The newest record of a key.
+/// A record of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyedRecord {
-    /// Where it stands in the partition.
+    /// Its offset in the partition.
     pub offset: LogOffset,
     /// Its key.
     pub key: String,
-    /// Its value; `None` when the key was dropped.
+    /// Its value; `None` if the key was dropped.
     pub value: Option<Vec<u8>>,
 }
 
 /// Records read from a partition.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyedRead {
-    /// Offset to read on from.
+    /// Offset from which the next read continues.
     pub next: LogOffset,
-    /// The records in order.
+    /// The records, in order.
     pub records: Vec<KeyedRecord>,
 }
 
-/// A client of keyed topics of the log.
+/// Client of keyed topics of the log.
 #[derive(Debug)]
 pub struct LogClient {
     address: SocketAddr,
@@ -65,18 +65,18 @@
     limits: CallTimeouts,
 }
 
-/// How long the parts of a call may take.
+/// Timeouts of the parts of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallTimeouts {
-    /// A connection.
+    /// For making a connection.
     pub connect: Duration,
-    /// An answer, besides what it may wait for a record.
+    /// For a response, without the time that a read may wait for a record.
     pub response: Duration,
-    /// A page of the newest records of all keys.
+    /// For a page of the newest records of all keys.
     pub newest: Duration,
 }
 
-/// One call, as it is sent.
+/// One call to send.
 struct LogCall {
     method: Method,
     path: String,
@@ -100,7 +100,7 @@
 }
 
 impl LogClient {
-    /// Opens a client; it connects at its first call.
+    /// Creates a client; it connects on its first call.
     pub fn open(address: SocketAddr, limits: CallTimeouts) -> Self {
         Self {
             address,
@@ -109,16 +109,16 @@
         }
     }
 
-    /// The newest record of each key, and the offset to read on from.
+    /// Reads the newest record of each key, and the offset from which reading continues.
     ///
     /// # Errors
     ///
-    /// If any page fails.
+    /// Fails if the request of any page fails.
     pub async fn newest(&mut self, topic: &str) -> Result<KeyedRead, LogError> {
         let mut records = Vec::new();
         let mut after: Option<String> = None;
-        // Pages are no snapshot: reading on from the first page's end repeats
-        // what later pages already hold, and misses nothing.
+        // The pages are no consistent snapshot. Continuing from the end offset of the
+        // first page repeats records of later pages, but misses none.
         let mut next = None;
         loop {
             let from = after
@@ -144,11 +144,12 @@
         })
     }
 
-    /// Records from an offset on; waits up to `wait` for one.
+    /// Reads records from an offset on; waits up to `wait` for the first.
     ///
     /// # Errors
     ///
-    /// `Deleted` when the offset is no longer kept; otherwise as the call fails.
+    /// Fails with `Deleted` if the offset is no longer retained, and otherwise if the
+    /// call fails.
     pub async fn read(
         &mut self,
         topic: &str,
@@ -162,12 +163,13 @@
         decode_records(from, &bytes)
     }
 
-    /// Appends a record of a key; without a value the key is dropped. The call may
-    /// have been done although it fails: a record that comes twice says the same.
+    /// Appends a record of a key, or drops the key if there is no value. A failed call
+    /// may have taken effect; it can be repeated, because a duplicate record changes
+    /// nothing.
     ///
     /// # Errors
     ///
-    /// As the call fails.
+    /// Fails if the call fails.
     pub async fn append(
         &mut self,
         topic: &str,
@@ -195,7 +197,7 @@
     async fn call(&mut self, call: LogCall, limit: Duration) -> Result<Bytes, LogError> {
         let result = tokio::time::timeout(limit, self.exchange(call)).await;
         let result = result.unwrap_or_else(|_| Err(LogError::NoResponse("timeout".to_owned())));
-        // A connection on which an answer was lost gives nothing more.
+        // After a lost or malformed response the connection cannot be used.
         if matches!(
             result,
             Err(LogError::NoResponse(_) | LogError::Malformed(_))
@@ -250,7 +252,7 @@
             negotiated.map_err(|error| LogError::Connect(error.to_string()))?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("connection to the log service ended: {error}");
+                log::debug!("connection to the log service failed: {error}");
             }
         });
         Ok(sender)
@@ -270,12 +272,13 @@
     })
 }
 
-/// Decodes `end`, `first` (8 bytes each, big-endian) and records: 4 bytes of
-/// length, 1 byte of the key's length, the key, the value.
+/// Decodes a read: the end offset and the first offset (8 bytes each, big-endian), then
+/// the records (4 bytes of length, 1 byte of key length, the key, the value).
 fn decode_records(from: LogOffset, bytes: &[u8]) -> Result<KeyedRead, LogError> {
     let malformed = |what: &str| LogError::Malformed(what.to_owned());
-    let (_end, rest) = split_number(bytes).ok_or_else(|| malformed("no end"))?;
-    let (first, mut rest) = split_number(rest).ok_or_else(|| malformed("no first"))?;
+    let (_end, rest) = split_number(bytes).ok_or_else(|| malformed("the end offset is missing"))?;
+    let (first, mut rest) =
+        split_number(rest).ok_or_else(|| malformed("the first offset is missing"))?;
     if first > from {
         return Err(LogError::Deleted);
     }
@@ -283,13 +286,15 @@
     while !rest.is_empty() {
         let (length, tail) = rest
             .split_first_chunk::<4>()
-            .ok_or_else(|| malformed("length"))?;
+            .ok_or_else(|| malformed("a record length is truncated"))?;
         let length = u32::from_be_bytes(*length) as usize;
         let (record, tail) = tail
             .split_at_checked(length)
-            .ok_or_else(|| malformed("record"))?;
+            .ok_or_else(|| malformed("a record is truncated"))?;
         let offset = from + records.len() as u64;
-        records.push(decode_keyed(offset, record).ok_or_else(|| malformed("key"))?);
+        records.push(
+            decode_keyed(offset, record).ok_or_else(|| malformed("a record key is truncated"))?,
+        );
         rest = tail;
     }
     Ok(KeyedRead {
@@ -298,8 +303,7 @@
     })
 }
 
-/// Encodes one record: 4 bytes of length, 1 byte of the key's length, the key, the
-/// value.
+/// Encodes one record: 4 bytes of length, 1 byte of key length, the key, the value.
 fn encode_keyed(key: &str, value: &[u8]) -> Result<Vec<u8>, LogError> {
     let too_long = |_| LogError::Malformed("the record is too long".to_owned());
     let key_length = u8::try_from(key.len()).map_err(too_long)?;
--- a/src/platform/log_tail.rs
+++ b/src/platform/log_tail.rs
@@ -1,4 +1,4 @@
-//! Follows one stream of the platform's log and hands on what it reads.
+//! Follows one stream of the platform's log and delivers its records as events.
 
 use std::time::{Duration, Instant};
 
@@ -13,54 +13,55 @@
 use crate::platform::error::ReadError;
 use crate::platform::wire::{ReadResponse, StoredRecord};
 
-/// How a stream is followed.
+/// Options of following a stream.
 #[derive(Debug, Clone)]
 pub struct TailOptions {
     /// Name of the stream.
     pub stream: String,
-    /// First offset wanted.
+    /// First offset to read.
     pub from: LogOffset,
-    /// Most records in one read.
+    /// Maximum number of records in one read.
     pub limit: usize,
-    /// How long one read waits for new records.
+    /// How long a read waits for new records.
     pub wait: Duration,
-    /// Delays after failed reads.
+    /// Backoff after failed reads.
     pub backoff: BackoffPolicy,
-    /// Seed of the delays' jitter.
+    /// Seed of the backoff's jitter.
     pub seed: u64,
-    /// Events that may wait for the consumer before reading pauses.
+    /// Maximum number of undelivered events; further reads wait until the consumer has
+    /// caught up.
     pub capacity: usize,
 }
 
-/// What the tail of a stream reports.
+/// Event of a followed stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TailEvent {
-    /// A read succeeded. `records` is empty if nothing new was there, so that
-    /// the consumer knows that it is up to date.
+    /// A read succeeded. `records` is empty if there was nothing new, which tells the
+    /// consumer that it is up to date.
     Records {
-        /// The records, in order, following on from those before.
+        /// The records, in order, continuing from the previous ones.
         records: Vec<StoredRecord>,
-        /// Offset that the next append will get.
+        /// Offset of the next append.
         end_offset: LogOffset,
-        /// Oldest offset still kept.
+        /// Oldest retained offset.
         first_offset: LogOffset,
     },
-    /// Reads have failed since the given time; sent once per outage.
+    /// Reads have failed since the given time; reported once per outage.
     Unreachable {
-        /// When the first failed read ended.
+        /// Time at which the first failed read ended.
         since: Instant,
     },
-    /// Records that were not read have expired. The tail goes on from
-    /// `first_offset`; the consumer's state has a gap before it.
+    /// Unread records have expired. The tail continues from `first_offset`; the consumer
+    /// has missed the records before it.
     Expired {
-        /// Oldest offset still kept.
+        /// Oldest retained offset.
         first_offset: LogOffset,
-        /// Offset that the next append will get.
+        /// Offset of the next append.
         end_offset: LogOffset,
     },
 }
 
-/// A running tail. Dropping it ends the task.
+/// A running tail. Dropping it ends its task.
 #[derive(Debug)]
 pub struct LogTail {
     events: mpsc::Receiver<TailEvent>,
@@ -76,7 +77,7 @@
         Self { events, task }
     }
 
-    /// The next event, or `None` if the task has ended.
+    /// Returns the next event, or `None` if the task has ended.
     pub async fn next(&mut self) -> Option<TailEvent> {
         self.events.recv().await
     }
@@ -88,7 +89,7 @@
     }
 }
 
-/// The consumer has gone away; the task ends.
+/// The consumer has dropped its receiver, which ends the task.
 struct ConsumerGone;
 
 struct TailReader {
@@ -159,8 +160,8 @@
             first_offset: response.first_offset,
         })
         .await?;
-        // A service that ignores the wait would be asked again without pause;
-        // it would show as a busy core and a flood of reads.
+        // Without this delay, a service that ignores `wait` would be read in a busy loop,
+        // with a flood of requests and a fully loaded core.
         if idle && started.elapsed() < self.options.wait / 2 {
             tokio::time::sleep(self.options.backoff.base).await;
         }
@@ -170,7 +171,7 @@
     async fn back_off(&mut self, error: &ReadError) -> Result<(), ConsumerGone> {
         self.failures = self.failures.saturating_add(1);
         if self.failures == 1 {
-            log::warn!("stream {}: {error}", self.options.stream);
+            log::warn!("tail of stream {}: {error}", self.options.stream);
             let since = Instant::now();
             self.send(TailEvent::Unreachable { since }).await?;
         }
--- a/src/platform/names.rs
+++ b/src/platform/names.rs
@@ -1,40 +1,39 @@
-//! The platform's names of headers, calls and log topics.
+//! Names of the platform's headers, paths, log topics and variables.
 
-/// Id of one attempt of a caller; echoed by targets.
+/// Id of an attempt of a request; echoed by targets.
 pub const ATTEMPT_ID: &str = "x-jackdawwick-attempt-id";
-/// Milliseconds that the caller will still wait.
+/// Milliseconds left until the caller's deadline.
 pub const DEADLINE_MS: &str = "x-jackdawwick-deadline-ms";
-/// Proof that a target made the answer.
+/// Proof that a target created the response.
 pub const SERVER_SEAL: &str = "x-jackdawwick-server-seal";
-/// Name of the organisation, for targets.
+/// Name of the organisation, sent to targets.
 pub const ORGANISATION: &str = "x-jackdawwick-tenant";
-/// Id of the target that the request is meant for.
+/// Id of the target that the request is intended for.
 pub const TARGET_INSTANCE: &str = "x-jackdawwick-target-instance";
-/// Set by a target that did not run the request.
+/// Set by a target that did not execute the request.
 pub const NOT_EXECUTED: &str = "x-jackdawwick-not-executed";
-/// Prompt tokens and most answer tokens.
+/// Number of prompt tokens and maximum number of response tokens.
 pub const TOKEN_COUNTS: &str = "x-jackdawwick-token-counts";
-/// Rank of the request at an engine, 0 to 9. The name says urgency; lower is
-/// more urgent.
+/// Priority of the request at an engine, 0 to 9; lower is more urgent.
 pub const URGENCY_CLASS: &str = "x-jackdawwick-urgency-class";
-/// Version of the weights that the request insists on.
+/// Version of the weights that the request requires.
 pub const ASSUMED_VERSION: &str = "x-jackdawwick-assumed-version";
-/// The engines and layer ranges that a request passes. The name says count.
+/// Engines and layer ranges on the path of the request; not a count, despite the name.
 pub const ENGINE_PATH: &str = "x-jackdawwick-hop-count";
-/// The caller's estimate of the answer's tokens.
+/// The caller's estimate of the number of response tokens.
 pub const LENGTH_HINT: &str = "x-jackdawwick-length-hint";
-/// The engine at fault, in a refusal along a path.
+/// Address of the failing engine, in a refusal along a path.
 pub const AT_SERVER: &str = "at-server";
-/// Requests a second that the target takes from all machines together.
+/// Limit of the target on requests per second from all hosts together.
 pub const SERVER_LIMIT: &str = "server-limit";
-/// Last event that the caller of a stream has.
+/// Id of the last event that the caller of a stream received.
 pub const LAST_EVENT_ID: &str = "last-event-id";
 
-/// Path of the readiness question.
+/// Path of the readiness check.
 pub const READY_PATH: &str = "/jackdawwick/ready";
 /// Path of an engine's report.
 pub const REPORT_PATH: &str = "/jackdawwick/report";
-/// Path of an order to an engine.
+/// Path of orders to an engine.
 pub const ORDER_PATH: &str = "/jackdawwick/order";
 
 /// Log topic of the operators' configuration.
@@ -43,8 +42,8 @@
 pub const CONFIGURATION_KEY: &str = "config";
 /// Log topic of the targets' heartbeats.
 pub const TARGET_TOPIC: &str = "keyed.servers";
-/// Log topic of poison requests; the project's own.
+/// Log topic of poison requests, defined by this project.
 pub const POISON_TOPIC: &str = "keyed.poison";
 
-/// Variable that holds the path of the settings file.
+/// Environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "JACKDAWWICK_SETTINGS";
--- a/src/platform/order.rs
+++ b/src/platform/order.rs
@@ -1,4 +1,4 @@
-//! Bodies of orders to engines.
+//! Bodies of orders to engines and of their responses.
 
 use std::net::SocketAddr;
 
@@ -12,12 +12,12 @@
     from: u32,
     to: u32,
     drain_mode: &'static str,
-    /// Orders that the engine is expected to have accepted so far.
+    /// Number of orders that the engine is expected to have accepted so far.
     expected: u64,
 }
 
-/// The body of an order to hold exactly `layers`, valid only while the engine
-/// has accepted `expected` orders.
+/// Returns the body of an order to hold exactly `layers`, valid only while the engine has
+/// accepted `expected` orders.
 pub fn place_body(layers: LayerRange, expected: u64) -> String {
     let body = PlaceBody {
         operation: "place",
@@ -32,13 +32,13 @@
 #[derive(Serialize)]
 struct RepathBody<'a> {
     operation: &'static str,
-    /// Id of the request's attempt.
+    /// Id of the attempt of the request.
     id: &'a str,
     path: String,
 }
 
-/// The body of an order to take a running request over another path; its
-/// first engine has to stay the same.
+/// Returns the body of an order to move a running request to another path with the same
+/// first engine.
 pub fn repath_body(id: &str, path: &EnginePath) -> String {
     let body = RepathBody {
         operation: "repath",
@@ -53,13 +53,14 @@
     address: Option<SocketAddr>,
 }
 
-/// The engine that a refused order names as the one at fault.
+/// Returns the address of the engine that caused the refusal of an order, if the body
+/// names one.
 pub fn refusing_engine(body: &[u8]) -> Option<SocketAddr> {
     let body = serde_json::from_slice::<ConflictBody>(body);
     body.ok().and_then(|body| body.address)
 }
 
-/// The header value that names the engines of a path and their layers.
+/// Returns the header value for the engines of a path and their layers.
 pub fn path_value(path: &EnginePath) -> String {
     let hops = path.hops.iter().map(|hop| {
         let LayerRange { from, to } = hop.layers;
--- a/src/platform/poison_record.rs
+++ b/src/platform/poison_record.rs
@@ -1,5 +1,5 @@
-//! A poison request as it stands in the log: the key is the request's, the value
-//! names the targets that ended under it.
+//! Format of poison requests in the log: the key identifies the request, the value lists
+//! the targets that ended while it ran.
 
 use std::time::{Duration, SystemTime};
 
@@ -8,34 +8,35 @@
 use crate::ids::{RequestKey, TargetKey};
 use crate::poison::{PoisonEvent, PoisonNote};
 
-/// A record's value.
+/// Value of a record.
 #[derive(Serialize, Deserialize)]
 struct PoisonBody {
     ends: Vec<EndBody>,
 }
 
-/// A target that ended as the request began to run there.
+/// A target that ended when the request began to run on it.
 #[derive(Serialize, Deserialize)]
 struct EndBody {
     target: TargetKey,
-    /// Unix millisecond, by the clock of the host that wrote the record.
+    /// Unix time in milliseconds, by the clock of the host that wrote the record.
     at_ms: u64,
 }
 
-/// The request whose record has this key.
+/// Parses the key of a record.
 ///
 /// # Errors
 ///
-/// If the key is no [`key_text`](crate::poison::key_text); the text says why.
+/// Fails if the key was not made by [`key_text`](crate::poison::key_text); the text gives
+/// the reason.
 pub fn parse_key(key: &str) -> Result<RequestKey, String> {
     RequestKey::from_str_radix(key, 16).map_err(|error| error.to_string())
 }
 
-/// The value of the record of a request that is refused.
+/// Returns the value of the record for a refused request.
 ///
 /// # Errors
 ///
-/// If it cannot be encoded; the text says why.
+/// Fails if the value cannot be encoded; the text gives the reason.
 pub fn poison_value(notes: &[PoisonNote], now: SystemTime) -> Result<Vec<u8>, String> {
     let ends = notes.iter().filter_map(|note| match note.event {
         PoisonEvent::Ended(target) => Some(EndBody {
@@ -50,11 +51,11 @@
     serde_json::to_vec(&body).map_err(|error| error.to_string())
 }
 
-/// What a record says of a request.
+/// Parses the evidence on a request from the value of its record.
 ///
 /// # Errors
 ///
-/// If the value is another writer's; the text says why.
+/// Fails if the value is not in this format; the text gives the reason.
 pub fn parse_poison(
     request: RequestKey,
     value: &[u8],
@@ -64,7 +65,7 @@
     let notes = body.ends.into_iter().map(|end| PoisonNote {
         request,
         event: PoisonEvent::Ended(end.target),
-        // Clocks of two hosts differ; nothing ends in the future.
+        // The clocks of hosts differ; a time in the future counts as age zero.
         age: Duration::from_millis(unix_ms(now).saturating_sub(end.at_ms)),
     });
     Ok(notes.collect())
--- a/src/platform/target_record.rs
+++ b/src/platform/target_record.rs
@@ -1,17 +1,15 @@
-//! A target's heartbeat as it stands in the log, and its report.
+//! Formats of a target's heartbeat in the log and of an engine's report.
 
 use serde::Deserialize;
 
 use crate::fleet::{EngineReport, LayerRange, TargetEntry};
 use crate::ids::TargetId;
 
-/// Between the platform's id of a target and the time of its start in a
-/// [`TargetId`].
+/// Separator between the platform's id of a target and its start time in a [`TargetId`].
 const START_SEPARATOR: char = '@';
 
-/// A heartbeat's value. Every field that targets always write is required,
-/// used here or not: a value that lacks one is another writer's, and names no
-/// target.
+/// Value of a heartbeat. Every field that targets always write is required, even if it is
+/// not used: a value without one was not written by a target.
 #[derive(Deserialize)]
 struct TargetBody {
     service: String,
@@ -23,7 +21,7 @@
     _slots: u64,
     #[serde(rename = "cold_remaining_ms")]
     _cold_remaining: f64,
-    /// Counts heartbeats. The report's field of the same name counts orders.
+    /// Number of heartbeats. The field of the same name in the report counts orders.
     #[serde(rename = "sequence")]
     _heartbeats: u64,
     state: TargetCondition,
@@ -33,12 +31,12 @@
     layers: Option<LayersBody>,
     #[serde(default)]
     models: Vec<ModelBody>,
-    /// Unix millisecond of the target's start; not written by all targets.
+    /// Start of the target, as Unix time in milliseconds; not all targets write it.
     #[serde(default)]
     born: Option<u64>,
 }
 
-/// What a target says of its readiness; any other word is another writer's.
+/// State that a target reports; a value with any other state was not written by a target.
 #[derive(Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 enum TargetCondition {
@@ -62,15 +60,15 @@
 struct ReportBody {
     #[serde(default)]
     busy: bool,
-    /// Orders accepted since the engine started. The heartbeat's field of the
-    /// same name counts heartbeats.
+    /// Number of orders accepted since the engine started. The field of the same name in
+    /// the heartbeat counts heartbeats.
     #[serde(default)]
     sequence: u64,
     #[serde(default)]
     running: u32,
     #[serde(default)]
     queue_depth: u32,
-    /// Tokens times layers in memory that cannot be given up.
+    /// Memory that cannot be evicted, in tokens times layers.
     #[serde(default)]
     kv_used: f64,
     #[serde(default)]
@@ -83,7 +81,7 @@
     models: Vec<ModelBody>,
     #[serde(default)]
     stalled: Vec<StalledBody>,
-    /// Unix millisecond of the engine's start; not written by all engines.
+    /// Start of the engine, as Unix time in milliseconds; not all engines write it.
     #[serde(default)]
     born: Option<u64>,
 }
@@ -91,21 +89,23 @@
 #[derive(Deserialize)]
 struct StalledBody {
     id: String,
-    /// The engine that the request waits for.
+    /// Address of the engine that the request is waiting for.
     address: std::net::SocketAddr,
 }
 
-/// Converts the value of a heartbeat record.
+/// Parses the value of a heartbeat record.
 ///
 /// # Errors
 ///
-/// If the value is not what targets write; the message names the field.
+/// Fails if the value is not in the format of targets; the message names the field.
 pub fn parse_target(id: &str, value: &[u8]) -> Result<TargetEntry, String> {
     let mut deserializer = serde_json::Deserializer::from_slice(value);
     let body: TargetBody =
         serde_path_to_error::deserialize(&mut deserializer).map_err(|error| error.to_string())?;
     if id.contains(START_SEPARATOR) {
-        return Err(format!("id: holds a {START_SEPARATOR}"));
+        return Err(format!(
+            "id: contains the reserved character {START_SEPARATOR}"
+        ));
     }
     Ok(TargetEntry {
         id: start_id(id, body.born),
@@ -119,11 +119,11 @@
     })
 }
 
-/// Converts an engine's report.
+/// Parses an engine's report.
 ///
 /// # Errors
 ///
-/// If the body is not what engines answer; the message names the field.
+/// Fails if the body is not in the format of engines; the message names the field.
 pub fn parse_report(value: &[u8]) -> Result<EngineReport, String> {
     let mut deserializer = serde_json::Deserializer::from_slice(value);
     let body: ReportBody =
@@ -145,11 +145,11 @@
     })
 }
 
-/// Id of one start of a target.
+/// Returns the id of one incarnation of a target.
 ///
-/// A target may start again under the id that it had, and then holds and knows
-/// nothing of before. With the time of the start in the id, requests, failures,
-/// orders and loads of the start before can touch nothing of the new one.
+/// A target may restart under the same platform id, and has then lost its layers and
+/// requests. The start time in the id keeps requests, failures, orders and loads of the
+/// previous incarnation from affecting the new one.
 pub fn start_id(id: &str, born: Option<u64>) -> TargetId {
     match born {
         Some(born) => format!("{id}{START_SEPARATOR}{born}").into(),
@@ -157,7 +157,7 @@
     }
 }
 
-/// The platform's id of a target, which does not tell its starts apart.
+/// Returns the platform's id of a target, which all its incarnations share.
 pub fn platform_id(target: &str) -> &str {
     let parts = target.split_once(START_SEPARATOR);
     parts.map_or(target, |(id, _)| id)
--- a/src/platform/wire.rs
+++ b/src/platform/wire.rs
@@ -1,13 +1,13 @@
-//! Bodies exchanged with the platform: JSON over HTTP/1.1.
+//! Bodies of calls to the platform: JSON over HTTP/1.1.
 //!
-//! | call | body | answer |
+//! | call | body | response |
 //! |---|---|---|
 //! | `POST /v1/streams/{stream}/records` | [`AppendBody`] | 200 [`AppendResponse`] |
 //! | `GET /v1/streams/{stream}/records?from=N&limit=M&wait_ms=T` | none | 200 [`ReadResponse`] |
 //! | `GET /v1/hosts` | none | 200 [`HostList`] |
 //!
-//! An append whose answer is lost may have taken effect. A read waits up to
-//! `wait_ms` when nothing is there yet. Records below `first_offset` have expired.
+//! An append without a response may have taken effect. A read waits up to `wait_ms` while
+//! there is no record to return. Records below `first_offset` have expired.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -17,14 +17,14 @@
 /// Records to append, in order, as one batch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct AppendBody {
-    /// Bodies of the records; each is the JSON text of a record.
+    /// The records, each as JSON text.
     pub records: Vec<String>,
 }
 
-/// Where a batch was stored.
+/// Offsets of a stored batch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct AppendResponse {
-    /// Offset of the first record; the others follow.
+    /// Offset of the first record; the others have the offsets after it.
     pub first_offset: LogOffset,
 }
 
@@ -33,22 +33,22 @@
 pub struct StoredRecord {
     /// Its offset.
     pub offset: LogOffset,
-    /// JSON text as appended.
+    /// JSON text, as appended.
     pub body: String,
 }
 
 /// Records from an offset on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ReadResponse {
-    /// Oldest offset still kept.
+    /// Oldest retained offset.
     pub first_offset: LogOffset,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub end_offset: LogOffset,
-    /// The records, in order, without gaps from the first returned.
+    /// The records, in order and without gaps.
     pub records: Vec<StoredRecord>,
 }
 
-/// Whether a listed host is live.
+/// Phase of a listed host or target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedPhase {
@@ -61,7 +61,7 @@
 /// A target's entry in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ListedTarget {
-    /// Name of the target.
+    /// Id of the target.
     pub target: TargetId,
     /// Its phase.
     pub phase: ListedPhase,
@@ -70,7 +70,7 @@
 /// An entry host in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ListedHost {
-    /// Name of the host.
+    /// Id of the host.
     pub host: HostId,
     /// Its availability zone.
     pub zone: ZoneId,
@@ -80,11 +80,12 @@
     pub phase: ListedPhase,
 }
 
-/// The platform's list of live and leaving hosts; it lags behind reality.
+/// The platform's list of live and leaving hosts and targets; it lags behind their real
+/// state.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize, JsonSchema)]
 pub struct HostList {
     /// Entry hosts.
     pub hosts: Vec<ListedHost>,
-    /// Target hosts.
+    /// Targets.
     pub targets: Vec<ListedTarget>,
 }
--- a/src/target.rs
+++ b/src/target.rs
@@ -1,4 +1,4 @@
-//! The client side of targets: engines that hold layer ranges, and services.
+//! Client of targets: engines that hold layer ranges, and plain services.
 
 pub mod client;
 pub mod prefix;
--- a/src/target/client.rs
+++ b/src/target/client.rs
@@ -22,19 +22,19 @@
 pub use single_call::SingleCall;
 
 const JSON_CONTENT: HeaderValue = HeaderValue::from_static("application/json");
-/// Largest answer that is read, but for exported caches.
+/// Maximum size of a response, except for exported caches.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// Largest exported cache that is read.
+/// Maximum size of an exported cache.
 const MAX_EXPORT_BYTES: usize = 64 * 1024 * 1024;
 
-/// How long calls to targets may take.
+/// Timeouts of calls to targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetTimeouts {
     /// For making a connection.
     pub connect: Duration,
-    /// From sending a call to the end of its answer.
+    /// From sending a call to the end of its response.
     pub response: Duration,
-    /// Added to `answer` for each position of a step beyond the first.
+    /// Added to `response` for each position of a step beyond the first.
     pub per_position: Duration,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// Client for all targets; cheap to clone, clones share their connections.
+/// Client for all targets. Clones are cheap and share their connections.
 #[derive(Debug, Clone)]
 pub struct TargetClient {
     transport: TargetTransport,
@@ -56,7 +56,7 @@
 }
 
 impl TargetClient {
-    /// A client without connections as yet.
+    /// Creates a client; it connects on demand.
     pub fn open(timeouts: TargetTimeouts) -> Self {
         Self {
             transport: TargetTransport::open(timeouts.connect),
@@ -83,8 +83,8 @@
     }
 }
 
-/// A request that can't be written is reported as a failed connection: like
-/// that one it is certain not to have been sent.
+/// Builds a request. If it cannot be built, the failure counts as a failed connection,
+/// because in both cases it is certain that nothing was sent.
 fn request(
     method: Method,
     address: SocketAddr,
@@ -116,7 +116,7 @@
         .map_err(|error| TargetFailure::Connect(error.to_string()))
 }
 
-/// Lets only answers with a 2xx status pass.
+/// Rejects responses without a 2xx status.
 fn check_status(response: RawResponse) -> Result<RawResponse, TargetFailure> {
     match response.status.is_success() {
         true => Ok(response),
--- a/src/target/client/engine_calls.rs
+++ b/src/target/client/engine_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that engines serve.
+//! Calls to engines.
 
 use std::net::SocketAddr;
 
@@ -19,7 +19,7 @@
     /// Runs a step.
     ///
     /// # Errors
-    /// With the verdict on whether the step may have run.
+    /// Fails with a verdict on whether the step may have run.
     pub async fn step(
         &self,
         address: SocketAddr,
@@ -44,10 +44,10 @@
         parse(&check_status(response.await?)?)
     }
 
-    /// Cancels a session; it is no error if the engine does not know it.
+    /// Cancels a session; an unknown session is no error.
     ///
     /// # Errors
-    /// If the engine cannot be reached or does not answer.
+    /// Fails if the engine cannot be reached or does not respond.
     pub async fn cancel(&self, address: SocketAddr, session: &str) -> Result<(), TargetFailure> {
         let path = format!("/v1/sessions/{}", PathSegment(session));
         let request = request(Method::DELETE, address, &path, Bytes::new())?;
@@ -57,7 +57,7 @@
     /// Reads a session's KV cache.
     ///
     /// # Errors
-    /// If the engine does not know the session or does not answer.
+    /// Fails if the engine does not know the session or does not respond.
     pub async fn export_cache(
         &self,
         address: SocketAddr,
@@ -68,10 +68,11 @@
         parse(&self.send(request, MAX_EXPORT_BYTES).await?)
     }
 
-    /// Puts a KV cache into a session.
+    /// Imports a KV cache into a session.
     ///
     /// # Errors
-    /// If the engine refuses or does not answer; it may then hold the cache.
+    /// Fails if the engine refuses or does not respond; without a response it may hold
+    /// the cache.
     pub async fn import_cache(
         &self,
         address: SocketAddr,
@@ -83,27 +84,27 @@
         self.send(request, MAX_RESPONSE_BYTES).await.map(drop)
     }
 
-    /// Reads the load, as late as the target reports it.
+    /// Reads the load that the target reports, which lags behind.
     ///
     /// # Errors
-    /// If the target does not answer.
+    /// Fails if the target does not respond.
     pub async fn load(&self, address: SocketAddr) -> Result<LoadReport, TargetFailure> {
         self.get(address, "/v1/load").await
     }
 
-    /// Reads what the target holds.
+    /// Reads the state of the target.
     ///
     /// # Errors
-    /// If the target does not answer.
+    /// Fails if the target does not respond.
     pub async fn state(&self, address: SocketAddr) -> Result<TargetState, TargetFailure> {
         self.get(address, "/v1/state").await
     }
 
-    /// Orders a state.
+    /// Orders the target to reach a state.
     ///
     /// # Errors
-    /// If the target refuses, for example an old fencing number, or does not
-    /// answer; in the latter case it may have taken the order.
+    /// Fails if the target refuses, for example because of an old fencing number, or does
+    /// not respond; without a response it may have accepted the order.
     pub async fn order_state(
         &self,
         address: SocketAddr,
@@ -113,10 +114,10 @@
         parse(&self.send(request, MAX_RESPONSE_BYTES).await?)
     }
 
-    /// Reads changes of the prefix cache from number `from` on.
+    /// Reads the changes of the prefix cache from number `from` on.
     ///
     /// # Errors
-    /// If the engine does not answer.
+    /// Fails if the engine does not respond.
     pub async fn cache_events(
         &self,
         address: SocketAddr,
--- a/src/target/client/path_segment.rs
+++ b/src/target/client/path_segment.rs
@@ -1,12 +1,12 @@
-//! One segment of a path, made from a name that may hold any sign.
+//! One segment of a path, made from a name with arbitrary characters.
 
 use std::fmt::{self, Display, Formatter};
 
-/// A name, percent-encoded when it is written.
+/// A name that is percent-encoded when it is formatted.
 ///
-/// Session names begin with a request id that callers may choose. A `/` or `?`
-/// in it would name another path: a cancel would miss its session, and the
-/// engine would go on for nobody.
+/// Session names begin with a request id that callers may choose. An unescaped `/` or `?`
+/// would change the path: a cancellation would miss its session, and the engine would
+/// continue for a caller that has left.
 pub(super) struct PathSegment<'a>(pub(super) &'a str);
 
 impl Display for PathSegment<'_> {
--- a/src/target/client/service_calls.rs
+++ b/src/target/client/service_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that plain services serve.
+//! Calls to plain services.
 
 use std::net::SocketAddr;
 
@@ -13,36 +13,36 @@
 /// A call to a plain service.
 #[derive(Debug, Clone)]
 pub struct CallRequest {
-    /// Operation; it becomes one path segment.
+    /// Operation, sent as one path segment.
     pub operation: String,
-    /// Headers passed on, such as the request id.
+    /// Forwarded headers, such as the request id.
     pub headers: HeaderMap,
-    /// Caller's JSON.
+    /// The caller's JSON.
     pub body: Bytes,
-    /// Whether the call may be sent over a connection used before.
+    /// Whether the call may use a pooled connection.
     ///
-    /// The far end may close such a connection just as the call is sent;
-    /// whether it ran is then unknown. A call that may not be repeated goes
-    /// over a new connection, where that does not arise.
+    /// The service may close a pooled connection just as the call is sent, and it is then
+    /// unknown whether the call ran. A new connection avoids this for calls that may not
+    /// be repeated.
     pub use_pool: bool,
 }
 
-/// A service's own answer, of any status; it has run.
+/// Response of a service, of any status. The call has run.
 #[derive(Debug, Clone)]
 pub struct CallResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl TargetClient {
-    /// Calls a plain service, once.
+    /// Calls a plain service once.
     ///
     /// # Errors
-    /// With the verdict on whether the call may have run.
+    /// Fails with a verdict on whether the call may have run.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -72,9 +72,10 @@
     address: SocketAddr,
     call: CallRequest,
 ) -> Result<Request<Full<Bytes>>, TargetFailure> {
-    // Some servers resolve these two, also when encoded, to other paths.
+    // Some servers resolve the dot segments to other paths, even if they are
+    // percent-encoded.
     if matches!(call.operation.as_str(), "" | "." | "..") {
-        return Err(TargetFailure::Connect("not an operation's name".to_owned()));
+        return Err(TargetFailure::Connect("invalid operation name".to_owned()));
     }
     let path = format!("/v1/calls/{}", PathSegment(&call.operation));
     let mut request = request(Method::POST, address, &path, call.body)?;
--- a/src/target/client/single_call.rs
+++ b/src/target/client/single_call.rs
@@ -7,10 +7,10 @@
 use crate::target::transport::FreshConnection;
 use crate::target::{CallFailure, TargetFailure};
 
-/// An open connection to a plain service, on which nothing was sent yet.
+/// An open connection to a plain service, on which nothing has been sent.
 ///
-/// Connecting takes time, and so the leave to send is best asked for when the
-/// connection stands: between that and the first byte nothing is waited for.
+/// Connecting takes time. A caller that needs permission to send therefore requests it
+/// once the connection is open, so that nothing delays the first byte after it.
 #[derive(Debug)]
 pub struct SingleCall {
     client: TargetClient,
@@ -19,10 +19,10 @@
 }
 
 impl TargetClient {
-    /// Connects for one call and sends nothing.
+    /// Connects for one call without sending anything.
     ///
     /// # Errors
-    /// If no connection could be made; the verdict is `NotRun`.
+    /// Fails if no connection could be made; the verdict is `NotRun`.
     pub async fn open_single(&self, address: SocketAddr) -> Result<SingleCall, TargetFailure> {
         let timeout = self.transport.connect_timeout();
         Ok(SingleCall {
@@ -34,13 +34,13 @@
 }
 
 impl SingleCall {
-    /// Sends the call, once. [`CallRequest::use_pool`] has no meaning here.
+    /// Sends the call once. [`CallRequest::use_pool`] is ignored.
     ///
     /// # Errors
-    /// With the verdict on whether the call may have run.
+    /// Fails with a verdict on whether the call may have run.
     pub async fn send(self, call: CallRequest) -> Result<CallResponse, CallFailure> {
         let mut request = call_request(self.address, call)?;
-        // On a connection of its own the request line names the path only.
+        // On a direct connection the request line contains only the path.
         let path = request.uri().path_and_query().cloned();
         if let Some(path) = path {
             *request.uri_mut() = path.into();
--- a/src/target/failure.rs
+++ b/src/target/failure.rs
@@ -1,40 +1,40 @@
-//! How a call to a target failed, and what that says about its effect.
+//! Failures of calls to targets, and whether such a call may have run.
 
 use crate::reason::RetryReason;
 use crate::run::StepFailure;
 use crate::target::wire::TargetRefusal;
 use crate::verdict::RunVerdict;
 
-/// A call to a target that brought no usable answer.
+/// A call to a target without a usable response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TargetFailure {
-    /// No connection was made, so no byte was sent.
+    /// The connection failed, so no byte was sent.
     #[error("cannot connect: {0}")]
     Connect(String),
     /// The connection broke after bytes may have been sent.
-    #[error("no answer: {0}")]
+    #[error("no response: {0}")]
     AnswerLost(String),
-    /// The answer did not come whole within the time given.
+    /// No complete response arrived in time.
     #[error("no answer in time")]
     TimedOut,
-    /// The target refused the order; nothing of it ran.
+    /// The target refused the request; no part of it ran.
     #[error("refused: {0:?}")]
     Refused(TargetRefusal),
-    /// The target answered with something that is no answer to this call.
-    #[error("unusable answer: {0}")]
+    /// The response is malformed, or not one to this call.
+    #[error("unusable response: {0}")]
     Unusable(String),
 }
 
-/// A call to a plain service that brought no answer.
+/// A call to a plain service without a response.
 pub type CallFailure = TargetFailure;
 
 impl TargetFailure {
-    /// Whether the order may have run.
+    /// Returns whether the request may have run.
     ///
-    /// `NotRun` only for what is certain: no connection, or the target's own
-    /// refusal. A pooled connection that turns out to be closed counts as
-    /// `MayHaveRun`, since the client library does not promise to its callers
-    /// that nothing was written.
+    /// The verdict is `NotRun` only if that is certain: without a connection, or after a
+    /// refusal by the target itself. A pooled connection that turns out to be closed
+    /// counts as `MayHaveRun`, because the client library does not guarantee that nothing
+    /// was written.
     pub fn verdict(&self) -> RunVerdict {
         match self {
             Self::Connect(_) | Self::Refused(_) => RunVerdict::NotRun,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Reason under which a retry is counted.
+    /// Returns the reason under which a retry is counted.
     pub fn reason(&self) -> RetryReason {
         match self {
             Self::Connect(_) => RetryReason::ConnectFailed,
--- a/src/target/prefix.rs
+++ b/src/target/prefix.rs
@@ -1,11 +1,11 @@
-//! How engines name the prompt prefixes in their caches.
+//! Hashes by which engines identify the prompt prefixes in their caches.
 
 use crate::ids::TokenValue;
 
-/// Tokens in one chunk; a prefix ends with a whole chunk.
+/// Number of tokens in a chunk; a prefix consists of whole chunks.
 pub const PREFIX_CHUNK_TOKENS: usize = 16;
 
-/// Hash of the prompt up to the end of each whole chunk, shortest first.
+/// Returns the hash of the prompt up to the end of each whole chunk, shortest first.
 pub fn prefix_hashes(prompt: &[TokenValue], chunk_tokens: usize) -> Vec<u64> {
     let mut folded = 0;
     let chunks = prompt.chunks_exact(chunk_tokens.max(1));
@@ -18,7 +18,7 @@
     chunks.map(hash_next).collect()
 }
 
-/// The finaliser of SplitMix64 (Steele, Lea and Flood, 2014).
+/// Mixes a value with the finaliser of SplitMix64 (Steele, Lea and Flood, 2014).
 fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/target/transport.rs
+++ b/src/target/transport.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 to targets: pooled connections, bounded answers, no hidden retry.
+//! HTTP/1.1 transport to targets: pooled connections, bounded responses, no automatic
+//! retries.
 
 mod fresh;
 
@@ -17,12 +18,12 @@
 use super::wire::TargetRefusal;
 pub(super) use fresh::FreshConnection;
 
-/// How long an unused connection is kept.
+/// How long an idle connection is kept.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Unused connections kept for one target.
+/// Maximum number of idle connections per target.
 const POOL_IDLE_CONNECTIONS: usize = 32;
 
-/// Whole answer that is not a [`TargetRefusal`], of any status.
+/// A complete response of any status that is not a [`TargetRefusal`].
 #[derive(Debug)]
 pub(super) struct RawResponse {
     pub(super) status: StatusCode,
@@ -30,7 +31,7 @@
     pub(super) body: Bytes,
 }
 
-/// Sends requests; cheap to clone, clones share their connections.
+/// Sends requests. Clones are cheap and share their connections.
 #[derive(Debug, Clone)]
 pub(super) struct TargetTransport {
     pooled: Client<HttpConnector, Full<Bytes>>,
@@ -47,12 +48,12 @@
         }
     }
 
-    /// How long a connection may take to open.
+    /// Returns the timeout for making a connection.
     pub(super) fn connect_timeout(&self) -> Duration {
         self.connect_timeout
     }
 
-    /// Sends `request` and reads the answer, at most `max_bytes` of it.
+    /// Sends `request` and reads the response, up to `max_bytes`.
     pub(super) async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -67,7 +68,7 @@
         let exchange = exchange(client, request, max_bytes);
         match tokio::time::timeout(response_timeout, exchange).await {
             Ok(response) => response,
-            // The order may be running on a target that is frozen or slow.
+            // The request may be running on a target that hangs or is slow.
             Err(_) => Err(TargetFailure::TimedOut),
         }
     }
@@ -79,13 +80,13 @@
 ) -> Client<HttpConnector, Full<Bytes>> {
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(connect_timeout));
-    // Steps are small messages in lock-step; with Nagle's algorithm each could
-    // wait for the acknowledgement of the one before.
+    // Steps are small messages, each sent after the response to the previous one. With
+    // Nagle's algorithm each could wait for the acknowledgement of the one before.
     connector.set_nodelay(true);
     let mut builder = Client::builder(TokioExecutor::new());
     builder
-        // A library that repeats an order by itself hides that it may have
-        // run; the caller would be told `NotRun` for something that ran.
+        // An automatic retry of the library would hide that the request may have run, and
+        // the caller would receive `NotRun` for a request that ran.
         .retry_canceled_requests(false)
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(POOL_IDLE_TIMEOUT)
@@ -121,8 +122,8 @@
     }
 }
 
-/// A refusal counts as one only if the target said so in its own words: the
-/// bare status may come from something between us, or from a crash half-way.
+/// Returns the refusal in a response. The body must be a [`TargetRefusal`]: the status
+/// alone may come from a proxy, or from a crash while the request ran.
 fn refusal(status: StatusCode, body: &[u8]) -> Option<TargetRefusal> {
     let may_refuse = status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE;
     match may_refuse {
@@ -145,7 +146,7 @@
     }
 }
 
-/// The message of an error with those of its sources.
+/// Returns the message of an error followed by those of its sources.
 fn describe(error: &(dyn Error + 'static)) -> String {
     let mut message = error.to_string();
     let mut source = error.source();
--- a/src/target/transport/fresh.rs
+++ b/src/target/transport/fresh.rs
@@ -1,4 +1,4 @@
-//! A connection of its own for one call that may not be repeated.
+//! A dedicated connection for one call that may not be repeated.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use super::{RawResponse, describe, read_response};
 use crate::target::TargetFailure;
 
-/// An open connection on which nothing was sent yet.
+/// An open connection on which nothing has been sent.
 #[derive(Debug)]
 pub(in crate::target) struct FreshConnection {
     address: SocketAddr,
@@ -21,7 +21,7 @@
 }
 
 impl FreshConnection {
-    /// Connects; sends nothing.
+    /// Connects without sending anything.
     pub(in crate::target) async fn open(
         address: SocketAddr,
         timeout: Duration,
@@ -35,10 +35,10 @@
         }
     }
 
-    /// Sends the one request and reads its answer, at most `max_bytes` of it.
+    /// Sends one request and reads the response, up to `max_bytes`.
     ///
-    /// Every failure but the target's own refusal counts as "may have run":
-    /// from here on bytes may have been written.
+    /// Every failure except a refusal by the target counts as "may have run", because
+    /// bytes may have been written.
     pub(in crate::target) async fn send(
         mut self,
         mut request: Request<Full<Bytes>>,
@@ -70,7 +70,7 @@
     let (mut sender, connection) = handshake(TokioIo::new(stream))
         .await
         .map_err(|error| describe(&error))?;
-    // Ends when the sender is dropped and the answer has been read.
+    // The task ends when the sender is dropped and the response has been read.
     tokio::spawn(connection);
     sender.ready().await.map_err(|error| describe(&error))?;
     Ok(sender)
--- a/src/target/wire.rs
+++ b/src/target/wire.rs
@@ -1,6 +1,6 @@
-//! Bodies exchanged with targets: JSON over HTTP/1.1.
+//! Bodies of calls to targets: JSON over HTTP/1.1.
 //!
-//! | call | body | answer |
+//! | call | body | response |
 //! |---|---|---|
 //! | `POST /v1/steps` | [`StepRequest`] | 200 [`StepResponse`], else [`TargetRefusal`] |
 //! | `DELETE /v1/sessions/{session}` | none | 204, also when unknown |
@@ -10,10 +10,10 @@
 //! | `GET /v1/state` | none | 200 [`TargetState`] |
 //! | `PUT /v1/state` | [`StateOrder`] | 200 [`TargetState`], 412 if the fencing number is old |
 //! | `GET /v1/cache-events?from=N` | none | 200 [`CacheEvents`] |
-//! | `POST /v1/calls/{operation}` | caller's JSON | service's answer |
+//! | `POST /v1/calls/{operation}` | the caller's JSON | the service's response |
 //!
-//! A step is idempotent: a step at a position that the session has already
-//! run hands back the recorded outputs, one ahead of it is refused with 409.
+//! Steps are idempotent: a step at a position that the session has already run returns
+//! the recorded outputs, and one ahead of the session is refused with 409.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -27,10 +27,10 @@
 /// Header that carries the idempotency key to a plain service.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// What identifies one stage's part of one attempt, echoed in each answer.
+/// Identifies the part of one attempt that runs on one stage; echoed in each response.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, JsonSchema)]
 pub struct StepLabel {
-    /// Request served.
+    /// Request that the step belongs to.
     pub request: RequestId,
     /// Attempt that opened the session on this stage.
     pub attempt: AttemptNumber,
@@ -39,13 +39,13 @@
 }
 
 impl StepLabel {
-    /// The engine's session name for this label.
+    /// Returns the engine's session name for this label.
     pub fn session(&self) -> String {
         format!("{}.{}.{}", self.request, self.attempt, self.stage)
     }
 }
 
-/// An order to run consecutive positions through a layer range.
+/// Request to run consecutive positions through a layer range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct StepRequest {
     /// Request, attempt and stage.
@@ -60,10 +60,10 @@
     pub last_layer: LayerIndex,
     /// Position of the first input.
     pub position: TokenPosition,
-    /// One value a position: token values for the first stage, the previous
-    /// stage's outputs for the others.
+    /// One value per position: token values for the first stage, the outputs of the
+    /// previous stage for the others.
     pub inputs: Vec<u64>,
-    /// Higher goes first in the engine's batch.
+    /// A higher priority goes first in the engine's batch.
     #[serde(default)]
     pub priority: u8,
 }
@@ -71,16 +71,16 @@
 /// Outputs for the positions of a [`StepRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct StepResponse {
-    /// Copied from the order.
+    /// Copied from the request.
     pub label: StepLabel,
-    /// Copied from the order.
+    /// Copied from the request.
     pub position: TokenPosition,
-    /// One output a position: values for the next stage, or token values if
-    /// the range ends with the model's last layer.
+    /// One output per position: values for the next stage, or token values if the range
+    /// ends with the model's last layer.
     pub outputs: Vec<u64>,
 }
 
-/// Why a target refused; sent only when nothing of the order ran.
+/// Reason of a refusal, sent only if no part of the request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetRefusalKind {
@@ -88,22 +88,22 @@
     UnknownPosition,
     /// Model, version or layers are not loaded.
     NotLoaded,
-    /// The target is leaving and takes no new session.
+    /// The target is leaving and accepts no new sessions.
     Leaving,
     /// The batch queue is full.
     Overloaded,
     /// The fencing number is older than one seen.
     OldFencing,
-    /// The body could not be understood.
+    /// The body could not be parsed.
     Malformed,
 }
 
 /// Body of a target's refusal (status 4xx or 503).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct TargetRefusal {
-    /// Why.
+    /// Reason of the refusal.
     pub refused: TargetRefusalKind,
-    /// Next position that the session can run, if it is known.
+    /// Next position that the session can run, if known.
     #[serde(default)]
     pub next_position: Option<TokenPosition>,
 }
@@ -119,22 +119,22 @@
     pub first_layer: LayerIndex,
     /// Last layer held.
     pub last_layer: LayerIndex,
-    /// Positions held: from zero up to and without this one.
+    /// End of the held positions, exclusive; they begin at zero.
     pub next_position: TokenPosition,
-    /// Opaque contents, one entry a layer.
+    /// Opaque contents, one entry per layer.
     pub layers: Vec<u64>,
-    /// Outputs for the positions held, so that a step can be resumed.
+    /// Outputs for the held positions, so that a step can be resumed.
     pub outputs: Vec<u64>,
 }
 
-/// Load as a target publishes it; it lags behind.
+/// Load that a target reports; it lags behind.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct LoadReport {
-    /// Steps or calls running.
+    /// Running steps or calls.
     pub running: u32,
-    /// Steps or calls waiting.
+    /// Waiting steps or calls.
     pub waiting: u32,
-    /// Tokens a second over the last seconds.
+    /// Tokens per second over the last seconds.
     pub tokens_per_second: f64,
     /// Age of these figures when they were sent, in milliseconds.
     pub age_ms: u64,
@@ -145,15 +145,15 @@
     Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema,
 )]
 pub struct LoadedRange {
-    /// Model loaded.
+    /// Loaded model.
     pub model: ModelId,
-    /// Version loaded.
+    /// Loaded version.
     pub version: VersionId,
     /// First layer, inclusive.
     pub first_layer: LayerIndex,
     /// Last layer, inclusive.
     pub last_layer: LayerIndex,
-    /// Adapters loaded beside it.
+    /// Adapters loaded with it.
     #[serde(default)]
     pub adapters: Vec<String>,
 }
@@ -171,12 +171,12 @@
     Decode,
 }
 
-/// What a target holds and whether it takes new work.
+/// State of a target: what it holds, and whether it accepts new sessions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct TargetState {
     /// Ranges that are loaded and can serve.
     pub loaded: Vec<LoadedRange>,
-    /// Ranges whose weights are still being fetched.
+    /// Ranges whose weights are still being loaded.
     #[serde(default)]
     pub loading: Vec<LoadedRange>,
     /// Role of the engine.
@@ -190,17 +190,18 @@
     pub fencing: Option<LogOffset>,
 }
 
-/// A declarative order: be in this state.
+/// Declarative order to reach a state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct StateOrder {
-    /// Ranges to hold; others are unloaded.
+    /// Ranges to hold; all others are unloaded.
     pub loaded: Vec<LoadedRange>,
-    /// Role to take.
+    /// Role to assume.
     #[serde(default)]
     pub role: EngineRole,
     /// Fencing number of the lease under which the order is given.
     pub fencing: LogOffset,
-    /// The target drops the order if it has not begun within this time.
+    /// Time in milliseconds after which the target drops the order if it has not begun to
+    /// execute it.
     pub deadline_ms: u64,
 }
 
@@ -211,7 +212,7 @@
     pub number: u64,
     /// Hash of the prompt prefix.
     pub prefix: u64,
-    /// Whether the prefix was stored; else it was evicted.
+    /// Whether the prefix was stored; otherwise it was evicted.
     pub stored: bool,
 }
 
@@ -220,6 +221,6 @@
 pub struct CacheEvents {
     /// Events in order, possibly with gaps.
     pub events: Vec<CacheEvent>,
-    /// Number to ask from next time.
+    /// Number from which the next request continues.
     pub next: u64,
 }
