--- a/tests/peer_rpc.rs
+++ b/tests/peer_rpc.rs
@@ -91,33 +91,33 @@
 /// Handlers that echo the caller's heartbeat beside a fixed reply.
 fn handlers(host: &'static str, incarnation: u64) -> PeerHandlers {
     PeerHandlers {
-        heartbeat: Arc::new(move |heard: PeerHeartbeat| PeerReply {
+        heartbeat: Arc::new(move |received: PeerHeartbeat| PeerReply {
             heartbeat: PeerHeartbeat {
-                loads: heard.loads,
-                digest: heard.digest,
+                loads: received.loads,
+                digest: received.digest,
                 ..beat(host, incarnation)
             },
-            lease_offset: heard.demands_for,
-            grants: heard
+            lease_offset: received.demands_for,
+            grants: received
                 .demands
                 .iter()
                 .map(|demand| grant(&demand.organisation))
                 .collect(),
         }),
-        records: Arc::new(|question| RelayedRange {
-            first_offset: question.from,
-            end_offset: question.from + 2,
+        records: Arc::new(|request| RelayedRange {
+            first_offset: request.from,
+            end_offset: request.from + 2,
             records: vec![StoredRecord {
-                offset: question.from,
+                offset: request.from,
                 body: "{}".to_owned(),
             }],
-            checkpoint: Some(question.stream),
+            checkpoint: Some(request.stream),
         }),
-        claim_outcome: Arc::new(|question| {
+        claim_outcome: Arc::new(|request| {
             let outcome = ClaimOutcome::Known {
                 verdict: RunVerdict::Ran,
                 status: 200,
-                body: Bytes::copy_from_slice(question.key.as_bytes()),
+                body: Bytes::copy_from_slice(request.key.as_bytes()),
             };
             async move { outcome }.boxed()
         }),
@@ -159,17 +159,17 @@
     };
     assert_eq!(reply, expected);
 
-    let question = RecordsRequest {
+    let request = RecordsRequest {
         stream: "declarations".to_owned(),
         from: 3,
         limit: 10,
     };
-    let range = caller.records(address, question).await.expect("a range");
+    let range = caller.records(address, request).await.expect("a range");
     assert_eq!((range.first_offset, range.end_offset), (3, 5));
     assert_eq!(range.records[0].body, "{}");
     assert_eq!(range.checkpoint.as_deref(), Some("declarations"));
 
-    let question = ClaimQuery {
+    let request = ClaimQuery {
         request: "r".into(),
         service: "ledger".into(),
         operation: "settle".to_owned(),
@@ -177,7 +177,7 @@
         organisation: "acme".into(),
     };
     let outcome = caller
-        .claim_outcome(address, question, WAIT_LIMIT)
+        .claim_outcome(address, request, WAIT_LIMIT)
         .await
         .expect("an outcome");
     let expected = ClaimOutcome::Known {
@@ -195,24 +195,27 @@
 /// peer is called.
 /// Cause: calls made one after the other, or a frozen connection kept for ever.
 #[tokio::test]
-async fn a_hanging_peer_delays_no_other() {
-    let frozen = tokio::net::TcpListener::bind(loopback(0))
+async fn hanging_peer_delays_no_call_to_another() {
+    let hanging_peer = tokio::net::TcpListener::bind(loopback(0))
         .await
         .expect("a socket");
-    let frozen_address = frozen.local_addr().expect("an address");
+    let hanging_address = hanging_peer.local_addr().expect("an address");
     let callee = spawn("vake-2", 2);
     let caller = spawn("vake-1", 1);
 
-    let mut hanging = Box::pin(caller.heartbeat(frozen_address, beat("vake-1", 1)));
-    assert!(hanging.as_mut().now_or_never().is_none());
-    let (_held, _) = frozen.accept().await.expect("the caller's connection");
+    let mut pending = Box::pin(caller.heartbeat(hanging_address, beat("vake-1", 1)));
+    assert!(pending.as_mut().now_or_never().is_none());
+    let (_held, _) = hanging_peer
+        .accept()
+        .await
+        .expect("the caller's connection");
     for _ in 0..20 {
         caller
             .heartbeat(callee.local_address(), beat("vake-1", 1))
             .await
-            .expect("the other peer answers");
+            .expect("a reply of the other peer");
     }
-    assert!(hanging.as_mut().now_or_never().is_none());
+    assert!(pending.as_mut().now_or_never().is_none());
     caller.shutdown().await;
     callee.shutdown().await;
 }
@@ -221,23 +224,23 @@
 /// Events: a call runs out of time; the peer comes back.
 /// Cause: the connection on which answers never come is used again and again.
 #[tokio::test]
-async fn a_call_out_of_time_closes_the_connection() {
-    let frozen = tokio::net::TcpListener::bind(loopback(0))
+async fn call_timeout_closes_the_connection() {
+    let hanging_peer = tokio::net::TcpListener::bind(loopback(0))
         .await
         .expect("a socket");
-    let address = frozen.local_addr().expect("an address");
-    let quick = PeerSettings {
+    let address = hanging_peer.local_addr().expect("an address");
+    let short_timeout = PeerSettings {
         call_timeout: Duration::from_millis(30),
         ..settings(0)
     };
-    let caller = peer::spawn(quick, handlers("vake-1", 1)).expect("a peer");
+    let caller = peer::spawn(short_timeout, handlers("vake-1", 1)).expect("a peer");
 
     let failed = caller.heartbeat(address, beat("vake-1", 1)).await;
     assert!(
         matches!(failed, Err(PeerError::Timeout { .. })),
         "{failed:?}"
     );
-    let (mut first, _) = frozen.accept().await.expect("a connection");
+    let (mut first, _) = hanging_peer.accept().await.expect("a connection");
     let mut rest = Vec::new();
     tokio::time::timeout(WAIT_LIMIT, first.read_to_end(&mut rest))
         .await
@@ -247,7 +250,7 @@
     let second = tokio::time::timeout(WAIT_LIMIT, async {
         loop {
             let _ = caller.heartbeat(address, beat("vake-1", 1)).await;
-            if let Some(accepted) = frozen.accept().now_or_never() {
+            if let Some(accepted) = hanging_peer.accept().now_or_never() {
                 return accepted;
             }
         }
@@ -260,7 +263,7 @@
 /// Events: the peer is killed, calls to it fail, a new one starts there.
 /// Cause: a link that remembers its broken connection.
 #[tokio::test]
-async fn a_killed_peer_is_reached_again_after_its_restart() {
+async fn restarted_peer_is_reachable_at_its_address() {
     let caller = spawn("vake-1", 1);
     let callee = spawn("vake-2", 2);
     let address = callee.local_address();
@@ -272,7 +275,7 @@
     let failed = caller.heartbeat(address, beat("vake-1", 1)).await;
     assert!(failed.is_err(), "{failed:?}");
 
-    let again = peer::spawn(settings(address.port()), handlers("vake-2", 3)).expect("a peer");
+    let restarted = peer::spawn(settings(address.port()), handlers("vake-2", 3)).expect("a peer");
     let started = Instant::now();
     let reply = loop {
         match caller.heartbeat(address, beat("vake-1", 1)).await {
@@ -283,14 +286,14 @@
     };
     assert_eq!(reply.heartbeat.incarnation, 3);
     caller.shutdown().await;
-    again.shutdown().await;
+    restarted.shutdown().await;
 }
 
 /// Symptom: one damaged message takes all memory of a daemon.
 /// Events: a connection announces a message of 16 GB.
 /// Cause: memory set aside by the announced length.
 #[tokio::test]
-async fn an_oversized_message_ends_only_its_connection() {
+async fn oversized_message_closes_only_its_connection() {
     let callee = spawn("vake-2", 2);
     let caller = spawn("vake-1", 1);
     let mut stream = tokio::net::TcpStream::connect(callee.local_address())
@@ -308,7 +311,7 @@
     caller
         .heartbeat(callee.local_address(), beat("vake-1", 1))
         .await
-        .expect("others are still served");
+        .expect("a reply on another connection");
     caller.shutdown().await;
     callee.shutdown().await;
 }
--- a/tests/platform_client.rs
+++ b/tests/platform_client.rs
@@ -1,7 +1,7 @@
 //! What a call to the platform says about its effect, and how a tail and an
 //! append queue behave when calls fail.
 
-#![allow(clippy::unwrap_used)] // A test ends at the first thing that is not there.
+#![allow(clippy::unwrap_used)] // A missing value fails the test.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -134,12 +134,12 @@
 async fn append_returns_the_offset() {
     let platform =
         ScriptedPlatform::bind(vec![Reply::Body("{\"first_offset\":7}".to_owned())]).await;
-    let answer = platform
+    let response = platform
         .client()
         .append("claims", vec!["a".to_owned(), "b".to_owned()])
         .await
         .unwrap();
-    assert_eq!(answer.first_offset, 7);
+    assert_eq!(response.first_offset, 7);
     assert_eq!(
         *platform.requests.lock(),
         ["POST /v1/streams/claims/records HTTP/1.1\n{\"records\":[\"a\",\"b\"]}"]
@@ -152,7 +152,7 @@
 /// a 500. Cause: such a failure read as "nothing was stored", or repeated
 /// unasked by the connection library.
 #[tokio::test]
-async fn append_without_an_answer_may_have_taken_effect() {
+async fn append_without_a_response_may_have_taken_effect() {
     for reply in [
         Reply::Drop,
         Reply::CutBody,
@@ -172,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn append_refused_or_unconnected_took_no_effect() {
+async fn refused_or_unconnected_append_has_no_effect() {
     for status in [400, 429, 503] {
         let verdict = append_verdict(Reply::Status(status)).await;
         assert_eq!(verdict, (AppendVerdict::NotAppended, 1));
@@ -192,12 +192,12 @@
 /// failed connect. (Whether the library repeats a request that it knows it
 /// never wrote cannot be forced from here; the client switches that off.)
 #[tokio::test]
-async fn a_pooled_connection_that_closes_causes_no_repeat() {
-    let answer = "{\"first_offset\":0}".to_owned();
+async fn closed_pooled_connection_causes_no_repetition() {
+    let response = "{\"first_offset\":0}".to_owned();
     let script = vec![
-        Reply::Body(answer.clone()),
+        Reply::Body(response.clone()),
         Reply::Drop,
-        Reply::Body(answer),
+        Reply::Body(response),
     ];
     let platform = ScriptedPlatform::bind(script).await;
     let client = platform.client();
@@ -207,7 +207,7 @@
     assert_eq!(platform.requests.lock().len(), 2);
 }
 
-fn read_answer(first_offset: u64, end_offset: u64, offsets: &[u64]) -> Reply {
+fn read_response(first_offset: u64, end_offset: u64, offsets: &[u64]) -> Reply {
     let records = offsets
         .iter()
         .map(|&offset| StoredRecord {
@@ -215,12 +215,12 @@
             body: format!("r{offset}"),
         })
         .collect();
-    let answer = ReadResponse {
+    let response = ReadResponse {
         first_offset,
         end_offset,
         records,
     };
-    Reply::Body(serde_json::to_string(&answer).unwrap())
+    Reply::Body(serde_json::to_string(&response).unwrap())
 }
 
 /// Symptom: hosts with different states at one offset. Sequence: the service
@@ -228,14 +228,14 @@
 /// which the tail has not read. Cause: a gap that the tail hands on in
 /// silence.
 #[tokio::test]
-async fn tail_reports_outage_and_expiry_and_never_hands_on_a_gap() {
+async fn tail_reports_outage_and_expiry_and_delivers_no_gap() {
     let platform = ScriptedPlatform::bind(vec![
-        read_answer(0, 2, &[0, 1]),
+        read_response(0, 2, &[0, 1]),
         Reply::Status(503),
         Reply::Drop,
-        read_answer(0, 6, &[3, 4]),
-        read_answer(0, 3, &[2]),
-        read_answer(5, 7, &[5, 6]),
+        read_response(0, 6, &[3, 4]),
+        read_response(0, 3, &[2]),
+        read_response(5, 7, &[5, 6]),
     ])
     .await;
     let mut tail = LogTail::spawn(
@@ -286,7 +286,7 @@
 /// record, or the platform gets one append per record. Sequence: records
 /// submitted together; the first batch is stored, the second loses its answer.
 #[tokio::test]
-async fn queue_batches_and_answers_each_submitter() {
+async fn queue_batches_records_and_replies_to_each_submitter() {
     let platform = ScriptedPlatform::bind(vec![
         Reply::BodyThenClose("{\"first_offset\":40}".to_owned()),
         Reply::Drop,
--- a/tests/target_client.rs
+++ b/tests/target_client.rs
@@ -27,7 +27,7 @@
     })
 }
 
-fn order() -> StepRequest {
+fn step_request() -> StepRequest {
     StepRequest {
         label: StepLabel {
             request: "r".into(),
@@ -44,27 +44,27 @@
     }
 }
 
-fn step_answer() -> String {
-    let answer = StepResponse {
-        label: order().label,
+fn step_response() -> String {
+    let response = StepResponse {
+        label: step_request().label,
         position: 0,
         outputs: vec![2],
     };
-    serde_json::to_string(&answer).expect("encode")
+    serde_json::to_string(&response).expect("encode")
 }
 
 /// Asks a server that always replies with `reply`; also gives the number of
 /// requests that it read whole.
-async fn ask(reply: TinyReply) -> (Result<StepResponse, StepFailure>, usize) {
+async fn send_step(reply: TinyReply) -> (Result<StepResponse, StepFailure>, usize) {
     let server = TinyServer::bind(move |request| match (&reply, request) {
         (TinyReply::ResetUnread, _) => Some(TinyReply::ResetUnread),
         (_, None) => None,
         (reply, Some(_)) => Some(reply.clone()),
     });
     let server = server.await;
-    let answer = client(SHORT).step(server.address, &order()).await;
+    let response = client(SHORT).step(server.address, &step_request()).await;
     let seen = server.seen.lock().len();
-    (answer, seen)
+    (response, seen)
 }
 
 /// Symptom: a caller is told `not_run`, repeats the request, and it runs twice.
@@ -76,44 +76,44 @@
 async fn verdict_is_not_run_only_if_certain() {
     use RetryReason::{AnswerLost, AnswerMismatched, TargetRefused};
     use RunVerdict::{MayHaveRun, NotRun};
-    let huge = step_answer() + &" ".repeat(9 * 1024 * 1024);
+    let huge = step_response() + &" ".repeat(9 * 1024 * 1024);
     let cases = [
         (TinyReply::ResetUnread, AnswerLost, MayHaveRun, 0),
         (TinyReply::ResetRead, AnswerLost, MayHaveRun, 1),
-        (TinyReply::ResetMidAnswer, AnswerLost, MayHaveRun, 1),
+        (TinyReply::ResetMidResponse, AnswerLost, MayHaveRun, 1),
         (TinyReply::Silence, AnswerLost, MayHaveRun, 1),
         (
-            TinyReply::Answer(503, REFUSAL.into()),
+            TinyReply::Response(503, REFUSAL.into()),
             TargetRefused,
             NotRun,
             1,
         ),
         (
-            TinyReply::Answer(429, REFUSAL.into()),
+            TinyReply::Response(429, REFUSAL.into()),
             TargetRefused,
             NotRun,
             1,
         ),
         (
-            TinyReply::Answer(500, REFUSAL.into()),
+            TinyReply::Response(500, REFUSAL.into()),
             AnswerMismatched,
             MayHaveRun,
             1,
         ),
         (
-            TinyReply::Answer(503, "busy".into()),
+            TinyReply::Response(503, "busy".into()),
             AnswerMismatched,
             MayHaveRun,
             1,
         ),
         (
-            TinyReply::Answer(200, "{}".into()),
+            TinyReply::Response(200, "{}".into()),
             AnswerMismatched,
             MayHaveRun,
             1,
         ),
         (
-            TinyReply::Answer(200, huge),
+            TinyReply::Response(200, huge),
             AnswerMismatched,
             MayHaveRun,
             1,
@@ -122,8 +122,8 @@
     for (reply, reason, verdict, requests) in cases {
         let is_silent = matches!(reply, TinyReply::Silence);
         let name: String = format!("{reply:?}").chars().take(60).collect();
-        let (answer, seen) = ask(reply).await;
-        let failure = answer.expect_err(&name);
+        let (response, seen) = send_step(reply).await;
+        let failure = response.expect_err(&name);
         assert_eq!(
             (failure.reason, failure.verdict),
             (reason, verdict),
@@ -136,20 +136,20 @@
     let unused = TinyServer::bind(|_| None).await.address;
     let closed = SocketAddr::new(unused.ip(), closed_port().await);
     let failure = client(SHORT)
-        .step(closed, &order())
+        .step(closed, &step_request())
         .await
         .expect_err("closed");
     assert_eq!(failure.reason, RetryReason::ConnectFailed);
     assert_eq!(failure.verdict, NotRun);
 
-    let (answer, _) = ask(TinyReply::Answer(200, step_answer())).await;
-    assert_eq!(answer.expect("answered").outputs, [2]);
-    let (answer, _) = ask(TinyReply::Answer(
+    let (response, _) = send_step(TinyReply::Response(200, step_response())).await;
+    assert_eq!(response.expect("answered").outputs, [2]);
+    let (response, _) = send_step(TinyReply::Response(
         409,
         r#"{"refused":"unknown_position"}"#.into(),
     ))
     .await;
-    let refusal = answer.expect_err("refused").refusal.expect("typed");
+    let refusal = response.expect_err("refused").refusal.expect("typed");
     assert_eq!(refusal.refused, TargetRefusalKind::UnknownPosition);
 }
 
@@ -158,15 +158,15 @@
 /// point after it was opened. Cause: nothing distinguishes a connection that
 /// could not be opened from one that broke before it was answered.
 #[tokio::test]
-async fn a_single_call_is_sent_once_and_not_run_only_if_certain() {
+async fn single_call_is_sent_once_and_not_run_only_if_certain() {
     use RunVerdict::{MayHaveRun, NotRun};
     let cases = [
         (TinyReply::ResetUnread, MayHaveRun, 0),
         (TinyReply::ResetRead, MayHaveRun, 1),
-        (TinyReply::ResetMidAnswer, MayHaveRun, 1),
+        (TinyReply::ResetMidResponse, MayHaveRun, 1),
         (TinyReply::Silence, MayHaveRun, 1),
-        (TinyReply::Answer(503, REFUSAL.into()), NotRun, 1),
-        (TinyReply::Answer(500, REFUSAL.into()), RunVerdict::Ran, 1),
+        (TinyReply::Response(503, REFUSAL.into()), NotRun, 1),
+        (TinyReply::Response(500, REFUSAL.into()), RunVerdict::Ran, 1),
     ];
     for (reply, verdict, requests) in cases {
         let name = format!("{reply:?}");
@@ -184,11 +184,11 @@
         };
         let connection = client(SHORT).open_single(server.address).await;
         assert_eq!(server.seen.lock().len(), 0, "{name}: sent while connecting");
-        let told = match connection.expect("connected").send(call).await {
+        let reported = match connection.expect("connected").send(call).await {
             Ok(_) => RunVerdict::Ran,
             Err(failure) => failure.verdict(),
         };
-        assert_eq!(told, verdict, "{name}");
+        assert_eq!(reported, verdict, "{name}");
         assert_eq!(server.seen.lock().len(), requests, "{name}");
     }
     let closed = SocketAddr::from(([127, 0, 0, 1], closed_port().await));
@@ -211,7 +211,7 @@
     const CALLS: usize = 200;
     for use_pool in [true, false] {
         let server = TinyServer::bind(|request| {
-            request.map(|_| TinyReply::AnswerThenClose(200, "{}".to_owned()))
+            request.map(|_| TinyReply::ResponseThenClose(200, "{}".to_owned()))
         });
         let server = server.await;
         let client = client(SHORT);
--- a/tests/target_client/driver.rs
+++ b/tests/target_client/driver.rs
@@ -42,15 +42,15 @@
 /// An engine whose output for a position is that position plus 100.
 fn engine_reply(request: &SeenRequest) -> TinyReply {
     let Ok(order) = serde_json::from_slice::<StepRequest>(&request.body) else {
-        return TinyReply::Answer(204, String::new());
+        return TinyReply::Response(204, String::new());
     };
     let positions = order.position..order.position + order.inputs.len() as u64;
-    let answer = StepResponse {
+    let response = StepResponse {
         label: order.label,
         position: order.position,
         outputs: positions.map(|position| position + 100).collect(),
     };
-    TinyReply::Answer(200, serde_json::to_string(&answer).expect("encode"))
+    TinyReply::Response(200, serde_json::to_string(&response).expect("encode"))
 }
 
 /// A run that is under way, with what it told the daemon.
@@ -95,14 +95,14 @@
 /// shared connection is one to another request, then all is well. Cause:
 /// answers told apart by their connection alone.
 #[tokio::test]
-async fn crossed_answer_is_asked_for_again() {
-    let answers = AtomicUsize::new(0);
+async fn response_to_another_request_is_dropped_and_requested_again() {
+    let responses = AtomicUsize::new(0);
     let server = TinyServer::bind(move |request| {
         let reply = engine_reply(request?);
-        match (reply, answers.fetch_add(1, Ordering::SeqCst)) {
-            (TinyReply::Answer(status, body), 1) => {
+        match (reply, responses.fetch_add(1, Ordering::SeqCst)) {
+            (TinyReply::Response(status, body), 1) => {
                 let crossed = body.replace(r#""request":"r""#, r#""request":"other""#);
-                Some(TinyReply::Answer(status, crossed.replace("102", "999")))
+                Some(TinyReply::Response(status, crossed.replace("102", "999")))
             }
             (reply, _) => Some(reply),
         }
@@ -145,7 +145,7 @@
 /// that mean something in a path. Cause: noticing only when a token is
 /// written, or cancelling a session of another name.
 #[tokio::test]
-async fn leaving_caller_cancels_the_session() {
+async fn session_is_cancelled_when_the_caller_leaves() {
     let server = TinyServer::bind(|request| request.map(silent_steps)).await;
     let mut plan = plan(LONG);
     plan.request = "r/1?".into();
@@ -163,7 +163,7 @@
 /// Symptom: a caller hangs past its deadline. Sequence: the engine freezes
 /// with an order in hand. Cause: a deadline looked at only between steps.
 #[tokio::test]
-async fn deadline_ends_a_run_in_mid_step() {
+async fn deadline_ends_a_run_during_a_step() {
     let server = TinyServer::bind(|request| request.map(silent_steps)).await;
     let run = RunningRun::spawn(plan(Duration::from_millis(200)), server.address, None);
     let (tokens, outcome) = run.finish().await;
@@ -175,6 +175,6 @@
 fn silent_steps(request: &SeenRequest) -> TinyReply {
     match request.line.starts_with("POST") {
         true => TinyReply::Silence,
-        false => TinyReply::Answer(204, String::new()),
+        false => TinyReply::Response(204, String::new()),
     }
 }
--- a/tests/target_client/tiny_server.rs
+++ b/tests/target_client/tiny_server.rs
@@ -23,13 +23,13 @@
     /// Read the request, then reset.
     ResetRead,
     /// Read the request, send a part of an answer, then reset.
-    ResetMidAnswer,
+    ResetMidResponse,
     /// Read the request and never answer.
     Silence,
     /// Answer, and keep the connection.
-    Answer(u16, String),
+    Response(u16, String),
     /// Answer, then close the connection without saying so.
-    AnswerThenClose(u16, String),
+    ResponseThenClose(u16, String),
 }
 
 pub(crate) struct TinyServer {
@@ -61,8 +61,8 @@
     /// Waits until a request whose line starts with `prefix` has arrived.
     pub(crate) async fn wait_for(&self, prefix: &str) {
         for _ in 0..1000 {
-            let has_come = |request: &SeenRequest| request.line.starts_with(prefix);
-            if self.seen.lock().iter().any(has_come) {
+            let matches_prefix = |request: &SeenRequest| request.line.starts_with(prefix);
+            if self.seen.lock().iter().any(matches_prefix) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -85,15 +85,15 @@
         seen.lock().push(request.clone());
         match reply(Some(&request)).expect("a reply") {
             TinyReply::ResetUnread | TinyReply::ResetRead => return reset(&stream),
-            TinyReply::ResetMidAnswer => {
+            TinyReply::ResetMidResponse => {
                 let part = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n{\"label\":";
                 let _ = stream.write_all(part.as_bytes()).await;
                 return reset(&stream);
             }
             TinyReply::Silence => std::future::pending().await,
-            TinyReply::Answer(status, body) => answer(&mut stream, status, &body).await,
-            TinyReply::AnswerThenClose(status, body) => {
-                return answer(&mut stream, status, &body).await;
+            TinyReply::Response(status, body) => respond(&mut stream, status, &body).await,
+            TinyReply::ResponseThenClose(status, body) => {
+                return respond(&mut stream, status, &body).await;
             }
         }
     }
@@ -104,7 +104,7 @@
     let _ = stream.set_zero_linger();
 }
 
-async fn answer(stream: &mut TcpStream, status: u16, body: &str) {
+async fn respond(stream: &mut TcpStream, status: u16, body: &str) {
     let length = body.len();
     let head = format!("HTTP/1.1 {status} Status\r\ncontent-length: {length}\r\n\r\n");
     let _ = stream.write_all((head + body).as_bytes()).await;
