--- a/tests/peer_rpc.rs
+++ b/tests/peer_rpc.rs
@@ -1,4 +1,4 @@
-//! Calls between daemons over loopback: answers, hanging and killed peers, bounds.
+//! Peer calls over loopback: replies, hanging and restarted peers, and size limits.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -88,7 +88,8 @@
     }
 }
 
-/// Handlers that echo the caller's heartbeat beside a fixed reply.
+/// Returns handlers that echo parts of the caller's heartbeat in an otherwise fixed
+/// reply.
 fn handlers(host: &'static str, incarnation: u64) -> PeerHandlers {
     PeerHandlers {
         heartbeat: Arc::new(move |received: PeerHeartbeat| PeerReply {
@@ -190,10 +191,9 @@
     callee.shutdown().await;
 }
 
-/// Symptom: one frozen host makes every host of the zone look dead.
-/// Events: a peer takes the connection and never answers; meanwhile another
-/// peer is called.
-/// Cause: calls made one after the other, or a frozen connection kept for ever.
+/// Guards against a hanging host that makes all hosts of its zone look dead, because
+/// calls run one after another. One peer accepts the connection and never replies while
+/// another one is called.
 #[tokio::test]
 async fn hanging_peer_delays_no_call_to_another() {
     let hanging_peer = tokio::net::TcpListener::bind(loopback(0))
@@ -220,9 +220,9 @@
     callee.shutdown().await;
 }
 
-/// Symptom: a host that froze for a while stays unreachable for the others.
-/// Events: a call runs out of time; the peer comes back.
-/// Cause: the connection on which answers never come is used again and again.
+/// Guards against a host that stays unreachable after it hung for a while, because the
+/// connection without replies is reused. A call times out, and the peer accepts a second
+/// connection.
 #[tokio::test]
 async fn call_timeout_closes_the_connection() {
     let hanging_peer = tokio::net::TcpListener::bind(loopback(0))
@@ -259,9 +259,9 @@
     caller.shutdown().await;
 }
 
-/// Symptom: a replaced host is never heard again at its old address.
-/// Events: the peer is killed, calls to it fail, a new one starts there.
-/// Cause: a link that remembers its broken connection.
+/// Guards against a restarted host that stays unreachable at its address, because the
+/// link keeps the broken connection. The peer ends, calls to it fail, and a new one
+/// starts at its address.
 #[tokio::test]
 async fn restarted_peer_is_reachable_at_its_address() {
     let caller = spawn("vake-1", 1);
@@ -289,9 +289,8 @@
     restarted.shutdown().await;
 }
 
-/// Symptom: one damaged message takes all memory of a daemon.
-/// Events: a connection announces a message of 16 GB.
-/// Cause: memory set aside by the announced length.
+/// Guards against a damaged message that exhausts the memory, because memory is allocated
+/// by the announced length. A connection announces a message of 16 GB.
 #[tokio::test]
 async fn oversized_message_closes_only_its_connection() {
     let callee = spawn("vake-2", 2);
@@ -316,7 +315,7 @@
     callee.shutdown().await;
 }
 
-/// Bytes on the wire of one heartbeat and its reply, both ways together.
+/// Returns the bytes on the wire of one heartbeat and its reply.
 async fn exchange_bytes(beat: &PeerHeartbeat) -> u64 {
     let caller = spawn("vake-1", 1);
     let callee = spawn("vake-2", 2);
@@ -344,8 +343,8 @@
     (after - before) / 16
 }
 
-/// The slopes on which the budget of control bytes in `docs/design/membership.md`
-/// rests; loads are counted in both directions because the stub echoes them.
+/// Checks the bytes per item that the budget in `docs/design/membership.md` is based on.
+/// Loads and the digest count in both directions because the handlers echo them.
 #[tokio::test]
 async fn the_bytes_of_a_heartbeat_stay_within_their_slopes() {
     const ITEMS: u64 = 20;
--- a/tests/platform_client.rs
+++ b/tests/platform_client.rs
@@ -1,5 +1,5 @@
-//! What a call to the platform says about its effect, and how a tail and an
-//! append queue behave when calls fail.
+//! Verdicts of failed calls to the platform, and the behaviour of tails and append queues
+//! when calls fail.
 
 #![allow(clippy::unwrap_used)] // A missing value fails the test.
 
@@ -18,23 +18,23 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the scripted platform does with one request.
+/// Reaction of the scripted platform to one request.
 enum Reply {
-    /// Answers 200 with this body.
+    /// Responds with 200 and this body.
     Body(String),
-    /// Answers with this status and no body.
+    /// Responds with this status and no body.
     Status(u16),
-    /// Reads the request whole, then closes the connection.
+    /// Reads the complete request, then closes the connection.
     Drop,
-    /// Announces a longer body than it sends, then closes.
+    /// Announces a longer body than it sends, then closes the connection.
     CutBody,
-    /// Answers 200, then closes the connection without having announced it.
+    /// Responds with 200, then closes the connection without announcing it.
     BodyThenClose(String),
-    /// Reads the request and never answers.
+    /// Reads the request and never responds.
     Stall,
 }
 
-/// A platform that answers by a script, and keeps the requests it read.
+/// A platform that responds by a script and records the requests.
 struct ScriptedPlatform {
     address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
@@ -93,7 +93,7 @@
     }
 }
 
-/// The request line and body, or `None` at the end of the connection.
+/// Returns the request line and body, or `None` at the end of the connection.
 async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let mut first_line = String::new();
     let mut length = 0;
@@ -146,11 +146,9 @@
     );
 }
 
-/// Symptom: a host tells a caller that nothing ran, though its record is in
-/// the log. Sequence: the service reads and stores the records, then the
-/// connection breaks, the answer is cut, comes too late or from a relay with
-/// a 500. Cause: such a failure read as "nothing was stored", or repeated
-/// unasked by the connection library.
+/// Guards against a stored record that is reported as not stored or that the library
+/// appends twice, when the connection breaks after the request or the response is
+/// truncated, late or an error of a proxy.
 #[tokio::test]
 async fn append_without_a_response_may_have_taken_effect() {
     for reply in [
@@ -186,11 +184,9 @@
     assert_eq!(error.verdict, AppendVerdict::NotAppended);
 }
 
-/// Symptom: an append on a reused connection is called not stored, or sent
-/// twice. Sequence: the service reads the second request on a pooled
-/// connection and closes it. Cause: a reused connection's failure taken for a
-/// failed connect. (Whether the library repeats a request that it knows it
-/// never wrote cannot be forced from here; the client switches that off.)
+/// Guards against an append that is reported as not stored, or sent twice, when a pooled
+/// connection closes after the request. The library's own retry of unwritten requests,
+/// which the client disables, cannot be provoked here.
 #[tokio::test]
 async fn closed_pooled_connection_causes_no_repetition() {
     let response = "{\"first_offset\":0}".to_owned();
@@ -223,10 +219,9 @@
     Reply::Body(serde_json::to_string(&response).unwrap())
 }
 
-/// Symptom: hosts with different states at one offset. Sequence: the service
-/// is down for a while, answers once with a gap, and lets records expire
-/// which the tail has not read. Cause: a gap that the tail hands on in
-/// silence.
+/// Guards against hosts with different states at one offset, because a tail skips records
+/// silently. The service is down for a while, responds once with a gap, and lets unread
+/// records expire.
 #[tokio::test]
 async fn tail_reports_outage_and_expiry_and_delivers_no_gap() {
     let platform = ScriptedPlatform::bind(vec![
@@ -282,9 +277,9 @@
     );
 }
 
-/// Symptom: a submitter is told the offset or the verdict of another's
-/// record, or the platform gets one append per record. Sequence: records
-/// submitted together; the first batch is stored, the second loses its answer.
+/// Guards against results that reach the wrong submitter, and against one append per
+/// record. Of two batches that are submitted together, the first is stored and the second
+/// gets no response.
 #[tokio::test]
 async fn queue_batches_records_and_replies_to_each_submitter() {
     let platform = ScriptedPlatform::bind(vec![
--- a/tests/target_client.rs
+++ b/tests/target_client.rs
@@ -1,5 +1,5 @@
-//! What the client says about calls that broke at each point, and whole runs
-//! through it.
+//! Verdicts of calls to targets that fail at each point, and complete runs through the
+//! client.
 
 #[path = "target_client/driver.rs"]
 mod driver;
@@ -53,8 +53,8 @@
     serde_json::to_string(&response).expect("encode")
 }
 
-/// Asks a server that always replies with `reply`; also gives the number of
-/// requests that it read whole.
+/// Sends a step to a server that always reacts with `reply`. Also returns the number of
+/// complete requests that the server read.
 async fn send_step(reply: TinyReply) -> (Result<StepResponse, StepFailure>, usize) {
     let server = TinyServer::bind(move |request| match (&reply, request) {
         (TinyReply::ResetUnread, _) => Some(TinyReply::ResetUnread),
@@ -67,11 +67,9 @@
     (response, seen)
 }
 
-/// Symptom: a caller is told `not_run`, repeats the request, and it runs twice.
-/// Sequence: the connection breaks, or the answer fails to come, at each point
-/// from connecting to the middle of the answer. Cause: a failure after
-/// connecting taken for one before it, a bare status taken for the target's
-/// own refusal, or a library that silently sends the order again.
+/// Guards against a request that runs twice because its caller received `not_run`.
+/// Neither a failure after connecting nor a bare status may count as a refusal, at
+/// whichever point the call fails, and the library must not resend the request.
 #[tokio::test]
 async fn verdict_is_not_run_only_if_certain() {
     use RetryReason::{AnswerLost, AnswerMismatched, TargetRefused};
@@ -153,10 +151,9 @@
     assert_eq!(refusal.refused, TargetRefusalKind::UnknownPosition);
 }
 
-/// Symptom: a charge that was made is reported as not made, and made again.
-/// Sequence: the connection of a call that may not be repeated breaks at each
-/// point after it was opened. Cause: nothing distinguishes a connection that
-/// could not be opened from one that broke before it was answered.
+/// Guards against a charge that is made twice because a connection that broke before the
+/// response counts as one that was never opened. The connection of a call that may not be
+/// repeated breaks at each point after it was opened.
 #[tokio::test]
 async fn single_call_is_sent_once_and_not_run_only_if_certain() {
     use RunVerdict::{MayHaveRun, NotRun};
@@ -203,9 +200,9 @@
     listener.local_addr().expect("address").port()
 }
 
-/// Symptom: a charge is made twice. Sequence: a service closes a kept
-/// connection just as the next call goes out on it. Cause: the call is sent
-/// again on another connection, though the service may have taken the first.
+/// Guards against a charge that is made twice because the client resends the call on
+/// another connection, although the service may have received the first one. The service
+/// closes a pooled connection just as the next call is sent on it.
 #[tokio::test]
 async fn closed_connections_never_repeat_a_call() {
     const CALLS: usize = 200;
--- a/tests/target_client/driver.rs
+++ b/tests/target_client/driver.rs
@@ -1,4 +1,4 @@
-//! Whole runs over real connections.
+//! Complete runs over real connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     }
 }
 
-/// An engine whose output for a position is that position plus 100.
+/// Responds as an engine whose output for a position is that position plus 100.
 fn engine_reply(request: &SeenRequest) -> TinyReply {
     let Ok(order) = serde_json::from_slice::<StepRequest>(&request.body) else {
         return TinyReply::Response(204, String::new());
@@ -53,7 +53,7 @@
     TinyReply::Response(200, serde_json::to_string(&response).expect("encode"))
 }
 
-/// A run that is under way, with what it told the daemon.
+/// A run in progress, with the observations that it reported.
 struct RunningRun {
     tokens: mpsc::Receiver<DeliveredToken>,
     observed: Arc<Mutex<Vec<StepObservation>>>,
@@ -61,7 +61,7 @@
 }
 
 impl RunningRun {
-    /// Starts a run on target `a`, which `b` may replace.
+    /// Starts a run on target `a`, with `b` as the replacement if there is one.
     fn spawn(plan: RunPlan, a: SocketAddr, b: Option<SocketAddr>) -> Self {
         let (sender, tokens) = mpsc::channel(8);
         let observed = Arc::new(Mutex::new(Vec::new()));
@@ -91,9 +91,9 @@
     }
 }
 
-/// Symptom: a clerk reads another's answer. Sequence: the second answer on a
-/// shared connection is one to another request, then all is well. Cause:
-/// answers told apart by their connection alone.
+/// Guards against a caller that receives the response to another request, because
+/// responses are matched by their connection alone. Only the second response on the
+/// connection is wrong.
 #[tokio::test]
 async fn response_to_another_request_is_dropped_and_requested_again() {
     let responses = AtomicUsize::new(0);
@@ -127,9 +127,9 @@
     server.wait_for("DELETE /v1/sessions/r.0.0").await;
 }
 
-/// Symptom: an answer stops for good when an engine dies. Sequence: the
-/// target resets the connection on every order, another holder is free.
-/// Cause: asking the same target for ever.
+/// Guards against a run that stops when an engine fails, because it retries the same
+/// target forever. The target resets the connection on every step, and another target is
+/// available.
 #[tokio::test]
 async fn broken_target_is_replaced() {
     let broken = TinyServer::bind(|request| request.map(|_| TinyReply::ResetRead)).await;
@@ -140,10 +140,9 @@
     assert_eq!(outcome.verdict, RunVerdict::Ran);
 }
 
-/// Symptom: engines work for callers that have left. Sequence: the caller
-/// closes its connection while no token is due, and its request id has signs
-/// that mean something in a path. Cause: noticing only when a token is
-/// written, or cancelling a session of another name.
+/// Guards against engines that continue for callers that have left, because the run
+/// notices it only when it writes a token, or cancels a session of another name. The
+/// request id contains characters that are special in a path.
 #[tokio::test]
 async fn session_is_cancelled_when_the_caller_leaves() {
     let server = TinyServer::bind(|request| request.map(silent_steps)).await;
@@ -160,8 +159,8 @@
     assert!(matches!(last, Some(StepObservation::Abandoned { .. })));
 }
 
-/// Symptom: a caller hangs past its deadline. Sequence: the engine freezes
-/// with an order in hand. Cause: a deadline looked at only between steps.
+/// Guards against a run that exceeds its deadline, because the deadline is checked only
+/// between steps. The engine hangs during a step.
 #[tokio::test]
 async fn deadline_ends_a_run_during_a_step() {
     let server = TinyServer::bind(|request| request.map(silent_steps)).await;
--- a/tests/target_client/tiny_server.rs
+++ b/tests/target_client/tiny_server.rs
@@ -1,4 +1,4 @@
-//! A TCP server that speaks just enough HTTP to misbehave at a chosen byte.
+//! A TCP server with a minimal HTTP implementation that fails at a chosen point.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,27 +8,27 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A request that arrived whole: it may have run.
+/// A request that arrived completely, so that it may have run.
 #[derive(Debug, Clone)]
 pub(crate) struct SeenRequest {
     pub(crate) line: String,
     pub(crate) body: Vec<u8>,
 }
 
-/// What the server does with a request.
+/// Reaction of the server to a request.
 #[derive(Debug, Clone)]
 pub(crate) enum TinyReply {
-    /// Reset before anything is read.
+    /// Resets the connection before it reads anything.
     ResetUnread,
-    /// Read the request, then reset.
+    /// Reads the request, then resets the connection.
     ResetRead,
-    /// Read the request, send a part of an answer, then reset.
+    /// Reads the request, sends a part of a response, then resets the connection.
     ResetMidResponse,
-    /// Read the request and never answer.
+    /// Reads the request and never responds.
     Silence,
-    /// Answer, and keep the connection.
+    /// Responds and keeps the connection.
     Response(u16, String),
-    /// Answer, then close the connection without saying so.
+    /// Responds, then closes the connection without announcing it.
     ResponseThenClose(u16, String),
 }
 
@@ -38,8 +38,8 @@
 }
 
 impl TinyServer {
-    /// `reply` is asked once before each request is read (`None`), and if it
-    /// has no answer then, again with the request.
+    /// Starts a server. It calls `reply` with `None` before it reads a request, and if
+    /// that returns no reaction, again with the request.
     pub(crate) async fn bind<R>(reply: R) -> Self
     where
         R: Fn(Option<&SeenRequest>) -> Option<TinyReply> + Send + Sync + 'static,
@@ -99,7 +99,7 @@
     }
 }
 
-/// The reset goes out when the stream is dropped.
+/// Makes the connection reset when the stream is dropped.
 fn reset(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
