--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -87,7 +87,7 @@
     /// # Errors
     /// Fails if connecting fails or is held back by the backoff, if too many calls are
     /// pending, or if the call returns no reply.
-    pub(super) async fn call<F, R, T>(&self, limit: TimeoutPolicy, send: F) -> Result<T, PeerError>
+    pub(super) async fn call<F, R, T>(&self, policy: TimeoutPolicy, send: F) -> Result<T, PeerError>
     where
         F: FnOnce(&peer::Client) -> R,
         R: Future<Output = capnp::Result<T>>,
@@ -100,7 +100,7 @@
         let _pending = PendingCall::new(&self.pending);
         self.last_used.set(Instant::now());
         let (client, generation) = self.client().await?;
-        let timeout = match limit {
+        let timeout = match policy {
             TimeoutPolicy::CloseLink => self.settings.call_timeout,
             TimeoutPolicy::KeepLink(wait) => wait,
         };
@@ -119,7 +119,7 @@
                 })
             }
             Err(_) => {
-                if matches!(limit, TimeoutPolicy::CloseLink) {
+                if matches!(policy, TimeoutPolicy::CloseLink) {
                     self.close(generation);
                     self.back_off();
                 }
--- a/src/peer/worker.rs
+++ b/src/peer/worker.rs
@@ -182,14 +182,14 @@
 async fn call<F, R, T>(
     table: &LinkTable,
     address: SocketAddr,
-    limit: TimeoutPolicy,
+    policy: TimeoutPolicy,
     send: F,
     reply: ReplySender<T>,
 ) where
     F: FnOnce(&peer::Client) -> R,
     R: Future<Output = capnp::Result<T>>,
 {
-    let called = table.link(address).call(limit, send).await;
+    let called = table.link(address).call(policy, send).await;
     table.traffic().count_call(called.is_err());
     // The caller may have dropped its receiver; the reply is not needed then.
     let _ = reply.send(called);
