--- a/tests/platform_client.rs
+++ b/tests/platform_client.rs
@@ -148,7 +148,7 @@
 
 /// Guards against a stored record that is reported as not stored or that the library
 /// appends twice, when the connection breaks after the request or the response is
-/// truncated, late or an error of a proxy.
+/// truncated, late or a 500 of a proxy.
 #[tokio::test]
 async fn append_without_a_response_may_have_taken_effect() {
     for reply in [
