--- a/src/daemon/claims/outcome_query.rs
+++ b/src/daemon/claims/outcome_query.rs
@@ -13,7 +13,7 @@
 use crate::claims::table::ClaimHolder;
 use crate::daemon::core::DaemonCore;
 use crate::ids::RecordId;
-use crate::peer::{ClaimOutcome as PeerOutcome, ClaimQuestion};
+use crate::peer::{ClaimOutcome as PeerOutcome, ClaimQuery};
 use crate::verdict::RunVerdict;
 
 /// Queries the holder of a key for the outcome of its request, and waits until it has
@@ -56,7 +56,7 @@
     // Heartbeats share the limit of open calls to a peer. If queries used all of it, the
     // peer would be suspected.
     let _slot = core.claim_queries.try_acquire().ok()?;
-    let query = ClaimQuestion {
+    let query = ClaimQuery {
         request: holder.request.clone(),
         service: "".into(),
         operation: String::new(),
@@ -87,7 +87,7 @@
 /// Handles the query of a host that lost a key to this one.
 pub(in crate::daemon) async fn handle_outcome_query(
     core: Arc<DaemonCore>,
-    query: ClaimQuestion,
+    query: ClaimQuery,
 ) -> PeerOutcome {
     let name = ClaimName {
         organisation: query.organisation,
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -106,19 +106,19 @@
         return;
     };
     for _ in 0..MAX_EXCHANGES {
-        let mut beat = own_heartbeat(&core, remote);
+        let mut heartbeat = own_heartbeat(&core, remote);
         let sent = outgoing_report(&core, &to);
         if let Some(sent) = &sent {
-            beat.demands_for = Some(sent.report.lease);
-            beat.demands.clone_from(&sent.report.demands);
+            heartbeat.demands_for = Some(sent.report.lease);
+            heartbeat.demands.clone_from(&sent.report.demands);
         }
-        let again = match peers.heartbeat(address, beat).await {
+        let again = match peers.heartbeat(address, heartbeat).await {
             // The address may have passed to another host.
-            Ok(reply) if reply.beat.host == to => apply_reply(&core, &reply, sent.as_ref()),
+            Ok(reply) if reply.heartbeat.host == to => apply_reply(&core, &reply, sent.as_ref()),
             Ok(reply) => {
                 log::warn!(
                     "heartbeat reply from {address} is of host {} instead of {to}",
-                    reply.beat.host
+                    reply.heartbeat.host
                 );
                 false
             }
@@ -148,7 +148,7 @@
 
 /// Applies a reply. Returns whether to send another heartbeat at once.
 fn apply_reply(core: &Arc<DaemonCore>, reply: &PeerReply, sent: Option<&OutgoingReport>) -> bool {
-    apply_heartbeat(core, &reply.beat);
+    apply_heartbeat(core, &reply.heartbeat);
     let Some(lease) = reply.lease_offset else {
         return false;
     };
@@ -157,35 +157,35 @@
             receive_grants(core, lease, &reply.grants, sent.sent_at)
         }
         _ => {
-            observe_holder(core, &reply.beat.host, lease);
+            observe_holder(core, &reply.heartbeat.host, lease);
             false
         }
     }
 }
 
 /// Handles a peer's heartbeat and replies with this host's own.
-pub(super) fn handle_heartbeat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) -> PeerReply {
-    apply_heartbeat(core, beat);
-    let remote = beat.zone != *core.zone();
-    let grants = grants_for_report(core, beat);
+pub(super) fn handle_heartbeat(core: &Arc<DaemonCore>, heartbeat: &PeerHeartbeat) -> PeerReply {
+    apply_heartbeat(core, heartbeat);
+    let remote = heartbeat.zone != *core.zone();
+    let grants = grants_for_report(core, heartbeat);
     PeerReply {
-        beat: own_heartbeat(core, remote),
+        heartbeat: own_heartbeat(core, remote),
         lease_offset: dividing_lease(core).filter(|_| !remote),
         grants: grants.unwrap_or_default(),
     }
 }
 
-fn apply_heartbeat(core: &Arc<DaemonCore>, beat: &PeerHeartbeat) {
+fn apply_heartbeat(core: &Arc<DaemonCore>, heartbeat: &PeerHeartbeat) {
     let now = Instant::now();
     let decisions = {
         let mut membership = core.tables.membership.lock();
-        membership.observe_heartbeat(beat, now)
+        membership.observe_heartbeat(heartbeat, now)
     };
     execute_decisions(core, decisions);
     let mut watch = core.tables.watch.lock();
-    watch.observe_peer_loads(&beat.host, &beat.loads, now);
+    watch.observe_peer_loads(&heartbeat.host, &heartbeat.loads, now);
     let mut routes = core.tables.routes.write();
-    for load in &beat.loads {
+    for load in &heartbeat.loads {
         let report = LoadReport {
             running: load.running,
             waiting: load.waiting,
@@ -196,8 +196,9 @@
     }
     drop(routes);
     drop(watch);
-    core.readiness.observe_end_offset(beat.applied_offset, now);
-    if beat.applied_offset > *core.applied.borrow() {
+    core.readiness
+        .observe_end_offset(heartbeat.applied_offset, now);
+    if heartbeat.applied_offset > *core.applied.borrow() {
         core.peer_ahead.notify_one();
     }
 }
--- a/src/daemon/spawn.rs
+++ b/src/daemon/spawn.rs
@@ -267,7 +267,7 @@
 fn open_platform(options: &DaemonOptions) -> PlatformClient {
     let timeouts = PlatformTimeouts {
         connect: options.timing.connect_timeout,
-        answer: PLATFORM_RESPONSE_TIMEOUT,
+        response: PLATFORM_RESPONSE_TIMEOUT,
     };
     PlatformClient::open(options.platform.address, timeouts)
 }
@@ -275,7 +275,7 @@
 fn target_timeouts(options: &DaemonOptions) -> TargetTimeouts {
     TargetTimeouts {
         connect: options.timing.connect_timeout,
-        answer: options.timing.step_timeout,
+        response: options.timing.step_timeout,
         ..TargetTimeouts::default()
     }
 }
--- a/src/entry/follow_cursor.rs
+++ b/src/entry/follow_cursor.rs
@@ -2,7 +2,7 @@
 
 use crate::collections::FastMap;
 use crate::ids::{HostId, IncarnationId};
-use crate::peer::FollowQuestion;
+use crate::peer::FollowRequest;
 
 /// Incarnation that no host has. It tells a host without a current log that the requesting
 /// host already knows targets, so that it need not send all of its own.
@@ -32,17 +32,17 @@
 
 impl FollowCursor {
     /// Returns the request for a host, where `version` is the configuration known so far.
-    pub fn request(&self, host: &HostId, version: u64) -> FollowQuestion {
+    pub fn request(&self, host: &HostId, version: u64) -> FollowRequest {
         let (incarnation, from) = match self.positions.get(host) {
             Some(position) => (position.incarnation, position.from),
             None if !self.positions.is_empty() => (FOREIGN_INCARNATION, 0),
             None => (0, 0),
         };
-        FollowQuestion {
+        FollowRequest {
             configuration_version: version,
             incarnation,
             from,
-            ..FollowQuestion::default()
+            ..FollowRequest::default()
         }
     }
 
--- a/src/entry/log_copy.rs
+++ b/src/entry/log_copy.rs
@@ -16,7 +16,7 @@
 use crate::fleet::TargetEntry;
 use crate::forward::ServingTables;
 use crate::ids::{LogOffset, TargetId};
-use crate::peer::{FollowAnswer, FollowQuestion};
+use crate::peer::{FollowReply, FollowRequest};
 use crate::platform::configuration_record::parse_configuration;
 use crate::platform::target_record::parse_target;
 
@@ -98,19 +98,14 @@
     }
 
     /// Returns whether the reply to a request would hold any update.
-    pub(super) fn has_updates(&self, request: FollowQuestion) -> bool {
+    pub(super) fn has_updates(&self, request: FollowRequest) -> bool {
         request.configuration_version < self.configuration_version()
             || request.from < self.state.lock().targets.next_change()
     }
 
     /// Returns what the requesting host lacks. Its position counts only if it refers to the
     /// current incarnation of this host.
-    pub fn reply(
-        &self,
-        request: FollowQuestion,
-        is_known_start: bool,
-        now: Instant,
-    ) -> FollowAnswer {
+    pub fn reply(&self, request: FollowRequest, is_known_start: bool, now: Instant) -> FollowReply {
         let version = self.configuration_version();
         let state = self.state.lock();
         let changes = match is_known_start {
@@ -118,14 +113,14 @@
             false => None,
         };
         let configuration = state.configuration.clone();
-        FollowAnswer {
+        FollowReply {
             configuration: configuration.filter(|_| request.configuration_version < version),
             whole: changes.is_none(),
             targets: changes.unwrap_or_else(|| state.targets.all()),
             next: state.targets.next_change(),
             read_to: state.targets.read_to(),
             log: state.continuity.followed(now),
-            ..FollowAnswer::default()
+            ..FollowReply::default()
         }
     }
 
--- a/src/entry/peering.rs
+++ b/src/entry/peering.rs
@@ -14,8 +14,7 @@
 use crate::ids::{HostId, IncarnationId, ZoneId};
 use crate::membership::{GossipTable, host_weight};
 use crate::peer::{
-    self, EntryHandlers, FollowAnswer, FollowQuestion, HostView, PeerError, PeerHandle,
-    PeerSettings,
+    self, EntryHandlers, FollowReply, FollowRequest, HostView, PeerError, PeerHandle, PeerSettings,
 };
 use crate::permits::PermitRequest;
 
@@ -157,7 +156,7 @@
         HostView {
             configuration_version: self.copy.configuration_version(),
             log: self.copy.log_ages(now),
-            uses: usage,
+            usage: usage,
             ..view
         }
     }
@@ -209,7 +208,7 @@
         let source = UsageSource::of(view.scope, &view.host, &view.zone, &self.zone);
         if let Some(source) = source {
             let mut fleet = self.tables.fleet.lock();
-            fleet.observe_usage(source, view.uses.clone(), now);
+            fleet.observe_usage(source, view.usage.clone(), now);
         }
     }
 
@@ -284,7 +283,7 @@
 
     /// Returns what this host has read of the log, as soon as there are updates or after
     /// the hold time.
-    async fn reply_follow(&self, request: FollowQuestion) -> FollowAnswer {
+    async fn reply_follow(&self, request: FollowRequest) -> FollowReply {
         let known = request.incarnation == self.incarnation;
         let updates = self.copy.updates.notified();
         // Without a current log there will be no updates, and the requesting host has to
@@ -299,7 +298,7 @@
         let fresh = age < FRESH_AGE;
         if !fresh && request.incarnation != 0 {
             // The requesting host has targets and would ignore outdated ones.
-            return FollowAnswer::default();
+            return FollowReply::default();
         }
         // Computed first, so that the fleet's lock is not held while the copy's lock is
         // taken.
@@ -307,7 +306,7 @@
             true => self.tables.fleet.lock().remote_usage(),
             false => Vec::new(),
         };
-        FollowAnswer {
+        FollowReply {
             incarnation: self.incarnation,
             fresh,
             age,
--- a/src/entry/relayed_log.rs
+++ b/src/entry/relayed_log.rs
@@ -8,7 +8,7 @@
 use crate::entry::log_copy::LogCopy;
 use crate::forward::ServingTables;
 use crate::ids::HostId;
-use crate::peer::{FollowAnswer, FollowQuestion, TargetChange};
+use crate::peer::{FollowReply, FollowRequest, TargetChange};
 
 /// Minimum time for which a request is held.
 const MIN_HOLD: Duration = Duration::from_millis(20);
@@ -37,12 +37,12 @@
     }
 
     /// Returns the request for a host, which may hold it for up to `hold`.
-    pub fn request(&self, host: &HostId, hold: Duration, now: Instant) -> FollowQuestion {
+    pub fn request(&self, host: &HostId, hold: Duration, now: Instant) -> FollowRequest {
         // A suspicion has to end on time even if there are no updates.
         let due = self.copy.next_due();
         let due = due.map(|due| due.saturating_duration_since(now));
         let hold = due.map_or(hold, |due| hold.min(due.max(MIN_HOLD)));
-        FollowQuestion {
+        FollowRequest {
             hold,
             wants_remote: self.wants_remote(now),
             ..self.cursor.request(host, self.copy.configuration_version())
@@ -59,7 +59,7 @@
     }
 
     /// Applies the reply of a host.
-    pub fn apply(&mut self, host: &HostId, mut reply: FollowAnswer, now: Instant) {
+    pub fn apply(&mut self, host: &HostId, mut reply: FollowReply, now: Instant) {
         if let Some(configuration) = &reply.configuration {
             self.copy.apply_configuration(configuration, "peer");
         }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -22,7 +22,7 @@
 use crate::forward::{ServingTables, serve};
 use crate::peer::PeerError;
 use crate::platform::host_settings::{SettingsError, read_settings};
-use crate::platform::log_calls::{CallLimits, LogClient};
+use crate::platform::log_calls::{CallTimeouts, LogClient};
 
 /// Timeouts of calls to the log service. It responds in 4 ms when healthy, and slow
 /// responses of a quarter of a second still count.
@@ -33,9 +33,9 @@
 /// take a quarter of a second on a small host's link and longer when all hosts of a fleet
 /// read them at once. With a timeout of 0.6 s, hosts stay without a configuration for 1.6 s
 /// after a start of 195.
-const STORE_LIMITS: CallLimits = CallLimits {
+const STORE_LIMITS: CallTimeouts = CallTimeouts {
     connect: Duration::from_millis(250),
-    answer: Duration::from_millis(600),
+    response: Duration::from_millis(600),
     newest: Duration::from_millis(1500),
 };
 /// Port of the metrics; `deploy/system.toml` names the same port.
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,8 +1,8 @@
-//! Calls between the daemons of one system, by Cap'n Proto RPC over TCP.
+//! RPC between the daemons of one system: Cap'n Proto over TCP.
 //!
-//! The RPC library is not `Send`, so everything of it runs on one thread of
-//! its own. The rest of the daemon talks to that thread by channels, through a
-//! [`PeerHandle`]; incoming calls are answered by [`PeerHandlers`].
+//! The types of the RPC library are not `Send`, so they all live on one dedicated thread.
+//! The rest of the daemon sends commands to that thread over a channel, through a
+//! [`PeerHandle`]; [`PeerHandlers`] serve incoming calls.
 
 mod convert;
 mod error;
@@ -22,12 +22,12 @@
 pub use handle::{PeerHandle, spawn, spawn_on};
 pub use handlers::{EntryHandlers, PeerHandlers, ServedCalls};
 pub use message::{
-    ClaimOutcome, ClaimQuestion, PeerDemand, PeerGrant, PeerHeartbeat, PeerLoad, PeerReply,
-    RecordsQuestion, RelayedRange, ZoneDigest,
+    ClaimOutcome, ClaimQuery, PeerDemand, PeerGrant, PeerHeartbeat, PeerLoad, PeerReply,
+    RecordsRequest, RelayedRange, ZoneDigest,
 };
 pub use settings::PeerSettings;
 pub use traffic::PeerTraffic;
 pub use view::{
-    FollowAnswer, FollowQuestion, FollowedLog, HostListing, HostView, KnownHost, LogAges,
+    FollowReply, FollowRequest, FollowedLog, HostListing, HostView, KnownHost, LogAges,
     SeenListing, TargetChange, ZoneCount,
 };
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -1,4 +1,4 @@
-//! Translation between the messages of peers and their encoding.
+//! Conversion between peer messages and their Cap'n Proto encoding.
 
 mod claim;
 mod permits;
@@ -8,13 +8,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-pub(super) use claim::{read_outcome, read_question, write_outcome, write_question};
+pub(super) use claim::{
+    read_claim_outcome, read_claim_query, write_claim_outcome, write_claim_query,
+};
 pub(super) use permits::{
-    read_permit_answer, read_permit_question, write_permit_answer, write_permit_question,
+    read_permit_reply, read_permit_request, write_permit_reply, write_permit_request,
 };
 pub(super) use view::{
-    read_follow_answer, read_follow_question, read_view, write_follow_answer,
-    write_follow_question, write_view,
+    read_follow_reply, read_follow_request, read_view, write_follow_reply, write_follow_request,
+    write_view,
 };
 
 use super::message::{
@@ -36,7 +38,7 @@
     let found = reader?.to_str()?;
     found
         .parse()
-        .map_err(|_| capnp::Error::failed(format!("{found:?} is not an IP address and port")))
+        .map_err(|_| capnp::Error::failed(format!("{found:?} is not an IP address with a port")))
 }
 
 fn length(items: usize) -> u32 {
@@ -47,13 +49,12 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Up to 49 days; the largest number stands for all longer times.
+/// Converts a time to milliseconds, saturating at `u32::MAX` (49 days).
 fn short_milliseconds(time: Duration) -> u32 {
     u32::try_from(milliseconds(time)).unwrap_or(u32::MAX)
 }
 
-/// Zero stands for "none": no lease record has offset zero in this encoding,
-/// because offsets are written with one added.
+/// Encodes an optional offset as the offset plus one; zero stands for `None`.
 fn write_offset(offset: Option<LogOffset>) -> u64 {
     offset.map_or(0, |offset| offset.saturating_add(1))
 }
@@ -184,7 +185,7 @@
 /// Decodes a heartbeat.
 ///
 /// # Errors
-/// Text that is not UTF-8, an address that is none, a pointer out of bounds.
+/// Fails on text that is not UTF-8, an invalid address or a pointer out of bounds.
 pub(super) fn read_heartbeat(reader: wire::heartbeat::Reader<'_>) -> capnp::Result<PeerHeartbeat> {
     let digest = match reader.has_digest() {
         true => Some(read_digest(reader.get_digest()?)?),
@@ -205,9 +206,9 @@
     })
 }
 
-/// Encodes the answer to a heartbeat.
+/// Encodes the reply to a heartbeat.
 pub(super) fn write_reply(mut builder: wire::heartbeat_reply::Builder<'_>, reply: &PeerReply) {
-    let beat = &reply.beat;
+    let beat = &reply.heartbeat;
     builder.set_host(&*beat.host);
     builder.set_zone(&*beat.zone);
     builder.set_incarnation(beat.incarnation);
@@ -240,7 +241,7 @@
         entry.set_concurrent_requests(grant.concurrent_requests);
         entry.set_requests_per_minute(grant.requests_per_minute);
         entry.set_number(grant.number);
-        entry.set_lapses_after_ms(grant.lapse.map_or(0, milliseconds));
+        entry.set_lapses_after_ms(grant.expires_after.map_or(0, milliseconds));
     }
 }
 
@@ -254,26 +255,26 @@
                 concurrent_requests: entry.get_concurrent_requests(),
                 requests_per_minute: entry.get_requests_per_minute(),
                 number: entry.get_number(),
-                lapse: match entry.get_lapses_after_ms() {
+                expires_after: match entry.get_lapses_after_ms() {
                     0 => None,
-                    lapse => Some(Duration::from_millis(lapse)),
+                    expiry => Some(Duration::from_millis(expiry)),
                 },
             })
         })
         .collect()
 }
 
-/// Decodes the answer to a heartbeat.
+/// Decodes the reply to a heartbeat.
 ///
 /// # Errors
-/// As [`read_heartbeat`].
+/// Fails as `read_heartbeat` does.
 pub(super) fn read_reply(reader: wire::heartbeat_reply::Reader<'_>) -> capnp::Result<PeerReply> {
     let digest = match reader.has_digest() {
         true => Some(read_digest(reader.get_digest()?)?),
         false => None,
     };
     Ok(PeerReply {
-        beat: PeerHeartbeat {
+        heartbeat: PeerHeartbeat {
             host: text(reader.get_host())?,
             zone: text(reader.get_zone())?,
             incarnation: reader.get_incarnation(),
@@ -291,11 +292,11 @@
     })
 }
 
-/// Encodes relayed records, as many of them as fit into `byte_limit`.
+/// Encodes relayed records, as many as fit into `byte_limit`.
 ///
-/// A range that is cut short still ends where it says: the reader asks on
-/// from its last record. Without the cut, one answer over the reader's
-/// message limit would close the connection, and the next one again.
+/// A truncated range keeps its `end_offset`, and the reader requests the rest from after
+/// its last record. Without the limit, a reply above the reader's message limit would
+/// close the connection, and so would every retry.
 pub(super) fn write_range(
     mut builder: wire::record_range::Builder<'_>,
     range: &RelayedRange,
@@ -326,7 +327,7 @@
 /// Decodes relayed records.
 ///
 /// # Errors
-/// As [`read_heartbeat`].
+/// Fails as `read_heartbeat` does.
 pub(super) fn read_range(reader: wire::record_range::Reader<'_>) -> capnp::Result<RelayedRange> {
     let records = reader
         .get_records()?
--- a/src/peer/convert/claim.rs
+++ b/src/peer/convert/claim.rs
@@ -1,9 +1,9 @@
-//! Conversions of the calls about claims.
+//! Encoding of the calls about claims.
 
 use bytes::Bytes;
 
 use super::{string, text};
-use crate::peer::message::{ClaimOutcome, ClaimQuestion};
+use crate::peer::message::{ClaimOutcome, ClaimQuery};
 use crate::peer_capnp as wire;
 use crate::verdict::RunVerdict;
 
@@ -11,26 +11,26 @@
 const VERDICT_MAY_HAVE_RUN: &str = "may_have_run";
 const VERDICT_RAN: &str = "ran";
 
-/// Encodes a question about a claim.
-pub(in crate::peer) fn write_question(
+/// Encodes a query about a claim.
+pub(in crate::peer) fn write_claim_query(
     mut builder: wire::peer_call::Builder<'_>,
-    question: &ClaimQuestion,
+    query: &ClaimQuery,
 ) {
-    builder.set_request_id(&*question.request);
-    builder.set_service(&*question.service);
-    builder.set_operation(question.operation.as_str());
-    builder.set_idempotency_key(&*question.key);
-    builder.set_organisation(&*question.organisation);
+    builder.set_request_id(&*query.request);
+    builder.set_service(&*query.service);
+    builder.set_operation(query.operation.as_str());
+    builder.set_idempotency_key(&*query.key);
+    builder.set_organisation(&*query.organisation);
 }
 
-/// Decodes a question about a claim.
+/// Decodes a query about a claim.
 ///
 /// # Errors
-/// As [`read_heartbeat`].
-pub(in crate::peer) fn read_question(
+/// Fails as `read_heartbeat` does.
+pub(in crate::peer) fn read_claim_query(
     reader: wire::peer_call::Reader<'_>,
-) -> capnp::Result<ClaimQuestion> {
-    Ok(ClaimQuestion {
+) -> capnp::Result<ClaimQuery> {
+    Ok(ClaimQuery {
         request: text(reader.get_request_id())?,
         service: text(reader.get_service())?,
         operation: string(reader.get_operation())?,
@@ -39,8 +39,8 @@
     })
 }
 
-/// Encodes what became of a claim.
-pub(in crate::peer) fn write_outcome(
+/// Encodes the outcome of a claim.
+pub(in crate::peer) fn write_claim_outcome(
     mut builder: wire::peer_call_reply::Builder<'_>,
     outcome: &ClaimOutcome,
 ) {
@@ -59,11 +59,11 @@
     builder.set_body(body);
 }
 
-/// Decodes what became of a claim.
+/// Decodes the outcome of a claim.
 ///
 /// # Errors
-/// As [`read_heartbeat`].
-pub(in crate::peer) fn read_outcome(
+/// Fails as `read_heartbeat` does.
+pub(in crate::peer) fn read_claim_outcome(
     reader: wire::peer_call_reply::Reader<'_>,
 ) -> capnp::Result<ClaimOutcome> {
     if !reader.get_known() {
@@ -84,8 +84,8 @@
     }
 }
 
-/// An unknown name comes from a newer program; the caller must not be told
-/// "not run" on its account, so it counts as "may have run".
+/// Converts the name of a verdict. An unknown name comes from a newer version and counts
+/// as "may have run", because "not run" would allow the caller to repeat the request.
 fn verdict_named(name: &str) -> RunVerdict {
     match name {
         VERDICT_NOT_RUN => RunVerdict::NotRun,
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -1,4 +1,4 @@
-//! Conversions of the calls between entry hosts.
+//! Encoding of the calls between entry hosts.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use crate::delta_sync::DeltaBounds;
 use crate::fleet::{TargetLoad, TargetUsage, UsageScope, ZoneUsage};
 use crate::peer::view::{
-    FollowAnswer, FollowQuestion, FollowedLog, HostListing, HostView, KnownHost, LogAges,
+    FollowReply, FollowRequest, FollowedLog, HostListing, HostView, KnownHost, LogAges,
     SeenListing, TargetChange, ZoneCount,
 };
 use crate::peer_capnp as wire;
 use crate::permits::LimitDelta;
 use crate::poison::{PoisonDelta, PoisonEvent, PoisonEvidence};
 
-/// Stands for a request that was survived, in the place of a target's key.
+/// Encodes the event that a target survived a request, in the place of the target's key.
 const SURVIVED: u64 = 0;
 
 /// Encodes a host's view.
@@ -29,7 +29,7 @@
     builder.set_configuration_version(view.configuration_version);
     builder.set_strength(view.weight);
     builder.set_scope(write_scope(view.scope));
-    write_uses(builder.reborrow().init_uses(), &view.uses);
+    write_usage(builder.reborrow().init_uses(), &view.usage);
     builder.set_listed_from(view.listing.from);
     builder.set_listed_to(view.listing.to);
     builder.set_seen_incarnation(view.seen.incarnation);
@@ -63,7 +63,7 @@
 /// Decodes a host's view.
 ///
 /// # Errors
-/// If a text is not UTF-8 or an address not an IP address and port.
+/// Fails if a text is not UTF-8 or an address is not an IP address with a port.
 pub(in crate::peer) fn read_view(reader: wire::host_view::Reader<'_>) -> capnp::Result<HostView> {
     let counts = reader.get_counts()?.iter().map(|entry| {
         Ok(ZoneCount {
@@ -80,7 +80,7 @@
         configuration_version: reader.get_configuration_version(),
         weight: reader.get_strength(),
         scope: read_scope(reader.get_scope()?),
-        uses: read_uses(reader.get_uses()?)?,
+        usage: read_usage(reader.get_uses()?)?,
         listing: read_listing(reader)?,
         seen: SeenListing {
             incarnation: reader.get_seen_incarnation(),
@@ -95,7 +95,7 @@
     })
 }
 
-/// Two ages of the log; two zeros stand for a host that never had it.
+/// Decodes two ages of the log; two zeros stand for a host that never had it.
 fn read_ages(first_ms: u32, last_ms: u32) -> Option<(Duration, Duration)> {
     let age = |ms: u32| Duration::from_millis(ms.into());
     (first_ms > 0 || last_ms > 0).then(|| (age(first_ms), age(last_ms)))
@@ -137,37 +137,37 @@
     }
 }
 
-/// One list for each field: a list of structures takes twice the bytes.
-fn write_uses(mut builder: wire::target_uses::Builder<'_>, uses: &[TargetUsage]) {
-    let count = length(uses.len());
+/// Encodes usage as one list per field: a list of structures takes twice the bytes.
+fn write_usage(mut builder: wire::target_uses::Builder<'_>, usage: &[TargetUsage]) {
+    let count = length(usage.len());
     let mut keys = builder.reborrow().init_keys(count);
-    for (index, used) in (0..).zip(uses) {
-        keys.set(index, used.key);
+    for (index, item) in (0..).zip(usage) {
+        keys.set(index, item.key);
     }
     let mut requests = builder.reborrow().init_requests(count);
-    for (index, used) in (0..).zip(uses) {
-        requests.set(index, used.load.requests);
+    for (index, item) in (0..).zip(usage) {
+        requests.set(index, item.load.requests);
     }
     let mut reserved = builder.reborrow().init_reserved(count);
-    for (index, used) in (0..).zip(uses) {
-        reserved.set(index, used.load.reserved as f32);
+    for (index, item) in (0..).zip(usage) {
+        reserved.set(index, item.load.reserved as f32);
     }
     let mut unread = builder.init_unread(count);
-    for (index, used) in (0..).zip(uses) {
-        unread.set(index, used.load.unread as f32);
+    for (index, item) in (0..).zip(usage) {
+        unread.set(index, item.load.unread as f32);
     }
 }
 
-fn read_uses(reader: wire::target_uses::Reader<'_>) -> capnp::Result<Vec<TargetUsage>> {
+fn read_usage(reader: wire::target_uses::Reader<'_>) -> capnp::Result<Vec<TargetUsage>> {
     let keys = reader.get_keys()?;
     let requests = reader.get_requests()?;
     let (reserved, unread) = (reader.get_reserved()?, reader.get_unread()?);
     let shortest = [requests.len(), reserved.len(), unread.len()];
     if shortest.iter().any(|length| *length != keys.len()) {
-        let text = "the lists of uses differ in length";
+        let text = "the lists of target usage differ in length";
         return Err(capnp::Error::failed(text.to_owned()));
     }
-    let uses = (0..keys.len()).map(|index| TargetUsage {
+    let usage = (0..keys.len()).map(|index| TargetUsage {
         key: keys.get(index),
         load: TargetLoad {
             requests: requests.get(index),
@@ -175,10 +175,10 @@
             unread: f64::from(unread.get(index)),
         },
     });
-    Ok(uses.collect())
+    Ok(usage.collect())
 }
 
-/// One list for each field, as in [`write_uses`].
+/// Encodes evidence as one list per field, as [`write_usage`] does.
 fn write_poison(mut builder: wire::poison_listing::Builder<'_>, listing: &PoisonDelta) {
     builder.set_from(listing.bounds.from);
     builder.set_to(listing.bounds.to);
@@ -209,7 +209,7 @@
     let requests = reader.get_requests()?;
     let (targets, ages) = (reader.get_targets()?, reader.get_ages_ms()?);
     if targets.len() != requests.len() || ages.len() != requests.len() {
-        let text = "the lists of notes differ in length";
+        let text = "the lists of poison evidence differ in length";
         return Err(capnp::Error::failed(text.to_owned()));
     }
     let evidence = (0..requests.len()).map(|index| PoisonEvidence {
@@ -230,23 +230,23 @@
     })
 }
 
-/// Encodes a question for what is read from the log.
-pub(in crate::peer) fn write_follow_question(
+/// Encodes a request for what is read from the log.
+pub(in crate::peer) fn write_follow_request(
     mut builder: wire::follow_question::Builder<'_>,
-    question: FollowQuestion,
+    request: FollowRequest,
 ) {
-    builder.set_configuration_version(question.configuration_version);
-    builder.set_incarnation(question.incarnation);
-    builder.set_from(question.from);
-    builder.set_hold_ms(u32::try_from(question.hold.as_millis()).unwrap_or(u32::MAX));
-    builder.set_wants_remote(question.wants_remote);
+    builder.set_configuration_version(request.configuration_version);
+    builder.set_incarnation(request.incarnation);
+    builder.set_from(request.from);
+    builder.set_hold_ms(u32::try_from(request.hold.as_millis()).unwrap_or(u32::MAX));
+    builder.set_wants_remote(request.wants_remote);
 }
 
-/// Decodes a question for what is read from the log.
-pub(in crate::peer) fn read_follow_question(
+/// Decodes a request for what is read from the log.
+pub(in crate::peer) fn read_follow_request(
     reader: wire::follow_question::Reader<'_>,
-) -> FollowQuestion {
-    FollowQuestion {
+) -> FollowRequest {
+    FollowRequest {
         configuration_version: reader.get_configuration_version(),
         incarnation: reader.get_incarnation(),
         from: reader.get_from(),
@@ -255,65 +255,63 @@
     }
 }
 
-/// Encodes what was read from the log.
-pub(in crate::peer) fn write_follow_answer(
+/// Encodes a reply with what was read from the log.
+pub(in crate::peer) fn write_follow_reply(
     mut builder: wire::follow_answer::Builder<'_>,
-    answer: &FollowAnswer,
+    reply: &FollowReply,
 ) {
-    builder.set_incarnation(answer.incarnation);
-    builder.set_fresh(answer.fresh);
-    builder.set_age_ms(milliseconds(answer.age));
-    let log = answer.log;
+    builder.set_incarnation(reply.incarnation);
+    builder.set_fresh(reply.fresh);
+    builder.set_age_ms(milliseconds(reply.age));
+    let log = reply.log;
     builder.set_log_first_ms(log.map_or(0, |log| short_milliseconds(log.first)));
     builder.set_log_read_ms(log.map_or(0, |log| short_milliseconds(log.read)));
-    builder.set_configuration(answer.configuration.as_deref().unwrap_or_default());
-    builder.set_whole(answer.whole);
-    builder.set_next(answer.next);
-    builder.set_read_to(answer.read_to);
-    let mut targets = builder
-        .reborrow()
-        .init_targets(length(answer.targets.len()));
-    for (index, change) in (0..).zip(&answer.targets) {
+    builder.set_configuration(reply.configuration.as_deref().unwrap_or_default());
+    builder.set_whole(reply.whole);
+    builder.set_next(reply.next);
+    builder.set_read_to(reply.read_to);
+    let mut targets = builder.reborrow().init_targets(length(reply.targets.len()));
+    for (index, change) in (0..).zip(&reply.targets) {
         let mut entry = targets.reborrow().get(index);
         entry.set_id(&*change.id);
         entry.set_offset(change.offset);
         entry.set_value(change.value.as_deref().unwrap_or_default());
         entry.set_dropped_at(change.dropped_at.unwrap_or(0));
     }
-    let mut remote = builder.init_remote(length(answer.remote.len()));
-    for (index, zone) in (0..).zip(&answer.remote) {
+    let mut remote = builder.init_remote(length(reply.remote.len()));
+    for (index, zone) in (0..).zip(&reply.remote) {
         let mut entry = remote.reborrow().get(index);
         entry.set_zone(&*zone.zone);
-        write_uses(entry.init_uses(), &zone.usage);
+        write_usage(entry.init_uses(), &zone.usage);
     }
 }
 
-/// Decodes what was read from the log.
+/// Decodes a reply with what was read from the log.
 ///
 /// # Errors
-/// As [`read_view`].
-pub(in crate::peer) fn read_follow_answer(
+/// Fails as [`read_view`] does.
+pub(in crate::peer) fn read_follow_reply(
     reader: wire::follow_answer::Reader<'_>,
-) -> capnp::Result<FollowAnswer> {
+) -> capnp::Result<FollowReply> {
     let targets = reader.get_targets()?.iter().map(|entry| {
         Ok(TargetChange {
             id: text(entry.get_id())?,
             offset: entry.get_offset(),
-            value: given(entry.get_value()?),
+            value: non_empty(entry.get_value()?),
             dropped_at: Some(entry.get_dropped_at()).filter(|offset| *offset > 0),
         })
     });
     let remote = reader.get_remote()?.iter().map(|entry| {
         Ok(ZoneUsage {
             zone: text(entry.get_zone())?,
-            usage: read_uses(entry.get_uses()?)?,
+            usage: read_usage(entry.get_uses()?)?,
         })
     });
-    Ok(FollowAnswer {
+    Ok(FollowReply {
         incarnation: reader.get_incarnation(),
         fresh: reader.get_fresh(),
         age: Duration::from_millis(reader.get_age_ms()),
-        configuration: given(reader.get_configuration()?),
+        configuration: non_empty(reader.get_configuration()?),
         whole: reader.get_whole(),
         targets: targets.collect::<capnp::Result<_>>()?,
         next: reader.get_next(),
@@ -324,7 +322,7 @@
     })
 }
 
-/// An empty value stands for none.
-fn given(value: &[u8]) -> Option<Bytes> {
+/// Decodes an optional value; an empty one stands for `None`.
+fn non_empty(value: &[u8]) -> Option<Bytes> {
     (!value.is_empty()).then(|| Bytes::copy_from_slice(value))
 }
--- a/src/peer/worker.rs
+++ b/src/peer/worker.rs
@@ -1,4 +1,4 @@
-//! The thread on which all of the RPC library runs.
+//! The thread that runs the RPC library.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,70 +12,70 @@
 use super::convert;
 use super::error::PeerError;
 use super::handlers::ServedCalls;
-use super::link::CallLimit;
+use super::link::TimeoutPolicy;
 use super::link_table::LinkTable;
 use super::message::{
-    ClaimOutcome, ClaimQuestion, PeerHeartbeat, PeerReply, RecordsQuestion, RelayedRange,
+    ClaimOutcome, ClaimQuery, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
 };
 use super::server::accept_connections;
 use super::settings::PeerSettings;
 use super::traffic::PeerTraffic;
-use super::view::{FollowAnswer, FollowQuestion, HostView};
+use super::view::{FollowReply, FollowRequest, HostView};
 use crate::peer_capnp::peer;
 use crate::permits::{PermitReply, PermitRequest};
 
-/// Where the answer to a command goes.
-pub(super) type AnswerSender<T> = oneshot::Sender<Result<T, PeerError>>;
+/// Channel for the reply to a command.
+pub(super) type ReplySender<T> = oneshot::Sender<Result<T, PeerError>>;
 
-/// A call to make, sent from any thread.
+/// A command to the RPC thread, sent from any thread.
 pub(super) enum PeerCommand {
-    /// Send a heartbeat.
+    /// Sends a heartbeat.
     Heartbeat {
         address: SocketAddr,
         beat: Box<PeerHeartbeat>,
-        answer: AnswerSender<PeerReply>,
+        reply: ReplySender<PeerReply>,
     },
-    /// Ask for records.
+    /// Requests records.
     Records {
         address: SocketAddr,
-        question: RecordsQuestion,
-        answer: AnswerSender<RelayedRange>,
+        request: RecordsRequest,
+        reply: ReplySender<RelayedRange>,
     },
-    /// Ask what became of a claim.
+    /// Queries the outcome of a claim.
     ClaimOutcome {
         address: SocketAddr,
-        question: ClaimQuestion,
+        query: ClaimQuery,
         wait: Duration,
-        answer: AnswerSender<ClaimOutcome>,
+        reply: ReplySender<ClaimOutcome>,
     },
-    /// Exchange views with an entry host.
+    /// Exchanges views with an entry host.
     Exchange {
         address: SocketAddr,
         view: Box<HostView>,
-        answer: AnswerSender<HostView>,
+        reply: ReplySender<HostView>,
     },
-    /// Ask an entry host for what it has read from the platform's log.
+    /// Requests what an entry host has read from the platform's log.
     Follow {
         address: SocketAddr,
-        question: FollowQuestion,
+        request: FollowRequest,
         wait: Duration,
-        answer: AnswerSender<FollowAnswer>,
+        reply: ReplySender<FollowReply>,
     },
-    /// Ask an entry host for permits.
+    /// Requests permits from an entry host.
     Permit {
         address: SocketAddr,
-        question: Box<PermitRequest>,
+        request: Box<PermitRequest>,
         wait: Duration,
-        answer: AnswerSender<PermitReply>,
+        reply: ReplySender<PermitReply>,
     },
-    /// End the thread.
+    /// Ends the thread.
     Shutdown { done: oneshot::Sender<()> },
 }
 
-/// Runs until a shutdown is asked for or every handle is gone.
+/// Runs until a shutdown command arrives or every handle is dropped.
 ///
 /// # Errors
-/// What the system says about the runtime or the listening socket.
+/// Fails if the runtime cannot be built or the listening socket cannot be used.
 pub(super) fn run(
     listener: std::net::TcpListener,
     settings: PeerSettings,
@@ -94,7 +94,7 @@
         tokio::task::spawn_local(accept_connections(listener, settings, handlers, traffic));
         Ok::<_, std::io::Error>(take_commands(Rc::new(table), commands).await)
     })?;
-    // Dropping the tasks closes the sockets; only then is the end reported.
+    // Dropping the tasks closes the sockets. The shutdown is reported only after that.
     drop(local);
     drop(runtime);
     if let Some(done) = done {
@@ -112,8 +112,8 @@
             PeerCommand::Shutdown { done } => return Some(done),
             call => {
                 let table = Rc::clone(&table);
-                // Each call is a task of its own: one peer that hangs delays
-                // no call to another.
+                // Each call runs in its own task, so that a hanging peer delays no call
+                // to another one.
                 tokio::task::spawn_local(async move { make_call(&table, call).await });
             }
         }
@@ -126,133 +126,133 @@
         PeerCommand::Heartbeat {
             address,
             beat,
-            answer,
+            reply,
         } => {
             let send = |client: &peer::Client| send_heartbeat(client, &beat);
-            call(table, address, CallLimit::CloseLink, send, answer).await;
+            call(table, address, TimeoutPolicy::CloseLink, send, reply).await;
         }
         PeerCommand::Records {
             address,
-            question,
-            answer,
+            request,
+            reply,
         } => {
-            let send = |client: &peer::Client| send_records(client, &question);
-            call(table, address, CallLimit::CloseLink, send, answer).await;
+            let send = |client: &peer::Client| send_records_request(client, &request);
+            call(table, address, TimeoutPolicy::CloseLink, send, reply).await;
         }
         PeerCommand::ClaimOutcome {
             address,
-            question,
+            query,
             wait,
-            answer,
+            reply,
         } => {
-            let send = |client: &peer::Client| send_question(client, &question);
-            call(table, address, CallLimit::KeepLink(wait), send, answer).await;
+            let send = |client: &peer::Client| send_claim_query(client, &query);
+            call(table, address, TimeoutPolicy::KeepLink(wait), send, reply).await;
         }
         PeerCommand::Exchange {
             address,
             view,
-            answer,
+            reply,
         } => {
             let send = |client: &peer::Client| send_view(client, &view);
-            call(table, address, CallLimit::CloseLink, send, answer).await;
+            call(table, address, TimeoutPolicy::CloseLink, send, reply).await;
         }
         PeerCommand::Follow {
             address,
-            question,
+            request,
             wait,
-            answer,
+            reply,
         } => {
-            let send = |client: &peer::Client| send_follow(client, question);
-            call(table, address, CallLimit::KeepLink(wait), send, answer).await;
+            let send = |client: &peer::Client| send_follow_request(client, request);
+            call(table, address, TimeoutPolicy::KeepLink(wait), send, reply).await;
         }
         PeerCommand::Permit {
             address,
-            question,
+            request,
             wait,
-            answer,
+            reply,
         } => {
-            let send = |client: &peer::Client| send_permit(client, &question);
-            call(table, address, CallLimit::KeepLink(wait), send, answer).await;
+            let send = |client: &peer::Client| send_permit_request(client, &request);
+            call(table, address, TimeoutPolicy::KeepLink(wait), send, reply).await;
         }
         PeerCommand::Shutdown { .. } => {}
     }
 }
 
-/// Makes one call, counts it, and passes its answer on.
+/// Makes one call, counts it and forwards its reply.
 async fn call<F, R, T>(
     table: &LinkTable,
     address: SocketAddr,
-    limit: CallLimit,
+    policy: TimeoutPolicy,
     send: F,
-    answer: AnswerSender<T>,
+    reply: ReplySender<T>,
 ) where
     F: FnOnce(&peer::Client) -> R,
     R: Future<Output = capnp::Result<T>>,
 {
-    let called = table.link(address).call(limit, send).await;
+    let called = table.link(address).call(policy, send).await;
     table.traffic().count_call(called.is_err());
-    // The asker may have gone away; then nobody needs the answer.
-    let _ = answer.send(called);
+    // The caller may have dropped its receiver; the reply is not needed then.
+    let _ = reply.send(called);
 }
 
 fn send_heartbeat(
     client: &peer::Client,
     beat: &PeerHeartbeat,
 ) -> impl Future<Output = capnp::Result<PeerReply>> + use<> {
-    let mut request = client.heartbeat_request();
-    convert::write_heartbeat(request.get().init_beat(), beat);
-    let response = request.send().promise;
+    let mut rpc_request = client.heartbeat_request();
+    convert::write_heartbeat(rpc_request.get().init_beat(), beat);
+    let response = rpc_request.send().promise;
     async move { convert::read_reply(response.await?.get()?.get_reply()?) }
 }
 
-fn send_records(
+fn send_records_request(
     client: &peer::Client,
-    question: &RecordsQuestion,
+    request: &RecordsRequest,
 ) -> impl Future<Output = capnp::Result<RelayedRange>> + use<> {
-    let mut request = client.records_request();
-    request.get().set_stream(question.stream.as_str());
-    request.get().set_from(question.from);
-    request.get().set_limit(question.limit);
-    let response = request.send().promise;
+    let mut rpc_request = client.records_request();
+    rpc_request.get().set_stream(request.stream.as_str());
+    rpc_request.get().set_from(request.from);
+    rpc_request.get().set_limit(request.limit);
+    let response = rpc_request.send().promise;
     async move { convert::read_range(response.await?.get()?.get_range()?) }
 }
 
-fn send_question(
+fn send_claim_query(
     client: &peer::Client,
-    question: &ClaimQuestion,
+    query: &ClaimQuery,
 ) -> impl Future<Output = capnp::Result<ClaimOutcome>> + use<> {
-    let mut request = client.claim_outcome_request();
-    convert::write_question(request.get().init_call(), question);
-    let response = request.send().promise;
-    async move { convert::read_outcome(response.await?.get()?.get_reply()?) }
+    let mut rpc_request = client.claim_outcome_request();
+    convert::write_claim_query(rpc_request.get().init_call(), query);
+    let response = rpc_request.send().promise;
+    async move { convert::read_claim_outcome(response.await?.get()?.get_reply()?) }
 }
 
 fn send_view(
     client: &peer::Client,
     view: &HostView,
 ) -> impl Future<Output = capnp::Result<HostView>> + use<> {
-    let mut request = client.exchange_request();
-    convert::write_view(request.get().init_view(), view);
-    let response = request.send().promise;
+    let mut rpc_request = client.exchange_request();
+    convert::write_view(rpc_request.get().init_view(), view);
+    let response = rpc_request.send().promise;
     async move { convert::read_view(response.await?.get()?.get_view()?) }
 }
 
-fn send_follow(
+fn send_follow_request(
     client: &peer::Client,
-    question: FollowQuestion,
-) -> impl Future<Output = capnp::Result<FollowAnswer>> + use<> {
-    let mut request = client.follow_request();
-    convert::write_follow_question(request.get().init_question(), question);
-    let response = request.send().promise;
-    async move { convert::read_follow_answer(response.await?.get()?.get_answer()?) }
+    request: FollowRequest,
+) -> impl Future<Output = capnp::Result<FollowReply>> + use<> {
+    let mut rpc_request = client.follow_request();
+    convert::write_follow_request(rpc_request.get().init_question(), request);
+    let response = rpc_request.send().promise;
+    async move { convert::read_follow_reply(response.await?.get()?.get_answer()?) }
 }
 
-fn send_permit(
+fn send_permit_request(
     client: &peer::Client,
-    question: &PermitRequest,
+    request: &PermitRequest,
 ) -> impl Future<Output = capnp::Result<PermitReply>> + use<> {
-    let mut request = client.permit_request();
-    convert::write_permit_question(request.get().init_question(), question);
-    let response = request.send().promise;
-    async move { convert::read_permit_answer(response.await?.get()?.get_answer()?) }
+    let mut rpc_request = client.permit_request();
+    convert::write_permit_request(rpc_request.get().init_question(), request);
+    let response = rpc_request.send().promise;
+    async move { convert::read_permit_reply(response.await?.get()?.get_answer()?) }
 }
--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! Single calls to the platform over HTTP/1.1.
+//! Client for single calls to the platform over HTTP/1.1.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,21 +13,22 @@
 
 use crate::ids::LogOffset;
 use crate::platform::error::{AppendError, CallFailure, ReadError};
-use crate::platform::wire::{AppendAnswer, AppendBody, HostList, ReadAnswer};
+use crate::platform::wire::{AppendBody, AppendResponse, HostList, ReadResponse};
 
-/// Largest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// How long the parts of a call may take.
+/// Timeouts of the parts of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformTimeouts {
-    /// Until the connection stands.
+    /// For making a connection.
     pub connect: Duration,
-    /// From the start of the call to the whole answer, long polling excluded.
-    pub answer: Duration,
+    /// From the start of the call to the end of the response, without the time of long
+    /// polling.
+    pub response: Duration,
 }
 
-/// A client of the platform. Clones share their connections.
+/// Client of the platform. Clones share their connections.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -36,14 +37,14 @@
 }
 
 impl PlatformClient {
-    /// Opens a client; connections are made when calls need them.
+    /// Creates a client; it connects on demand.
     pub fn open(address: SocketAddr, timeouts: PlatformTimeouts) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(timeouts.connect));
         connector.set_nodelay(true);
-        // The library would by itself repeat a request on a new connection
-        // when a pooled one turns out closed. Appends are repeated only by
-        // those who know that their record ids make it harmless.
+        // By default the library repeats a request on a new connection if a pooled one
+        // turns out to be closed. Only a caller whose record ids make a duplicate
+        // harmless may repeat an append.
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build(connector);
@@ -58,41 +59,41 @@
     ///
     /// # Errors
     ///
-    /// The error's verdict says whether the records may have been stored.
+    /// Fails with a verdict on whether the records may have been stored.
     pub async fn append(
         &self,
         stream: &str,
         records: Vec<String>,
-    ) -> Result<AppendAnswer, AppendError> {
+    ) -> Result<AppendResponse, AppendError> {
         self.post_records(stream, records)
             .await
-            .map_err(AppendError::judge)
+            .map_err(AppendError::from_failure)
     }
 
-    /// Reads up to `limit` records of a stream from offset `from` on, waiting
-    /// up to `wait` when none is there yet.
+    /// Reads up to `limit` records of a stream from offset `from`, and waits up to `wait`
+    /// while there is none.
     ///
     /// # Errors
     ///
-    /// Fails if no whole answer comes, or if its records do not follow on
-    /// from `from` (or from the oldest kept offset) without gaps.
+    /// Fails without a complete response, or if the records do not continue without gaps
+    /// from `from` (or from the oldest retained offset).
     pub async fn read(
         &self,
         stream: &str,
         from: LogOffset,
         limit: usize,
         wait: Duration,
-    ) -> Result<ReadAnswer, ReadError> {
+    ) -> Result<ReadResponse, ReadError> {
         self.get_records(stream, from, limit, wait)
             .await
             .map_err(|failure| ReadError { failure })
     }
 
-    /// The platform's list of live and leaving hosts and targets.
+    /// Returns the platform's list of live and leaving hosts and targets.
     ///
     /// # Errors
     ///
-    /// Fails if no whole answer comes.
+    /// Fails without a complete response.
     pub async fn hosts(&self) -> Result<HostList, ReadError> {
         self.get("/v1/hosts", Duration::ZERO)
             .await
@@ -103,7 +104,7 @@
         &self,
         stream: &str,
         records: Vec<String>,
-    ) -> Result<AppendAnswer, CallFailure> {
+    ) -> Result<AppendResponse, CallFailure> {
         let body = serde_json::to_vec(&AppendBody { records })
             .map_err(|error| CallFailure::Request(error.to_string()))?;
         let path = format!("/v1/streams/{stream}/records");
@@ -116,13 +117,13 @@
         from: LogOffset,
         limit: usize,
         wait: Duration,
-    ) -> Result<ReadAnswer, CallFailure> {
+    ) -> Result<ReadResponse, CallFailure> {
         let wait_ms = wait.as_millis();
         let path =
             format!("/v1/streams/{stream}/records?from={from}&limit={limit}&wait_ms={wait_ms}");
-        let answer = self.get(&path, wait).await?;
-        check_sequence(from, &answer)?;
-        Ok(answer)
+        let response = self.get(&path, wait).await?;
+        check_sequence(from, &response)?;
+        Ok(response)
     }
 
     async fn get<A>(&self, path: &str, wait: Duration) -> Result<A, CallFailure>
@@ -148,7 +149,7 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| CallFailure::Request(error.to_string()))?;
-        let bytes = tokio::time::timeout(self.timeouts.answer + wait, self.exchange(request))
+        let bytes = tokio::time::timeout(self.timeouts.response + wait, self.exchange(request))
             .await
             .map_err(|_| CallFailure::Timeout)??;
         serde_json::from_slice(&bytes).map_err(|error| CallFailure::Malformed(error.to_string()))
@@ -166,7 +167,7 @@
         if status != StatusCode::OK {
             return Err(CallFailure::Status(status));
         }
-        Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+        Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
             .map(http_body_util::Collected::to_bytes)
@@ -174,26 +175,26 @@
     }
 }
 
-/// Checks that the records follow on without gaps.
+/// Checks that the records continue without gaps.
 ///
-/// Replay judges by order. A gap that went unnoticed would show as hosts with
-/// different states at the same offset; an answer with one is refused, and
-/// read again.
-fn check_sequence(from: LogOffset, answer: &ReadAnswer) -> Result<(), CallFailure> {
-    let start = from.max(answer.first_offset);
-    let follows = answer
+/// Replay depends on the order of records, so an undetected gap would give hosts
+/// different states at the same offset. A response with a gap is rejected, and the
+/// records are read again.
+fn check_sequence(from: LogOffset, response: &ReadResponse) -> Result<(), CallFailure> {
+    let start = from.max(response.first_offset);
+    let follows = response
         .records
         .iter()
         .zip(start..)
         .all(|(record, expected)| record.offset == expected);
-    let within = answer
+    let within = response
         .records
         .last()
-        .is_none_or(|record| record.offset < answer.end_offset);
-    if follows && within && answer.first_offset <= answer.end_offset {
+        .is_none_or(|record| record.offset < response.end_offset);
+    if follows && within && response.first_offset <= response.end_offset {
         return Ok(());
     }
     Err(CallFailure::Malformed(format!(
-        "records do not follow on from offset {start}"
+        "records do not continue from offset {start} without gaps"
     )))
 }
--- a/src/replay/start.rs
+++ b/src/replay/start.rs
@@ -5,7 +5,7 @@
 use super::judgement::ApplyError;
 use super::table::{DeclarationTable, WindowRules};
 use crate::ids::LogOffset;
-use crate::platform::wire::ReadAnswer;
+use crate::platform::wire::ReadResponse;
 use crate::records::{DeclarationBody, LogRecord, StateCheckpoint};
 
 /// Next step of a start.
@@ -63,7 +63,7 @@
 
     /// Processes an answer of the log and returns the next step. The first answer may
     /// start at any offset, because only its bounds are needed.
-    pub fn on_read(&mut self, answer: &ReadAnswer) -> StartDecision {
+    pub fn on_read(&mut self, answer: &ReadResponse) -> StartDecision {
         for record in &answer.records {
             self.bodies.insert(record.offset, record.body.clone());
         }
@@ -88,7 +88,7 @@
     }
 
     /// Returns the next step when all records from `scan_from` to the end are available.
-    fn decide(&mut self, scan_from: LogOffset, answer: &ReadAnswer) -> StartDecision {
+    fn decide(&mut self, scan_from: LogOffset, answer: &ReadResponse) -> StartDecision {
         if let Some(table) = self.restore_newest_checkpoint(scan_from) {
             return self.replay(table);
         }
@@ -106,7 +106,7 @@
         StartDecision::ReadFrom(scan_from)
     }
 
-    fn lookback_start(&self, answer: &ReadAnswer) -> LogOffset {
+    fn lookback_start(&self, answer: &ReadResponse) -> LogOffset {
         let wanted = answer.end_offset.saturating_sub(self.lookback);
         wanted.max(answer.first_offset)
     }
--- a/src/run/decision.rs
+++ b/src/run/decision.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::{StageIndex, TargetId, TokenValue};
 use crate::reason::{RefusalReason, RetryReason};
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 use crate::verdict::RunVerdict;
 
 /// An action that the driver has to execute.
@@ -15,7 +15,7 @@
         /// Target that receives the step.
         target: TargetId,
         /// The order.
-        order: StepOrder,
+        order: StepRequest,
         /// Why the step is sent again; `None` if it is the first attempt.
         retry: Option<RetryReason>,
         /// How long to wait before sending.
--- a/src/run/driver.rs
+++ b/src/run/driver.rs
@@ -14,7 +14,7 @@
 use crate::ids::{StageIndex, TargetId, TokenPosition};
 use crate::reason::RetryReason;
 use crate::target::client::TargetClient;
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 use crate::verdict::RunVerdict;
 
 /// Runs `machine` to its end and returns the outcome.
@@ -51,7 +51,7 @@
 enum PendingOperation {
     Step {
         target: TargetId,
-        order: StepOrder,
+        order: StepRequest,
         retry: Option<RetryReason>,
         delay: Duration,
     },
@@ -274,7 +274,7 @@
     async fn send_step(
         &self,
         target: TargetId,
-        order: StepOrder,
+        order: StepRequest,
         retry: Option<RetryReason>,
     ) -> RunEvent {
         let positions = order.inputs.len() as u64;
@@ -323,8 +323,8 @@
     async fn call(
         &self,
         target: &TargetId,
-        order: &StepOrder,
-    ) -> Result<crate::target::wire::StepAnswer, StepFailure> {
+        order: &StepRequest,
+    ) -> Result<crate::target::wire::StepResponse, StepFailure> {
         match (self.hooks.address)(target) {
             Some(address) => self.client.step(address, order).await,
             None => Err(StepFailure {
--- a/src/run/event.rs
+++ b/src/run/event.rs
@@ -2,7 +2,7 @@
 
 use crate::ids::{StageIndex, TargetId, TokenPosition};
 use crate::reason::RetryReason;
-use crate::target::wire::{StepAnswer, StepLabel, TargetRefusal};
+use crate::target::wire::{StepLabel, StepResponse, TargetRefusal};
 use crate::verdict::RunVerdict;
 
 /// Something that happened and that the state machine has to handle.
@@ -15,7 +15,7 @@
         /// Target that responded.
         target: TargetId,
         /// Its response, not yet matched against the awaited step.
-        response: StepAnswer,
+        response: StepResponse,
     },
     /// A step failed without a usable response.
     StepFailed {
--- a/src/run/machine.rs
+++ b/src/run/machine.rs
@@ -21,7 +21,7 @@
 use super::{RunDecision, RunEvent, RunLimits, RunOutcome, RunPlan};
 use crate::ids::{AttemptNumber, StageIndex, TargetId, TokenValue};
 use crate::reason::{RefusalReason, RetryReason};
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 use crate::verdict::RunVerdict;
 use forward_pass::ForwardPass;
 use order_counts::OrderCounts;
@@ -81,7 +81,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct AwaitedStep {
     target: TargetId,
-    order: StepOrder,
+    order: StepRequest,
     resends: u32,
 }
 
--- a/src/run/machine/queries.rs
+++ b/src/run/machine/queries.rs
@@ -3,7 +3,7 @@
 use super::{RunMachine, RunPhase};
 use crate::ids::{AttemptNumber, TargetId};
 use crate::run::RunPlan;
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 
 impl RunMachine {
     /// Returns the number of responses that did not match the awaited step.
@@ -28,7 +28,7 @@
     }
 
     /// Returns the step whose response is awaited.
-    pub fn awaited_order(&self) -> Option<&StepOrder> {
+    pub fn awaited_order(&self) -> Option<&StepRequest> {
         match &self.phase {
             RunPhase::AwaitResponse(awaited) => Some(&awaited.order),
             _ => None,
--- a/src/run/machine/responses.rs
+++ b/src/run/machine/responses.rs
@@ -3,7 +3,7 @@
 use super::{RunMachine, RunPhase};
 use crate::ids::{TargetId, TokenValue};
 use crate::run::RunDecision;
-use crate::target::wire::StepAnswer;
+use crate::target::wire::StepResponse;
 
 impl RunMachine {
     /// Accepts a response if it matches the awaited step in every part, and drops it
@@ -17,7 +17,7 @@
     pub(super) fn on_response(
         &mut self,
         target: &TargetId,
-        response: &StepAnswer,
+        response: &StepResponse,
         decisions: &mut Vec<RunDecision>,
     ) {
         if !self.is_awaited(target, response) {
@@ -36,7 +36,7 @@
         }
     }
 
-    fn is_awaited(&self, target: &TargetId, response: &StepAnswer) -> bool {
+    fn is_awaited(&self, target: &TargetId, response: &StepResponse) -> bool {
         match &self.phase {
             RunPhase::AwaitResponse(awaited) => {
                 awaited.target == *target
--- a/src/run/machine/sending.rs
+++ b/src/run/machine/sending.rs
@@ -8,7 +8,7 @@
 use crate::ids::{StageIndex, TokenPosition};
 use crate::reason::{RefusalReason, RetryReason};
 use crate::run::RunDecision;
-use crate::target::wire::StepOrder;
+use crate::target::wire::StepRequest;
 
 /// Smallest fraction of a delay that remains after jitter.
 const JITTER_FLOOR: f64 = 0.5;
@@ -91,10 +91,10 @@
         });
     }
 
-    fn order(&self) -> StepOrder {
+    fn order(&self) -> StepRequest {
         let stage = self.pass.stage;
         let session = &self.stages[stage];
-        StepOrder {
+        StepRequest {
             label: session.label(&self.plan.request, stage),
             model: self.plan.model.clone(),
             version: self.plan.version.clone(),
--- a/src/target/client.rs
+++ b/src/target/client.rs
@@ -16,25 +16,25 @@
 use serde::de::DeserializeOwned;
 
 use super::TargetFailure;
-use super::transport::{RawAnswer, TargetTransport};
+use super::transport::{RawResponse, TargetTransport};
 use path_segment::PathSegment;
-pub use service_calls::{CallAnswer, CallOrder};
+pub use service_calls::{CallRequest, CallResponse};
 pub use single_call::SingleCall;
 
 const JSON_CONTENT: HeaderValue = HeaderValue::from_static("application/json");
-/// Largest answer that is read, but for exported caches.
-const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
-/// Largest exported cache that is read.
+/// Maximum size of a response, except for exported caches.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of an exported cache.
 const MAX_EXPORT_BYTES: usize = 64 * 1024 * 1024;
 
-/// How long calls to targets may take.
+/// Timeouts of calls to targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetTimeouts {
     /// For making a connection.
     pub connect: Duration,
-    /// From sending a call to the end of its answer.
-    pub answer: Duration,
-    /// Added to `answer` for each position of a step beyond the first.
+    /// From sending a call to the end of its response.
+    pub response: Duration,
+    /// Added to `response` for each position of a step beyond the first.
     pub per_position: Duration,
 }
 
@@ -42,13 +42,13 @@
     fn default() -> Self {
         Self {
             connect: Duration::from_millis(500),
-            answer: Duration::from_secs(2),
+            response: Duration::from_secs(2),
             per_position: Duration::from_millis(5),
         }
     }
 }
 
-/// Client for all targets; cheap to clone, clones share their connections.
+/// Client for all targets. Clones are cheap and share their connections.
 #[derive(Debug, Clone)]
 pub struct TargetClient {
     transport: TargetTransport,
@@ -56,7 +56,7 @@
 }
 
 impl TargetClient {
-    /// A client without connections as yet.
+    /// Creates a client; it connects on demand.
     pub fn open(timeouts: TargetTimeouts) -> Self {
         Self {
             transport: TargetTransport::open(timeouts.connect),
@@ -69,22 +69,22 @@
         A: DeserializeOwned,
     {
         let request = request(Method::GET, address, path, Bytes::new())?;
-        parse(&self.send(request, MAX_ANSWER_BYTES).await?)
+        parse(&self.send(request, MAX_RESPONSE_BYTES).await?)
     }
 
     async fn send(
         &self,
         request: Request<Full<Bytes>>,
         max_bytes: usize,
-    ) -> Result<RawAnswer, TargetFailure> {
-        let timeout = self.timeouts.answer;
-        let answer = self.transport.send(request, true, timeout, max_bytes);
-        accept(answer.await?)
+    ) -> Result<RawResponse, TargetFailure> {
+        let timeout = self.timeouts.response;
+        let response = self.transport.send(request, true, timeout, max_bytes);
+        check_status(response.await?)
     }
 }
 
-/// A request that can't be written is reported as a failed connection: like
-/// that one it is certain not to have been sent.
+/// Builds a request. If it cannot be built, the failure counts as a failed connection,
+/// because in both cases it is certain that nothing was sent.
 fn request(
     method: Method,
     address: SocketAddr,
@@ -116,18 +116,21 @@
         .map_err(|error| TargetFailure::Connect(error.to_string()))
 }
 
-/// Lets only answers with a 2xx status pass.
-fn accept(answer: RawAnswer) -> Result<RawAnswer, TargetFailure> {
-    match answer.status.is_success() {
-        true => Ok(answer),
-        false => Err(TargetFailure::Unusable(format!("status {}", answer.status))),
+/// Rejects responses without a 2xx status.
+fn check_status(response: RawResponse) -> Result<RawResponse, TargetFailure> {
+    match response.status.is_success() {
+        true => Ok(response),
+        false => Err(TargetFailure::Unusable(format!(
+            "status {}",
+            response.status
+        ))),
     }
 }
 
-fn parse<A>(answer: &RawAnswer) -> Result<A, TargetFailure>
+fn parse<A>(response: &RawResponse) -> Result<A, TargetFailure>
 where
     A: DeserializeOwned,
 {
-    let parsed = serde_json::from_slice(&answer.body);
+    let parsed = serde_json::from_slice(&response.body);
     parsed.map_err(|error| TargetFailure::Unusable(error.to_string()))
 }
--- a/src/target/client/engine_calls.rs
+++ b/src/target/client/engine_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that engines serve.
+//! Calls to engines.
 
 use std::net::SocketAddr;
 
@@ -6,57 +6,58 @@
 use http::Method;
 
 use super::{
-    MAX_ANSWER_BYTES, MAX_EXPORT_BYTES, PathSegment, TargetClient, accept, encode, parse, request,
+    MAX_EXPORT_BYTES, MAX_RESPONSE_BYTES, PathSegment, TargetClient, check_status, encode, parse,
+    request,
 };
 use crate::run::StepFailure;
 use crate::target::TargetFailure;
 use crate::target::wire::{
-    CacheEvents, CacheExport, LoadReport, StateOrder, StepAnswer, StepOrder, TargetState,
+    CacheEvents, CacheExport, LoadReport, StateOrder, StepRequest, StepResponse, TargetState,
 };
 
 impl TargetClient {
     /// Runs a step.
     ///
     /// # Errors
-    /// With the verdict on whether the step may have run.
+    /// Fails with a verdict on whether the step may have run.
     pub async fn step(
         &self,
         address: SocketAddr,
-        order: &StepOrder,
-    ) -> Result<StepAnswer, StepFailure> {
-        let answer = self.try_step(address, order).await;
-        answer.map_err(StepFailure::from)
+        step: &StepRequest,
+    ) -> Result<StepResponse, StepFailure> {
+        let response = self.try_step(address, step).await;
+        response.map_err(StepFailure::from)
     }
 
     async fn try_step(
         &self,
         address: SocketAddr,
-        order: &StepOrder,
-    ) -> Result<StepAnswer, TargetFailure> {
-        let further = order.inputs.len().saturating_sub(1);
+        step: &StepRequest,
+    ) -> Result<StepResponse, TargetFailure> {
+        let further = step.inputs.len().saturating_sub(1);
         let further = u32::try_from(further).unwrap_or(u32::MAX);
-        let timeout = self.timeouts.answer + self.timeouts.per_position.saturating_mul(further);
-        let request = request(Method::POST, address, "/v1/steps", encode(order)?)?;
-        let answer = self
+        let timeout = self.timeouts.response + self.timeouts.per_position.saturating_mul(further);
+        let request = request(Method::POST, address, "/v1/steps", encode(step)?)?;
+        let response = self
             .transport
-            .send(request, true, timeout, MAX_ANSWER_BYTES);
-        parse(&accept(answer.await?)?)
+            .send(request, true, timeout, MAX_RESPONSE_BYTES);
+        parse(&check_status(response.await?)?)
     }
 
-    /// Cancels a session; it is no error if the engine does not know it.
+    /// Cancels a session; an unknown session is no error.
     ///
     /// # Errors
-    /// If the engine cannot be reached or does not answer.
+    /// Fails if the engine cannot be reached or does not respond.
     pub async fn cancel(&self, address: SocketAddr, session: &str) -> Result<(), TargetFailure> {
         let path = format!("/v1/sessions/{}", PathSegment(session));
         let request = request(Method::DELETE, address, &path, Bytes::new())?;
-        self.send(request, MAX_ANSWER_BYTES).await.map(drop)
+        self.send(request, MAX_RESPONSE_BYTES).await.map(drop)
     }
 
     /// Reads a session's KV cache.
     ///
     /// # Errors
-    /// If the engine does not know the session or does not answer.
+    /// Fails if the engine does not know the session or does not respond.
     pub async fn export_cache(
         &self,
         address: SocketAddr,
@@ -67,10 +68,11 @@
         parse(&self.send(request, MAX_EXPORT_BYTES).await?)
     }
 
-    /// Puts a KV cache into a session.
+    /// Imports a KV cache into a session.
     ///
     /// # Errors
-    /// If the engine refuses or does not answer; it may then hold the cache.
+    /// Fails if the engine refuses or does not respond; without a response it may hold
+    /// the cache.
     pub async fn import_cache(
         &self,
         address: SocketAddr,
@@ -79,43 +81,43 @@
     ) -> Result<(), TargetFailure> {
         let path = format!("/v1/sessions/{}/cache", PathSegment(session));
         let request = request(Method::PUT, address, &path, encode(export)?)?;
-        self.send(request, MAX_ANSWER_BYTES).await.map(drop)
+        self.send(request, MAX_RESPONSE_BYTES).await.map(drop)
     }
 
-    /// Reads the load, as late as the target reports it.
+    /// Reads the load that the target reports, which lags behind.
     ///
     /// # Errors
-    /// If the target does not answer.
+    /// Fails if the target does not respond.
     pub async fn load(&self, address: SocketAddr) -> Result<LoadReport, TargetFailure> {
         self.get(address, "/v1/load").await
     }
 
-    /// Reads what the target holds.
+    /// Reads the state of the target.
     ///
     /// # Errors
-    /// If the target does not answer.
+    /// Fails if the target does not respond.
     pub async fn state(&self, address: SocketAddr) -> Result<TargetState, TargetFailure> {
         self.get(address, "/v1/state").await
     }
 
-    /// Orders a state.
+    /// Orders the target to reach a state.
     ///
     /// # Errors
-    /// If the target refuses, for example an old fencing number, or does not
-    /// answer; in the latter case it may have taken the order.
+    /// Fails if the target refuses, for example because of an old fencing number, or does
+    /// not respond; without a response it may have accepted the order.
     pub async fn order_state(
         &self,
         address: SocketAddr,
         order: &StateOrder,
     ) -> Result<TargetState, TargetFailure> {
         let request = request(Method::PUT, address, "/v1/state", encode(order)?)?;
-        parse(&self.send(request, MAX_ANSWER_BYTES).await?)
+        parse(&self.send(request, MAX_RESPONSE_BYTES).await?)
     }
 
-    /// Reads changes of the prefix cache from number `from` on.
+    /// Reads the changes of the prefix cache from number `from` on.
     ///
     /// # Errors
-    /// If the engine does not answer.
+    /// Fails if the engine does not respond.
     pub async fn cache_events(
         &self,
         address: SocketAddr,
--- a/src/target/client/service_calls.rs
+++ b/src/target/client/service_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that plain services serve.
+//! Calls to plain services.
 
 use std::net::SocketAddr;
 
@@ -6,78 +6,79 @@
 use http::{HeaderMap, Method, Request, StatusCode};
 use http_body_util::Full;
 
-use super::{MAX_ANSWER_BYTES, PathSegment, TargetClient, request};
-use crate::target::transport::RawAnswer;
+use super::{MAX_RESPONSE_BYTES, PathSegment, TargetClient, request};
+use crate::target::transport::RawResponse;
 use crate::target::{CallFailure, TargetFailure};
 
 /// A call to a plain service.
 #[derive(Debug, Clone)]
-pub struct CallOrder {
-    /// Operation; it becomes one path segment.
+pub struct CallRequest {
+    /// Operation, sent as one path segment.
     pub operation: String,
-    /// Headers passed on, such as the request id.
+    /// Forwarded headers, such as the request id.
     pub headers: HeaderMap,
-    /// Caller's JSON.
+    /// The caller's JSON.
     pub body: Bytes,
-    /// Whether the call may be sent over a connection used before.
+    /// Whether the call may use a pooled connection.
     ///
-    /// The far end may close such a connection just as the call is sent;
-    /// whether it ran is then unknown. A call that may not be repeated goes
-    /// over a new connection, where that does not arise.
+    /// The service may close a pooled connection just as the call is sent, and it is then
+    /// unknown whether the call ran. A new connection avoids this for calls that may not
+    /// be repeated.
     pub use_pool: bool,
 }
 
-/// A service's own answer, of any status; it has run.
+/// Response of a service, of any status. The call has run.
 #[derive(Debug, Clone)]
-pub struct CallAnswer {
-    /// Status.
+pub struct CallResponse {
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
 impl TargetClient {
-    /// Calls a plain service, once.
+    /// Calls a plain service once.
     ///
     /// # Errors
-    /// With the verdict on whether the call may have run.
+    /// Fails with a verdict on whether the call may have run.
     pub async fn call(
         &self,
         address: SocketAddr,
-        order: CallOrder,
-    ) -> Result<CallAnswer, CallFailure> {
-        let use_pool = order.use_pool;
-        let request = call_request(address, order)?;
-        let timeout = self.timeouts.answer;
-        let answer = self
+        call: CallRequest,
+    ) -> Result<CallResponse, CallFailure> {
+        let use_pool = call.use_pool;
+        let request = call_request(address, call)?;
+        let timeout = self.timeouts.response;
+        let response = self
             .transport
-            .send(request, use_pool, timeout, MAX_ANSWER_BYTES);
-        Ok(CallAnswer::from(answer.await?))
+            .send(request, use_pool, timeout, MAX_RESPONSE_BYTES);
+        Ok(CallResponse::from(response.await?))
     }
 }
 
-impl From<RawAnswer> for CallAnswer {
-    fn from(answer: RawAnswer) -> Self {
+impl From<RawResponse> for CallResponse {
+    fn from(response: RawResponse) -> Self {
         Self {
-            status: answer.status,
-            headers: answer.headers,
-            body: answer.body,
+            status: response.status,
+            headers: response.headers,
+            body: response.body,
         }
     }
 }
 
 pub(super) fn call_request(
     address: SocketAddr,
-    order: CallOrder,
+    call: CallRequest,
 ) -> Result<Request<Full<Bytes>>, TargetFailure> {
-    // Some servers resolve these two, also when encoded, to other paths.
-    if matches!(order.operation.as_str(), "" | "." | "..") {
-        return Err(TargetFailure::Connect("not an operation's name".to_owned()));
+    // Some servers resolve the dot segments to other paths, even if they are
+    // percent-encoded.
+    if matches!(call.operation.as_str(), "" | "." | "..") {
+        return Err(TargetFailure::Connect("invalid operation name".to_owned()));
     }
-    let path = format!("/v1/calls/{}", PathSegment(&order.operation));
-    let mut request = request(Method::POST, address, &path, order.body)?;
-    request.headers_mut().extend(order.headers);
+    let path = format!("/v1/calls/{}", PathSegment(&call.operation));
+    let mut request = request(Method::POST, address, &path, call.body)?;
+    request.headers_mut().extend(call.headers);
     Ok(request)
 }
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -9,7 +9,7 @@
 use jackdawwick::delta_sync::DeltaBounds;
 use jackdawwick::fleet::{TargetLoad, TargetUsage, UsageScope, ZoneUsage, target_key};
 use jackdawwick::peer::{
-    self, EntryHandlers, FollowAnswer, FollowQuestion, HostListing, HostView, KnownHost, LogAges,
+    self, EntryHandlers, FollowReply, FollowRequest, HostListing, HostView, KnownHost, LogAges,
     PeerHandle, PeerSettings, SeenListing, ZoneCount,
 };
 use jackdawwick::permits::{LimitDelta, LimitRecord, PermitReply, PermitRequest, RateLimit};
@@ -29,7 +29,7 @@
         configuration_version: 40,
         weight: 8,
         scope: UsageScope::Neighbours,
-        uses: Vec::new(),
+        usage: Vec::new(),
         listing: HostListing::default(),
         seen: SeenListing {
             incarnation: 1 << 51,
@@ -86,14 +86,14 @@
     }
 }
 
-fn remote_usage() -> FollowAnswer {
-    FollowAnswer {
+fn remote_usage() -> FollowReply {
+    FollowReply {
         incarnation: 5,
         remote: vec![ZoneUsage {
             zone: "vake".into(),
             usage: vec![used(1), used(2)],
         }],
-        ..FollowAnswer::default()
+        ..FollowReply::default()
     }
 }
 
@@ -137,7 +137,7 @@
     let (caller, callee) = (spawn(), spawn());
     let sent = HostView {
         scope: UsageScope::Group,
-        uses: (0..3).map(used).collect(),
+        usage: (0..3).map(used).collect(),
         listing: HostListing {
             from: 4,
             to: 9,
@@ -160,7 +160,7 @@
     let address = callee.local_address();
     let answer = caller.exchange(address, sent.clone()).await;
     assert_eq!(answer.expect("an answer"), sent);
-    let question = FollowQuestion::default();
+    let question = FollowRequest::default();
     let wait = Duration::from_secs(20);
     let followed = caller.follow(address, question, wait).await;
     assert_eq!(followed.expect("an answer"), remote_usage());
@@ -229,7 +229,7 @@
     let both_ways = 2 * ITEMS as u64;
     let empty = exchange_bytes(&view("front-saburtalo-1")).await;
     let with_uses = HostView {
-        uses: (0..ITEMS).map(used).collect(),
+        usage: (0..ITEMS).map(used).collect(),
         ..view("front-saburtalo-1")
     };
     let with_hosts = HostView {
--- a/tests/log_reader.rs
+++ b/tests/log_reader.rs
@@ -6,15 +6,15 @@
 
 use jackdawwick::entry::{FollowCursor, LogCopy, LogRole, TargetTiming, follow_targets};
 use jackdawwick::forward::ServingTables;
-use jackdawwick::platform::log_calls::{CallLimits, LogClient, LogError};
+use jackdawwick::platform::log_calls::{CallTimeouts, LogClient, LogError};
 use jackdawwick::retry::WindowSettings;
 use proptest::prelude::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-const LIMIT: CallLimits = CallLimits {
+const LIMIT: CallTimeouts = CallTimeouts {
     connect: Duration::from_millis(150),
-    answer: Duration::from_millis(150),
+    response: Duration::from_millis(150),
     newest: Duration::from_millis(150),
 };
 const USUAL_TIMING: TargetTiming = TargetTiming {
@@ -131,7 +131,7 @@
     let wait = Duration::from_millis(50);
     assert!(reader.read("keyed.op", 5, wait).await.is_ok());
     let lost = reader.read("keyed.op", 5, wait).await;
-    assert!(matches!(lost, Err(LogError::NoAnswer(_))), "{lost:?}");
+    assert!(matches!(lost, Err(LogError::NoResponse(_))), "{lost:?}");
     let read = reader
         .read("keyed.op", 5, wait)
         .await
@@ -173,7 +173,7 @@
 ) -> (Arc<ServingTables>, tokio::sync::watch::Sender<LogRole>) {
     let reader = LogClient::open(spawn_log(vec![responses]).await, LIMIT);
     let budget = WindowSettings {
-        window: LIMIT.answer,
+        window: LIMIT.response,
         ratio: 0.0,
         slack: 0.0,
     };
@@ -372,10 +372,10 @@
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut part = [0; 4096];
         let _ = stream.read(&mut part).await;
-        tokio::time::sleep(2 * LIMIT.answer).await;
+        tokio::time::sleep(2 * LIMIT.response).await;
         let _ = stream.write_all(&response("200 OK", body)).await;
     });
-    let limits = CallLimits {
+    let limits = CallTimeouts {
         newest: Duration::from_secs(20),
         ..LIMIT
     };
--- a/tests/peer_rpc.rs
+++ b/tests/peer_rpc.rs
@@ -1,4 +1,4 @@
-//! Calls between daemons over loopback: answers, hanging and killed peers, bounds.
+//! Peer calls over loopback: replies, hanging and restarted peers, and size limits.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,8 +9,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use jackdawwick::peer::{
-    self, ClaimOutcome, ClaimQuestion, PeerDemand, PeerError, PeerGrant, PeerHandle, PeerHandlers,
-    PeerHeartbeat, PeerLoad, PeerReply, PeerSettings, RecordsQuestion, RelayedRange, ZoneDigest,
+    self, ClaimOutcome, ClaimQuery, PeerDemand, PeerError, PeerGrant, PeerHandle, PeerHandlers,
+    PeerHeartbeat, PeerLoad, PeerReply, PeerSettings, RecordsRequest, RelayedRange, ZoneDigest,
 };
 use jackdawwick::platform::wire::StoredRecord;
 use jackdawwick::verdict::RunVerdict;
@@ -67,7 +67,7 @@
         concurrent_requests: 9,
         requests_per_minute: 8,
         number: 7,
-        lapse: Some(Duration::from_millis(1500)),
+        expires_after: Some(Duration::from_millis(1500)),
     }
 }
 
@@ -88,36 +88,37 @@
     }
 }
 
-/// Handlers that echo the caller's heartbeat beside a fixed reply.
+/// Returns handlers that echo parts of the caller's heartbeat in an otherwise fixed
+/// reply.
 fn handlers(host: &'static str, incarnation: u64) -> PeerHandlers {
     PeerHandlers {
-        heartbeat: Arc::new(move |heard: PeerHeartbeat| PeerReply {
-            beat: PeerHeartbeat {
-                loads: heard.loads,
-                digest: heard.digest,
+        heartbeat: Arc::new(move |received: PeerHeartbeat| PeerReply {
+            heartbeat: PeerHeartbeat {
+                loads: received.loads,
+                digest: received.digest,
                 ..beat(host, incarnation)
             },
-            lease_offset: heard.demands_for,
-            grants: heard
+            lease_offset: received.demands_for,
+            grants: received
                 .demands
                 .iter()
                 .map(|demand| grant(&demand.organisation))
                 .collect(),
         }),
-        records: Arc::new(|question| RelayedRange {
-            first_offset: question.from,
-            end_offset: question.from + 2,
+        records: Arc::new(|request| RelayedRange {
+            first_offset: request.from,
+            end_offset: request.from + 2,
             records: vec![StoredRecord {
-                offset: question.from,
+                offset: request.from,
                 body: "{}".to_owned(),
             }],
-            checkpoint: Some(question.stream),
+            checkpoint: Some(request.stream),
         }),
-        claim_outcome: Arc::new(|question| {
+        claim_outcome: Arc::new(|request| {
             let outcome = ClaimOutcome::Known {
                 verdict: RunVerdict::Ran,
                 status: 200,
-                body: Bytes::copy_from_slice(question.key.as_bytes()),
+                body: Bytes::copy_from_slice(request.key.as_bytes()),
             };
             async move { outcome }.boxed()
         }),
@@ -149,7 +150,7 @@
         .await
         .expect("a reply");
     let expected = PeerReply {
-        beat: PeerHeartbeat {
+        heartbeat: PeerHeartbeat {
             loads: sent.loads,
             digest: sent.digest,
             ..beat("vake-2", 2)
@@ -159,17 +160,17 @@
     };
     assert_eq!(reply, expected);
 
-    let question = RecordsQuestion {
+    let request = RecordsRequest {
         stream: "declarations".to_owned(),
         from: 3,
         limit: 10,
     };
-    let range = caller.records(address, question).await.expect("a range");
+    let range = caller.records(address, request).await.expect("a range");
     assert_eq!((range.first_offset, range.end_offset), (3, 5));
     assert_eq!(range.records[0].body, "{}");
     assert_eq!(range.checkpoint.as_deref(), Some("declarations"));
 
-    let question = ClaimQuestion {
+    let request = ClaimQuery {
         request: "r".into(),
         service: "ledger".into(),
         operation: "settle".to_owned(),
@@ -177,7 +178,7 @@
         organisation: "acme".into(),
     };
     let outcome = caller
-        .claim_outcome(address, question, WAIT_LIMIT)
+        .claim_outcome(address, request, WAIT_LIMIT)
         .await
         .expect("an outcome");
     let expected = ClaimOutcome::Known {
@@ -190,54 +191,56 @@
     callee.shutdown().await;
 }
 
-/// Symptom: one frozen host makes every host of the zone look dead.
-/// Events: a peer takes the connection and never answers; meanwhile another
-/// peer is called.
-/// Cause: calls made one after the other, or a frozen connection kept for ever.
+/// Guards against a hanging host that makes all hosts of its zone look dead, because
+/// calls run one after another. One peer accepts the connection and never replies while
+/// another one is called.
 #[tokio::test]
-async fn a_hanging_peer_delays_no_other() {
-    let frozen = tokio::net::TcpListener::bind(loopback(0))
+async fn hanging_peer_delays_no_call_to_another() {
+    let hanging_peer = tokio::net::TcpListener::bind(loopback(0))
         .await
         .expect("a socket");
-    let frozen_address = frozen.local_addr().expect("an address");
+    let hanging_address = hanging_peer.local_addr().expect("an address");
     let callee = spawn("vake-2", 2);
     let caller = spawn("vake-1", 1);
 
-    let mut hanging = Box::pin(caller.heartbeat(frozen_address, beat("vake-1", 1)));
-    assert!(hanging.as_mut().now_or_never().is_none());
-    let (_held, _) = frozen.accept().await.expect("the caller's connection");
+    let mut pending = Box::pin(caller.heartbeat(hanging_address, beat("vake-1", 1)));
+    assert!(pending.as_mut().now_or_never().is_none());
+    let (_held, _) = hanging_peer
+        .accept()
+        .await
+        .expect("the caller's connection");
     for _ in 0..20 {
         caller
             .heartbeat(callee.local_address(), beat("vake-1", 1))
             .await
-            .expect("the other peer answers");
+            .expect("a reply of the other peer");
     }
-    assert!(hanging.as_mut().now_or_never().is_none());
+    assert!(pending.as_mut().now_or_never().is_none());
     caller.shutdown().await;
     callee.shutdown().await;
 }
 
-/// Symptom: a host that froze for a while stays unreachable for the others.
-/// Events: a call runs out of time; the peer comes back.
-/// Cause: the connection on which answers never come is used again and again.
+/// Guards against a host that stays unreachable after it hung for a while, because the
+/// connection without replies is reused. A call times out, and the peer accepts a second
+/// connection.
 #[tokio::test]
-async fn a_call_out_of_time_closes_the_connection() {
-    let frozen = tokio::net::TcpListener::bind(loopback(0))
+async fn call_timeout_closes_the_connection() {
+    let hanging_peer = tokio::net::TcpListener::bind(loopback(0))
         .await
         .expect("a socket");
-    let address = frozen.local_addr().expect("an address");
-    let quick = PeerSettings {
+    let address = hanging_peer.local_addr().expect("an address");
+    let short_timeout = PeerSettings {
         call_timeout: Duration::from_millis(30),
         ..settings(0)
     };
-    let caller = peer::spawn(quick, handlers("vake-1", 1)).expect("a peer");
+    let caller = peer::spawn(short_timeout, handlers("vake-1", 1)).expect("a peer");
 
     let failed = caller.heartbeat(address, beat("vake-1", 1)).await;
     assert!(
         matches!(failed, Err(PeerError::Timeout { .. })),
         "{failed:?}"
     );
-    let (mut first, _) = frozen.accept().await.expect("a connection");
+    let (mut first, _) = hanging_peer.accept().await.expect("a connection");
     let mut rest = Vec::new();
     tokio::time::timeout(WAIT_LIMIT, first.read_to_end(&mut rest))
         .await
@@ -247,7 +250,7 @@
     let second = tokio::time::timeout(WAIT_LIMIT, async {
         loop {
             let _ = caller.heartbeat(address, beat("vake-1", 1)).await;
-            if let Some(accepted) = frozen.accept().now_or_never() {
+            if let Some(accepted) = hanging_peer.accept().now_or_never() {
                 return accepted;
             }
         }
@@ -256,11 +259,11 @@
     caller.shutdown().await;
 }
 
-/// Symptom: a replaced host is never heard again at its old address.
-/// Events: the peer is killed, calls to it fail, a new one starts there.
-/// Cause: a link that remembers its broken connection.
+/// Guards against a restarted host that stays unreachable at its address, because the
+/// link keeps the broken connection. The peer ends, calls to it fail, and a new one
+/// starts at its address.
 #[tokio::test]
-async fn a_killed_peer_is_reached_again_after_its_restart() {
+async fn restarted_peer_is_reachable_at_its_address() {
     let caller = spawn("vake-1", 1);
     let callee = spawn("vake-2", 2);
     let address = callee.local_address();
@@ -272,7 +275,7 @@
     let failed = caller.heartbeat(address, beat("vake-1", 1)).await;
     assert!(failed.is_err(), "{failed:?}");
 
-    let again = peer::spawn(settings(address.port()), handlers("vake-2", 3)).expect("a peer");
+    let restarted = peer::spawn(settings(address.port()), handlers("vake-2", 3)).expect("a peer");
     let started = Instant::now();
     let reply = loop {
         match caller.heartbeat(address, beat("vake-1", 1)).await {
@@ -281,16 +284,15 @@
         }
         tokio::task::yield_now().await;
     };
-    assert_eq!(reply.beat.incarnation, 3);
+    assert_eq!(reply.heartbeat.incarnation, 3);
     caller.shutdown().await;
-    again.shutdown().await;
+    restarted.shutdown().await;
 }
 
-/// Symptom: one damaged message takes all memory of a daemon.
-/// Events: a connection announces a message of 16 GB.
-/// Cause: memory set aside by the announced length.
+/// Guards against a damaged message that exhausts the memory, because memory is allocated
+/// by the announced length. A connection announces a message of 16 GB.
 #[tokio::test]
-async fn an_oversized_message_ends_only_its_connection() {
+async fn oversized_message_closes_only_its_connection() {
     let callee = spawn("vake-2", 2);
     let caller = spawn("vake-1", 1);
     let mut stream = tokio::net::TcpStream::connect(callee.local_address())
@@ -308,12 +310,12 @@
     caller
         .heartbeat(callee.local_address(), beat("vake-1", 1))
         .await
-        .expect("others are still served");
+        .expect("a reply on another connection");
     caller.shutdown().await;
     callee.shutdown().await;
 }
 
-/// Bytes on the wire of one heartbeat and its reply, both ways together.
+/// Returns the bytes on the wire of one heartbeat and its reply.
 async fn exchange_bytes(beat: &PeerHeartbeat) -> u64 {
     let caller = spawn("vake-1", 1);
     let callee = spawn("vake-2", 2);
@@ -341,8 +343,8 @@
     (after - before) / 16
 }
 
-/// The slopes on which the budget of control bytes in `docs/design/membership.md`
-/// rests; loads are counted in both directions because the stub echoes them.
+/// Checks the bytes per item that the budget in `docs/design/membership.md` is based on.
+/// Loads and the digest count in both directions because the handlers echo them.
 #[tokio::test]
 async fn the_bytes_of_a_heartbeat_stay_within_their_slopes() {
     const ITEMS: u64 = 20;
--- a/tests/platform_client.rs
+++ b/tests/platform_client.rs
@@ -1,7 +1,7 @@
-//! What a call to the platform says about its effect, and how a tail and an
-//! append queue behave when calls fail.
+//! Verdicts of failed calls to the platform, and the behaviour of tails and append queues
+//! when calls fail.
 
-#![allow(clippy::unwrap_used)] // A test ends at the first thing that is not there.
+#![allow(clippy::unwrap_used)] // A missing value fails the test.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,28 +13,28 @@
 use jackdawwick::platform::client::{PlatformClient, PlatformTimeouts};
 use jackdawwick::platform::error::{AppendVerdict, CallFailure};
 use jackdawwick::platform::log_tail::{LogTail, TailEvent, TailOptions};
-use jackdawwick::platform::wire::{AppendBody, ReadAnswer, StoredRecord};
+use jackdawwick::platform::wire::{AppendBody, ReadResponse, StoredRecord};
 use parking_lot::Mutex;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the scripted platform does with one request.
+/// Reaction of the scripted platform to one request.
 enum Reply {
-    /// Answers 200 with this body.
+    /// Responds with 200 and this body.
     Body(String),
-    /// Answers with this status and no body.
+    /// Responds with this status and no body.
     Status(u16),
-    /// Reads the request whole, then closes the connection.
+    /// Reads the complete request, then closes the connection.
     Drop,
-    /// Announces a longer body than it sends, then closes.
+    /// Announces a longer body than it sends, then closes the connection.
     CutBody,
-    /// Answers 200, then closes the connection without having announced it.
+    /// Responds with 200, then closes the connection without announcing it.
     BodyThenClose(String),
-    /// Reads the request and never answers.
+    /// Reads the request and never responds.
     Stall,
 }
 
-/// A platform that answers by a script, and keeps the requests it read.
+/// A platform that responds by a script and records the requests.
 struct ScriptedPlatform {
     address: SocketAddr,
     requests: Arc<Mutex<Vec<String>>>,
@@ -60,9 +60,9 @@
     }
 }
 
-fn client_of(address: SocketAddr, answer: Duration) -> PlatformClient {
+fn client_of(address: SocketAddr, response: Duration) -> PlatformClient {
     let connect = Duration::from_secs(10);
-    PlatformClient::open(address, PlatformTimeouts { connect, answer })
+    PlatformClient::open(address, PlatformTimeouts { connect, response })
 }
 
 async fn serve(
@@ -93,7 +93,7 @@
     }
 }
 
-/// The request line and body, or `None` at the end of the connection.
+/// Returns the request line and body, or `None` at the end of the connection.
 async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let mut first_line = String::new();
     let mut length = 0;
@@ -134,25 +134,23 @@
 async fn append_returns_the_offset() {
     let platform =
         ScriptedPlatform::bind(vec![Reply::Body("{\"first_offset\":7}".to_owned())]).await;
-    let answer = platform
+    let response = platform
         .client()
         .append("claims", vec!["a".to_owned(), "b".to_owned()])
         .await
         .unwrap();
-    assert_eq!(answer.first_offset, 7);
+    assert_eq!(response.first_offset, 7);
     assert_eq!(
         *platform.requests.lock(),
         ["POST /v1/streams/claims/records HTTP/1.1\n{\"records\":[\"a\",\"b\"]}"]
     );
 }
 
-/// Symptom: a host tells a caller that nothing ran, though its record is in
-/// the log. Sequence: the service reads and stores the records, then the
-/// connection breaks, the answer is cut, comes too late or from a relay with
-/// a 500. Cause: such a failure read as "nothing was stored", or repeated
-/// unasked by the connection library.
+/// Guards against a stored record that is reported as not stored or that the library
+/// appends twice, when the connection breaks after the request or the response is
+/// truncated, late or a 500 of a proxy.
 #[tokio::test]
-async fn append_without_an_answer_may_have_taken_effect() {
+async fn append_without_a_response_may_have_taken_effect() {
     for reply in [
         Reply::Drop,
         Reply::CutBody,
@@ -172,7 +170,7 @@
 }
 
 #[tokio::test]
-async fn append_refused_or_unconnected_took_no_effect() {
+async fn refused_or_unconnected_append_has_no_effect() {
     for status in [400, 429, 503] {
         let verdict = append_verdict(Reply::Status(status)).await;
         assert_eq!(verdict, (AppendVerdict::NotAppended, 1));
@@ -186,18 +184,16 @@
     assert_eq!(error.verdict, AppendVerdict::NotAppended);
 }
 
-/// Symptom: an append on a reused connection is called not stored, or sent
-/// twice. Sequence: the service reads the second request on a pooled
-/// connection and closes it. Cause: a reused connection's failure taken for a
-/// failed connect. (Whether the library repeats a request that it knows it
-/// never wrote cannot be forced from here; the client switches that off.)
+/// Guards against an append that is reported as not stored, or sent twice, when a pooled
+/// connection closes after the request. The library's own retry of unwritten requests,
+/// which the client disables, cannot be provoked here.
 #[tokio::test]
-async fn a_pooled_connection_that_closes_causes_no_repeat() {
-    let answer = "{\"first_offset\":0}".to_owned();
+async fn closed_pooled_connection_causes_no_repetition() {
+    let response = "{\"first_offset\":0}".to_owned();
     let script = vec![
-        Reply::Body(answer.clone()),
+        Reply::Body(response.clone()),
         Reply::Drop,
-        Reply::Body(answer),
+        Reply::Body(response),
     ];
     let platform = ScriptedPlatform::bind(script).await;
     let client = platform.client();
@@ -207,7 +203,7 @@
     assert_eq!(platform.requests.lock().len(), 2);
 }
 
-fn read_answer(first_offset: u64, end_offset: u64, offsets: &[u64]) -> Reply {
+fn read_response(first_offset: u64, end_offset: u64, offsets: &[u64]) -> Reply {
     let records = offsets
         .iter()
         .map(|&offset| StoredRecord {
@@ -215,27 +211,26 @@
             body: format!("r{offset}"),
         })
         .collect();
-    let answer = ReadAnswer {
+    let response = ReadResponse {
         first_offset,
         end_offset,
         records,
     };
-    Reply::Body(serde_json::to_string(&answer).unwrap())
+    Reply::Body(serde_json::to_string(&response).unwrap())
 }
 
-/// Symptom: hosts with different states at one offset. Sequence: the service
-/// is down for a while, answers once with a gap, and lets records expire
-/// which the tail has not read. Cause: a gap that the tail hands on in
-/// silence.
+/// Guards against hosts with different states at one offset, because a tail skips records
+/// silently. The service is down for a while, responds once with a gap, and lets unread
+/// records expire.
 #[tokio::test]
-async fn tail_reports_outage_and_expiry_and_never_hands_on_a_gap() {
+async fn tail_reports_outage_and_expiry_and_delivers_no_gap() {
     let platform = ScriptedPlatform::bind(vec![
-        read_answer(0, 2, &[0, 1]),
+        read_response(0, 2, &[0, 1]),
         Reply::Status(503),
         Reply::Drop,
-        read_answer(0, 6, &[3, 4]),
-        read_answer(0, 3, &[2]),
-        read_answer(5, 7, &[5, 6]),
+        read_response(0, 6, &[3, 4]),
+        read_response(0, 3, &[2]),
+        read_response(5, 7, &[5, 6]),
     ])
     .await;
     let mut tail = LogTail::spawn(
@@ -282,11 +277,11 @@
     );
 }
 
-/// Symptom: a submitter is told the offset or the verdict of another's
-/// record, or the platform gets one append per record. Sequence: records
-/// submitted together; the first batch is stored, the second loses its answer.
+/// Guards against results that reach the wrong submitter, and against one append per
+/// record. Of two batches that are submitted together, the first is stored and the second
+/// gets no response.
 #[tokio::test]
-async fn queue_batches_and_answers_each_submitter() {
+async fn queue_batches_records_and_replies_to_each_submitter() {
     let platform = ScriptedPlatform::bind(vec![
         Reply::BodyThenClose("{\"first_offset\":40}".to_owned()),
         Reply::Drop,
--- a/tests/run_model/faults.rs
+++ b/tests/run_model/faults.rs
@@ -2,7 +2,7 @@
 
 use jackdawwick::ids::TargetId;
 use jackdawwick::run::RunEvent;
-use jackdawwick::target::wire::{StepAnswer, TargetRefusalKind};
+use jackdawwick::target::wire::{StepResponse, TargetRefusalKind};
 
 use super::{PastResponse, RunSimulation};
 use crate::engines::QueuedOrder;
@@ -117,7 +117,7 @@
 }
 
 /// Returns the response with one part changed.
-pub(super) fn mismatched_response(mut response: StepAnswer, part: u8) -> StepAnswer {
+pub(super) fn mismatched_response(mut response: StepResponse, part: u8) -> StepResponse {
     match part {
         0 => response.label.request = "another".into(),
         1 => response.label.attempt += 1000,
--- a/tests/run_model/simulation.rs
+++ b/tests/run_model/simulation.rs
@@ -10,7 +10,7 @@
 use jackdawwick::run::{
     RunDecision, RunEvent, RunLimits, RunMachine, RunOutcome, RunPlan, StepFailure,
 };
-use jackdawwick::target::wire::{StepAnswer, StepOrder, TargetRefusal};
+use jackdawwick::target::wire::{StepRequest, StepResponse, TargetRefusal};
 use jackdawwick::verdict::RunVerdict;
 
 use faults::mismatched_response;
@@ -27,7 +27,7 @@
 #[derive(Clone)]
 struct PastResponse {
     target: TargetId,
-    response: StepAnswer,
+    response: StepResponse,
     inputs: Vec<u64>,
 }
 
@@ -146,7 +146,7 @@
         let Some(order) = self.machine.awaited_order().cloned() else {
             return;
         };
-        let forged = StepAnswer {
+        let forged = StepResponse {
             outputs: vec![u64::MAX; order.inputs.len()],
             label: order.label,
             position: order.position,
@@ -255,7 +255,7 @@
 
     /// Checks that a session belongs to one target and is not used after its end, and
     /// that a step is not resent without limit.
-    fn check_session(&mut self, target: &TargetId, order: &StepOrder) {
+    fn check_session(&mut self, target: &TargetId, order: &StepRequest) {
         let session = order.label.session();
         assert!(!self.closed.contains(&session), "{session} used again");
         let owner = self.owners.entry(session.clone());
@@ -269,7 +269,7 @@
         self.last_step = (session, order.position, times);
     }
 
-    fn send(&mut self, target: &TargetId, order: StepOrder) {
+    fn send(&mut self, target: &TargetId, order: StepRequest) {
         self.check_session(target, &order);
         let fault = self.script.remove(&self.sends);
         self.sends += 1;
--- a/tests/target_client.rs
+++ b/tests/target_client.rs
@@ -1,5 +1,5 @@
-//! What the client says about calls that broke at each point, and whole runs
-//! through it.
+//! Verdicts of calls to targets that fail at each point, and complete runs through the
+//! client.
 
 #[path = "target_client/driver.rs"]
 mod driver;
@@ -11,24 +11,24 @@
 
 use jackdawwick::reason::RetryReason;
 use jackdawwick::run::StepFailure;
-use jackdawwick::target::client::{CallOrder, TargetClient, TargetTimeouts};
-use jackdawwick::target::wire::{StepAnswer, StepLabel, StepOrder, TargetRefusalKind};
+use jackdawwick::target::client::{CallRequest, TargetClient, TargetTimeouts};
+use jackdawwick::target::wire::{StepLabel, StepRequest, StepResponse, TargetRefusalKind};
 use jackdawwick::verdict::RunVerdict;
 use tiny_server::{TinyReply, TinyServer};
 
 const SHORT: Duration = Duration::from_millis(500);
 const REFUSAL: &str = r#"{"refused":"overloaded"}"#;
 
-fn client(answer: Duration) -> TargetClient {
+fn client(response: Duration) -> TargetClient {
     TargetClient::open(TargetTimeouts {
         connect: Duration::from_secs(5),
-        answer,
+        response,
         per_position: Duration::ZERO,
     })
 }
 
-fn order() -> StepOrder {
-    StepOrder {
+fn step_request() -> StepRequest {
+    StepRequest {
         label: StepLabel {
             request: "r".into(),
             attempt: 0,
@@ -44,76 +44,74 @@
     }
 }
 
-fn step_answer() -> String {
-    let answer = StepAnswer {
-        label: order().label,
+fn step_response() -> String {
+    let response = StepResponse {
+        label: step_request().label,
         position: 0,
         outputs: vec![2],
     };
-    serde_json::to_string(&answer).expect("encode")
+    serde_json::to_string(&response).expect("encode")
 }
 
-/// Asks a server that always replies with `reply`; also gives the number of
-/// requests that it read whole.
-async fn ask(reply: TinyReply) -> (Result<StepAnswer, StepFailure>, usize) {
+/// Sends a step to a server that always reacts with `reply`. Also returns the number of
+/// complete requests that the server read.
+async fn send_step(reply: TinyReply) -> (Result<StepResponse, StepFailure>, usize) {
     let server = TinyServer::bind(move |request| match (&reply, request) {
         (TinyReply::ResetUnread, _) => Some(TinyReply::ResetUnread),
         (_, None) => None,
         (reply, Some(_)) => Some(reply.clone()),
     });
     let server = server.await;
-    let answer = client(SHORT).step(server.address, &order()).await;
+    let response = client(SHORT).step(server.address, &step_request()).await;
     let seen = server.seen.lock().len();
-    (answer, seen)
+    (response, seen)
 }
 
-/// Symptom: a caller is told `not_run`, repeats the request, and it runs twice.
-/// Sequence: the connection breaks, or the answer fails to come, at each point
-/// from connecting to the middle of the answer. Cause: a failure after
-/// connecting taken for one before it, a bare status taken for the target's
-/// own refusal, or a library that silently sends the order again.
+/// Guards against a request that runs twice because its caller received `not_run`.
+/// Neither a failure after connecting nor a bare status may count as a refusal, at
+/// whichever point the call fails, and the library must not resend the request.
 #[tokio::test]
 async fn verdict_is_not_run_only_if_certain() {
     use RetryReason::{AnswerLost, AnswerMismatched, TargetRefused};
     use RunVerdict::{MayHaveRun, NotRun};
-    let huge = step_answer() + &" ".repeat(9 * 1024 * 1024);
+    let huge = step_response() + &" ".repeat(9 * 1024 * 1024);
     let cases = [
         (TinyReply::ResetUnread, AnswerLost, MayHaveRun, 0),
         (TinyReply::ResetRead, AnswerLost, MayHaveRun, 1),
-        (TinyReply::ResetMidAnswer, AnswerLost, MayHaveRun, 1),
+        (TinyReply::ResetMidResponse, AnswerLost, MayHaveRun, 1),
         (TinyReply::Silence, AnswerLost, MayHaveRun, 1),
         (
-            TinyReply::Answer(503, REFUSAL.into()),
+            TinyReply::Response(503, REFUSAL.into()),
             TargetRefused,
             NotRun,
             1,
         ),
         (
-            TinyReply::Answer(429, REFUSAL.into()),
+            TinyReply::Response(429, REFUSAL.into()),
             TargetRefused,
             NotRun,
             1,
         ),
         (
-            TinyReply::Answer(500, REFUSAL.into()),
+            TinyReply::Response(500, REFUSAL.into()),
             AnswerMismatched,
             MayHaveRun,
             1,
         ),
         (
-            TinyReply::Answer(503, "busy".into()),
+            TinyReply::Response(503, "busy".into()),
             AnswerMismatched,
             MayHaveRun,
             1,
         ),
         (
-            TinyReply::Answer(200, "{}".into()),
+            TinyReply::Response(200, "{}".into()),
             AnswerMismatched,
             MayHaveRun,
             1,
         ),
         (
-            TinyReply::Answer(200, huge),
+            TinyReply::Response(200, huge),
             AnswerMismatched,
             MayHaveRun,
             1,
@@ -122,8 +120,8 @@
     for (reply, reason, verdict, requests) in cases {
         let is_silent = matches!(reply, TinyReply::Silence);
         let name: String = format!("{reply:?}").chars().take(60).collect();
-        let (answer, seen) = ask(reply).await;
-        let failure = answer.expect_err(&name);
+        let (response, seen) = send_step(reply).await;
+        let failure = response.expect_err(&name);
         assert_eq!(
             (failure.reason, failure.verdict),
             (reason, verdict),
@@ -136,37 +134,36 @@
     let unused = TinyServer::bind(|_| None).await.address;
     let closed = SocketAddr::new(unused.ip(), closed_port().await);
     let failure = client(SHORT)
-        .step(closed, &order())
+        .step(closed, &step_request())
         .await
         .expect_err("closed");
     assert_eq!(failure.reason, RetryReason::ConnectFailed);
     assert_eq!(failure.verdict, NotRun);
 
-    let (answer, _) = ask(TinyReply::Answer(200, step_answer())).await;
-    assert_eq!(answer.expect("answered").outputs, [2]);
-    let (answer, _) = ask(TinyReply::Answer(
+    let (response, _) = send_step(TinyReply::Response(200, step_response())).await;
+    assert_eq!(response.expect("answered").outputs, [2]);
+    let (response, _) = send_step(TinyReply::Response(
         409,
         r#"{"refused":"unknown_position"}"#.into(),
     ))
     .await;
-    let refusal = answer.expect_err("refused").refusal.expect("typed");
+    let refusal = response.expect_err("refused").refusal.expect("typed");
     assert_eq!(refusal.refused, TargetRefusalKind::UnknownPosition);
 }
 
-/// Symptom: a charge that was made is reported as not made, and made again.
-/// Sequence: the connection of a call that may not be repeated breaks at each
-/// point after it was opened. Cause: nothing distinguishes a connection that
-/// could not be opened from one that broke before it was answered.
+/// Guards against a charge that is made twice because a connection that broke before the
+/// response counts as one that was never opened. The connection of a call that may not be
+/// repeated breaks at each point after it was opened.
 #[tokio::test]
-async fn a_single_call_is_sent_once_and_not_run_only_if_certain() {
+async fn single_call_is_sent_once_and_not_run_only_if_certain() {
     use RunVerdict::{MayHaveRun, NotRun};
     let cases = [
         (TinyReply::ResetUnread, MayHaveRun, 0),
         (TinyReply::ResetRead, MayHaveRun, 1),
-        (TinyReply::ResetMidAnswer, MayHaveRun, 1),
+        (TinyReply::ResetMidResponse, MayHaveRun, 1),
         (TinyReply::Silence, MayHaveRun, 1),
-        (TinyReply::Answer(503, REFUSAL.into()), NotRun, 1),
-        (TinyReply::Answer(500, REFUSAL.into()), RunVerdict::Ran, 1),
+        (TinyReply::Response(503, REFUSAL.into()), NotRun, 1),
+        (TinyReply::Response(500, REFUSAL.into()), RunVerdict::Ran, 1),
     ];
     for (reply, verdict, requests) in cases {
         let name = format!("{reply:?}");
@@ -176,7 +173,7 @@
             (reply, Some(_)) => Some(reply.clone()),
         });
         let server = server.await;
-        let call = CallOrder {
+        let call = CallRequest {
             operation: "charge".to_owned(),
             headers: http::HeaderMap::new(),
             body: bytes::Bytes::from_static(b"{}"),
@@ -184,11 +181,11 @@
         };
         let connection = client(SHORT).open_single(server.address).await;
         assert_eq!(server.seen.lock().len(), 0, "{name}: sent while connecting");
-        let told = match connection.expect("connected").send(call).await {
+        let reported = match connection.expect("connected").send(call).await {
             Ok(_) => RunVerdict::Ran,
             Err(failure) => failure.verdict(),
         };
-        assert_eq!(told, verdict, "{name}");
+        assert_eq!(reported, verdict, "{name}");
         assert_eq!(server.seen.lock().len(), requests, "{name}");
     }
     let closed = SocketAddr::from(([127, 0, 0, 1], closed_port().await));
@@ -203,21 +200,21 @@
     listener.local_addr().expect("address").port()
 }
 
-/// Symptom: a charge is made twice. Sequence: a service closes a kept
-/// connection just as the next call goes out on it. Cause: the call is sent
-/// again on another connection, though the service may have taken the first.
+/// Guards against a charge that is made twice because the client resends the call on
+/// another connection, although the service may have received the first one. The service
+/// closes a pooled connection just as the next call is sent on it.
 #[tokio::test]
 async fn closed_connections_never_repeat_a_call() {
     const CALLS: usize = 200;
     for use_pool in [true, false] {
         let server = TinyServer::bind(|request| {
-            request.map(|_| TinyReply::AnswerThenClose(200, "{}".to_owned()))
+            request.map(|_| TinyReply::ResponseThenClose(200, "{}".to_owned()))
         });
         let server = server.await;
         let client = client(SHORT);
         let mut answered = 0;
         for _ in 0..CALLS {
-            let call = CallOrder {
+            let call = CallRequest {
                 operation: "charge".to_owned(),
                 headers: http::HeaderMap::new(),
                 body: bytes::Bytes::from_static(b"{}"),
--- a/tests/target_client/tiny_server.rs
+++ b/tests/target_client/tiny_server.rs
@@ -1,4 +1,4 @@
-//! A TCP server that speaks just enough HTTP to misbehave at a chosen byte.
+//! A TCP server with a minimal HTTP implementation that fails at a chosen point.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,28 +8,28 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A request that arrived whole: it may have run.
+/// A request that arrived completely, so that it may have run.
 #[derive(Debug, Clone)]
 pub(crate) struct SeenRequest {
     pub(crate) line: String,
     pub(crate) body: Vec<u8>,
 }
 
-/// What the server does with a request.
+/// Reaction of the server to a request.
 #[derive(Debug, Clone)]
 pub(crate) enum TinyReply {
-    /// Reset before anything is read.
+    /// Resets the connection before it reads anything.
     ResetUnread,
-    /// Read the request, then reset.
+    /// Reads the request, then resets the connection.
     ResetRead,
-    /// Read the request, send a part of an answer, then reset.
-    ResetMidAnswer,
-    /// Read the request and never answer.
+    /// Reads the request, sends a part of a response, then resets the connection.
+    ResetMidResponse,
+    /// Reads the request and never responds.
     Silence,
-    /// Answer, and keep the connection.
-    Answer(u16, String),
-    /// Answer, then close the connection without saying so.
-    AnswerThenClose(u16, String),
+    /// Responds and keeps the connection.
+    Response(u16, String),
+    /// Responds, then closes the connection without announcing it.
+    ResponseThenClose(u16, String),
 }
 
 pub(crate) struct TinyServer {
@@ -38,8 +38,8 @@
 }
 
 impl TinyServer {
-    /// `reply` is asked once before each request is read (`None`), and if it
-    /// has no answer then, again with the request.
+    /// Starts a server. It calls `reply` with `None` before it reads a request, and if
+    /// that returns no reaction, again with the request.
     pub(crate) async fn bind<R>(reply: R) -> Self
     where
         R: Fn(Option<&SeenRequest>) -> Option<TinyReply> + Send + Sync + 'static,
@@ -61,8 +61,8 @@
     /// Waits until a request whose line starts with `prefix` has arrived.
     pub(crate) async fn wait_for(&self, prefix: &str) {
         for _ in 0..1000 {
-            let has_come = |request: &SeenRequest| request.line.starts_with(prefix);
-            if self.seen.lock().iter().any(has_come) {
+            let matches_prefix = |request: &SeenRequest| request.line.starts_with(prefix);
+            if self.seen.lock().iter().any(matches_prefix) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -85,26 +85,26 @@
         seen.lock().push(request.clone());
         match reply(Some(&request)).expect("a reply") {
             TinyReply::ResetUnread | TinyReply::ResetRead => return reset(&stream),
-            TinyReply::ResetMidAnswer => {
+            TinyReply::ResetMidResponse => {
                 let part = "HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n{\"label\":";
                 let _ = stream.write_all(part.as_bytes()).await;
                 return reset(&stream);
             }
             TinyReply::Silence => std::future::pending().await,
-            TinyReply::Answer(status, body) => answer(&mut stream, status, &body).await,
-            TinyReply::AnswerThenClose(status, body) => {
-                return answer(&mut stream, status, &body).await;
+            TinyReply::Response(status, body) => respond(&mut stream, status, &body).await,
+            TinyReply::ResponseThenClose(status, body) => {
+                return respond(&mut stream, status, &body).await;
             }
         }
     }
 }
 
-/// The reset goes out when the stream is dropped.
+/// Makes the connection reset when the stream is dropped.
 fn reset(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
 
-async fn answer(stream: &mut TcpStream, status: u16, body: &str) {
+async fn respond(stream: &mut TcpStream, status: u16, body: &str) {
     let length = body.len();
     let head = format!("HTTP/1.1 {status} Status\r\ncontent-length: {length}\r\n\r\n");
     let _ = stream.write_all((head + body).as_bytes()).await;
