--- a/src/api.rs
+++ b/src/api.rs
@@ -4,21 +4,21 @@
 //! well formed, hands a typed call to a backend of closures and puts the typed
 //! result into HTTP. It knows none of the daemon's tables.
 
-mod answer;
 pub mod backend;
 mod body;
 mod callers;
 mod credentials;
 mod explain;
-mod front;
 mod head;
 pub mod openapi;
 mod operators;
+mod proxy;
 mod refusal;
+mod response;
 mod server;
 mod stream;
 pub mod wire;
 
-pub use front::ApiBounds;
+pub use proxy::ApiBounds;
 pub use refusal::status_of;
 pub use server::{ApiError, ApiHandle, ApiSettings, spawn_callers, spawn_operators};
--- a/src/api/backend.rs
+++ b/src/api/backend.rs
@@ -20,7 +20,7 @@
 pub type AsyncCall<C, R> = Arc<dyn Fn(C) -> BoxFuture<'static, R> + Send + Sync>;
 
 /// A function that answers at once from memory.
-pub type PlainQuery<R> = Arc<dyn Fn() -> R + Send + Sync>;
+pub type SyncQuery<R> = Arc<dyn Fn() -> R + Send + Sync>;
 
 /// Finds who declared a token by the token's digest.
 pub type IdentityLookup = Arc<dyn Fn(&TokenDigest) -> Option<Arc<str>> + Send + Sync>;
@@ -66,12 +66,12 @@
     /// When its head had been read.
     pub received: Instant,
     /// Cancelled when the caller goes away before the answer.
-    pub caller_gone: CancellationToken,
+    pub caller_disconnected: CancellationToken,
 }
 
 /// A service's answer, passed on as it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServiceReply {
+pub struct ServiceResponse {
     /// HTTP status of the service.
     pub status: u16,
     /// Body of the answer.
@@ -93,11 +93,11 @@
     pub generate: AsyncCall<GenerateCall, Result<GenerateStream, RefusalBody>>,
     /// Calls a service. The future is run to its end even if the caller goes
     /// away; the call's token says so to a backend that can still stop.
-    pub call_service: AsyncCall<ServiceCall, Result<ServiceReply, RefusalBody>>,
+    pub call_service: AsyncCall<ServiceCall, Result<ServiceResponse, RefusalBody>>,
     /// Whether the daemon takes new work; `false` while it is draining.
-    pub ready: PlainQuery<bool>,
+    pub ready: SyncQuery<bool>,
     /// Whether the daemon's own parts are alive.
-    pub healthy: PlainQuery<bool>,
+    pub healthy: SyncQuery<bool>,
 }
 
 /// A declared change by an operator.
@@ -151,5 +151,5 @@
     /// How this host sees itself and the targets.
     pub status: AsyncCall<(), Result<StatusView, RefusalBody>>,
     /// Metrics in the text format.
-    pub metrics: PlainQuery<String>,
+    pub metrics: SyncQuery<String>,
 }
--- a/src/api/callers.rs
+++ b/src/api/callers.rs
@@ -14,12 +14,12 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::answer::{Answer, JSON, VERDICT_HEADER, verdict_value};
-use super::backend::{CallerBackend, GenerateCall, GenerateStream, ServiceCall, ServiceReply};
+use super::backend::{CallerBackend, GenerateCall, GenerateStream, ServiceCall, ServiceResponse};
 use super::body::DeferredBody;
 use super::credentials::identify;
-use super::front::{SLOT_HEADER, StreamSlots};
 use super::head::{CallHead, CallHeaders, is_label, malformed};
+use super::proxy::{SLOT_HEADER, StreamSlots};
+use super::response::{EndpointResponse, JSON, VERDICT_HEADER, verdict_value};
 use super::stream::{EventResponse, stream_body};
 use super::wire::{GenerateBody, RefusalBody};
 use crate::ids::{OrganisationId, RequestId};
@@ -78,13 +78,13 @@
     context: RequestContext<Shared>,
     headers: Header<CallHeaders>,
     body: DeferredBody<GenerateBody>,
-) -> Result<Answer<EventResponse>, RefusalBody> {
+) -> Result<EndpointResponse<EventResponse>, RefusalBody> {
     let shared = context.context();
     let slot = context.request.headers().get(SLOT_HEADER);
     let slot = slot.and_then(|name| name.to_str().ok());
     let headers = headers.into_inner().joined_with(&context.request_id);
     let started = start_generation(&shared.backend, &headers, body).await;
-    Ok(Answer::from_result(started.map(|generation| {
+    Ok(EndpointResponse::from_result(started.map(|generation| {
         let StartedGeneration { request, events } = generation;
         EventResponse::new(match shared.slots.put(slot, events) {
             Ok(()) => Body::empty(),
@@ -138,12 +138,12 @@
     path: Path<ServicePath>,
     headers: Header<CallHeaders>,
     body: UntypedBody,
-) -> Result<Answer<Response<Body>>, RefusalBody> {
+) -> Result<EndpointResponse<Response<Body>>, RefusalBody> {
     let shared = context.context();
     let bytes = Bytes::copy_from_slice(body.as_bytes());
     let headers = headers.into_inner().joined_with(&context.request_id);
     let result = run_service(shared, path.into_inner(), &headers, bytes).await;
-    Ok(Answer::from_result(result))
+    Ok(EndpointResponse::from_result(result))
 }
 
 async fn run_service(
@@ -169,7 +169,7 @@
         non_idempotent: admitted.head.non_idempotent,
         key: admitted.head.key,
         received: admitted.received,
-        caller_gone: CancellationToken::new(),
+        caller_disconnected: CancellationToken::new(),
     };
     let reply = carry_out(shared, call).await.map_err(named)?;
     reply_response(reply).map_err(named)
@@ -179,8 +179,8 @@
 /// claim was won, a non-idempotent call could never be settled: a repeat with
 /// the same key would be told that it may have run, for ever. Which calls are
 /// non-idempotent is not known here, since a service may declare them so.
-async fn carry_out(shared: &Shared, call: ServiceCall) -> Result<ServiceReply, RefusalBody> {
-    let caller = call.caller_gone.clone().drop_guard();
+async fn carry_out(shared: &Shared, call: ServiceCall) -> Result<ServiceResponse, RefusalBody> {
+    let caller = call.caller_disconnected.clone().drop_guard();
     let running = (shared.backend.call_service)(call);
     let reply = shared
         .detached
@@ -191,7 +191,7 @@
     reply
 }
 
-fn reply_response(reply: ServiceReply) -> Result<Response<Body>, RefusalBody> {
+fn reply_response(reply: ServiceResponse) -> Result<Response<Body>, RefusalBody> {
     let status = StatusCode::from_u16(reply.status)
         .map_err(|_| may_have_run("the service answered with an invalid status"))?;
     let mut response = Response::new(Body::from(reply.body));
@@ -254,7 +254,7 @@
 #[endpoint { method = GET, path = "/healthz" }]
 async fn healthz(
     context: RequestContext<Shared>,
-) -> Result<Answer<HttpResponseOk<ProbeBody>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<ProbeBody>>, RefusalBody> {
     let healthy = (context.context().backend.healthy)();
     Ok(probe(healthy, "the daemon is not healthy"))
 }
@@ -263,13 +263,13 @@
 #[endpoint { method = GET, path = "/readyz" }]
 async fn readyz(
     context: RequestContext<Shared>,
-) -> Result<Answer<HttpResponseOk<ProbeBody>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<ProbeBody>>, RefusalBody> {
     let ready = (context.context().backend.ready)();
     Ok(probe(ready, "the daemon takes no new work"))
 }
 
-fn probe(ok: bool, message: &str) -> Answer<HttpResponseOk<ProbeBody>> {
-    Answer::from_result(match ok {
+fn probe(ok: bool, message: &str) -> EndpointResponse<HttpResponseOk<ProbeBody>> {
+    EndpointResponse::from_result(match ok {
         true => Ok(HttpResponseOk(ProbeBody { ok })),
         false => Err(RefusalBody::not_run(RefusalReason::NotReady, message)),
     })
--- a/src/api/openapi.rs
+++ b/src/api/openapi.rs
@@ -4,7 +4,7 @@
 use semver::Version;
 use serde_json::Value;
 
-use super::answer::JSON;
+use super::response::JSON;
 use super::stream::EVENT_STREAM;
 use super::{ApiError, callers, operators};
 
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -10,11 +10,11 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use super::answer::{Answer, ChangeErrorBody};
 use super::backend::{ApplyCall, DeleteCall, OperatorBackend};
 use super::body::DeferredBody;
 use super::credentials::{OperatorHeaders, identify};
 use super::head::{is_label, malformed};
+use super::response::{ChangeErrorBody, EndpointResponse};
 use super::wire::{
     AcceptedBody, ApplyBody, ExplainView, ForceView, RefusalBody, ResourceView, StatusView,
 };
@@ -94,12 +94,12 @@
 async fn list_resources(
     context: RequestContext<Shared>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<Vec<ResourceView>>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<Vec<ResourceView>>>, RefusalBody> {
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().list)(()).await,
         Err(refusal) => Err(refusal),
     };
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
 /// The declared resources of one kind.
@@ -108,7 +108,7 @@
     context: RequestContext<Shared>,
     path: Path<KindPath>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<Vec<ResourceView>>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<Vec<ResourceView>>>, RefusalBody> {
     let kind = path.into_inner().kind;
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().list)(()).await,
@@ -118,7 +118,7 @@
         let of_kind = views.into_iter().filter(|view| view.key.kind == kind);
         HttpResponseOk(of_kind.collect())
     });
-    Ok(Answer::from_result(result))
+    Ok(EndpointResponse::from_result(result))
 }
 
 /// One declared resource.
@@ -127,9 +127,12 @@
     context: RequestContext<Shared>,
     path: Path<ResourcePath>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseHeaders<HttpResponseOk<ResourceView>, VersionHeader>>, RefusalBody> {
+) -> Result<
+    EndpointResponse<HttpResponseHeaders<HttpResponseOk<ResourceView>, VersionHeader>>,
+    RefusalBody,
+> {
     let result = find_resource(&context, path, headers).await;
-    Ok(Answer::from_result(result.map(|view| {
+    Ok(EndpointResponse::from_result(result.map(|view| {
         let etag = format!("\"{}\"", view.version);
         HttpResponseHeaders::new(HttpResponseOk(view), VersionHeader { etag })
     })))
@@ -152,9 +155,9 @@
     path: Path<ResourcePath>,
     headers: Header<OperatorHeaders>,
     body: DeferredBody<ApplyBody>,
-) -> Result<Answer<HttpResponseOk<AcceptedBody>>, ChangeErrorBody> {
+) -> Result<EndpointResponse<HttpResponseOk<AcceptedBody>>, ChangeErrorBody> {
     let result = apply(&context, path, headers, body).await;
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
 async fn apply(
@@ -187,9 +190,9 @@
     path: Path<ResourcePath>,
     query: Query<DeleteQuery>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<AcceptedBody>>, ChangeErrorBody> {
+) -> Result<EndpointResponse<HttpResponseOk<AcceptedBody>>, ChangeErrorBody> {
     let result = delete(&context, path, query, headers).await;
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
 async fn delete(
@@ -218,12 +221,12 @@
 async fn show_force(
     context: RequestContext<Shared>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<ForceView>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<ForceView>>, RefusalBody> {
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().force)(()).await,
         Err(refusal) => Err(refusal),
     };
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
 /// What was decided about a request, and why.
@@ -232,12 +235,12 @@
     context: RequestContext<Shared>,
     path: Path<RequestPath>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<ExplainView>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<ExplainView>>, RefusalBody> {
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().explain)(path.into_inner().request.into()).await,
         Err(refusal) => Err(refusal),
     };
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
 /// How this host sees itself and the targets.
@@ -245,12 +248,12 @@
 async fn show_status(
     context: RequestContext<Shared>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<StatusView>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<StatusView>>, RefusalBody> {
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().status)(()).await,
         Err(refusal) => Err(refusal),
     };
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
 /// Metrics in the OpenMetrics text format.
@@ -258,7 +261,7 @@
 async fn show_metrics(
     context: RequestContext<Shared>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<Response<Body>>, RefusalBody> {
+) -> Result<EndpointResponse<Response<Body>>, RefusalBody> {
     let result = authenticate(&context, headers).map(|_| {
         let mut response = Response::new(Body::from((context.context().metrics)()));
         let media_type = HeaderValue::from_static(METRICS_MEDIA_TYPE);
@@ -267,5 +270,5 @@
             .insert(header::CONTENT_TYPE, media_type);
         response
     });
-    Ok(Answer::from_result(result))
+    Ok(EndpointResponse::from_result(result))
 }
--- a/src/api/front.rs
+++ b/src/api/proxy.rs
@@ -11,7 +11,7 @@
 mod accept;
 mod connection;
 mod forward;
-mod intake;
+mod request_reader;
 mod slots;
 
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
 
 /// What every connection needs.
 #[derive(Debug, Clone)]
-pub(super) struct FrontContext {
+pub(super) struct ProxyContext {
     pub(super) bounds: ApiBounds,
     /// Where the HTTP library listens.
     pub(super) inner: SocketAddr,
@@ -67,13 +67,13 @@
 
 /// A running listener.
 #[derive(Debug)]
-pub(super) struct FrontHandle {
+pub(super) struct ProxyHandle {
     pub(super) address: SocketAddr,
     stop: CancellationToken,
     running: JoinHandle<()>,
 }
 
-impl FrontHandle {
+impl ProxyHandle {
     /// Takes no new connection and returns when every request in flight has
     /// been answered.
     pub(super) async fn shutdown(self) {
@@ -88,12 +88,12 @@
 ///
 /// # Errors
 /// If the address cannot be listened on.
-pub(super) fn spawn(address: SocketAddr, context: FrontContext) -> std::io::Result<FrontHandle> {
+pub(super) fn spawn(address: SocketAddr, context: ProxyContext) -> std::io::Result<ProxyHandle> {
     let listener = accept::bind(address)?;
     let address = listener.local_addr()?;
     let stop = CancellationToken::new();
     let running = tokio::spawn(accept::run(listener, context, stop.clone()));
-    Ok(FrontHandle {
+    Ok(ProxyHandle {
         address,
         stop,
         running,
--- a/src/api/front/accept.rs
+++ b/src/api/proxy/accept.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
-use super::{FrontContext, connection};
+use super::{ProxyContext, connection};
 
 /// Connections beyond the bound that are told so at the same time.
 const OVERFLOW_CONNECTIONS: usize = 32;
@@ -26,7 +26,7 @@
 }
 
 /// Accepts until told to stop, then waits for the requests in flight.
-pub(super) async fn run(listener: TcpListener, context: FrontContext, stop: CancellationToken) {
+pub(super) async fn run(listener: TcpListener, context: ProxyContext, stop: CancellationToken) {
     let graceful = GracefulShutdown::new();
     let places = Arc::new(Semaphore::new(context.bounds.connections));
     let overflow = Arc::new(Semaphore::new(OVERFLOW_CONNECTIONS));
@@ -82,7 +82,7 @@
 /// before, which the caller's system may hold back for 40 ms. Without the user
 /// timeout a caller that stopped reading, or whose host vanished, would hold
 /// its connection and its run for as long as the system retransmits.
-fn tune(socket: &TcpStream, context: &FrontContext) -> io::Result<()> {
+fn tune(socket: &TcpStream, context: &ProxyContext) -> io::Result<()> {
     socket.set_nodelay(true)?;
     SockRef::from(socket).set_tcp_user_timeout(Some(context.bounds.stall_timeout))
 }
--- a/src/api/front/connection.rs
+++ b/src/api/proxy/connection.rs
@@ -12,10 +12,10 @@
 use hyper_util::server::graceful::Watcher;
 use tokio::net::TcpStream;
 
-use super::FrontContext;
+use super::ProxyContext;
 use super::forward::Forwarder;
-use super::intake;
-use crate::api::answer::error_response;
+use super::request_reader;
+use crate::api::response::error_response;
 use crate::api::wire::RefusalBody;
 use crate::reason::RefusalReason;
 
@@ -25,11 +25,11 @@
 const REFUSE_RETRY: Duration = Duration::from_secs(1);
 
 /// Serves requests until the caller closes or a bound is reached.
-pub(super) async fn serve(socket: TcpStream, context: FrontContext, watcher: Watcher) {
+pub(super) async fn serve(socket: TcpStream, context: ProxyContext, watcher: Watcher) {
     let forwarder = Forwarder::new(context.inner, context.slots.clone());
     let bounds = context.bounds;
     let service = service_fn(|request: Request<Incoming>| async {
-        let answer = match intake::read(request, &bounds).await {
+        let answer = match request_reader::read(request, &bounds).await {
             Ok(request) => forwarder.forward(request).await,
             Err(refusal) => refusal.into_response(),
         };
--- a/src/api/front/forward.rs
+++ b/src/api/proxy/forward.rs
@@ -14,9 +14,9 @@
 use tokio::sync::Mutex;
 use tokio_util::task::AbortOnDropHandle;
 
-use super::intake::REQUEST_ID;
+use super::request_reader::REQUEST_ID;
 use super::{SLOT_HEADER, StreamSlots};
-use crate::api::answer::{VERDICT_HEADER, error_response};
+use crate::api::response::{VERDICT_HEADER, error_response};
 use crate::api::stream::stream_body;
 use crate::api::wire::RefusalBody;
 use crate::reason::RefusalReason;
--- a/src/api/front/intake.rs
+++ b/src/api/proxy/request_reader.rs
@@ -8,8 +8,8 @@
 use uuid::Uuid;
 
 use super::{ApiBounds, SLOT_HEADER};
-use crate::api::answer::error_response;
 use crate::api::head::malformed;
+use crate::api::response::error_response;
 use crate::api::wire::{NON_IDEMPOTENT_HEADER, RefusalBody};
 
 /// Header with the request's id.
@@ -41,13 +41,13 @@
 
 /// A request that broke a bound.
 #[derive(Debug)]
-pub(super) struct IntakeRefusal {
+pub(super) struct RequestRefusal {
     /// More exact than the status of its reason.
     status: StatusCode,
     body: RefusalBody,
 }
 
-impl IntakeRefusal {
+impl RequestRefusal {
     fn new(status: StatusCode, message: &str) -> Self {
         Self {
             status,
@@ -70,7 +70,7 @@
 pub(super) async fn read(
     request: Request<Incoming>,
     bounds: &ApiBounds,
-) -> Result<Request<Full<Bytes>>, IntakeRefusal> {
+) -> Result<Request<Full<Bytes>>, RequestRefusal> {
     let (mut parts, body) = request.into_parts();
     let bytes = read_body(body, bounds).await?;
     check_single(&parts.headers)?;
@@ -91,40 +91,40 @@
     http::HeaderValue::try_from(id).unwrap_or(http::HeaderValue::from_static(""))
 }
 
-fn check_single(headers: &HeaderMap) -> Result<(), IntakeRefusal> {
+fn check_single(headers: &HeaderMap) -> Result<(), RequestRefusal> {
     let doubled = SINGLE_HEADERS
         .iter()
         .find(|name| headers.get_all(*name).iter().count() > 1);
     match doubled {
         None => Ok(()),
-        Some(name) => Err(IntakeRefusal::new(
+        Some(name) => Err(RequestRefusal::new(
             StatusCode::BAD_REQUEST,
             &format!("header {name} may stand only once"),
         )),
     }
 }
 
-async fn read_body(mut body: Incoming, bounds: &ApiBounds) -> Result<Bytes, IntakeRefusal> {
+async fn read_body(mut body: Incoming, bounds: &ApiBounds) -> Result<Bytes, RequestRefusal> {
     let reading = Limited::new(&mut body, bounds.body_bytes).collect();
     let error = match tokio::time::timeout(bounds.body_timeout, reading).await {
         Ok(Ok(collected)) => return Ok(collected.to_bytes()),
         Ok(Err(error)) => error,
         Err(_) => {
-            return Err(IntakeRefusal::new(
+            return Err(RequestRefusal::new(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body did not arrive in time",
             ));
         }
     };
     if error.downcast_ref::<LengthLimitError>().is_none() {
-        return Err(IntakeRefusal::new(
+        return Err(RequestRefusal::new(
             StatusCode::BAD_REQUEST,
             "the body could not be read",
         ));
     }
     discard(body, bounds).await;
     let message = format!("the body is longer than {} bytes", bounds.body_bytes);
-    Err(IntakeRefusal::new(StatusCode::PAYLOAD_TOO_LARGE, &message))
+    Err(RequestRefusal::new(StatusCode::PAYLOAD_TOO_LARGE, &message))
 }
 
 /// Throws away the rest of a body that is too long, within bounds. Closed on
--- a/src/api/answer.rs
+++ b/src/api/response.rs
@@ -97,33 +97,33 @@
 /// A success of type `T`, or a complete error response.
 ///
 /// The library lets error types choose status and body but no headers. An
-/// endpoint therefore returns its refusals as an `Answer`; the error type in
+/// endpoint therefore returns its refusals as an `EndpointResponse`; the error type in
 /// its signature documents them and carries the library's own errors.
-pub(super) enum Answer<T> {
-    Given(T),
+pub(super) enum EndpointResponse<T> {
+    Success(T),
     Refused(Response<Body>),
 }
 
-impl<T> Answer<T> {
+impl<T> EndpointResponse<T> {
     /// Builds the answer from an endpoint's result.
     pub(super) fn from_result<E>(result: Result<T, E>) -> Self
     where
         E: ErrorHeaders,
     {
         match result {
-            Ok(given) => Self::Given(given),
+            Ok(given) => Self::Success(given),
             Err(error) => Self::Refused(error_response(&error)),
         }
     }
 }
 
-impl<T> HttpResponse for Answer<T>
+impl<T> HttpResponse for EndpointResponse<T>
 where
     T: HttpResponse,
 {
     fn to_result(self) -> Result<Response<Body>, HttpError> {
         match self {
-            Self::Given(given) => given.to_result(),
+            Self::Success(given) => given.to_result(),
             Self::Refused(response) => Ok(response),
         }
     }
@@ -134,7 +134,7 @@
 
     fn status_code(&self) -> StatusCode {
         match self {
-            Self::Given(given) => given.status_code(),
+            Self::Success(given) => given.status_code(),
             Self::Refused(response) => response.status(),
         }
     }
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -12,8 +12,8 @@
 
 use super::backend::{CallerBackend, OperatorBackend};
 use super::callers::{self, CallerContext};
-use super::front::{self, ApiBounds, FrontContext, FrontHandle, StreamSlots};
 use super::operators;
+use super::proxy::{self, ApiBounds, ProxyContext, ProxyHandle, StreamSlots};
 
 /// Where the HTTP library listens: out of reach for other hosts.
 const INNER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
@@ -145,25 +145,25 @@
     C: ServerContext,
 {
     let address = settings.address;
-    let context = FrontContext {
+    let context = ProxyContext {
         bounds: settings.bounds,
         inner: server.local_addr(),
         slots,
     };
-    let front =
-        front::spawn(address, context).map_err(|error| ApiError::Listen { address, error })?;
+    let proxy =
+        proxy::spawn(address, context).map_err(|error| ApiError::Listen { address, error })?;
     Ok(ApiHandle {
-        address: front.address,
-        close: Box::new(move || Box::pin(close(front, server, detached))),
+        address: proxy.address,
+        close: Box::new(move || Box::pin(close(proxy, server, detached))),
     })
 }
 
 /// Closes from the outside in: callers first, so that nothing new arrives.
-async fn close<C>(front: FrontHandle, server: HttpServer<C>, detached: TaskTracker)
+async fn close<C>(proxy: ProxyHandle, server: HttpServer<C>, detached: TaskTracker)
 where
     C: ServerContext,
 {
-    front.shutdown().await;
+    proxy.shutdown().await;
     detached.close();
     detached.wait().await;
     if let Err(error) = server.close().await {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -5,10 +5,10 @@
 mod client;
 mod difference;
 mod error;
-mod force;
 mod presentation;
 mod queries;
 mod resource_file;
+mod rollout;
 mod session;
 mod table;
 mod view;
@@ -22,9 +22,9 @@
 pub use client::OperatorClient;
 pub use difference::{FieldChange, compare_specs};
 pub use error::CliError;
-pub use force::{ForceProgress, HostLag, judge_force};
 use presentation::Presenter;
 pub use resource_file::{DeclaredResource, parse_resources};
+pub use rollout::{HostLag, RolloutProgress, rollout_progress};
 use session::OperatorSession;
 
 /// Runs the command line, the program's name first, and returns the exit
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -165,7 +165,7 @@
     let shown = file.display().to_string();
     let text = std::fs::read_to_string(file)
         .map_err(|error| CliError::Usage(format!("{shown}: cannot be read: {error}")))?;
-    parse_resources(&text).map_err(|mistakes| CliError::BadFile {
+    parse_resources(&text).map_err(|mistakes| CliError::InvalidFile {
         file: shown,
         mistakes,
     })
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -216,7 +216,7 @@
     where
         T: DeserializeOwned,
     {
-        let not_understood = |error: serde_json::Error| CliError::NotUnderstood {
+        let not_understood = |error: serde_json::Error| CliError::InvalidResponse {
             server: self.server,
             cause: format!("status {}: {error}", answer.status),
         };
@@ -233,7 +233,7 @@
     where
         C: ToString,
     {
-        CliError::NoAnswer {
+        CliError::NoResponse {
             server: self.server,
             cause: cause.to_string(),
         }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use super::force::ForceProgress;
+use super::rollout::RolloutProgress;
 use super::view;
 use crate::api::wire::{ConflictBody, RefusalBody};
 use crate::reason::RefusalReason;
@@ -23,7 +23,7 @@
     Usage(String),
     /// The resource file has mistakes.
     #[error("{file}: {} mistake(s), nothing was sent:\n  {}", mistakes.len(), mistakes.join("\n  "))]
-    BadFile {
+    InvalidFile {
         /// The file.
         file: String,
         /// Every mistake, with its key.
@@ -45,7 +45,7 @@
         "no answer from {server}: {cause}\nA change that was sent may have taken effect. Run the \
          same command again: what has taken effect is not sent twice."
     )]
-    NoAnswer {
+    NoResponse {
         /// The server.
         server: SocketAddr,
         /// What the connection said.
@@ -67,7 +67,7 @@
         "{server} gave an answer that is not understood ({cause})\nCheck that --server names an \
          operators' listener and that both programs have the same version."
     )]
-    NotUnderstood {
+    InvalidResponse {
         /// The server.
         server: SocketAddr,
         /// Status and cause.
@@ -78,7 +78,7 @@
         "nothing is known about {request} here\nAsk the entry host that took the request; old \
          decisions are dropped first."
     )]
-    NothingKnown {
+    NothingRecorded {
         /// The request.
         request: String,
     },
@@ -89,7 +89,7 @@
         view::describe_progress(.0),
         .0.version()
     )]
-    NotInForce(ForceProgress),
+    NotInForce(RolloutProgress),
     /// The result could not be written.
     #[error("the result could not be written: {0}")]
     Output(#[from] io::Error),
@@ -99,7 +99,7 @@
     /// The process's exit status.
     pub fn exit_status(&self) -> u8 {
         match self {
-            Self::Usage(_) | Self::BadFile { .. } => USAGE_STATUS,
+            Self::Usage(_) | Self::InvalidFile { .. } => USAGE_STATUS,
             Self::LostRace { .. } => LOST_RACE_STATUS,
             Self::NotInForce(_) => NOT_IN_FORCE_STATUS,
             _ => FAILED_STATUS,
--- a/src/cli/presentation.rs
+++ b/src/cli/presentation.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::difference::flatten_spec;
-use super::force::ForceProgress;
+use super::rollout::RolloutProgress;
 use super::table::TextTable;
 use super::view::{self, StepReport};
 use super::{CliError, OutputFormat};
@@ -103,7 +103,7 @@
     }
 
     /// Writes how far a change is in force, as one line.
-    pub(super) fn progress(&mut self, progress: &ForceProgress) -> Result<(), CliError> {
+    pub(super) fn progress(&mut self, progress: &RolloutProgress) -> Result<(), CliError> {
         if self.format == OutputFormat::Json {
             return self.json(progress);
         }
--- a/src/cli/queries.rs
+++ b/src/cli/queries.rs
@@ -47,7 +47,7 @@
 
     /// Shows what was decided about a request.
     pub(super) async fn explain(&mut self, request: &str) -> Result<(), CliError> {
-        let nothing_known = || CliError::NothingKnown {
+        let nothing_known = || CliError::NothingRecorded {
             request: request.to_owned(),
         };
         match self.client.explain(request).await {
--- a/src/cli/force.rs
+++ b/src/cli/rollout.rs
@@ -7,7 +7,7 @@
 
 /// How far a change is in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct ForceProgress {
+pub struct RolloutProgress {
     /// End offset that every host must have applied.
     pub required: LogOffset,
     /// Lowest applied end offset over the hosts that can be reached.
@@ -29,7 +29,7 @@
     pub applied: LogOffset,
 }
 
-impl ForceProgress {
+impl RolloutProgress {
     /// Version of the change: the offset of the last record required.
     pub fn version(&self) -> LogOffset {
         self.required.saturating_sub(1)
@@ -40,11 +40,11 @@
 ///
 /// A host that cannot be reached counts with what it was last heard to have
 /// applied: it is not left out, since it may go on serving callers.
-pub fn judge_force(view: &ForceView, required: LogOffset) -> ForceProgress {
+pub fn rollout_progress(view: &ForceView, required: LogOffset) -> RolloutProgress {
     let lags = |host: &&HostForceView| host.applied < required;
     let reachable = view.hosts.iter().filter(|host| host.reachable);
     let unreachable = view.hosts.iter().filter(|host| !host.reachable);
-    ForceProgress {
+    RolloutProgress {
         required,
         in_force: view.in_force,
         done: view.in_force >= required && !view.hosts.iter().any(|host| lags(&host)),
--- a/src/cli/view.rs
+++ b/src/cli/view.rs
@@ -5,7 +5,7 @@
 
 use super::CliError;
 use super::difference::FieldChange;
-use super::force::{ForceProgress, HostLag};
+use super::rollout::{HostLag, RolloutProgress};
 use crate::ids::LogOffset;
 use crate::resources::{ResourceKey, ResourceSpec};
 
@@ -86,7 +86,7 @@
 }
 
 /// One line on how far a change is in force.
-pub(super) fn describe_progress(progress: &ForceProgress) -> String {
+pub(super) fn describe_progress(progress: &RolloutProgress) -> String {
     let version = progress.version();
     let state = match progress.done {
         true => format!("version {version} is in force everywhere"),
--- a/src/cli/watch.rs
+++ b/src/cli/watch.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::CliError;
-use super::force::{ForceProgress, judge_force, newest_applied};
+use super::rollout::{RolloutProgress, newest_applied, rollout_progress};
 use super::session::OperatorSession;
 use crate::ids::LogOffset;
 
@@ -25,12 +25,12 @@
     ) -> Result<(), CliError> {
         let deadline = Instant::now() + timeout;
         let mut required = version.map(|version| version.saturating_add(1));
-        let mut shown: Option<ForceProgress> = None;
+        let mut shown: Option<RolloutProgress> = None;
         loop {
             let failure = match self.client.force().await {
                 Ok(view) => {
                     let required = *required.get_or_insert_with(|| newest_applied(&view));
-                    let progress = judge_force(&view, required);
+                    let progress = rollout_progress(&view, required);
                     if shown.as_ref() != Some(&progress) {
                         self.presenter.progress(&progress)?;
                     }
@@ -42,7 +42,7 @@
                 }
                 // A host that is replaced while one watches comes back or has a
                 // successor; a refusal stays.
-                Err(error @ (CliError::Unreachable { .. } | CliError::NoAnswer { .. })) => {
+                Err(error @ (CliError::Unreachable { .. } | CliError::NoResponse { .. })) => {
                     Some(error)
                 }
                 Err(error) => return Err(error),
--- a/src/daemon/callers.rs
+++ b/src/daemon/callers.rs
@@ -7,7 +7,7 @@
 
 use super::core::DaemonCore;
 use super::{generate, services};
-use crate::api::backend::{CallerBackend, ServiceReply};
+use crate::api::backend::{CallerBackend, ServiceResponse};
 use crate::api::wire::RefusalBody;
 use crate::auth::TokenDigest;
 use crate::ids::OrganisationId;
@@ -58,7 +58,7 @@
 
 /// How a call ended for its caller; calls are run to their end even if the
 /// caller goes away.
-fn call_outcome(answer: &Result<ServiceReply, RefusalBody>) -> RequestOutcome {
+fn call_outcome(answer: &Result<ServiceResponse, RefusalBody>) -> RequestOutcome {
     match answer {
         Ok(_) => RequestOutcome::Whole,
         Err(refusal) if refusal.verdict == RunVerdict::NotRun => RequestOutcome::NotRun,
--- a/src/daemon/claims/reply.rs
+++ b/src/daemon/claims/reply.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 
 use super::ticket::ClaimSubject;
-use crate::api::backend::ServiceReply;
+use crate::api::backend::ServiceResponse;
 use crate::api::wire::RefusalBody;
 use crate::claims::answer::{ClaimAnswer, ClaimRefusal};
 use crate::claims::record::{ClaimOutcome, KeptAnswer};
@@ -48,13 +48,13 @@
 pub(in crate::daemon) fn reply_of(
     answer: ClaimAnswer,
     request: &RequestId,
-) -> Result<ServiceReply, RefusalBody> {
+) -> Result<ServiceResponse, RefusalBody> {
     match answer {
         ClaimAnswer::Known(ClaimOutcome {
             verdict: RunVerdict::Ran,
             status,
             answer: KeptAnswer::Whole(text),
-        }) => Ok(ServiceReply {
+        }) => Ok(ServiceResponse {
             status,
             body: Bytes::from(text),
             content_type: None,
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -12,7 +12,7 @@
 use super::generate::check_phase;
 use super::targets::note_leaving;
 use crate::admission::AdmissionRequest;
-use crate::api::backend::{ServiceCall, ServiceReply};
+use crate::api::backend::{ServiceCall, ServiceResponse};
 use crate::api::wire::RefusalBody;
 use crate::ids::TargetId;
 use crate::reason::{RefusalReason, RetryReason};
@@ -38,7 +38,7 @@
 pub(super) async fn call_service(
     core: Arc<DaemonCore>,
     call: ServiceCall,
-) -> Result<ServiceReply, RefusalBody> {
+) -> Result<ServiceResponse, RefusalBody> {
     // Waited for by a shutdown from here on.
     let _in_flight = core.in_flight.token();
     // The phase is looked at with the admission, but a host without a usable
@@ -61,7 +61,7 @@
     core: &Arc<DaemonCore>,
     call: &ServiceCall,
     targets: &[TargetId],
-) -> Result<ServiceReply, RefusalBody> {
+) -> Result<ServiceResponse, RefusalBody> {
     let slot = admit_call(core, call).await?;
     let reply = attempt_call(core, call, targets).await?;
     slot.complete();
@@ -106,7 +106,7 @@
     core: &DaemonCore,
     call: &ServiceCall,
     targets: &[TargetId],
-) -> Result<ServiceReply, RefusalBody> {
+) -> Result<ServiceResponse, RefusalBody> {
     let mut verdict = RunVerdict::NotRun;
     let mut excluded = Vec::new();
     while excluded.len() < MAX_CALL_ATTEMPTS {
@@ -199,9 +199,9 @@
     headers
 }
 
-fn reply(answer: CallAnswer) -> ServiceReply {
+fn reply(answer: CallAnswer) -> ServiceResponse {
     let content_type = answer.headers.get(CONTENT_TYPE);
-    ServiceReply {
+    ServiceResponse {
         status: answer.status.as_u16(),
         content_type: content_type
             .and_then(|value| value.to_str().ok())
--- a/src/daemon/services/claimed.rs
+++ b/src/daemon/services/claimed.rs
@@ -9,7 +9,7 @@
     MAX_CALL_ATTEMPTS, admit_call, call_headers, choose_target, deadline_of, failed, note_answer,
     note_failure, reply,
 };
-use crate::api::backend::{ServiceCall, ServiceReply};
+use crate::api::backend::{ServiceCall, ServiceResponse};
 use crate::api::wire::RefusalBody;
 use crate::claims::key::{TimedKey, parse_key};
 use crate::claims::record::RequestFingerprint;
@@ -52,7 +52,7 @@
     core: Arc<DaemonCore>,
     call: ServiceCall,
     targets: Vec<TargetId>,
-) -> Result<ServiceReply, RefusalBody> {
+) -> Result<ServiceResponse, RefusalBody> {
     let subject = subject_of(&core, &call)?;
     let request = call.request.clone();
     let running = call_once(Arc::clone(&core), call, targets, subject.clone());
@@ -92,7 +92,7 @@
     call: ServiceCall,
     targets: Vec<TargetId>,
     subject: ClaimSubject,
-) -> Result<ServiceReply, RefusalBody> {
+) -> Result<ServiceResponse, RefusalBody> {
     let slot = admit_call(&core, &call).await?;
     let reply = call_under_claim(&core, &call, &targets, subject).await?;
     slot.complete();
@@ -104,7 +104,7 @@
     call: &ServiceCall,
     targets: &[TargetId],
     subject: ClaimSubject,
-) -> Result<ServiceReply, RefusalBody> {
+) -> Result<ServiceResponse, RefusalBody> {
     let ticket = match ClaimTicket::claim(core, subject).await {
         Ok(ticket) => ticket,
         Err(answer) => return reply_of(answer, &call.request),
@@ -187,7 +187,7 @@
     call: &ServiceCall,
     dispatched: DispatchedClaim,
     answer: Result<CallAnswer, CallFailure>,
-) -> Result<ServiceReply, RefusalBody> {
+) -> Result<ServiceResponse, RefusalBody> {
     match answer {
         Ok(answer) => {
             let status = answer.status.as_u16();
--- a/standins/tests/configuration_hosts.rs
+++ b/standins/tests/configuration_hosts.rs
@@ -8,7 +8,7 @@
 
 use http::{Method, StatusCode};
 use jackdawwick::api::wire::{ForceView, GenerateBody, RefusalBody};
-use jackdawwick::cli::judge_force;
+use jackdawwick::cli::rollout_progress;
 use jackdawwick::platform::wire::{HostList, ListedHost, ListedPhase};
 use jackdawwick::reason::RefusalReason;
 use jackdawwick::records::DECLARATION_STREAM;
@@ -225,7 +225,9 @@
             let what = format!("{} sees version {version} in force on 8 hosts", host.name);
             eventually(&what, || async {
                 let view = operator::read::<ForceView>(host.operators, "/v1/force").await;
-                view.is_ok_and(|view| view.hosts.len() == 8 && judge_force(&view, version + 1).done)
+                view.is_ok_and(|view| {
+                    view.hosts.len() == 8 && rollout_progress(&view, version + 1).done
+                })
             })
             .await?;
         }
--- a/tests/api/callers.rs
+++ b/tests/api/callers.rs
@@ -208,7 +208,7 @@
             let gate = gate.clone();
             let guard = FateGuard(watched.clone());
             async move {
-                call.caller_gone.cancelled().await;
+                call.caller_disconnected.cancelled().await;
                 guard.0.told.store(true, Ordering::SeqCst);
                 gate.notified().await;
                 guard.0.ended.store(true, Ordering::SeqCst);
--- a/tests/api/server.rs
+++ b/tests/api/server.rs
@@ -8,7 +8,7 @@
 use futures::future::ready;
 use http::Method;
 use jackdawwick::api::backend::{
-    AsyncCall, CallerBackend, GenerateCall, GenerateStream, ServiceCall, ServiceReply,
+    AsyncCall, CallerBackend, GenerateCall, GenerateStream, ServiceCall, ServiceResponse,
 };
 use jackdawwick::api::wire::{RefusalBody, StreamEvent};
 use jackdawwick::api::{ApiBounds, ApiHandle, ApiSettings, spawn_callers};
@@ -36,7 +36,7 @@
 /// A backend to be varied by a test.
 pub(crate) struct CannedBackend {
     pub(crate) generate: AsyncCall<GenerateCall, Result<GenerateStream, RefusalBody>>,
-    pub(crate) call_service: AsyncCall<ServiceCall, Result<ServiceReply, RefusalBody>>,
+    pub(crate) call_service: AsyncCall<ServiceCall, Result<ServiceResponse, RefusalBody>>,
     pub(crate) ready: bool,
     pub(crate) bounds: ApiBounds,
 }
@@ -129,8 +129,8 @@
     Ok(receiver)
 }
 
-async fn echo(call: ServiceCall) -> Result<ServiceReply, RefusalBody> {
-    Ok(ServiceReply {
+async fn echo(call: ServiceCall) -> Result<ServiceResponse, RefusalBody> {
+    Ok(ServiceResponse {
         status: 418,
         body: call.body,
         content_type: Some("text/plain".into()),
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -14,7 +14,7 @@
 };
 use jackdawwick::api::{ApiHandle, ApiSettings, spawn_operators};
 use jackdawwick::auth::TokenDigest;
-use jackdawwick::cli::{self, CliEnvironment, judge_force, parse_resources};
+use jackdawwick::cli::{self, CliEnvironment, parse_resources, rollout_progress};
 use jackdawwick::reason::RefusalReason;
 use jackdawwick::resources::{ResourceKey, ResourceKind, ResourceSpec};
 use parking_lot::Mutex;
@@ -398,9 +398,9 @@
 #[tokio::test]
 async fn watch_does_not_end_while_a_host_that_is_cut_off_may_lack_the_change() {
     let cut_off = force(6, &[("h1", 6, true), ("h3", 2, false)]);
-    assert!(!judge_force(&cut_off, 6).done);
-    assert!(judge_force(&cut_off, 2).done);
-    assert!(!judge_force(&force(5, &[]), 6).done);
+    assert!(!rollout_progress(&cut_off, 6).done);
+    assert!(rollout_progress(&cut_off, 2).done);
+    assert!(!rollout_progress(&force(5, &[]), 6).done);
 
     let daemon = FakeDaemon::spawn();
     daemon.state.lock().force = VecDeque::from([cut_off]);
