--- a/src/api/callers.rs
+++ b/src/api/callers.rs
@@ -35,7 +35,7 @@
 pub(super) struct CallerContext {
     pub(super) backend: CallerBackend,
     /// Calls that go on when their caller goes away.
-    pub(super) detached: TaskTracker,
+    pub(super) running_calls: TaskTracker,
     /// Where streams are handed to the listener in front.
     pub(super) slots: StreamSlots,
 }
@@ -82,7 +82,7 @@
     let shared = context.context();
     let slot = context.request.headers().get(SLOT_HEADER);
     let slot = slot.and_then(|name| name.to_str().ok());
-    let headers = headers.into_inner().joined_with(&context.request_id);
+    let headers = headers.into_inner().with_library_id(&context.request_id);
     let started = start_generation(&shared.backend, &headers, body).await;
     Ok(EndpointResponse::from_result(started.map(|generation| {
         let StartedGeneration { request, events } = generation;
@@ -104,24 +104,24 @@
     headers: &CallHeaders,
     body: DeferredBody<GenerateBody>,
 ) -> Result<StartedGeneration, RefusalBody> {
-    let admitted = admit(backend, headers)?;
-    let request = admitted.head.request.clone();
-    let named = |refusal: RefusalBody| refusal.for_request(request.clone());
-    let body = body.into_inner().map_err(named)?;
-    check_generate(&body).map_err(named)?;
+    let checked = check_call(backend, headers)?;
+    let request = checked.head.request.clone();
+    let with_request = |refusal: RefusalBody| refusal.for_request(request.clone());
+    let body = body.into_inner().map_err(with_request)?;
+    check_body(&body).map_err(with_request)?;
     let call = GenerateCall {
-        request: admitted.head.request,
-        organisation: admitted.organisation,
+        request: checked.head.request,
+        organisation: checked.organisation,
         body,
-        non_idempotent: admitted.head.non_idempotent,
-        key: admitted.head.key,
-        received: admitted.received,
+        non_idempotent: checked.head.non_idempotent,
+        key: checked.head.key,
+        received: checked.received,
     };
-    let events = (backend.generate)(call).await.map_err(named)?;
+    let events = (backend.generate)(call).await.map_err(with_request)?;
     Ok(StartedGeneration { request, events })
 }
 
-fn check_generate(body: &GenerateBody) -> Result<(), RefusalBody> {
+fn check_body(body: &GenerateBody) -> Result<(), RefusalBody> {
     match body {
         body if body.prompt.is_empty() => Err(malformed("prompt must hold at least one token")),
         body if body.max_tokens == 0 => Err(malformed("max_tokens must be at least 1")),
@@ -141,7 +141,7 @@
 ) -> Result<EndpointResponse<Response<Body>>, RefusalBody> {
     let shared = context.context();
     let bytes = Bytes::copy_from_slice(body.as_bytes());
-    let headers = headers.into_inner().joined_with(&context.request_id);
+    let headers = headers.into_inner().with_library_id(&context.request_id);
     let result = run_service(shared, path.into_inner(), &headers, bytes).await;
     Ok(EndpointResponse::from_result(result))
 }
@@ -152,38 +152,38 @@
     headers: &CallHeaders,
     body: Bytes,
 ) -> Result<Response<Body>, RefusalBody> {
-    let admitted = admit(&shared.backend, headers)?;
-    let request = admitted.head.request.clone();
-    let named = |refusal: RefusalBody| refusal.for_request(request.clone());
+    let checked = check_call(&shared.backend, headers)?;
+    let request = checked.head.request.clone();
+    let with_request = |refusal: RefusalBody| refusal.for_request(request.clone());
     if !is_label(&path.service) || !is_label(&path.operation) {
-        return Err(named(malformed(
+        return Err(with_request(malformed(
             "service and operation must be 1 to 128 visible ASCII characters",
         )));
     }
     let call = ServiceCall {
-        request: admitted.head.request,
-        organisation: admitted.organisation,
+        request: checked.head.request,
+        organisation: checked.organisation,
         service: path.service.into(),
         operation: path.operation.into(),
         body,
-        non_idempotent: admitted.head.non_idempotent,
-        key: admitted.head.key,
-        received: admitted.received,
+        non_idempotent: checked.head.non_idempotent,
+        key: checked.head.key,
+        received: checked.received,
         caller_disconnected: CancellationToken::new(),
     };
-    let reply = carry_out(shared, call).await.map_err(named)?;
-    reply_response(reply).map_err(named)
+    let reply = execute_call(shared, call).await.map_err(with_request)?;
+    http_response(reply).map_err(with_request)
 }
 
 /// Runs a call to its end, even if its caller goes away. Dropped after its
 /// claim was won, a non-idempotent call could never be settled: a repeat with
 /// the same key would be told that it may have run, for ever. Which calls are
 /// non-idempotent is not known here, since a service may declare them so.
-async fn carry_out(shared: &Shared, call: ServiceCall) -> Result<ServiceResponse, RefusalBody> {
+async fn execute_call(shared: &Shared, call: ServiceCall) -> Result<ServiceResponse, RefusalBody> {
     let caller = call.caller_disconnected.clone().drop_guard();
     let running = (shared.backend.call_service)(call);
     let reply = shared
-        .detached
+        .running_calls
         .spawn(running)
         .await
         .unwrap_or_else(|_| Err(may_have_run("the call broke off")));
@@ -191,7 +191,7 @@
     reply
 }
 
-fn reply_response(reply: ServiceResponse) -> Result<Response<Body>, RefusalBody> {
+fn http_response(reply: ServiceResponse) -> Result<Response<Body>, RefusalBody> {
     let status = StatusCode::from_u16(reply.status)
         .map_err(|_| may_have_run("the service answered with an invalid status"))?;
     let mut response = Response::new(Body::from(reply.body));
@@ -218,21 +218,21 @@
 }
 
 /// A call whose caller is known.
-struct AdmittedCall {
+struct CheckedCall {
     head: CallHead,
     organisation: OrganisationId,
     received: Instant,
 }
 
-fn admit(backend: &CallerBackend, headers: &CallHeaders) -> Result<AdmittedCall, RefusalBody> {
+fn check_call(backend: &CallerBackend, headers: &CallHeaders) -> Result<CheckedCall, RefusalBody> {
     let received = Instant::now();
     let request = headers.request()?;
-    let named = |refusal: RefusalBody| refusal.for_request(request.clone());
+    let with_request = |refusal: RefusalBody| refusal.for_request(request.clone());
     let organisation = identify(headers.authorization.as_deref(), &backend.organisation_of)
-        .map_err(|refusal| unless_ready(backend, refusal))
-        .map_err(named)?;
-    let head = headers.head(request.clone()).map_err(named)?;
-    Ok(AdmittedCall {
+        .map_err(|refusal| not_ready_or(backend, refusal))
+        .map_err(with_request)?;
+    let head = headers.head(request.clone()).map_err(with_request)?;
+    Ok(CheckedCall {
         head,
         organisation,
         received,
@@ -242,7 +242,7 @@
 /// A daemon without configuration, or with an old one, does not know every
 /// organisation. Told that its token is unknown, a caller would give up; told
 /// that the host is not ready, it comes back or asks another.
-fn unless_ready(backend: &CallerBackend, refusal: RefusalBody) -> RefusalBody {
+fn not_ready_or(backend: &CallerBackend, refusal: RefusalBody) -> RefusalBody {
     match (backend.ready)() {
         true => refusal,
         false => RefusalBody::not_run(RefusalReason::NotReady, "the daemon takes no new work")
--- a/src/api/explain.rs
+++ b/src/api/explain.rs
@@ -9,7 +9,7 @@
     /// Shows what the journal knows about a subject. What is left out is
     /// shown too, so that a part is not taken for the whole.
     pub fn new(subject: &JournalSubject, explanation: &Explanation) -> Self {
-        let left_out = explanation
+        let omitted = explanation
             .entries
             .first()
             .filter(|_| explanation.left_out > 0)
@@ -18,15 +18,15 @@
                 subject: subject.to_string(),
                 text: format!("{} earlier decisions left out", explanation.left_out),
             });
-        let kept = explanation.entries.iter().map(shown_entry);
+        let recorded = explanation.entries.iter().map(entry_view);
         Self {
             subject: subject.to_string(),
-            entries: left_out.into_iter().chain(kept).collect(),
+            entries: omitted.into_iter().chain(recorded).collect(),
         }
     }
 }
 
-fn shown_entry(entry: &JournalEntry) -> ExplainEntry {
+fn entry_view(entry: &JournalEntry) -> ExplainEntry {
     ExplainEntry {
         at_ms: unix_millis(entry.at),
         subject: entry.subject.to_string(),
--- a/src/api/head.rs
+++ b/src/api/head.rs
@@ -11,7 +11,7 @@
 use crate::reason::RefusalReason;
 
 /// Longest request id or idempotency key, in bytes.
-const LABEL_MAX_LENGTH: usize = 128;
+const MAX_LABEL_BYTES: usize = 128;
 
 /// The headers of a call as documented.
 #[derive(Debug, Deserialize, JsonSchema)]
@@ -61,11 +61,11 @@
     /// A caller that names no id gets the library's, so that all lines about
     /// the request carry one id; for one that does, a line names both.
     #[must_use]
-    pub(super) fn joined_with(mut self, library_id: &str) -> Self {
+    pub(super) fn with_library_id(mut self, library_id: &str) -> Self {
         match &self.request_id {
             None => self.request_id = Some(library_id.to_owned()),
-            Some(own) if is_label(own) => {
-                log::info!(request:% = own; "the HTTP library's id is {library_id}");
+            Some(caller_id) if is_label(caller_id) => {
+                log::info!(request:% = caller_id; "the HTTP library's id is {library_id}");
             }
             Some(_) => {}
         }
@@ -114,26 +114,26 @@
 /// Whether a text may stand in headers, log lines and records as it is.
 pub(super) fn is_label(text: &str) -> bool {
     let visible = text.bytes().all(|byte| byte.is_ascii_graphic());
-    visible && (1..=LABEL_MAX_LENGTH).contains(&text.len())
+    visible && (1..=MAX_LABEL_BYTES).contains(&text.len())
 }
 
 /// Reads a structured-field string: only `"` and `\` may be escaped.
 fn unquote(text: &str) -> Option<String> {
-    let inner = text.strip_prefix('"')?.strip_suffix('"')?;
-    let mut plain = String::with_capacity(inner.len());
-    let mut characters = inner.chars();
+    let quoted = text.strip_prefix('"')?.strip_suffix('"')?;
+    let mut unescaped = String::with_capacity(quoted.len());
+    let mut characters = quoted.chars();
     while let Some(character) = characters.next() {
         match character {
             '"' => return None,
-            '\\' => plain.push(
+            '\\' => unescaped.push(
                 characters
                     .next()
                     .filter(|next| matches!(next, '"' | '\\'))?,
             ),
-            other => plain.push(other),
+            other => unescaped.push(other),
         }
     }
-    Some(plain)
+    Some(unescaped)
 }
 
 /// The refusal of a malformed call.
--- a/src/api/openapi.rs
+++ b/src/api/openapi.rs
@@ -26,7 +26,7 @@
         let event = content.remove(JSON).unwrap_or_default();
         content.insert(EVENT_STREAM.to_owned(), event);
     }
-    Ok(formatted(&json))
+    Ok(to_pretty_json(&json))
 }
 
 /// The document of the operators' listener, as formatted JSON.
@@ -35,7 +35,7 @@
 /// If two endpoints clash.
 pub fn operators_document() -> Result<String, ApiError> {
     let json = document(&operators::description()?, "Jackdawwick for operators")?;
-    Ok(formatted(&json))
+    Ok(to_pretty_json(&json))
 }
 
 fn document<C>(api: &ApiDescription<C>, title: &str) -> Result<Value, ApiError>
@@ -45,6 +45,6 @@
     Ok(api.openapi(title, API_VERSION).json()?)
 }
 
-fn formatted(json: &Value) -> String {
+fn to_pretty_json(json: &Value) -> String {
     format!("{json:#}\n")
 }
--- a/src/api/proxy/accept.rs
+++ b/src/api/proxy/accept.rs
@@ -14,9 +14,9 @@
 use super::{ProxyContext, connection};
 
 /// Connections beyond the bound that are told so at the same time.
-const OVERFLOW_CONNECTIONS: usize = 32;
+const MAX_REFUSED_CONNECTIONS: usize = 32;
 /// Pause after an error that concerns the listener and not one connection.
-const ERROR_PAUSE: Duration = Duration::from_millis(100);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Binds the listener.
 pub(super) fn bind(address: SocketAddr) -> io::Result<TcpListener> {
@@ -28,8 +28,8 @@
 /// Accepts until told to stop, then waits for the requests in flight.
 pub(super) async fn run(listener: TcpListener, context: ProxyContext, stop: CancellationToken) {
     let graceful = GracefulShutdown::new();
-    let places = Arc::new(Semaphore::new(context.bounds.connections));
-    let overflow = Arc::new(Semaphore::new(OVERFLOW_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(context.bounds.connections));
+    let overflow_permits = Arc::new(Semaphore::new(MAX_REFUSED_CONNECTIONS));
     loop {
         let accepted = tokio::select! {
             () = stop.cancelled() => break,
@@ -37,29 +37,29 @@
         };
         let socket = match accepted {
             Ok((socket, _)) => socket,
-            Err(error) if concerns_one_connection(&error) => continue,
+            Err(error) if is_connection_error(&error) => continue,
             Err(error) => {
                 // Out of file descriptors, accepting fails at once and again:
                 // without the pause this loop would take a whole processor.
                 log::warn!("accept failed: {error}");
-                tokio::time::sleep(ERROR_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        if let Err(error) = tune(&socket, &context) {
+        if let Err(error) = set_options(&socket, &context) {
             log::debug!("a connection was lost before it was served: {error}");
             continue;
         }
-        if let Ok(place) = Arc::clone(&places).try_acquire_owned() {
+        if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
             let served = connection::serve(socket, context.clone(), graceful.watcher());
             tokio::spawn(async move {
                 served.await;
-                drop(place);
+                drop(permit);
             });
-        } else if let Ok(place) = Arc::clone(&overflow).try_acquire_owned() {
+        } else if let Ok(permit) = Arc::clone(&overflow_permits).try_acquire_owned() {
             tokio::spawn(async move {
                 connection::refuse(socket).await;
-                drop(place);
+                drop(permit);
             });
         }
     }
@@ -67,7 +67,7 @@
     graceful.shutdown().await;
 }
 
-fn concerns_one_connection(error: &io::Error) -> bool {
+fn is_connection_error(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::ConnectionRefused
@@ -82,7 +82,7 @@
 /// before, which the caller's system may hold back for 40 ms. Without the user
 /// timeout a caller that stopped reading, or whose host vanished, would hold
 /// its connection and its run for as long as the system retransmits.
-fn tune(socket: &TcpStream, context: &ProxyContext) -> io::Result<()> {
+fn set_options(socket: &TcpStream, context: &ProxyContext) -> io::Result<()> {
     socket.set_nodelay(true)?;
     SockRef::from(socket).set_tcp_user_timeout(Some(context.bounds.stall_timeout))
 }
--- a/src/api/proxy/connection.rs
+++ b/src/api/proxy/connection.rs
@@ -22,18 +22,18 @@
 /// Time spent on telling one connection too many that it is.
 const REFUSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// When such a caller should come back.
-const REFUSE_RETRY: Duration = Duration::from_secs(1);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Serves requests until the caller closes or a bound is reached.
 pub(super) async fn serve(socket: TcpStream, context: ProxyContext, watcher: Watcher) {
     let forwarder = Forwarder::new(context.inner, context.slots.clone());
     let bounds = context.bounds;
     let service = service_fn(|request: Request<Incoming>| async {
-        let answer = match request_reader::read(request, &bounds).await {
+        let response = match request_reader::read(request, &bounds).await {
             Ok(request) => forwarder.forward(request).await,
             Err(refusal) => refusal.into_response(),
         };
-        Ok::<_, Infallible>(answer)
+        Ok::<_, Infallible>(response)
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -48,7 +48,8 @@
 
 /// Tells a connection beyond the bound to come back, and closes it.
 pub(super) async fn refuse(socket: TcpStream) {
-    let service = service_fn(|_: Request<Incoming>| async { Ok::<_, Infallible>(too_many()) });
+    let service =
+        service_fn(|_: Request<Incoming>| async { Ok::<_, Infallible>(too_many_connections()) });
     let served = http1::Builder::new()
         .keep_alive(false)
         .serve_connection(TokioIo::new(socket), service);
@@ -56,12 +57,12 @@
     let _ = tokio::time::timeout(REFUSE_TIMEOUT, served).await;
 }
 
-fn too_many() -> Response<Body> {
+fn too_many_connections() -> Response<Body> {
     let refusal = RefusalBody::not_run(
         RefusalReason::QueueFull,
         "this host has as many connections as it takes",
     );
-    let mut response = error_response(&refusal.retry_after(REFUSE_RETRY));
+    let mut response = error_response(&refusal.retry_after(RETRY_AFTER));
     response
         .headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/src/api/proxy/forward.rs
+++ b/src/api/proxy/forward.rs
@@ -65,8 +65,8 @@
             request.headers_mut().insert(SLOT_HEADER, name);
         }
         let mut response = match self.send(request).await {
-            Ok(response) => presented(response),
-            Err(error) => broken(&error),
+            Ok(response) => public_response(response),
+            Err(error) => error_for(&error),
         };
         if let Some(events) = slot.take() {
             let request = request_id.as_ref().and_then(|id| id.to_str().ok());
@@ -86,15 +86,15 @@
         if let Ok(host) = host {
             request.headers_mut().insert(header::HOST, host);
         }
-        let mut held = self.link.lock().await;
-        let usable = held.take().filter(|link| !link.sender.is_closed());
+        let mut pooled = self.link.lock().await;
+        let usable = pooled.take().filter(|link| !link.sender.is_closed());
         let mut link = match usable {
             Some(link) => link,
             None => self.connect().await?,
         };
         link.sender.ready().await.map_err(ForwardError::Handshake)?;
         let response = link.sender.send_request(request).await;
-        *held = Some(link);
+        *pooled = Some(link);
         response.map_err(ForwardError::Send)
     }
 
@@ -117,7 +117,7 @@
 }
 
 /// Headers of an answer that concern the inner connection only.
-static HOP_HEADERS: [HeaderName; 3] = [
+static HOP_BY_HOP_HEADERS: [HeaderName; 3] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::TRANSFER_ENCODING,
@@ -126,20 +126,20 @@
 /// The answer as the caller gets it. An error without a verdict is the HTTP
 /// library's own (no such path, or another method there) and gets a body like
 /// every other refusal.
-fn presented(response: Response<Incoming>) -> Response<Body> {
+fn public_response(response: Response<Incoming>) -> Response<Body> {
     let status = response.status();
     let is_error = status.is_client_error() || status.is_server_error();
     if is_error && !response.headers().contains_key(VERDICT_HEADER) {
-        return unrouted(status);
+        return library_error(status);
     }
     let (mut parts, body) = response.into_parts();
-    for name in &HOP_HEADERS {
+    for name in &HOP_BY_HOP_HEADERS {
         parts.headers.remove(name);
     }
     Response::from_parts(parts, Body::wrap(body))
 }
 
-fn unrouted(status: StatusCode) -> Response<Body> {
+fn library_error(status: StatusCode) -> Response<Body> {
     let refusal = match status {
         StatusCode::NOT_FOUND => RefusalBody::not_run(RefusalReason::Unknown, "no such path"),
         StatusCode::METHOD_NOT_ALLOWED => {
@@ -159,7 +159,7 @@
 
 /// An endpoint that panics takes its connection with it; the caller still gets
 /// an answer. Only if nothing was sent is it sure that nothing ran.
-fn broken(error: &ForwardError) -> Response<Body> {
+fn error_for(error: &ForwardError) -> Response<Body> {
     log::error!("{error}");
     error_response(&match error {
         ForwardError::Connect(_) | ForwardError::Handshake(_) => {
--- a/src/api/proxy/request_reader.rs
+++ b/src/api/proxy/request_reader.rs
@@ -28,7 +28,7 @@
 ];
 
 /// Headers that concern one connection only, and the length, which is set anew.
-static HOP_HEADERS: [HeaderName; 8] = [
+static HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -73,8 +73,8 @@
 ) -> Result<Request<Full<Bytes>>, RequestRefusal> {
     let (mut parts, body) = request.into_parts();
     let bytes = read_body(body, bounds).await?;
-    check_single(&parts.headers)?;
-    for name in &HOP_HEADERS {
+    check_duplicates(&parts.headers)?;
+    for name in &HOP_BY_HOP_HEADERS {
         parts.headers.remove(name);
     }
     parts.version = http::Version::HTTP_11;
@@ -82,20 +82,20 @@
     parts
         .headers
         .entry(REQUEST_ID)
-        .or_insert_with(fresh_request_id);
+        .or_insert_with(new_request_id);
     Ok(Request::from_parts(parts, Full::new(bytes)))
 }
 
-fn fresh_request_id() -> http::HeaderValue {
+fn new_request_id() -> http::HeaderValue {
     let id = Uuid::new_v4().to_string();
     http::HeaderValue::try_from(id).unwrap_or(http::HeaderValue::from_static(""))
 }
 
-fn check_single(headers: &HeaderMap) -> Result<(), RequestRefusal> {
-    let doubled = SINGLE_HEADERS
+fn check_duplicates(headers: &HeaderMap) -> Result<(), RequestRefusal> {
+    let duplicated = SINGLE_HEADERS
         .iter()
         .find(|name| headers.get_all(*name).iter().count() > 1);
-    match doubled {
+    match duplicated {
         None => Ok(()),
         Some(name) => Err(RequestRefusal::new(
             StatusCode::BAD_REQUEST,
@@ -122,7 +122,7 @@
             "the body could not be read",
         ));
     }
-    discard(body, bounds).await;
+    drain_body(body, bounds).await;
     let message = format!("the body is longer than {} bytes", bounds.body_bytes);
     Err(RequestRefusal::new(StatusCode::PAYLOAD_TOO_LARGE, &message))
 }
@@ -130,13 +130,13 @@
 /// Throws away the rest of a body that is too long, within bounds. Closed on
 /// unread bytes, the connection would be reset, and the caller would lose the
 /// answer that tells it why.
-async fn discard(mut body: Incoming, bounds: &ApiBounds) {
-    let mut left = bounds.body_bytes.saturating_mul(DISCARD_FACTOR);
+async fn drain_body(mut body: Incoming, bounds: &ApiBounds) {
+    let mut remaining = bounds.body_bytes.saturating_mul(DISCARD_FACTOR);
     let reading = async {
         while let Some(Ok(frame)) = body.frame().await {
             let length = frame.data_ref().map_or(0, Bytes::len);
-            left = left.saturating_sub(length);
-            if left == 0 || body.is_end_stream() {
+            remaining = remaining.saturating_sub(length);
+            if remaining == 0 || body.is_end_stream() {
                 return;
             }
         }
--- a/src/api/response.rs
+++ b/src/api/response.rs
@@ -20,7 +20,7 @@
 /// library's own.
 pub(super) const VERDICT_HEADER: &str = "x-verdict";
 /// How callers authenticate, as told with a 401.
-const CHALLENGE: &str = "Bearer";
+const AUTHENTICATION_SCHEME: &str = "Bearer";
 /// Media type of JSON.
 pub(super) const JSON: &str = "application/json";
 
@@ -111,7 +111,7 @@
         E: ErrorHeaders,
     {
         match result {
-            Ok(given) => Self::Success(given),
+            Ok(success) => Self::Success(success),
             Err(error) => Self::Refused(error_response(&error)),
         }
     }
@@ -123,7 +123,7 @@
 {
     fn to_result(self) -> Result<Response<Body>, HttpError> {
         match self {
-            Self::Success(given) => given.to_result(),
+            Self::Success(success) => success.to_result(),
             Self::Refused(response) => Ok(response),
         }
     }
@@ -134,7 +134,7 @@
 
     fn status_code(&self) -> StatusCode {
         match self {
-            Self::Success(given) => given.status_code(),
+            Self::Success(success) => success.status_code(),
             Self::Refused(response) => response.status(),
         }
     }
@@ -170,7 +170,7 @@
     if refusal.reason == RefusalReason::Unauthenticated {
         headers.insert(
             header::WWW_AUTHENTICATE,
-            HeaderValue::from_static(CHALLENGE),
+            HeaderValue::from_static(AUTHENTICATION_SCHEME),
         );
     }
     response
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -89,15 +89,15 @@
     settings: &ApiSettings,
     backend: CallerBackend,
 ) -> Result<ApiHandle, ApiError> {
-    let detached = TaskTracker::new();
+    let running_calls = TaskTracker::new();
     let slots = StreamSlots::default();
     let context = CallerContext {
         backend,
-        detached: detached.clone(),
+        running_calls: running_calls.clone(),
         slots: slots.clone(),
     };
     let server = serve(settings, callers::description()?, Arc::new(context))?;
-    open(settings, server, slots, detached)
+    open(settings, server, slots, running_calls)
 }
 
 /// Opens the operators' listener.
@@ -139,7 +139,7 @@
     settings: &ApiSettings,
     server: HttpServer<C>,
     slots: StreamSlots,
-    detached: TaskTracker,
+    running_calls: TaskTracker,
 ) -> Result<ApiHandle, ApiError>
 where
     C: ServerContext,
@@ -154,18 +154,18 @@
         proxy::spawn(address, context).map_err(|error| ApiError::Listen { address, error })?;
     Ok(ApiHandle {
         address: proxy.address,
-        close: Box::new(move || Box::pin(close(proxy, server, detached))),
+        close: Box::new(move || Box::pin(close(proxy, server, running_calls))),
     })
 }
 
 /// Closes from the outside in: callers first, so that nothing new arrives.
-async fn close<C>(proxy: ProxyHandle, server: HttpServer<C>, detached: TaskTracker)
+async fn close<C>(proxy: ProxyHandle, server: HttpServer<C>, running_calls: TaskTracker)
 where
     C: ServerContext,
 {
     proxy.shutdown().await;
-    detached.close();
-    detached.wait().await;
+    running_calls.close();
+    running_calls.wait().await;
     if let Err(error) = server.close().await {
         log::warn!("the inner HTTP listener ended badly: {error}");
     }
--- a/src/api/stream.rs
+++ b/src/api/stream.rs
@@ -56,7 +56,7 @@
     let mut writer = EventWriter {
         request,
         events,
-        ended: false,
+        finished: false,
     };
     let frames = stream::poll_fn(move |context| writer.poll_frame(context));
     Body::wrap(StreamBody::new(frames))
@@ -66,7 +66,7 @@
 struct EventWriter {
     request: RequestId,
     events: GenerateStream,
-    ended: bool,
+    finished: bool,
 }
 
 impl EventWriter {
@@ -74,20 +74,20 @@
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        if self.ended {
+        if self.finished {
             return Poll::Ready(None);
         }
         self.events.poll_recv(context).map(|event| {
             // A backend task that dies drops its sender. Without this event the
             // caller would see the stream end and could take a part of the
             // answer for the whole.
-            let event = event.unwrap_or_else(|| self.broken_off());
-            self.ended = matches!(event, StreamEvent::Done { .. } | StreamEvent::Error(_));
+            let event = event.unwrap_or_else(|| self.interrupted());
+            self.finished = matches!(event, StreamEvent::Done { .. } | StreamEvent::Error(_));
             Some(Ok(Frame::data(event_bytes(&event))))
         })
     }
 
-    fn broken_off(&self) -> StreamEvent {
+    fn interrupted(&self) -> StreamEvent {
         StreamEvent::Error(RefusalBody {
             verdict: RunVerdict::MayHaveRun,
             ..RefusalBody::not_run(RefusalReason::TargetFailed, "the answer broke off")
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -43,18 +43,18 @@
 }
 
 /// Compares declared resources with those that stand, in the declared order.
-pub fn plan_apply(declared: Vec<DeclaredResource>, present: &[ResourceView]) -> Vec<ApplyStep> {
-    let present = present.iter().map(|view| (&view.key, view));
-    let present = present.collect::<BTreeMap<&ResourceKey, _>>();
+pub fn plan_apply(declared: Vec<DeclaredResource>, current: &[ResourceView]) -> Vec<ApplyStep> {
+    let current = current.iter().map(|view| (&view.key, view));
+    let current = current.collect::<BTreeMap<&ResourceKey, _>>();
     let steps = declared.into_iter().map(|declared| {
-        let change = plan_step(&declared, present.get(&declared.key).copied());
+        let change = plan_step(&declared, current.get(&declared.key).copied());
         ApplyStep { declared, change }
     });
     steps.collect()
 }
 
-fn plan_step(declared: &DeclaredResource, present: Option<&ResourceView>) -> StepChange {
-    let Some(view) = present else {
+fn plan_step(declared: &DeclaredResource, current: Option<&ResourceView>) -> StepChange {
+    let Some(view) = current else {
         return StepChange::Create;
     };
     let fields = compare_specs(&view.spec, &declared.spec);
@@ -73,7 +73,7 @@
     fn report(&self, outcome: StepOutcome, version: Option<LogOffset>) -> StepReport {
         let fields = match &self.change {
             StepChange::Update { fields, .. } => fields.clone(),
-            StepChange::Create => compare_created(&self.declared),
+            StepChange::Create => created_fields(&self.declared),
             StepChange::Unchanged { .. } => Vec::new(),
         };
         StepReport {
@@ -93,7 +93,7 @@
     }
 }
 
-fn compare_created(declared: &DeclaredResource) -> Vec<FieldChange> {
+fn created_fields(declared: &DeclaredResource) -> Vec<FieldChange> {
     let fields = super::difference::flatten_spec(&declared.spec).into_iter();
     let changes = fields.map(|(field, after)| FieldChange {
         field,
@@ -110,18 +110,18 @@
     /// Declares the resources of a file that differ from what stands.
     pub(super) async fn apply(&mut self, file: &Path, dry_run: bool) -> Result<(), CliError> {
         let declared = read_file(file)?;
-        let present = self.client.list(None).await?;
-        let steps = plan_apply(declared, &present);
+        let current = self.client.list(None).await?;
+        let steps = plan_apply(declared, &current);
         if dry_run {
             let reports = steps.iter().map(ApplyStep::preview).collect::<Vec<_>>();
             return self.presenter.steps(&reports);
         }
-        self.declare(&steps).await
+        self.apply_steps(&steps).await
     }
 
     /// Declares the steps in order and stops at the first that fails: what
     /// follows may refer to it.
-    async fn declare(&mut self, steps: &[ApplyStep]) -> Result<(), CliError> {
+    async fn apply_steps(&mut self, steps: &[ApplyStep]) -> Result<(), CliError> {
         let mut reports = Vec::new();
         let mut failure = None;
         for step in steps {
@@ -129,10 +129,10 @@
                 reports.push(step.report(StepOutcome::NotSent, None));
                 continue;
             }
-            match self.declare_step(step).await {
+            match self.apply_step(step).await {
                 Ok(report) => reports.push(report),
                 Err(error) => {
-                    reports.push(step.report(StepOutcome::of_failure(&error), None));
+                    reports.push(step.report(StepOutcome::from_error(&error), None));
                     failure = Some(error);
                 }
             }
@@ -144,7 +144,7 @@
         }
     }
 
-    async fn declare_step(&self, step: &ApplyStep) -> Result<StepReport, CliError> {
+    async fn apply_step(&self, step: &ApplyStep) -> Result<StepReport, CliError> {
         let (based_on, outcome) = match step.change {
             StepChange::Create => (None, StepOutcome::Created),
             StepChange::Update { based_on, .. } => (Some(based_on), StepOutcome::Changed),
@@ -162,11 +162,11 @@
 }
 
 fn read_file(file: &Path) -> Result<Vec<DeclaredResource>, CliError> {
-    let shown = file.display().to_string();
+    let file_name = file.display().to_string();
     let text = std::fs::read_to_string(file)
-        .map_err(|error| CliError::Usage(format!("{shown}: cannot be read: {error}")))?;
+        .map_err(|error| CliError::Usage(format!("{file_name}: cannot be read: {error}")))?;
     parse_resources(&text).map_err(|mistakes| CliError::InvalidFile {
-        file: shown,
+        file: file_name,
         mistakes,
     })
 }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -26,9 +26,9 @@
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long an answer may take: a change is answered only once it is replayed.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// A client of one entry host's operators' listener.
 pub struct OperatorClient {
@@ -38,7 +38,7 @@
 }
 
 /// Status and body of an answer.
-struct RawAnswer {
+struct RawResponse {
     status: StatusCode,
     body: Bytes,
 }
@@ -126,7 +126,7 @@
     ) -> Result<AcceptedBody, CliError> {
         let body = self.encode(body)?;
         let answer = self.send(Method::PUT, &resource_path(key), body).await?;
-        self.change_answer(key, &answer)
+        self.decode_change(key, &answer)
     }
 
     /// Removes a resource.
@@ -140,7 +140,7 @@
     ) -> Result<AcceptedBody, CliError> {
         let path = format!("{}?based_on={based_on}", resource_path(key));
         let answer = self.send(Method::DELETE, &path, Bytes::new()).await?;
-        self.change_answer(key, &answer)
+        self.decode_change(key, &answer)
     }
 
     async fn read<T>(&self, path: &str) -> Result<T, CliError>
@@ -151,10 +151,10 @@
         self.decode(&answer)
     }
 
-    fn change_answer(
+    fn decode_change(
         &self,
         key: &ResourceKey,
-        answer: &RawAnswer,
+        answer: &RawResponse,
     ) -> Result<AcceptedBody, CliError> {
         match serde_json::from_slice::<ConflictBody>(&answer.body) {
             Ok(conflict) if answer.status == StatusCode::CONFLICT => Err(CliError::LostRace {
@@ -165,7 +165,7 @@
         }
     }
 
-    async fn send(&self, method: Method, path: &str, body: Bytes) -> Result<RawAnswer, CliError> {
+    async fn send(&self, method: Method, path: &str, body: Bytes) -> Result<RawResponse, CliError> {
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.server))
@@ -173,30 +173,30 @@
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .map_err(|error| CliError::Usage(format!("{path} cannot be asked for: {error}")))?;
-        match tokio::time::timeout(ANSWER_TIMEOUT, self.exchange(request)).await {
+        match tokio::time::timeout(RESPONSE_TIMEOUT, self.exchange(request)).await {
             Ok(answer) => answer,
-            Err(_) => Err(self.no_answer(&"timed out")),
+            Err(_) => Err(self.no_response(&"timed out")),
         }
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<RawAnswer, CliError> {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<RawResponse, CliError> {
         let response = match self.client.request(request).await {
             Ok(response) => response,
             Err(error) if error.is_connect() => {
                 return Err(CliError::Unreachable {
                     server: self.server,
-                    cause: with_sources(&error),
+                    cause: with_causes(&error),
                 });
             }
-            Err(error) => return Err(self.no_answer(&with_sources(&error))),
+            Err(error) => return Err(self.no_response(&with_causes(&error))),
         };
         let status = response.status();
-        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
         let body = body
             .collect()
             .await
-            .map_err(|error| self.no_answer(&error))?;
-        Ok(RawAnswer {
+            .map_err(|error| self.no_response(&error))?;
+        Ok(RawResponse {
             status,
             body: body.to_bytes(),
         })
@@ -212,24 +212,24 @@
         }
     }
 
-    fn decode<T>(&self, answer: &RawAnswer) -> Result<T, CliError>
+    fn decode<T>(&self, answer: &RawResponse) -> Result<T, CliError>
     where
         T: DeserializeOwned,
     {
-        let not_understood = |error: serde_json::Error| CliError::InvalidResponse {
+        let invalid_response = |error: serde_json::Error| CliError::InvalidResponse {
             server: self.server,
             cause: format!("status {}: {error}", answer.status),
         };
         if answer.status.is_success() {
-            return serde_json::from_slice(&answer.body).map_err(not_understood);
+            return serde_json::from_slice(&answer.body).map_err(invalid_response);
         }
         match serde_json::from_slice::<RefusalBody>(&answer.body) {
             Ok(refusal) => Err(CliError::Refused(Box::new(refusal))),
-            Err(error) => Err(not_understood(error)),
+            Err(error) => Err(invalid_response(error)),
         }
     }
 
-    fn no_answer<C>(&self, cause: &C) -> CliError
+    fn no_response<C>(&self, cause: &C) -> CliError
     where
         C: ToString,
     {
@@ -265,7 +265,7 @@
 }
 
 /// An error with its causes; the outermost alone says only "client error".
-fn with_sources<E>(error: &E) -> String
+fn with_causes<E>(error: &E) -> String
 where
     E: Error,
 {
--- a/src/cli/difference.rs
+++ b/src/cli/difference.rs
@@ -58,8 +58,8 @@
                 flatten(&format!("{path}[{index}]"), entry, fields);
             }
         }
-        plain => {
-            fields.insert(path.to_owned(), plain);
+        scalar => {
+            fields.insert(path.to_owned(), scalar);
         }
     }
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -52,10 +52,10 @@
         cause: String,
     },
     /// The daemon refused.
-    #[error("refused ({}): {}{}", .0.reason.name(), .0.message, refusal_advice(.0))]
+    #[error("refused ({}): {}{}", .0.reason.name(), .0.message, next_step(.0))]
     Refused(Box<RefusalBody>),
     /// The change lost a race.
-    #[error("{key}: lost the race: {}", conflict_text(key, conflict))]
+    #[error("{key}: lost the race: {}", conflict_message(key, conflict))]
     LostRace {
         /// The resource.
         key: ResourceKey,
@@ -107,7 +107,7 @@
     }
 }
 
-fn conflict_text(key: &ResourceKey, conflict: &ConflictBody) -> String {
+fn conflict_message(key: &ResourceKey, conflict: &ConflictBody) -> String {
     let next = format!(
         "Look at it with `jackdawwick get {} {}`, then run your command again if the change is still wanted.",
         key.kind.name(),
@@ -120,7 +120,7 @@
     }
 }
 
-fn refusal_advice(refusal: &RefusalBody) -> String {
+fn next_step(refusal: &RefusalBody) -> String {
     let again = match refusal.retry_after_ms {
         Some(wait) => format!("again in {wait} ms"),
         None => "again later".to_owned(),
--- a/src/cli/presentation.rs
+++ b/src/cli/presentation.rs
@@ -13,7 +13,7 @@
 use crate::api::wire::{ExplainView, ResourceView, StatusView};
 
 /// Milliseconds from the Unix epoch to the year 10000.
-const FIRST_MS_OF_YEAR_10000: u64 = 253_402_300_800_000;
+const YEAR_10000_MS: u64 = 253_402_300_800_000;
 
 /// Writes results for a person or a program.
 pub(super) struct Presenter<W> {
@@ -71,7 +71,7 @@
         table.row(["version".to_owned(), view.version.to_string()]);
         table.row(["operator".to_owned(), view.operator.to_string()]);
         for (field, value) in flatten_spec(&view.spec) {
-            table.row([format!("spec.{field}"), view::plain(&value)]);
+            table.row([format!("spec.{field}"), view::value_text(&value)]);
         }
         self.table(&table)
     }
@@ -171,7 +171,7 @@
 fn show_time(at_ms: u64) -> String {
     match at_ms {
         // The formatter panics beyond the year 9999.
-        FIRST_MS_OF_YEAR_10000.. => format!("{at_ms} ms"),
+        YEAR_10000_MS.. => format!("{at_ms} ms"),
         _ => {
             let time = UNIX_EPOCH + Duration::from_millis(at_ms);
             humantime::format_rfc3339_millis(time).to_string()
@@ -180,6 +180,6 @@
 }
 
 fn yes_or_no(flag: bool) -> String {
-    let word = if flag { "yes" } else { "no" };
-    word.to_owned()
+    let text = if flag { "yes" } else { "no" };
+    text.to_owned()
 }
--- a/src/cli/queries.rs
+++ b/src/cli/queries.rs
@@ -27,7 +27,7 @@
             }
             (kind, _) => {
                 let mut views = self.client.list(kind).await?;
-                views.sort_by(|one, other| one.key.cmp(&other.key));
+                views.sort_by(|left, right| left.key.cmp(&right.key));
                 self.presenter.resources(&views)
             }
         }
@@ -47,14 +47,14 @@
 
     /// Shows what was decided about a request.
     pub(super) async fn explain(&mut self, request: &str) -> Result<(), CliError> {
-        let nothing_known = || CliError::NothingRecorded {
+        let nothing_recorded = || CliError::NothingRecorded {
             request: request.to_owned(),
         };
         match self.client.explain(request).await {
-            Ok(view) if view.entries.is_empty() => Err(nothing_known()),
+            Ok(view) if view.entries.is_empty() => Err(nothing_recorded()),
             Ok(view) => self.presenter.explanation(&view),
             Err(CliError::Refused(refusal)) if refusal.reason == RefusalReason::Unknown => {
-                Err(nothing_known())
+                Err(nothing_recorded())
             }
             Err(error) => Err(error),
         }
--- a/src/cli/resource_file.rs
+++ b/src/cli/resource_file.rs
@@ -28,8 +28,8 @@
     for kind in ResourceKind::ALL {
         match table.get(kind.name()) {
             None => (),
-            Some(Value::Table(named)) => {
-                read_kind(kind, named, &mut resources, &mut mistakes);
+            Some(Value::Table(tables)) => {
+                read_kind(kind, tables, &mut resources, &mut mistakes);
             }
             Some(_) => mistakes.push(format!("{0}: expected tables [{0}.NAME]", kind.name())),
         }
@@ -58,11 +58,11 @@
 
 fn read_kind(
     kind: ResourceKind,
-    named: &Table,
+    tables: &Table,
     resources: &mut Vec<DeclaredResource>,
     mistakes: &mut Vec<String>,
 ) {
-    for (name, value) in named {
+    for (name, value) in tables {
         let path = format!("{}.{name}", kind.name());
         let Value::Table(fields) = value else {
             mistakes.push(format!("{path}: expected a table"));
@@ -98,22 +98,22 @@
 where
     S: DeserializeOwned,
 {
-    let whole = match deserialize::<S>(fields.clone()) {
+    let spec_error = match deserialize::<S>(fields.clone()) {
         Ok(spec) => return Ok(spec),
         Err(mistake) => mistake,
     };
-    let alone = fields.iter().filter_map(|(name, value)| {
+    let field_errors = fields.iter().filter_map(|(name, value)| {
         let field = Table::from_iter([(name.clone(), value.clone())]);
         deserialize::<S>(field).err()
     });
     // A field alone always fails: for the fields that are missing beside it,
     // which is said of the resource as a whole, or for a mistake of its own.
-    let mut mistakes = alone
+    let mut mistakes = field_errors
         .filter(|mistake| mistake.is_in_field)
         .map(|mistake| mistake.text)
         .collect::<Vec<_>>();
-    if !whole.is_in_field {
-        mistakes.push(whole.text);
+    if !spec_error.is_in_field {
+        mistakes.push(spec_error.text);
     }
     Err(mistakes)
 }
--- a/src/cli/rollout.rs
+++ b/src/cli/rollout.rs
@@ -41,14 +41,14 @@
 /// A host that cannot be reached counts with what it was last heard to have
 /// applied: it is not left out, since it may go on serving callers.
 pub fn rollout_progress(view: &ForceView, required: LogOffset) -> RolloutProgress {
-    let lags = |host: &&HostForceView| host.applied < required;
+    let is_behind = |host: &&HostForceView| host.applied < required;
     let reachable = view.hosts.iter().filter(|host| host.reachable);
     let unreachable = view.hosts.iter().filter(|host| !host.reachable);
     RolloutProgress {
         required,
         in_force: view.in_force,
-        done: view.in_force >= required && !view.hosts.iter().any(|host| lags(&host)),
-        behind: reachable.filter(lags).map(HostLag::of).collect(),
+        done: view.in_force >= required && !view.hosts.iter().any(|host| is_behind(&host)),
+        behind: reachable.filter(is_behind).map(HostLag::of).collect(),
         unreachable: unreachable.map(HostLag::of).collect(),
     }
 }
--- a/src/cli/table.rs
+++ b/src/cli/table.rs
@@ -1,7 +1,7 @@
 //! Aligned columns.
 
 /// Spaces between two columns.
-const GAP: usize = 2;
+const COLUMN_GAP: usize = 2;
 
 /// Rows of text under a header, aligned when written.
 pub(super) struct TextTable {
@@ -20,8 +20,12 @@
     where
         C: IntoIterator<Item = String>,
     {
-        self.rows
-            .push(cells.into_iter().map(|cell| visible(&cell)).collect());
+        self.rows.push(
+            cells
+                .into_iter()
+                .map(|cell| replace_control_characters(&cell))
+                .collect(),
+        );
     }
 
     /// The lines, aligned.
@@ -42,7 +46,7 @@
 fn align(row: &[String], widths: &[usize]) -> String {
     let mut line = String::new();
     for (cell, &width) in row.iter().zip(widths) {
-        let padding = width + GAP - cell.chars().count();
+        let padding = width + COLUMN_GAP - cell.chars().count();
         line.push_str(cell);
         line.extend(std::iter::repeat_n(' ', padding));
     }
@@ -51,6 +55,6 @@
 
 /// Replaces control characters: another operator's text could otherwise move
 /// the cursor and hide what this operator is about to decide on.
-fn visible(cell: &str) -> String {
+fn replace_control_characters(cell: &str) -> String {
     cell.replace(char::is_control, "?")
 }
--- a/src/cli/view.rs
+++ b/src/cli/view.rs
@@ -26,7 +26,7 @@
 
 impl StepOutcome {
     /// The outcome of a step that ended in an error.
-    pub(super) fn of_failure(error: &CliError) -> Self {
+    pub(super) fn from_error(error: &CliError) -> Self {
         match error {
             CliError::LostRace { .. } => Self::LostRace,
             _ => Self::Failed,
@@ -109,7 +109,7 @@
 }
 
 /// A plain value as a person reads it.
-pub(super) fn plain(value: &Value) -> String {
+pub(super) fn value_text(value: &Value) -> String {
     match value {
         Value::String(text) if !text.is_empty() => text.clone(),
         other => other.to_string(),
@@ -120,10 +120,15 @@
 pub(super) fn describe_field(change: &FieldChange) -> String {
     match (&change.before, &change.after) {
         (Some(before), Some(after)) => {
-            format!("{}: {} -> {}", change.field, plain(before), plain(after))
+            format!(
+                "{}: {} -> {}",
+                change.field,
+                value_text(before),
+                value_text(after)
+            )
         }
-        (None, Some(after)) => format!("{}: + {}", change.field, plain(after)),
-        (Some(before), None) => format!("{}: - {}", change.field, plain(before)),
+        (None, Some(after)) => format!("{}: + {}", change.field, value_text(after)),
+        (Some(before), None) => format!("{}: - {}", change.field, value_text(before)),
         (None, None) => change.field.clone(),
     }
 }
--- a/src/cli/watch.rs
+++ b/src/cli/watch.rs
@@ -25,19 +25,19 @@
     ) -> Result<(), CliError> {
         let deadline = Instant::now() + timeout;
         let mut required = version.map(|version| version.saturating_add(1));
-        let mut shown: Option<RolloutProgress> = None;
+        let mut last_shown: Option<RolloutProgress> = None;
         loop {
             let failure = match self.client.force().await {
                 Ok(view) => {
                     let required = *required.get_or_insert_with(|| newest_applied(&view));
                     let progress = rollout_progress(&view, required);
-                    if shown.as_ref() != Some(&progress) {
+                    if last_shown.as_ref() != Some(&progress) {
                         self.presenter.progress(&progress)?;
                     }
                     if progress.done {
                         return Ok(());
                     }
-                    shown = Some(progress);
+                    last_shown = Some(progress);
                     None
                 }
                 // A host that is replaced while one watches comes back or has a
@@ -48,7 +48,7 @@
                 Err(error) => return Err(error),
             };
             if Instant::now() + POLL_INTERVAL > deadline {
-                return Err(match (failure, shown) {
+                return Err(match (failure, last_shown) {
                     (None, Some(progress)) => CliError::NotInForce(progress),
                     (Some(error), _) => error,
                     (None, None) => CliError::Usage("no time to watch: raise --timeout".to_owned()),
--- a/src/options/platform.rs
+++ b/src/options/platform.rs
@@ -8,9 +8,9 @@
 
 const CHECKPOINT_RECORDS: NumberRange<u64> = NumberRange::new(10, 1_000_000, 1000);
 
-const HOUR: u64 = 60 * 60 * 1000;
-const YEAR: u64 = 8766 * HOUR;
-const RECORD_HORIZON: DurationRange = DurationRange::millis(HOUR, YEAR, 72 * HOUR);
+const HOUR_MS: u64 = 60 * 60 * 1000;
+const YEAR_MS: u64 = 8766 * HOUR_MS;
+const RECORD_HORIZON: DurationRange = DurationRange::millis(HOUR_MS, YEAR_MS, 72 * HOUR_MS);
 
 /// Where the platform is, and how often its log is condensed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/options/section.rs
+++ b/src/options/section.rs
@@ -11,7 +11,7 @@
 use super::{DocumentedKey, OptionMistake};
 
 /// Longest name of a host, availability zone or operator, in bytes.
-const MAX_NAME_LENGTH: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 /// Legal form of such a name.
 const NAME_FORM: &str = "1 to 64 letters, digits, '-', '_' or '.'";
 /// Legal form of an address.
@@ -28,7 +28,7 @@
 pub(super) struct SectionReader<'t> {
     path: String,
     table: &'t Table,
-    asked: Vec<DocumentedKey>,
+    requested: Vec<DocumentedKey>,
     nested: Vec<DocumentedKey>,
     mistakes: Vec<OptionMistake>,
 }
@@ -39,7 +39,7 @@
         Self {
             path,
             table,
-            asked: Vec::new(),
+            requested: Vec::new(),
             nested: Vec::new(),
             mistakes: Vec::new(),
         }
@@ -115,7 +115,7 @@
     where
         F: FnOnce(&Value) -> Option<T>,
     {
-        match self.ask(key, legal) {
+        match self.lookup(key, legal) {
             None => Some(default),
             Some(value) => self.parse(key, legal, value, parse),
         }
@@ -126,7 +126,7 @@
     where
         F: FnOnce(&Value) -> Option<T>,
     {
-        match self.ask(key, legal) {
+        match self.lookup(key, legal) {
             None => {
                 self.report_missing(key, legal);
                 None
@@ -155,11 +155,11 @@
         F: FnMut(&mut SectionReader<'_>) -> Option<T>,
     {
         let legal = "a list of tables";
-        let entries = match self.ask(key, legal) {
+        let entries = match self.lookup(key, legal) {
             None => return Some(Vec::new()),
             Some(Value::Array(entries)) => entries,
             Some(other) => {
-                self.report_bad(key, other, legal);
+                self.report_bad_value(key, other, legal);
                 return None;
             }
         };
@@ -212,8 +212,8 @@
         value
     }
 
-    fn ask(&mut self, key: &'static str, legal: &str) -> Option<&'t Value> {
-        self.asked.push(DocumentedKey {
+    fn lookup(&mut self, key: &'static str, legal: &str) -> Option<&'t Value> {
+        self.requested.push(DocumentedKey {
             section: self.path.clone(),
             key,
             legal: legal.to_owned(),
@@ -227,12 +227,12 @@
     {
         let parsed = parse(value);
         if parsed.is_none() {
-            self.report_bad(key, value, legal);
+            self.report_bad_value(key, value, legal);
         }
         parsed
     }
 
-    fn report_bad(&mut self, key: &str, found: &Value, legal: &str) {
+    fn report_bad_value(&mut self, key: &str, found: &Value, legal: &str) {
         let mistake = bad_value(&self.key_path(key), found, legal);
         self.mistakes.push(mistake);
     }
@@ -247,7 +247,7 @@
         documented: &mut Vec<DocumentedKey>,
         mistakes: &mut Vec<OptionMistake>,
     ) {
-        let names = self.asked.iter().map(|asked| asked.key);
+        let names = self.requested.iter().map(|requested| requested.key);
         let known = names.collect::<Vec<_>>();
         let unknown = self
             .table
@@ -259,7 +259,7 @@
                 known: known.join(", "),
             });
         }
-        documented.append(&mut self.asked);
+        documented.append(&mut self.requested);
         documented.append(&mut self.nested);
         mistakes.append(&mut self.mistakes);
     }
@@ -267,7 +267,7 @@
 
 fn is_name(name: &str) -> bool {
     let legal = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    (1..=MAX_NAME_LENGTH).contains(&name.len()) && name.bytes().all(legal)
+    (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(legal)
 }
 
 fn parse_address(value: &Value) -> Option<SocketAddr> {
@@ -283,13 +283,13 @@
 pub(super) fn bad_value(key: &str, found: &Value, legal: &str) -> OptionMistake {
     OptionMistake::BadValue {
         key: key.to_owned(),
-        found: shown(found),
+        found: display_value(found),
         legal: legal.to_owned(),
     }
 }
 
 /// The value as a mistake shows it.
-fn shown(value: &Value) -> String {
+fn display_value(value: &Value) -> String {
     match value {
         Value::Table(_) => "a table".to_owned(),
         Value::Array(_) => "a list".to_owned(),
--- a/src/options/startup.rs
+++ b/src/options/startup.rs
@@ -61,16 +61,16 @@
 }
 
 fn load(path: &Path, check_only: bool) -> StartupAction {
-    let shown = path.display();
+    let file = path.display();
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
-        Err(error) => return fail(format!("{shown}: cannot be read: {error}")),
+        Err(error) => return fail(format!("{file}: cannot be read: {error}")),
     };
     match DaemonOptions::from_toml(&text) {
-        Ok(_) if check_only => StartupAction::Print(format!("{shown}: valid\n")),
+        Ok(_) if check_only => StartupAction::Print(format!("{file}: valid\n")),
         Ok(options) => StartupAction::Run(Box::new(options)),
         Err(error) => fail(format!(
-            "{shown}: {error}\nSee `jackdawwickd --print-sample` for every key."
+            "{file}: {error}\nSee `jackdawwickd --print-sample` for every key."
         )),
     }
 }
--- a/src/options/timing.rs
+++ b/src/options/timing.rs
@@ -5,25 +5,25 @@
 use super::range::{DurationRange, NumberRange};
 use super::section::SectionReader;
 
-const SECOND: u64 = 1000;
-const MINUTE: u64 = 60 * SECOND;
-const HOUR: u64 = 60 * MINUTE;
-const DAY: u64 = 24 * HOUR;
+const SECOND_MS: u64 = 1000;
+const MINUTE_MS: u64 = 60 * SECOND_MS;
+const HOUR_MS: u64 = 60 * MINUTE_MS;
+const DAY_MS: u64 = 24 * HOUR_MS;
 
-const HEARTBEAT_INTERVAL: DurationRange = DurationRange::millis(20, 10 * SECOND, 500);
-const PEER_TIMEOUT: DurationRange = DurationRange::millis(50, MINUTE, 2 * SECOND);
-const HOST_LIST_INTERVAL: DurationRange = DurationRange::millis(20, MINUTE, SECOND);
-const LOAD_INTERVAL: DurationRange = DurationRange::millis(20, MINUTE, SECOND);
-const LOG_WAIT: DurationRange = DurationRange::millis(10, 30 * SECOND, SECOND);
-const DEFAULT_DEADLINE: DurationRange = DurationRange::millis(100, HOUR, 30 * SECOND);
-const IDEMPOTENCY_WINDOW: DurationRange = DurationRange::millis(MINUTE, 30 * DAY, DAY);
-const CLAIM_TIMEOUT: DurationRange = DurationRange::millis(50, MINUTE, 2 * SECOND);
-const CLOCK_SKEW: DurationRange = DurationRange::millis(0, HOUR, 30 * SECOND);
-const STEP_TIMEOUT: DurationRange = DurationRange::millis(20, 5 * MINUTE, 2 * SECOND);
-const CONNECT_TIMEOUT: DurationRange = DurationRange::millis(10, 30 * SECOND, 300);
-const LEASE_DURATION: DurationRange = DurationRange::millis(200, 5 * MINUTE, 5 * SECOND);
+const HEARTBEAT_INTERVAL: DurationRange = DurationRange::millis(20, 10 * SECOND_MS, 500);
+const PEER_TIMEOUT: DurationRange = DurationRange::millis(50, MINUTE_MS, 2 * SECOND_MS);
+const HOST_LIST_INTERVAL: DurationRange = DurationRange::millis(20, MINUTE_MS, SECOND_MS);
+const LOAD_INTERVAL: DurationRange = DurationRange::millis(20, MINUTE_MS, SECOND_MS);
+const LOG_WAIT: DurationRange = DurationRange::millis(10, 30 * SECOND_MS, SECOND_MS);
+const DEFAULT_DEADLINE: DurationRange = DurationRange::millis(100, HOUR_MS, 30 * SECOND_MS);
+const IDEMPOTENCY_WINDOW: DurationRange = DurationRange::millis(MINUTE_MS, 30 * DAY_MS, DAY_MS);
+const CLAIM_TIMEOUT: DurationRange = DurationRange::millis(50, MINUTE_MS, 2 * SECOND_MS);
+const CLOCK_SKEW: DurationRange = DurationRange::millis(0, HOUR_MS, 30 * SECOND_MS);
+const STEP_TIMEOUT: DurationRange = DurationRange::millis(20, 5 * MINUTE_MS, 2 * SECOND_MS);
+const CONNECT_TIMEOUT: DurationRange = DurationRange::millis(10, 30 * SECOND_MS, 300);
+const LEASE_DURATION: DurationRange = DurationRange::millis(200, 5 * MINUTE_MS, 5 * SECOND_MS);
 const CLOCK_RATE_MARGIN: NumberRange<f64> = NumberRange::new(0.0, 0.5, 0.01);
-const DRAIN_TIMEOUT: DurationRange = DurationRange::millis(100, HOUR, MINUTE);
+const DRAIN_TIMEOUT: DurationRange = DurationRange::millis(100, HOUR_MS, MINUTE_MS);
 
 /// Intervals, timeouts and windows.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -73,24 +73,24 @@
     let lease_duration = section.duration("lease_duration", LEASE_DURATION);
     let clock_rate_margin = section.fraction("clock_rate_margin", CLOCK_RATE_MARGIN);
     let drain_timeout = section.duration("drain_timeout", DRAIN_TIMEOUT);
-    check_pairs(
+    check_constraints(
         section,
         &[
             // With less than two heartbeats in the timeout, one lost heartbeat
             // makes a healthy peer look unreachable and its grants look free.
-            PairRule {
+            DurationConstraint {
                 key: "peer_timeout",
                 found: peer_timeout,
                 holds: peer_timeout >= heartbeat_interval.map(|interval| 2 * interval),
                 legal: "at least twice timing.heartbeat_interval",
             },
-            PairRule {
+            DurationConstraint {
                 key: "connect_timeout",
                 found: connect_timeout,
                 holds: step_timeout.is_none() || connect_timeout <= step_timeout,
                 legal: "at most timing.step_timeout",
             },
-            PairRule {
+            DurationConstraint {
                 key: "claim_timeout",
                 found: claim_timeout,
                 holds: default_deadline.is_none() || claim_timeout <= default_deadline,
@@ -117,7 +117,7 @@
 }
 
 /// A rule on a duration that only makes sense in relation to another one.
-struct PairRule {
+struct DurationConstraint {
     key: &'static str,
     found: Option<Duration>,
     holds: bool,
@@ -126,11 +126,11 @@
 
 /// Reports the rules that do not hold; a duration that is itself a mistake is
 /// not judged against another.
-fn check_pairs(section: &mut SectionReader<'_>, rules: &[PairRule]) {
-    for rule in rules.iter().filter(|rule| !rule.holds) {
-        if let Some(found) = rule.found {
+fn check_constraints(section: &mut SectionReader<'_>, constraints: &[DurationConstraint]) {
+    for constraint in constraints.iter().filter(|constraint| !constraint.holds) {
+        if let Some(found) = constraint.found {
             let found = humantime::format_duration(found);
-            section.report_conflict(rule.key, &found, rule.legal);
+            section.report_conflict(constraint.key, &found, constraint.legal);
         }
     }
 }
--- a/tests/api/bounds.rs
+++ b/tests/api/bounds.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::server::{
-    BEARER, BODY, CannedBackend, eventually, exchange, in_time, raw_generation, raw_head,
+    BEARER, BODY, StubBackend, eventually, in_time, raw_generation, raw_head, send_and_read_all,
 };
 use http::{Method, StatusCode};
 use jackdawwick::api::wire::StreamEvent;
@@ -17,15 +17,15 @@
 #[tokio::test]
 async fn a_body_beyond_the_bound_is_refused() {
     const BOUND: usize = 1 << 20;
-    let server = CannedBackend::default()
-        .bounded(|bounds| bounds.body_bytes = BOUND)
+    let server = StubBackend::default()
+        .with_bounds(|bounds| bounds.body_bytes = BOUND)
         .serve();
     let reply = server.generate(&[BEARER], &" ".repeat(BOUND + 1)).await;
     assert_eq!(reply.status, StatusCode::PAYLOAD_TOO_LARGE);
     assert_eq!(reply.refusal().verdict, RunVerdict::NotRun);
     let long = raw_head("/v1/generate", 4 * BOUND) + &" ".repeat(4 * BOUND);
-    let answer = exchange(&mut server.connect().await, long.as_bytes()).await;
-    assert!(answer.starts_with("HTTP/1.1 413 "), "{answer:?}");
+    let response = send_and_read_all(&mut server.connect().await, long.as_bytes()).await;
+    assert!(response.starts_with("HTTP/1.1 413 "), "{response:?}");
     let padded = " ".repeat(BOUND - BODY.len()) + BODY;
     let reply = server.generate(&[BEARER], &padded).await;
     assert_eq!(reply.status, StatusCode::OK);
@@ -36,26 +36,26 @@
 /// Sequence: a caller sends nothing, half a head, or half a body, and waits.
 /// Cause: reading was not bounded in time.
 #[tokio::test]
-async fn slow_senders_are_cut_off() {
-    let server = CannedBackend::default()
-        .bounded(|bounds| {
+async fn slow_senders_are_disconnected() {
+    let server = StubBackend::default()
+        .with_bounds(|bounds| {
             bounds.head_timeout = Duration::from_millis(50);
             bounds.body_timeout = Duration::from_millis(50);
         })
         .serve();
-    exchange(&mut server.connect().await, b"").await;
-    exchange(&mut server.connect().await, b"POST /v1/gen").await;
+    send_and_read_all(&mut server.connect().await, b"").await;
+    send_and_read_all(&mut server.connect().await, b"POST /v1/gen").await;
     let half = raw_head("/v1/generate", BODY.len()) + &BODY[..9];
-    let answer = exchange(&mut server.connect().await, half.as_bytes()).await;
-    assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
-    assert!(answer.contains("\"not_run\""), "{answer}");
+    let response = send_and_read_all(&mut server.connect().await, half.as_bytes()).await;
+    assert!(response.starts_with("HTTP/1.1 408 "), "{response}");
+    assert!(response.contains("\"not_run\""), "{response}");
 }
 
 /// Heads that cannot be read are answered by the HTTP library without a body,
 /// and HTTP/2, whose callers could not read the answer, by closing.
 #[tokio::test]
-async fn bytes_that_are_no_request_are_refused() {
-    let server = CannedBackend::default().serve();
+async fn invalid_or_oversized_heads_are_refused() {
+    let server = StubBackend::default().serve();
     let large = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(17 << 10));
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(65));
     let cases = [
@@ -64,20 +64,27 @@
         (many.as_str(), "HTTP/1.1 431 "),
         ("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", ""),
     ];
-    for (bytes, begin) in cases {
-        let answer = exchange(&mut server.connect().await, bytes.as_bytes()).await;
-        assert!(answer.starts_with(begin), "{bytes:.40?}: {answer:?}");
-        assert_eq!(answer.is_empty(), begin.is_empty(), "{answer:?}");
+    for (bytes, start_request) in cases {
+        let response = send_and_read_all(&mut server.connect().await, bytes.as_bytes()).await;
+        assert!(
+            response.starts_with(start_request),
+            "{bytes:.40?}: {response:?}"
+        );
+        assert_eq!(
+            response.is_empty(),
+            start_request.is_empty(),
+            "{response:?}"
+        );
     }
 }
 
 #[tokio::test]
-async fn connections_beyond_the_bound_are_told_so() {
+async fn connections_beyond_the_bound_get_429() {
     let (sender, receiver) = mpsc::channel(1);
-    let server = CannedBackend::streaming(receiver)
-        .bounded(|bounds| bounds.connections = 1)
+    let server = StubBackend::streaming(receiver)
+        .with_bounds(|bounds| bounds.connections = 1)
         .serve();
-    let first = server.begin(&raw_generation()).await;
+    let first = server.start_request(&raw_generation()).await;
     eventually("the first call begins", || {
         !server.seen.generations.lock().is_empty()
     })
@@ -95,12 +102,12 @@
 /// Cause: the system offers the bytes again and again, for as long as the
 /// caller's system says that it has no room.
 #[tokio::test]
-async fn a_caller_that_stops_reading_is_cut_off() {
+async fn a_caller_that_stops_reading_is_disconnected() {
     let (sender, receiver) = mpsc::channel(64);
-    let server = CannedBackend::streaming(receiver)
-        .bounded(|bounds| bounds.stall_timeout = Duration::from_millis(50))
+    let server = StubBackend::streaming(receiver)
+        .with_bounds(|bounds| bounds.stall_timeout = Duration::from_millis(50))
         .serve();
-    let caller = server.begin(&raw_generation()).await;
+    let caller = server.start_request(&raw_generation()).await;
     in_time(async {
         let event = StreamEvent::Token {
             number: 0,
--- a/tests/api/callers.rs
+++ b/tests/api/callers.rs
@@ -6,7 +6,7 @@
 
 use crate::client::Headers;
 use crate::server::{
-    BEARER, BODY, CannedBackend, eventually, exchange, in_time, raw_generation, raw_head,
+    BEARER, BODY, StubBackend, eventually, in_time, raw_generation, raw_head, send_and_read_all,
 };
 use futures::FutureExt;
 use http::{Method, StatusCode};
@@ -25,7 +25,7 @@
 
 #[tokio::test]
 async fn an_answer_is_streamed_event_by_event() {
-    let server = CannedBackend::default().serve();
+    let server = StubBackend::default().serve();
     let headers = [
         BEARER,
         ("x-request-id", "r-1"),
@@ -45,8 +45,8 @@
 }
 
 #[tokio::test]
-async fn a_service_answers_through_unchanged() {
-    let server = CannedBackend::default().serve();
+async fn service_responses_are_passed_through_unchanged() {
+    let server = StubBackend::default().serve();
     let path = "/v1/services/ledger/charge";
     let reply = server.send(Method::POST, path, &[BEARER], "raw").await;
     assert_eq!(reply.status.as_u16(), 418);
@@ -61,7 +61,7 @@
 /// backend.
 #[tokio::test]
 async fn malformed_calls_are_refused_with_a_typed_body() {
-    let server = CannedBackend::default().serve();
+    let server = StubBackend::default().serve();
     let long = "x".repeat(129);
     let no_prompt = r#"{"model":"m","prompt":[],"max_tokens":1}"#;
     let no_tokens = r#"{"model":"m","prompt":[1],"max_tokens":0}"#;
@@ -113,7 +113,7 @@
             verdict,
             ..RefusalBody::not_run(reason, "told").retry_after(Duration::from_millis(1001))
         };
-        let server = CannedBackend::refusing(refusal).serve();
+        let server = StubBackend::refusing(refusal).serve();
         let headers = [BEARER, ("x-request-id", "r-9")];
         let reply = server.generate(&headers, BODY).await;
         assert_eq!(reply.status.as_u16(), status, "{reason:?}");
@@ -127,9 +127,9 @@
 
 #[tokio::test]
 async fn a_draining_daemon_is_healthy_but_not_ready() {
-    let backend = CannedBackend {
+    let backend = StubBackend {
         ready: false,
-        ..CannedBackend::default()
+        ..StubBackend::default()
     };
     let server = backend.serve();
     let healthy = server.send(Method::GET, "/healthz", &[], "").await;
@@ -144,11 +144,11 @@
 /// Cause: its channel closes without a last event and the stream ends as if
 /// nothing had happened.
 #[tokio::test]
-async fn an_answer_that_breaks_off_says_so() {
+async fn an_interrupted_stream_ends_with_an_error_event() {
     let (sender, receiver) = mpsc::channel(4);
     sender.try_send(TOKEN).expect("the channel has room");
     drop(sender);
-    let server = CannedBackend::streaming(receiver).serve();
+    let server = StubBackend::streaming(receiver).serve();
     let reply = server.generate(&[BEARER], BODY).await;
     let last = reply.text().trim_end().rsplit("data: ").next();
     let event: StreamEvent = serde_json::from_str(last.expect("an event")).expect("JSON");
@@ -162,11 +162,11 @@
 /// Sequence: a caller reads one event and closes its connection.
 /// Cause: the backend was not told.
 #[tokio::test]
-async fn a_caller_that_goes_away_is_noticed() {
+async fn a_disconnected_caller_closes_the_event_channel() {
     let (sender, receiver) = mpsc::channel(4);
     sender.try_send(TOKEN).expect("the channel has room");
-    let server = CannedBackend::streaming(receiver).serve();
-    let mut caller = server.begin(&raw_generation()).await;
+    let server = StubBackend::streaming(receiver).serve();
+    let mut caller = server.start_request(&raw_generation()).await;
     let mut seen = String::new();
     while !seen.contains("data: ") {
         let mut bytes = [0; 512];
@@ -180,15 +180,15 @@
 
 /// What became of a call.
 #[derive(Default)]
-struct CallFate {
+struct CallOutcome {
     told: AtomicBool,
     ended: AtomicBool,
     dropped: AtomicBool,
 }
 
-struct FateGuard(Arc<CallFate>);
+struct OutcomeGuard(Arc<CallOutcome>);
 
-impl Drop for FateGuard {
+impl Drop for OutcomeGuard {
     fn drop(&mut self) {
         self.0.dropped.store(true, Ordering::SeqCst);
     }
@@ -199,14 +199,14 @@
 /// Cause: the call was dropped with its connection, between its claim and its
 /// answer.
 #[tokio::test]
-async fn a_service_call_outlives_its_caller_and_is_told() {
+async fn a_service_call_outlives_its_caller_and_is_notified() {
     let release = Arc::new(Notify::new());
-    let fate = Arc::new(CallFate::default());
-    let (gate, watched) = (release.clone(), fate.clone());
-    let backend = CannedBackend {
+    let outcome = Arc::new(CallOutcome::default());
+    let (gate, observed) = (release.clone(), outcome.clone());
+    let backend = StubBackend {
         call_service: Arc::new(move |call| {
             let gate = gate.clone();
-            let guard = FateGuard(watched.clone());
+            let guard = OutcomeGuard(observed.clone());
             async move {
                 call.caller_disconnected.cancelled().await;
                 guard.0.told.store(true, Ordering::SeqCst);
@@ -216,26 +216,26 @@
             }
             .boxed()
         }),
-        ..CannedBackend::default()
+        ..StubBackend::default()
     };
     let server = backend.serve();
     let caller = server
-        .begin(&raw_head("/v1/services/ledger/charge", 0))
+        .start_request(&raw_head("/v1/services/ledger/charge", 0))
         .await;
     eventually("the call begins", || {
         !server.seen.services.lock().is_empty()
     })
     .await;
-    assert!(!fate.told.load(Ordering::SeqCst));
+    assert!(!outcome.told.load(Ordering::SeqCst));
     drop(caller);
-    eventually("the call is told", || fate.told.load(Ordering::SeqCst)).await;
-    assert!(!fate.dropped.load(Ordering::SeqCst));
+    eventually("the call is told", || outcome.told.load(Ordering::SeqCst)).await;
+    assert!(!outcome.dropped.load(Ordering::SeqCst));
     let mut closing = tokio::spawn(server.handle.shutdown());
     let early = timeout(Duration::from_millis(50), &mut closing).await;
     assert!(early.is_err(), "closed before the call had ended");
     release.notify_one();
     in_time(closing).await.expect("no panic");
-    assert!(fate.ended.load(Ordering::SeqCst));
+    assert!(outcome.ended.load(Ordering::SeqCst));
 }
 
 /// Symptom: a restart of the daemon cuts answers short.
@@ -244,9 +244,9 @@
 #[tokio::test]
 async fn shutdown_waits_for_the_streams_in_flight() {
     let (sender, receiver) = mpsc::channel(4);
-    let server = CannedBackend::streaming(receiver).serve();
+    let server = StubBackend::streaming(receiver).serve();
     let address = server.handle.local_address();
-    let mut caller = server.begin(&raw_generation()).await;
+    let mut caller = server.start_request(&raw_generation()).await;
     eventually("the call begins", || {
         !server.seen.generations.lock().is_empty()
     })
@@ -261,16 +261,19 @@
     assert!(!closing.is_finished());
     let last = StreamEvent::Done { count: 0 };
     sender.send(last).await.expect("the caller is there");
-    let answer = exchange(&mut caller, b"").await;
-    assert!(answer.contains(r#"{"event":"done","count":0}"#), "{answer}");
+    let response = send_and_read_all(&mut caller, b"").await;
+    assert!(
+        response.contains(r#"{"event":"done","count":0}"#),
+        "{response}"
+    );
     in_time(closing).await.expect("no panic");
 }
 
 #[tokio::test]
-async fn an_endpoint_that_panics_is_answered_for() {
-    let backend = CannedBackend {
+async fn a_panicking_endpoint_returns_a_refusal() {
+    let backend = StubBackend {
         generate: Arc::new(|_| async { panic!("a fault of the daemon") }.boxed()),
-        ..CannedBackend::default()
+        ..StubBackend::default()
     };
     let reply = backend.serve().generate(&[BEARER], BODY).await;
     assert_eq!(reply.status, StatusCode::GATEWAY_TIMEOUT);
--- a/tests/api/client.rs
+++ b/tests/api/client.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 /// Time after which a test that waits has failed.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Names and values of headers.
 pub(crate) type Headers<'a> = &'a [(&'a str, &'a str)];
@@ -59,9 +59,9 @@
         .body(Full::new(Bytes::copy_from_slice(body.as_bytes())))
         .expect("a request");
     let client = Client::builder(TokioExecutor::new()).build_http();
-    let answer = async {
-        let answer = client.request(request).await.expect("an answer");
-        let (parts, body) = answer.into_parts();
+    let response = async {
+        let response = client.request(request).await.expect("an answer");
+        let (parts, body) = response.into_parts();
         let body = body.collect().await.expect("a whole body").to_bytes();
         Reply {
             status: parts.status,
@@ -69,5 +69,7 @@
             body,
         }
     };
-    timeout(PATIENCE, answer).await.expect("an answer in time")
+    timeout(TEST_TIMEOUT, response)
+        .await
+        .expect("an answer in time")
 }
--- a/tests/api/operators.rs
+++ b/tests/api/operators.rs
@@ -21,7 +21,7 @@
 const BEARER: Headers<'_> = &[("authorization", "Bearer nino-token")];
 const LEDGER: &str = "/v1/resources/service/ledger";
 /// Version of the ledger service that stands.
-const STANDING: u64 = 41;
+const CURRENT_VERSION: u64 = 41;
 
 /// An operators' listener and the changes that reached its backend.
 struct TestServer {
@@ -43,14 +43,14 @@
             targets: vec!["vake-9".into()],
             non_idempotent: Vec::new(),
         }),
-        version: STANDING,
+        version: CURRENT_VERSION,
         operator: "nino".into(),
     }
 }
 
 fn lost_race() -> ChangeRefusal {
     ChangeRefusal::Conflict(ConflictBody {
-        winner: Some(STANDING),
+        winner: Some(CURRENT_VERSION),
         operator: Some("giorgi".into()),
         message: "read the resource and apply again".into(),
     })
@@ -76,9 +76,9 @@
             ready((found.key == key).then_some(found).ok_or_else(unknown)).boxed()
         }),
         apply: Arc::new(move |call: ApplyCall| {
-            let accepted = call.body.based_on == Some(STANDING);
+            let accepted = call.body.based_on == Some(CURRENT_VERSION);
             seen.lock().push(call);
-            let version = STANDING + 1;
+            let version = CURRENT_VERSION + 1;
             ready(
                 accepted
                     .then_some(AcceptedBody { version })
@@ -87,8 +87,8 @@
             .boxed()
         }),
         delete: Arc::new(|call| {
-            let accepted = call.based_on == STANDING;
-            let version = STANDING + 1;
+            let accepted = call.based_on == CURRENT_VERSION;
+            let version = CURRENT_VERSION + 1;
             ready(
                 accepted
                     .then_some(AcceptedBody { version })
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn every_path_asks_who_calls() {
+async fn every_path_requires_a_known_token() {
     let server = serve();
     let cases = [
         (Method::GET, "/v1/resources"),
@@ -164,7 +164,7 @@
 }
 
 #[tokio::test]
-async fn a_change_is_accepted_or_told_who_won() {
+async fn a_change_is_accepted_or_names_the_winner() {
     let server = serve();
     let change = |based_on: &str| {
         format!(r#"{{"spec":{{"service":{{"targets":["t"]}}}},"based_on":{based_on}}}"#)
@@ -193,7 +193,7 @@
 
 /// What is wrong by itself is refused before the backend sees it.
 #[tokio::test]
-async fn a_wrong_change_is_malformed() {
+async fn a_malformed_change_is_refused() {
     let server = serve();
     let cases = [
         (Method::PUT, LEDGER, "{"),
--- a/tests/api/server.rs
+++ b/tests/api/server.rs
@@ -19,7 +19,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use crate::client::{Headers, PATIENCE, Reply, send};
+use crate::client::{Headers, Reply, TEST_TIMEOUT, send};
 
 /// Authorization of the organisation `office`.
 pub(crate) const BEARER: (&str, &str) = ("authorization", "Bearer office-token");
@@ -34,17 +34,17 @@
 }
 
 /// A backend to be varied by a test.
-pub(crate) struct CannedBackend {
+pub(crate) struct StubBackend {
     pub(crate) generate: AsyncCall<GenerateCall, Result<GenerateStream, RefusalBody>>,
     pub(crate) call_service: AsyncCall<ServiceCall, Result<ServiceResponse, RefusalBody>>,
     pub(crate) ready: bool,
     pub(crate) bounds: ApiBounds,
 }
 
-impl Default for CannedBackend {
+impl Default for StubBackend {
     fn default() -> Self {
         Self {
-            generate: Arc::new(|call| whole_answer(call).boxed()),
+            generate: Arc::new(|call| complete_stream(call).boxed()),
             call_service: Arc::new(|call| echo(call).boxed()),
             ready: true,
             bounds: ApiBounds::default(),
@@ -52,7 +52,7 @@
     }
 }
 
-impl CannedBackend {
+impl StubBackend {
     /// Refuses every generation.
     pub(crate) fn refusing(refusal: RefusalBody) -> Self {
         Self {
@@ -74,7 +74,7 @@
     }
 
     /// The bounds changed.
-    pub(crate) fn bounded<F>(mut self, change: F) -> Self
+    pub(crate) fn with_bounds<F>(mut self, change: F) -> Self
     where
         F: FnOnce(&mut ApiBounds),
     {
@@ -110,7 +110,7 @@
     }
 }
 
-async fn whole_answer(call: GenerateCall) -> Result<GenerateStream, RefusalBody> {
+async fn complete_stream(call: GenerateCall) -> Result<GenerateStream, RefusalBody> {
     let (sender, receiver) = mpsc::channel(8);
     let events = [
         StreamEvent::Started {
@@ -162,7 +162,7 @@
     }
 
     /// Opens a connection, sends a request and does not wait for the answer.
-    pub(crate) async fn begin(&self, request: &str) -> TcpStream {
+    pub(crate) async fn start_request(&self, request: &str) -> TcpStream {
         let mut caller = self.connect().await;
         let sent = caller.write_all(request.as_bytes()).await;
         sent.expect("bytes are taken");
@@ -192,14 +192,14 @@
 }
 
 /// Sends bytes and reads until the listener closes.
-pub(crate) async fn exchange(stream: &mut TcpStream, bytes: &[u8]) -> String {
+pub(crate) async fn send_and_read_all(stream: &mut TcpStream, bytes: &[u8]) -> String {
     stream.write_all(bytes).await.expect("bytes are taken");
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     // A reset after the answer is an end too; what counts is what came before.
-    let _ = timeout(PATIENCE, stream.read_to_end(&mut answer))
+    let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut response))
         .await
         .expect("the listener closes in time");
-    String::from_utf8_lossy(&answer).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 /// Waits for something that must come.
@@ -207,7 +207,7 @@
 where
     F: Future,
 {
-    timeout(PATIENCE, future).await.expect("in time")
+    timeout(TEST_TIMEOUT, future).await.expect("in time")
 }
 
 /// Waits until a condition holds.
@@ -220,5 +220,5 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    assert!(timeout(PATIENCE, waiting).await.is_ok(), "{what}");
+    assert!(timeout(TEST_TIMEOUT, waiting).await.is_ok(), "{what}");
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -59,20 +59,23 @@
     changes: Vec<String>,
     /// Another operator's change, which arrives just before the next change of
     /// the same resource.
-    rival: Option<ResourceView>,
+    concurrent_change: Option<ResourceView>,
     /// Answers about force; the last one stays.
     force: VecDeque<ForceView>,
 }
 
 impl FakeState {
-    fn judge(
+    fn accept_change(
         &mut self,
         key: &ResourceKey,
         based_on: Option<u64>,
     ) -> Result<AcceptedBody, ChangeRefusal> {
         self.changes.push(key.to_string());
-        if let Some(rival) = self.rival.take_if(|rival| rival.key == *key) {
-            self.resources.insert(key.clone(), rival);
+        if let Some(concurrent_change) = self
+            .concurrent_change
+            .take_if(|concurrent_change| concurrent_change.key == *key)
+        {
+            self.resources.insert(key.clone(), concurrent_change);
         }
         let present = self.resources.get(key);
         if present.map(|view| view.version) != based_on {
@@ -89,14 +92,14 @@
     }
 
     fn apply(&mut self, call: ApplyCall) -> Result<AcceptedBody, ChangeRefusal> {
-        let accepted = self.judge(&call.key, call.body.based_on)?;
+        let accepted = self.accept_change(&call.key, call.body.based_on)?;
         let view = view(&call.key, call.body.spec, accepted.version, &call.operator);
         self.resources.insert(call.key, view);
         Ok(accepted)
     }
 
     fn delete(&mut self, call: &DeleteCall) -> Result<AcceptedBody, ChangeRefusal> {
-        let accepted = self.judge(&call.key, Some(call.based_on))?;
+        let accepted = self.accept_change(&call.key, Some(call.based_on))?;
         self.resources.remove(&call.key);
         Ok(accepted)
     }
@@ -283,8 +286,8 @@
     KIND    NAME  VERSION  OPERATOR  SUMMARY
     target  e1    1        ana       127.0.0.1:7001 in a
     "#);
-    let one = daemon.run(&["get", "organisation", "desk"]).await;
-    insta::assert_snapshot!(one.output, @r#"
+    let resource = daemon.run(&["get", "organisation", "desk"]).await;
+    insta::assert_snapshot!(resource.output, @r#"
     FIELD                              VALUE
     version                            7
     operator                           ana
@@ -303,7 +306,7 @@
     daemon.apply(FILE, &[]).await;
     let key = ResourceKey::new(ResourceKind::Model, "reader");
     let spec = daemon.state.lock().resources[&key].spec.clone();
-    daemon.state.lock().rival = Some(view(&key, spec, 99, "boris"));
+    daemon.state.lock().concurrent_change = Some(view(&key, spec, 99, "boris"));
     let next = FILE
         .replace("layers = 4", "layers = 5")
         .replace("requests_per_second = 20", "requests_per_second = 30");
@@ -479,7 +482,7 @@
 /// that did. Sequence: the change arrives and the connection breaks before the
 /// answer. Cause: a broken connection was told like one that never opened.
 #[tokio::test]
-async fn a_lost_answer_is_told_apart_from_a_server_that_is_not_there() {
+async fn a_lost_response_differs_from_an_unreachable_server() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("port");
     let server = listener.local_addr().expect("address");
     let reader = std::thread::spawn(move || {
@@ -526,7 +529,9 @@
 fn the_sample_of_resources_is_valid_and_names_every_kind() {
     let resources = parse_resources(include_str!("../docs/resources.toml")).unwrap_or_default();
     for kind in ResourceKind::ALL {
-        let named = resources.iter().filter(|one| one.key.kind == kind);
+        let named = resources
+            .iter()
+            .filter(|resource| resource.key.kind == kind);
         assert!(named.count() > 0, "{}", kind.name());
     }
 }
--- a/tests/options.rs
+++ b/tests/options.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_lone_section_that_is_no_table_is_named() {
+fn a_section_that_is_not_a_table_is_reported() {
     let error = DaemonOptions::from_toml("timing = 3").expect_err("no table");
     let shown = error.to_string();
     assert!(shown.contains("timing: 3 is not allowed, expected a table"));
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn broken_toml_names_its_line() {
+fn invalid_toml_reports_its_line() {
     let shown = mistakes("token = secret");
     assert!(shown.contains("line 11: not valid TOML: "), "{shown}");
     assert!(!shown.contains("secret"), "{shown}");
