--- a/tests/api/bounds.rs
+++ b/tests/api/bounds.rs
@@ -64,17 +64,13 @@
         (many.as_str(), "HTTP/1.1 431 "),
         ("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", ""),
     ];
-    for (bytes, start_request) in cases {
+    for (bytes, status_line) in cases {
         let response = send_and_read_all(&mut server.connect().await, bytes.as_bytes()).await;
         assert!(
-            response.starts_with(start_request),
+            response.starts_with(status_line),
             "{bytes:.40?}: {response:?}"
         );
-        assert_eq!(
-            response.is_empty(),
-            start_request.is_empty(),
-            "{response:?}"
-        );
+        assert_eq!(response.is_empty(), status_line.is_empty(), "{response:?}");
     }
 }
 
--- a/tests/api/callers.rs
+++ b/tests/api/callers.rs
@@ -181,7 +181,7 @@
 /// What became of a call.
 #[derive(Default)]
 struct CallOutcome {
-    told: AtomicBool,
+    caller_disconnected: AtomicBool,
     ended: AtomicBool,
     dropped: AtomicBool,
 }
@@ -209,7 +209,7 @@
             let guard = OutcomeGuard(observed.clone());
             async move {
                 call.caller_disconnected.cancelled().await;
-                guard.0.told.store(true, Ordering::SeqCst);
+                guard.0.caller_disconnected.store(true, Ordering::SeqCst);
                 gate.notified().await;
                 guard.0.ended.store(true, Ordering::SeqCst);
                 Err(RefusalBody::not_run(RefusalReason::NoRoute, "none"))
@@ -226,9 +226,12 @@
         !server.seen.services.lock().is_empty()
     })
     .await;
-    assert!(!outcome.told.load(Ordering::SeqCst));
+    assert!(!outcome.caller_disconnected.load(Ordering::SeqCst));
     drop(caller);
-    eventually("the call is told", || outcome.told.load(Ordering::SeqCst)).await;
+    eventually("the call is told", || {
+        outcome.caller_disconnected.load(Ordering::SeqCst)
+    })
+    .await;
     assert!(!outcome.dropped.load(Ordering::SeqCst));
     let mut closing = tokio::spawn(server.handle.shutdown());
     let early = timeout(Duration::from_millis(50), &mut closing).await;
