--- a/src/api.rs
+++ b/src/api.rs
@@ -1,8 +1,8 @@
-//! The HTTP interfaces towards callers and operators.
+//! The HTTP interfaces for callers and operators.
 //!
-//! A thin layer of presentation: it checks who calls and whether the call is
-//! well formed, hands a typed call to a backend of closures and puts the typed
-//! result into HTTP. It knows none of the daemon's tables.
+//! A thin presentation layer: it authenticates and validates each call, passes it as a
+//! typed value to a backend made of closures, and converts the typed result into an HTTP
+//! response. It has no access to the daemon's tables.
 
 pub mod backend;
 mod body;
--- a/src/api/backend.rs
+++ b/src/api/backend.rs
@@ -1,4 +1,4 @@
-//! What the HTTP interfaces ask of the daemon: closures over typed calls.
+//! Functions that the HTTP interfaces need from the daemon: closures over typed calls.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -16,140 +16,140 @@
 use crate::ids::{IdempotencyKey, LogOffset, OperatorId, OrganisationId, RequestId, ServiceId};
 use crate::resources::ResourceKey;
 
-/// An asynchronous function shared by all connections.
+/// Asynchronous function shared by all connections.
 pub type AsyncCall<C, R> = Arc<dyn Fn(C) -> BoxFuture<'static, R> + Send + Sync>;
 
-/// A function that answers at once from memory.
+/// Synchronous function that returns data from memory.
 pub type SyncQuery<R> = Arc<dyn Fn() -> R + Send + Sync>;
 
-/// Finds who declared a token by the token's digest.
+/// Returns the owner of a token, found by the token's digest.
 pub type IdentityLookup = Arc<dyn Fn(&TokenDigest) -> Option<Arc<str>> + Send + Sync>;
 
-/// Events of one answer, in order. The receiver is dropped as soon as the
-/// caller goes away, so a failing send says that nobody listens any more.
+/// Events of one response, in order. The receiver is dropped as soon as the caller
+/// disconnects, so a failed send means that no one receives the events.
 pub type GenerateStream = mpsc::Receiver<StreamEvent>;
 
-/// A checked `POST /v1/generate`.
+/// A validated `POST /v1/generate`.
 #[derive(Debug, Clone)]
 pub struct GenerateCall {
-    /// The caller's own id of the request, else a fresh one.
+    /// Request id given by the caller, or a new one.
     pub request: RequestId,
-    /// Organisation that pays for it.
+    /// Organisation that is charged for the request.
     pub organisation: OrganisationId,
-    /// What is asked for.
+    /// Body of the request.
     pub body: GenerateBody,
-    /// Whether it may run at most once.
+    /// Whether the request may run at most once.
     pub non_idempotent: bool,
-    /// Key under which repeats of it are recognised.
+    /// Key that identifies repeats of the request.
     pub key: Option<IdempotencyKey>,
-    /// When its head had been read.
+    /// Time at which the head had been read.
     pub received: Instant,
 }
 
-/// A checked `POST /v1/services/{service}/{operation}`.
+/// A validated `POST /v1/services/{service}/{operation}`.
 #[derive(Debug, Clone)]
 pub struct ServiceCall {
-    /// The caller's own id of the request, else a fresh one.
+    /// Request id given by the caller, or a new one.
     pub request: RequestId,
-    /// Organisation that pays for it.
+    /// Organisation that is charged for the request.
     pub organisation: OrganisationId,
-    /// Service called.
+    /// Service to call.
     pub service: ServiceId,
     /// Operation of the service.
     pub operation: Arc<str>,
-    /// Body for the service, passed on as it is.
+    /// Body for the service, forwarded unchanged.
     pub body: Bytes,
-    /// Whether it may run at most once.
+    /// Whether the request may run at most once.
     pub non_idempotent: bool,
-    /// Key under which repeats of it are recognised.
+    /// Key that identifies repeats of the request.
     pub key: Option<IdempotencyKey>,
-    /// When its head had been read.
+    /// Time at which the head had been read.
     pub received: Instant,
-    /// Cancelled when the caller goes away before the answer.
+    /// Cancelled when the caller disconnects before the response.
     pub caller_disconnected: CancellationToken,
 }
 
-/// A service's answer, passed on as it is.
+/// Response of a service, forwarded unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceResponse {
-    /// HTTP status of the service.
+    /// HTTP status returned by the service.
     pub status: u16,
-    /// Body of the answer.
+    /// Body of the response.
     pub body: Bytes,
-    /// Media type of the body, if the service gave one.
+    /// Media type of the body, if the service set one.
     pub content_type: Option<String>,
-    /// Whether it is the answer that an earlier call with the same idempotency
-    /// key got.
+    /// Whether this is the stored response to an earlier call with the same idempotency
+    /// key.
     pub replayed: bool,
 }
 
-/// What the callers' listener needs.
+/// Backend of the callers' listener.
 #[derive(Clone)]
 pub struct CallerBackend {
-    /// The organisation that declared a token.
+    /// Returns the organisation that a token belongs to.
     pub organisation_of: IdentityLookup,
-    /// Starts a generation. The future is dropped if the caller goes away
-    /// before the first event.
+    /// Starts a generation. The future is dropped if the caller disconnects before the
+    /// first event.
     pub generate: AsyncCall<GenerateCall, Result<GenerateStream, RefusalBody>>,
-    /// Calls a service. The future is run to its end even if the caller goes
-    /// away; the call's token says so to a backend that can still stop.
+    /// Calls a service. The future runs to its end even if the caller disconnects; the
+    /// token in the call is cancelled then, for a backend that can still stop.
     pub call_service: AsyncCall<ServiceCall, Result<ServiceResponse, RefusalBody>>,
-    /// Whether the daemon takes new work; `false` while it is draining.
+    /// Returns whether the daemon accepts new work; `false` while it is draining.
     pub ready: SyncQuery<bool>,
-    /// Whether the daemon's own parts are alive.
+    /// Returns whether the daemon's components are alive.
     pub healthy: SyncQuery<bool>,
 }
 
-/// A declared change by an operator.
+/// A change declared by an operator.
 #[derive(Debug, Clone)]
 pub struct ApplyCall {
-    /// Who declares it.
+    /// Operator who declares the change.
     pub operator: OperatorId,
     /// Resource to create or change.
     pub key: ResourceKey,
-    /// What is declared.
+    /// Spec and the version that it is based on.
     pub body: ApplyBody,
 }
 
-/// A declared removal by an operator.
+/// A removal declared by an operator.
 #[derive(Debug, Clone)]
 pub struct DeleteCall {
-    /// Who declares it.
+    /// Operator who declares the removal.
     pub operator: OperatorId,
     /// Resource to remove.
     pub key: ResourceKey,
-    /// Offset of the change that the operator saw last.
+    /// Offset of the last change that the operator saw.
     pub based_on: LogOffset,
 }
 
-/// Why a change was not accepted.
+/// Reason why a change was not accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeRefusal {
-    /// It lost a race.
+    /// The change is based on an outdated version.
     Conflict(ConflictBody),
-    /// It was refused.
+    /// The change was refused.
     Refused(RefusalBody),
 }
 
-/// What the operators' listener needs.
+/// Backend of the operators' listener.
 #[derive(Clone)]
 pub struct OperatorBackend {
-    /// The operator to whom a token was given.
+    /// Returns the operator to whom a token was issued.
     pub operator_of: IdentityLookup,
-    /// Every declared resource.
+    /// Returns every declared resource.
     pub list: AsyncCall<(), Result<Vec<ResourceView>, RefusalBody>>,
-    /// One declared resource.
+    /// Returns one declared resource.
     pub get: AsyncCall<ResourceKey, Result<ResourceView, RefusalBody>>,
     /// Creates or changes a resource.
     pub apply: AsyncCall<ApplyCall, Result<AcceptedBody, ChangeRefusal>>,
     /// Removes a resource.
     pub delete: AsyncCall<DeleteCall, Result<AcceptedBody, ChangeRefusal>>,
-    /// How far the configuration is in force.
+    /// Returns which hosts have applied the configuration.
     pub force: AsyncCall<(), Result<ForceView, RefusalBody>>,
-    /// What was decided about a request, and why.
+    /// Returns the decisions about a request with their reasons.
     pub explain: AsyncCall<RequestId, Result<ExplainView, RefusalBody>>,
-    /// How this host sees itself and the targets.
+    /// Returns this host's state and its view of the targets.
     pub status: AsyncCall<(), Result<StatusView, RefusalBody>>,
-    /// Metrics in the text format.
+    /// Returns the metrics in the text format.
     pub metrics: SyncQuery<String>,
 }
--- a/src/api/body.rs
+++ b/src/api/body.rs
@@ -1,4 +1,4 @@
-//! A JSON body whose mistakes are reported by the endpoint.
+//! JSON body whose errors are reported by the endpoint.
 
 use async_trait::async_trait;
 use dropshot::{
@@ -10,17 +10,16 @@
 
 use super::wire::RefusalBody;
 
-/// A body that was read, well formed or not.
+/// A body that was read and either parsed or refused.
 ///
-/// The library runs extractors before the endpoint. If a bad body failed
-/// there, a stranger without a token would get a detailed 400 instead of a
-/// 401, and the refusal would not name the request. So the mistake is kept and
-/// the endpoint reports it in its turn.
+/// The library runs extractors before the endpoint. If an invalid body failed there, a
+/// client without a token would get a detailed 400 instead of a 401, and the refusal
+/// would lack the request id. The error is therefore kept until the endpoint reports it.
 #[derive(Debug)]
 pub(super) struct DeferredBody<T>(Result<T, RefusalBody>);
 
 impl<T> DeferredBody<T> {
-    /// The body, or the refusal of it.
+    /// Returns the body, or the refusal if it is invalid.
     pub(super) fn into_inner(self) -> Result<T, RefusalBody> {
         self.0
     }
--- a/src/api/callers.rs
+++ b/src/api/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' endpoints.
+//! Endpoints for callers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -26,26 +26,26 @@
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// When a caller should come back to a daemon that is not ready.
+/// Time after which a caller should retry while the daemon is not ready.
 const NOT_READY_RETRY: Duration = Duration::from_secs(1);
-/// Header of an answer that an earlier call with the same key got.
+/// Header that marks the stored response to an earlier call with the same key.
 const REPLAYED_HEADER: &str = "idempotent-replayed";
 
-/// What the callers' endpoints share.
+/// State shared by the callers' endpoints.
 pub(super) struct CallerContext {
     pub(super) backend: CallerBackend,
-    /// Calls that go on when their caller goes away.
+    /// Calls that continue after their caller has disconnected.
     pub(super) running_calls: TaskTracker,
-    /// Where streams are handed to the listener in front.
+    /// Slots through which streams are passed to the proxy.
     pub(super) slots: StreamSlots,
 }
 
 type Shared = Arc<CallerContext>;
 
-/// Answer of the balancer's probes.
+/// Response to the health probes of a load balancer.
 #[derive(Debug, Serialize, JsonSchema)]
 struct ProbeBody {
-    /// Always `true`; the opposite is a refusal.
+    /// Always `true`; a failed probe gets a refusal instead.
     ok: bool,
 }
 
@@ -58,7 +58,7 @@
     operation: String,
 }
 
-/// All endpoints of the callers' listener.
+/// Returns the description of all endpoints of the callers' listener.
 pub(super) fn description() -> Result<ApiDescription<Shared>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(generate)?;
@@ -70,9 +70,9 @@
 
 /// Generate tokens.
 ///
-/// Answers with server-sent events: each is one line `data: ` with the JSON of
-/// a stream event. The last event is `done` with the number of tokens, or
-/// `error` with a refusal; an answer without either was cut off on the way.
+/// Responds with server-sent events: each is one line `data: ` followed by a stream event
+/// as JSON. The last event is `done` with the number of tokens, or `error` with a
+/// refusal; a response without either was cut off in transit.
 #[endpoint { method = POST, path = "/v1/generate", operation_id = "generate" }]
 async fn generate(
     context: RequestContext<Shared>,
@@ -93,7 +93,7 @@
     })))
 }
 
-/// An answer that has begun.
+/// A response that has started.
 struct StartedGeneration {
     request: RequestId,
     events: GenerateStream,
@@ -123,7 +123,7 @@
 
 fn check_body(body: &GenerateBody) -> Result<(), RefusalBody> {
     match body {
-        body if body.prompt.is_empty() => Err(malformed("prompt must hold at least one token")),
+        body if body.prompt.is_empty() => Err(malformed("prompt must contain at least one token")),
         body if body.max_tokens == 0 => Err(malformed("max_tokens must be at least 1")),
         _ => Ok(()),
     }
@@ -131,7 +131,7 @@
 
 /// Call an operation of a plain service.
 ///
-/// The body is passed on as it is, and so are status and body of the answer.
+/// The body is forwarded unchanged, and so are the status and the body of the response.
 #[endpoint { method = POST, path = "/v1/services/{service}/{operation}" }]
 async fn call_service(
     context: RequestContext<Shared>,
@@ -175,10 +175,10 @@
     http_response(reply).map_err(with_request)
 }
 
-/// Runs a call to its end, even if its caller goes away. Dropped after its
-/// claim was won, a non-idempotent call could never be settled: a repeat with
-/// the same key would be told that it may have run, for ever. Which calls are
-/// non-idempotent is not known here, since a service may declare them so.
+/// Runs a call to its end, even if its caller disconnects. If a non-idempotent call were
+/// dropped after its claim was won, the claim could never be settled, and every repeat
+/// with the same key would be answered with "may have run". This function does not know
+/// which calls are non-idempotent, since a service may declare them so.
 async fn execute_call(shared: &Shared, call: ServiceCall) -> Result<ServiceResponse, RefusalBody> {
     let caller = call.caller_disconnected.clone().drop_guard();
     let running = (shared.backend.call_service)(call);
@@ -186,14 +186,14 @@
         .running_calls
         .spawn(running)
         .await
-        .unwrap_or_else(|_| Err(may_have_run("the call broke off")));
+        .unwrap_or_else(|_| Err(may_have_run("the call was interrupted")));
     caller.disarm();
     reply
 }
 
 fn http_response(reply: ServiceResponse) -> Result<Response<Body>, RefusalBody> {
     let status = StatusCode::from_u16(reply.status)
-        .map_err(|_| may_have_run("the service answered with an invalid status"))?;
+        .map_err(|_| may_have_run("the service returned an invalid HTTP status"))?;
     let mut response = Response::new(Body::from(reply.body));
     *response.status_mut() = status;
     let media_type = reply
@@ -202,7 +202,7 @@
         .unwrap_or(HeaderValue::from_static(JSON));
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, media_type);
-    // An error of the service itself is its answer, not a refusal.
+    // An error returned by the service itself is its response and not a refusal.
     headers.insert(VERDICT_HEADER, verdict_value(RunVerdict::Ran));
     if reply.replayed {
         headers.insert(REPLAYED_HEADER, HeaderValue::from_static("true"));
@@ -217,7 +217,7 @@
     }
 }
 
-/// A call whose caller is known.
+/// A call with a known caller and valid headers.
 struct CheckedCall {
     head: CallHead,
     organisation: OrganisationId,
@@ -239,9 +239,11 @@
     })
 }
 
-/// A daemon without configuration, or with an old one, does not know every
-/// organisation. Told that its token is unknown, a caller would give up; told
-/// that the host is not ready, it comes back or asks another.
+/// Replaces a refusal by "not ready" while the daemon is not ready.
+///
+/// A daemon with no configuration or an outdated one does not know every organisation. A
+/// caller that is told that its token is unknown gives up; one that is told that the host
+/// is not ready retries or tries another host.
 fn not_ready_or(backend: &CallerBackend, refusal: RefusalBody) -> RefusalBody {
     match (backend.ready)() {
         true => refusal,
@@ -250,7 +252,7 @@
     }
 }
 
-/// Whether the daemon is alive.
+/// Check whether the daemon is alive.
 #[endpoint { method = GET, path = "/healthz" }]
 async fn healthz(
     context: RequestContext<Shared>,
@@ -259,7 +261,7 @@
     Ok(probe(healthy, "the daemon is not healthy"))
 }
 
-/// Whether the daemon takes new work.
+/// Check whether the daemon accepts new work.
 #[endpoint { method = GET, path = "/readyz" }]
 async fn readyz(
     context: RequestContext<Shared>,
--- a/src/api/credentials.rs
+++ b/src/api/credentials.rs
@@ -1,4 +1,4 @@
-//! Who calls: the identity behind a bearer token.
+//! Authentication by bearer token.
 
 use std::sync::Arc;
 
@@ -10,18 +10,18 @@
 use crate::auth::bearer_digest;
 use crate::reason::RefusalReason;
 
-/// The header of an operator's call.
+/// Headers of an operator's call.
 #[derive(Debug, Deserialize, JsonSchema)]
 pub(super) struct OperatorHeaders {
     /// `Bearer` and the operator's token.
     pub(super) authorization: Option<String>,
 }
 
-/// Finds who calls.
+/// Returns the identity to which a bearer token belongs.
 ///
 /// # Errors
-/// One refusal for a missing, malformed and unknown token alike, so that it
-/// does not tell which tokens exist.
+/// Returns the same refusal for a missing, a malformed and an unknown token, so that it
+/// does not reveal which tokens exist.
 pub(super) fn identify(
     authorization: Option<&str>,
     lookup: &IdentityLookup,
--- a/src/api/explain.rs
+++ b/src/api/explain.rs
@@ -1,4 +1,4 @@
-//! How the journal is shown.
+//! Conversion of journal entries for the `explain` endpoint.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -6,8 +6,8 @@
 use crate::journal::{Explanation, JournalEntry, JournalSubject};
 
 impl ExplainView {
-    /// Shows what the journal knows about a subject. What is left out is
-    /// shown too, so that a part is not taken for the whole.
+    /// Converts the journal's entries on a subject. Omitted entries are counted in a
+    /// first entry, so that an incomplete list is not taken for a complete one.
     pub fn new(subject: &JournalSubject, explanation: &Explanation) -> Self {
         let omitted = explanation
             .entries
--- a/src/api/head.rs
+++ b/src/api/head.rs
@@ -1,4 +1,4 @@
-//! The headers of a call, checked.
+//! Headers of a call and their validation.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::ids::{IdempotencyKey, RequestId};
 use crate::reason::RefusalReason;
 
-/// Longest request id or idempotency key, in bytes.
+/// Maximum length of a request id or idempotency key, in bytes.
 const MAX_LABEL_BYTES: usize = 128;
 
 /// The headers of a call as documented.
@@ -18,34 +18,34 @@
 pub(super) struct CallHeaders {
     /// `Bearer` and the organisation's token.
     pub(super) authorization: Option<String>,
-    /// Key under which a repeat of a non-idempotent request is recognised: a
-    /// quoted string, or the bare key of 1 to 128 visible ASCII characters.
+    /// Key that identifies repeats of a non-idempotent request: a quoted string, or the
+    /// bare key of 1 to 128 visible ASCII characters.
     #[serde(rename = "idempotency-key")]
     idempotency_key: Option<String>,
     /// `true` if the request may run at most once; `false` if absent.
     #[serde(rename = "x-non-idempotent")]
     non_idempotent: Option<String>,
-    /// The caller's own id of the request: 1 to 128 visible ASCII characters.
+    /// Request id chosen by the caller: 1 to 128 visible ASCII characters.
     #[serde(rename = "x-request-id")]
     request_id: Option<String>,
 }
 
-/// The checked labels of a call.
+/// Validated headers of a call.
 #[derive(Debug, Clone)]
 pub(super) struct CallHead {
-    /// The request.
+    /// Request id.
     pub(super) request: RequestId,
-    /// Whether it may run at most once.
+    /// Whether the request may run at most once.
     pub(super) non_idempotent: bool,
-    /// Key under which repeats are recognised.
+    /// Key that identifies repeats of the request.
     pub(super) key: Option<IdempotencyKey>,
 }
 
 impl CallHeaders {
-    /// The request's id: the caller's if it gave one, else a fresh one.
+    /// Returns the caller's request id, or a new one if it gave none.
     ///
     /// # Errors
-    /// A refusal if the caller's id is not usable in headers and log lines.
+    /// Returns a refusal if the caller's id cannot be used in headers and log lines.
     pub(super) fn request(&self) -> Result<RequestId, RefusalBody> {
         match self.request_id.as_deref() {
             None => Ok(Uuid::new_v4().to_string().into()),
@@ -56,26 +56,26 @@
         }
     }
 
-    /// Joins these headers with the id under which the HTTP library logs.
+    /// Relates these headers to the id that the HTTP library logs.
     ///
-    /// A caller that names no id gets the library's, so that all lines about
-    /// the request carry one id; for one that does, a line names both.
+    /// A call without an id gets the library's, so that all log lines of the request have
+    /// the same id; if the caller gave one, a log line connects the two.
     #[must_use]
     pub(super) fn with_library_id(mut self, library_id: &str) -> Self {
         match &self.request_id {
             None => self.request_id = Some(library_id.to_owned()),
             Some(caller_id) if is_label(caller_id) => {
-                log::info!(request:% = caller_id; "the HTTP library's id is {library_id}");
+                log::info!(request:% = caller_id; "request id of the HTTP library: {library_id}");
             }
             Some(_) => {}
         }
         self
     }
 
-    /// Checks the remaining labels of the call.
+    /// Validates the remaining headers of the call.
     ///
     /// # Errors
-    /// A refusal that names the header.
+    /// Returns a refusal that names the header.
     pub(super) fn head(&self, request: RequestId) -> Result<CallHead, RefusalBody> {
         Ok(CallHead {
             request,
@@ -88,8 +88,8 @@
         match self.non_idempotent.as_deref() {
             None | Some("false") => Ok(false),
             Some("true") => Ok(true),
-            // Taken as "false", a misspelt mark would let a request be
-            // repeated that its caller wants to run at most once.
+            // If any other value meant "false", a misspelt "true" would allow a request
+            // to be repeated that the caller wants to run at most once.
             Some(_) => Err(malformed("x-non-idempotent must be true or false")),
         }
     }
@@ -111,13 +111,13 @@
     }
 }
 
-/// Whether a text may stand in headers, log lines and records as it is.
+/// Returns whether a text can be used unescaped in headers, log lines and records.
 pub(super) fn is_label(text: &str) -> bool {
     let visible = text.bytes().all(|byte| byte.is_ascii_graphic());
     visible && (1..=MAX_LABEL_BYTES).contains(&text.len())
 }
 
-/// Reads a structured-field string: only `"` and `\` may be escaped.
+/// Parses a structured-field string, in which only `"` and `\` may be escaped.
 fn unquote(text: &str) -> Option<String> {
     let quoted = text.strip_prefix('"')?.strip_suffix('"')?;
     let mut unescaped = String::with_capacity(quoted.len());
@@ -136,7 +136,7 @@
     Some(unescaped)
 }
 
-/// The refusal of a malformed call.
+/// Creates the refusal of a malformed call.
 pub(super) fn malformed(message: &str) -> RefusalBody {
     RefusalBody::not_run(RefusalReason::Malformed, message)
 }
--- a/src/api/openapi.rs
+++ b/src/api/openapi.rs
@@ -1,4 +1,4 @@
-//! The OpenAPI documents of both listeners.
+//! OpenAPI documents of both listeners.
 
 use dropshot::{ApiDescription, ServerContext};
 use semver::Version;
@@ -8,20 +8,20 @@
 use super::stream::EVENT_STREAM;
 use super::{ApiError, callers, operators};
 
-/// Version of both interfaces: that of the paths.
+/// Version of both interfaces; its major number is the one in the paths.
 const API_VERSION: Version = Version::new(1, 0, 0);
 
-/// Pointer to the contents of a successful answer to a generation.
+/// JSON pointer to the content of a successful response to a generation.
 const GENERATE_CONTENT: &str = "/paths/~1v1~1generate/post/responses/200/content";
 
-/// The document of the callers' listener, as formatted JSON.
+/// Returns the document of the callers' listener as formatted JSON.
 ///
 /// # Errors
-/// If two endpoints clash.
+/// Returns an error if two endpoints conflict.
 pub fn callers_document() -> Result<String, ApiError> {
     let mut json = document(&callers::description()?, "Jackdawwick for callers")?;
-    // The library knows one media type for typed answers; the events are JSON,
-    // but they come as a stream.
+    // The library documents typed responses as JSON, but these events come as an event
+    // stream.
     if let Some(Value::Object(content)) = json.pointer_mut(GENERATE_CONTENT) {
         let event = content.remove(JSON).unwrap_or_default();
         content.insert(EVENT_STREAM.to_owned(), event);
@@ -29,10 +29,10 @@
     Ok(to_pretty_json(&json))
 }
 
-/// The document of the operators' listener, as formatted JSON.
+/// Returns the document of the operators' listener as formatted JSON.
 ///
 /// # Errors
-/// If two endpoints clash.
+/// Returns an error if two endpoints conflict.
 pub fn operators_document() -> Result<String, ApiError> {
     let json = document(&operators::description()?, "Jackdawwick for operators")?;
     Ok(to_pretty_json(&json))
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' endpoints.
+//! Endpoints for operators.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 
 type Shared = Arc<OperatorBackend>;
 
-/// Media type of the metrics' text format.
+/// Media type of the OpenMetrics text format.
 const METRICS_MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// A kind of resource.
@@ -49,7 +49,7 @@
     request: String,
 }
 
-/// What a removal is based on.
+/// Version that a removal is based on.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct DeleteQuery {
     /// Version of the resource that the operator saw last.
@@ -63,7 +63,7 @@
     etag: String,
 }
 
-/// All endpoints of the operators' listener.
+/// Returns the description of all endpoints of the operators' listener.
 pub(super) fn description() -> Result<ApiDescription<Shared>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(list_resources)?;
@@ -89,7 +89,7 @@
     )
 }
 
-/// All declared resources.
+/// List all declared resources.
 #[endpoint { method = GET, path = "/v1/resources" }]
 async fn list_resources(
     context: RequestContext<Shared>,
@@ -102,7 +102,7 @@
     Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
-/// The declared resources of one kind.
+/// List the declared resources of one kind.
 #[endpoint { method = GET, path = "/v1/resources/{kind}" }]
 async fn list_kind(
     context: RequestContext<Shared>,
@@ -121,7 +121,7 @@
     Ok(EndpointResponse::from_result(result))
 }
 
-/// One declared resource.
+/// Get one declared resource.
 #[endpoint { method = GET, path = "/v1/resources/{kind}/{name}" }]
 async fn get_resource(
     context: RequestContext<Shared>,
@@ -216,7 +216,7 @@
     }
 }
 
-/// How far the configuration is in force.
+/// Show which hosts have applied the configuration.
 #[endpoint { method = GET, path = "/v1/force" }]
 async fn show_force(
     context: RequestContext<Shared>,
@@ -229,7 +229,7 @@
     Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
-/// What was decided about a request, and why.
+/// Show the decisions about a request and their reasons.
 #[endpoint { method = GET, path = "/v1/explain/{request}" }]
 async fn explain_request(
     context: RequestContext<Shared>,
@@ -243,7 +243,7 @@
     Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
-/// How this host sees itself and the targets.
+/// Show this host's state and its view of the targets.
 #[endpoint { method = GET, path = "/v1/status" }]
 async fn show_status(
     context: RequestContext<Shared>,
@@ -256,7 +256,7 @@
     Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
-/// Metrics in the OpenMetrics text format.
+/// Get the metrics in the OpenMetrics text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn show_metrics(
     context: RequestContext<Shared>,
--- a/src/api/proxy.rs
+++ b/src/api/proxy.rs
@@ -1,12 +1,11 @@
-//! The bounded listener in front of the HTTP library's own.
+//! Reverse proxy that limits connections and requests before they reach the HTTP library.
 //!
-//! The library bounds the length of bodies but neither the number of
-//! connections, nor the time in which a head or a body must arrive, nor the
-//! size of a head; and it answers unknown paths with a body of its own. This
-//! listener takes the connections, enforces those bounds, reads each body
-//! whole and passes the request on to the library's listener, which stands on
-//! the loopback address. A stream of events does not take that way back: it
-//! is handed over in memory.
+//! The library limits the length of bodies, but neither the number of connections, nor
+//! the time in which a head or a body must arrive, nor the size of a head; and it answers
+//! unknown paths with a body of its own format. This proxy accepts the connections,
+//! enforces these bounds, reads each body to its end and forwards the request to the
+//! library's listener on the loopback address. Event streams are not sent back over that
+//! connection: they are passed in memory.
 
 mod accept;
 mod connection;
@@ -22,23 +21,23 @@
 
 pub(super) use slots::{SLOT_HEADER, StreamSlots};
 
-/// The bounds that this listener enforces.
+/// Bounds that the proxy enforces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ApiBounds {
-    /// Connections at once; one more is told so and closed.
+    /// Maximum number of simultaneous connections; further ones are refused and closed.
     pub connections: usize,
-    /// Longest head of a request, in bytes.
+    /// Maximum length of the head of a request, in bytes.
     pub head_bytes: usize,
-    /// Most headers of a request.
+    /// Maximum number of headers of a request.
     pub head_count: usize,
-    /// Time in which a head must have arrived, from the connection's start or
-    /// the end of the answer before.
+    /// Time in which a head must arrive, from the start of the connection or the end of
+    /// the previous response.
     pub head_timeout: Duration,
-    /// Longest body of a request, in bytes.
+    /// Maximum length of the body of a request, in bytes.
     pub body_bytes: usize,
-    /// Time in which a body must have arrived.
+    /// Time in which a body must arrive.
     pub body_timeout: Duration,
-    /// Time for which a caller may leave sent bytes unacknowledged.
+    /// Maximum time for which a caller may leave sent bytes unacknowledged.
     pub stall_timeout: Duration,
 }
 
@@ -56,16 +55,16 @@
     }
 }
 
-/// What every connection needs.
+/// State shared by all connections.
 #[derive(Debug, Clone)]
 pub(super) struct ProxyContext {
     pub(super) bounds: ApiBounds,
-    /// Where the HTTP library listens.
+    /// Address of the HTTP library's listener.
     pub(super) inner: SocketAddr,
     pub(super) slots: StreamSlots,
 }
 
-/// A running listener.
+/// Handle of a running proxy.
 #[derive(Debug)]
 pub(super) struct ProxyHandle {
     pub(super) address: SocketAddr,
@@ -74,20 +73,20 @@
 }
 
 impl ProxyHandle {
-    /// Takes no new connection and returns when every request in flight has
-    /// been answered.
+    /// Stops accepting connections and returns when every request in flight has been
+    /// answered.
     pub(super) async fn shutdown(self) {
         self.stop.cancel();
         if let Err(error) = self.running.await {
-            log::warn!("the HTTP listener on {} ended badly: {error}", self.address);
+            log::warn!("the HTTP proxy on {} failed: {error}", self.address);
         }
     }
 }
 
-/// Opens the listener.
+/// Binds the listener and starts the proxy.
 ///
 /// # Errors
-/// If the address cannot be listened on.
+/// Returns an error if the address cannot be bound.
 pub(super) fn spawn(address: SocketAddr, context: ProxyContext) -> std::io::Result<ProxyHandle> {
     let listener = accept::bind(address)?;
     let address = listener.local_addr()?;
--- a/src/api/proxy/accept.rs
+++ b/src/api/proxy/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, up to the bound on their number.
+//! Accept loop with a bound on the number of connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,9 +13,10 @@
 
 use super::{ProxyContext, connection};
 
-/// Connections beyond the bound that are told so at the same time.
+/// Maximum number of connections beyond the bound that are answered with 429 at the same
+/// time.
 const MAX_REFUSED_CONNECTIONS: usize = 32;
-/// Pause after an error that concerns the listener and not one connection.
+/// Delay after an error of the listener, as opposed to an error of one connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Binds the listener.
@@ -25,7 +26,7 @@
     TcpListener::from_std(listener)
 }
 
-/// Accepts until told to stop, then waits for the requests in flight.
+/// Accepts connections until `stop` is cancelled, then waits for the requests in flight.
 pub(super) async fn run(listener: TcpListener, context: ProxyContext, stop: CancellationToken) {
     let graceful = GracefulShutdown::new();
     let permits = Arc::new(Semaphore::new(context.bounds.connections));
@@ -39,15 +40,15 @@
             Ok((socket, _)) => socket,
             Err(error) if is_connection_error(&error) => continue,
             Err(error) => {
-                // Out of file descriptors, accepting fails at once and again:
-                // without the pause this loop would take a whole processor.
-                log::warn!("accept failed: {error}");
+                // When file descriptors run out, accepting fails immediately each time;
+                // without a delay this loop would use a whole core.
+                log::warn!("cannot accept a connection: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if let Err(error) = set_options(&socket, &context) {
-            log::debug!("a connection was lost before it was served: {error}");
+            log::debug!("cannot set the options of a caller's connection: {error}");
             continue;
         }
         if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
@@ -76,12 +77,12 @@
     )
 }
 
-/// Sets the socket's options.
+/// Sets the socket options.
 ///
-/// Without `TCP_NODELAY` a token would wait for the acknowledgement of the one
-/// before, which the caller's system may hold back for 40 ms. Without the user
-/// timeout a caller that stopped reading, or whose host vanished, would hold
-/// its connection and its run for as long as the system retransmits.
+/// Without `TCP_NODELAY`, a token would wait for the acknowledgement of the previous one,
+/// which the caller's system may delay by 40 ms. Without the user timeout, a caller that
+/// stopped reading, or whose machine vanished, would hold its connection and its run for
+/// as long as the system retransmits.
 fn set_options(socket: &TcpStream, context: &ProxyContext) -> io::Result<()> {
     socket.set_nodelay(true)?;
     SockRef::from(socket).set_tcp_user_timeout(Some(context.bounds.stall_timeout))
--- a/src/api/proxy/connection.rs
+++ b/src/api/proxy/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller.
+//! Connections of callers.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use crate::api::wire::RefusalBody;
 use crate::reason::RefusalReason;
 
-/// Time spent on telling one connection too many that it is.
+/// Maximum time for answering a connection beyond the bound.
 const REFUSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// When such a caller should come back.
+/// Time after which a caller refused for too many connections should retry.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Serves requests until the caller closes or a bound is reached.
+/// Serves requests until the caller closes the connection or a bound is exceeded.
 pub(super) async fn serve(socket: TcpStream, context: ProxyContext, watcher: Watcher) {
     let forwarder = Forwarder::new(context.inner, context.slots.clone());
     let bounds = context.bounds;
@@ -42,25 +42,26 @@
         .max_header_size(bounds.head_bytes)
         .serve_connection(TokioIo::new(socket), service);
     if let Err(error) = watcher.watch(served).await {
-        log::debug!("a caller's connection ended: {error}");
+        log::debug!("connection of a caller failed: {error}");
     }
 }
 
-/// Tells a connection beyond the bound to come back, and closes it.
+/// Answers a connection beyond the bound with a refusal and closes it.
 pub(super) async fn refuse(socket: TcpStream) {
     let service =
         service_fn(|_: Request<Incoming>| async { Ok::<_, Infallible>(too_many_connections()) });
     let served = http1::Builder::new()
         .keep_alive(false)
         .serve_connection(TokioIo::new(socket), service);
-    // A caller that sends no request leaves the place of another one taken.
+    // On a timeout the caller sent no request; its permit must become free for another
+    // one.
     let _ = tokio::time::timeout(REFUSE_TIMEOUT, served).await;
 }
 
 fn too_many_connections() -> Response<Body> {
     let refusal = RefusalBody::not_run(
         RefusalReason::QueueFull,
-        "this host has as many connections as it takes",
+        "the host has reached its maximum number of connections",
     );
     let mut response = error_response(&refusal.retry_after(RETRY_AFTER));
     response
--- a/src/api/proxy/forward.rs
+++ b/src/api/proxy/forward.rs
@@ -1,4 +1,4 @@
-//! Passing a request on to the HTTP library's listener.
+//! Forwarding of requests to the HTTP library's listener.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,27 +22,27 @@
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// Why a request could not be passed on, or brought no answer.
+/// Reason why a request could not be forwarded or got no response.
 #[derive(Debug, thiserror::Error)]
 enum ForwardError {
-    #[error("cannot reach the inner listener: {0}")]
+    #[error("cannot connect to the inner HTTP listener: {0}")]
     Connect(#[from] io::Error),
-    #[error("cannot speak to the inner listener: {0}")]
+    #[error("handshake with the inner HTTP listener failed: {0}")]
     Handshake(hyper::Error),
-    #[error("the request brought no answer: {0}")]
+    #[error("no response from the inner HTTP listener: {0}")]
     Send(hyper::Error),
 }
 
-/// Passes the requests of one connection on, one at a time.
+/// Forwards the requests of one connection, one at a time.
 pub(super) struct Forwarder {
     inner: SocketAddr,
     slots: StreamSlots,
-    /// The connection to the inner listener, once there is one.
+    /// Open connection to the inner listener, if any.
     link: Mutex<Option<InnerLink>>,
 }
 
-/// A connection to the inner listener. It is closed with the caller's, by
-/// which the endpoint notices that its caller is gone.
+/// A connection to the inner listener. It is closed together with the caller's
+/// connection, which tells the endpoint that the caller has disconnected.
 struct InnerLink {
     sender: SendRequest<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Passes one request on and gives back the answer for the caller.
+    /// Forwards a request and returns the response for the caller.
     pub(super) async fn forward(&self, mut request: Request<Full<Bytes>>) -> Response<Body> {
         let request_id = request.headers().get(REQUEST_ID).cloned();
         let slot = self.slots.open();
@@ -106,7 +106,7 @@
             .map_err(ForwardError::Handshake)?;
         let driver = tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("an inner connection ended: {error}");
+                log::debug!("connection to the inner HTTP listener failed: {error}");
             }
         });
         Ok(InnerLink {
@@ -116,16 +116,16 @@
     }
 }
 
-/// Headers of an answer that concern the inner connection only.
+/// Response headers that concern the inner connection only.
 static HOP_BY_HOP_HEADERS: [HeaderName; 3] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::TRANSFER_ENCODING,
 ];
 
-/// The answer as the caller gets it. An error without a verdict is the HTTP
-/// library's own (no such path, or another method there) and gets a body like
-/// every other refusal.
+/// Converts a response of the inner listener for the caller. An error without a verdict
+/// comes from the HTTP library itself (unknown path or method) and gets the body that all
+/// refusals have.
 fn public_response(response: Response<Incoming>) -> Response<Body> {
     let status = response.status();
     let is_error = status.is_client_error() || status.is_server_error();
@@ -148,7 +148,7 @@
         other if other.is_client_error() => {
             RefusalBody::not_run(RefusalReason::Malformed, "the request is malformed")
         }
-        _ => may_have_run("the request broke off"),
+        _ => may_have_run("the request was interrupted"),
     };
     let mut response = error_response(&refusal);
     if status.is_client_error() {
@@ -157,15 +157,17 @@
     response
 }
 
-/// An endpoint that panics takes its connection with it; the caller still gets
-/// an answer. Only if nothing was sent is it sure that nothing ran.
+/// Returns the response for a request that could not be forwarded. An endpoint that
+/// panics closes its connection, and the caller still gets a response. Only if nothing
+/// was sent is it certain that nothing ran.
 fn error_for(error: &ForwardError) -> Response<Body> {
     log::error!("{error}");
     error_response(&match error {
-        ForwardError::Connect(_) | ForwardError::Handshake(_) => {
-            RefusalBody::not_run(RefusalReason::NotReady, "the daemon cannot serve now")
-        }
-        ForwardError::Send(_) => may_have_run("the request broke off"),
+        ForwardError::Connect(_) | ForwardError::Handshake(_) => RefusalBody::not_run(
+            RefusalReason::NotReady,
+            "the daemon cannot serve requests now",
+        ),
+        ForwardError::Send(_) => may_have_run("the request was interrupted"),
     })
 }
 
--- a/src/api/proxy/request_reader.rs
+++ b/src/api/proxy/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reading a request whole, within the bounds.
+//! Reads whole requests within the bounds.
 
 use bytes::Bytes;
 use dropshot::Body;
@@ -12,14 +12,14 @@
 use crate::api::response::error_response;
 use crate::api::wire::{NON_IDEMPOTENT_HEADER, RefusalBody};
 
-/// Header with the request's id.
+/// Header with the request id.
 pub(super) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// How many times the bound on a body is read and thrown away before the
-/// connection is closed on a caller that is still sending.
+/// How many times the maximum body length is read and discarded before the connection is
+/// closed while the caller is still sending.
 const DISCARD_FACTOR: usize = 4;
 
-/// Headers that may stand once. Read twice, two parts of the system could
-/// each believe another value of them.
+/// Headers that may occur only once. If one were repeated, two components could each use
+/// a different value of it.
 static SINGLE_HEADERS: [HeaderName; 4] = [
     header::AUTHORIZATION,
     HeaderName::from_static("idempotency-key"),
@@ -27,7 +27,7 @@
     REQUEST_ID,
 ];
 
-/// Headers that concern one connection only, and the length, which is set anew.
+/// Headers that concern one connection only, and the length, which is set again.
 static HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -39,10 +39,10 @@
     HeaderName::from_static(SLOT_HEADER),
 ];
 
-/// A request that broke a bound.
+/// A request that exceeded a bound or could not be read.
 #[derive(Debug)]
 pub(super) struct RequestRefusal {
-    /// More exact than the status of its reason.
+    /// More specific than the status that belongs to the reason.
     status: StatusCode,
     body: RefusalBody,
 }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The whole response.
+    /// Converts the refusal into a response.
     pub(super) fn into_response(self) -> Response<Body> {
         let mut response = error_response(&self.body);
         *response.status_mut() = self.status;
@@ -63,10 +63,10 @@
     }
 }
 
-/// Reads a request and readies it for being passed on.
+/// Reads a request and prepares it for forwarding.
 ///
 /// # Errors
-/// If a bound is broken.
+/// Returns a refusal if a bound is exceeded or the request is malformed.
 pub(super) async fn read(
     request: Request<Incoming>,
     bounds: &ApiBounds,
@@ -99,7 +99,7 @@
         None => Ok(()),
         Some(name) => Err(RequestRefusal::new(
             StatusCode::BAD_REQUEST,
-            &format!("header {name} may stand only once"),
+            &format!("header {name} may occur only once"),
         )),
     }
 }
@@ -127,9 +127,9 @@
     Err(RequestRefusal::new(StatusCode::PAYLOAD_TOO_LARGE, &message))
 }
 
-/// Throws away the rest of a body that is too long, within bounds. Closed on
-/// unread bytes, the connection would be reset, and the caller would lose the
-/// answer that tells it why.
+/// Reads and discards the rest of a body that is too long, within bounds. Closing the
+/// connection with unread bytes would reset it, and the caller would lose the response
+/// that gives the reason.
 async fn drain_body(mut body: Incoming, bounds: &ApiBounds) {
     let mut remaining = bounds.body_bytes.saturating_mul(DISCARD_FACTOR);
     let reading = async {
--- a/src/api/proxy/slots.rs
+++ b/src/api/proxy/slots.rs
@@ -1,9 +1,8 @@
-//! Handing a stream of events over in memory.
+//! In-memory transfer of event streams from endpoints to the proxy.
 //!
-//! The listener in front opens a slot before it passes a request on and names
-//! it in a header; the endpoint puts its stream there instead of writing it.
-//! Written over the loopback connection, each token would cost two more system
-//! calls and a wake-up.
+//! The proxy opens a slot before it forwards a request and names the slot in a header;
+//! the endpoint stores its stream there instead of writing it. Sending the events over
+//! the loopback connection would cost two more system calls and a wake-up per token.
 
 use std::sync::Arc;
 
@@ -13,18 +12,18 @@
 use crate::api::backend::GenerateStream;
 use crate::collections::FastMap;
 
-/// Header that names the slot, between the two listeners only.
+/// Header that names the slot; used between the two listeners only.
 pub(in crate::api) const SLOT_HEADER: &str = "x-stream-slot";
 
-/// The slots that are open.
+/// The open slots.
 #[derive(Debug, Clone, Default)]
 pub(in crate::api) struct StreamSlots {
     open: Arc<Mutex<FastMap<Uuid, Option<GenerateStream>>>>,
 }
 
 impl StreamSlots {
-    /// Opens a slot. Its name cannot be guessed, so a caller that reaches the
-    /// inner listener cannot put anything into the slot of another one.
+    /// Opens a slot. Its name cannot be guessed, so a caller that reaches the inner
+    /// listener cannot store anything in another caller's slot.
     pub(super) fn open(&self) -> StreamSlot {
         let id = Uuid::new_v4();
         self.open.lock().insert(id, None);
@@ -34,10 +33,10 @@
         }
     }
 
-    /// Puts a stream into a slot.
+    /// Stores a stream in a slot.
     ///
     /// # Errors
-    /// The stream itself, if no such slot is open.
+    /// Returns the stream if no slot of that name is open.
     pub(in crate::api) fn put(
         &self,
         name: Option<&str>,
@@ -55,8 +54,8 @@
     }
 }
 
-/// An open slot; dropping it closes it, and with it the stream in it. So a
-/// caller that goes away before its stream was taken leaves none behind.
+/// An open slot. Dropping it closes it together with the stream that it holds, so a
+/// caller that disconnects before its stream was taken leaves none behind.
 #[derive(Debug)]
 pub(super) struct StreamSlot {
     id: Uuid,
@@ -64,12 +63,12 @@
 }
 
 impl StreamSlot {
-    /// The slot's name.
+    /// Returns the name of the slot.
     pub(super) fn name(&self) -> String {
         self.id.to_string()
     }
 
-    /// Takes the stream, if one was put there.
+    /// Takes the stream, if the endpoint stored one.
     pub(super) fn take(&self) -> Option<GenerateStream> {
         self.slots.open.lock().get_mut(&self.id)?.take()
     }
@@ -78,7 +77,7 @@
 impl Drop for StreamSlot {
     fn drop(&mut self) {
         let stream = self.slots.open.lock().remove(&self.id);
-        // Dropped here, outside the lock.
+        // Dropped after the lock is released.
         drop(stream);
     }
 }
--- a/src/api/refusal.rs
+++ b/src/api/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: their HTTP status, and how they are built.
+//! Construction of refusals and their HTTP status.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 const MILLIS_PER_SECOND: u64 = 1000;
 
 impl RefusalBody {
-    /// A refusal before anything was sent to a target.
+    /// Creates a refusal of a request of which nothing was sent to a target.
     pub fn not_run(reason: RefusalReason, message: impl Into<String>) -> Self {
         Self {
             verdict: RunVerdict::NotRun,
@@ -25,32 +25,33 @@
         }
     }
 
-    /// Names the request.
+    /// Sets the request id.
     #[must_use]
     pub fn for_request(mut self, request: RequestId) -> Self {
         self.request = Some(request);
         self
     }
 
-    /// Says when to come back.
+    /// Sets the time after which the caller should retry.
     #[must_use]
     pub fn retry_after(mut self, wait: Duration) -> Self {
         self.retry_after_ms = Some(u64::try_from(wait.as_millis()).unwrap_or(u64::MAX));
         self
     }
 
-    /// Whole seconds for the `Retry-After` header, rounded up, so that nobody
-    /// comes back too early.
+    /// Returns whole seconds for the `Retry-After` header, rounded up so that no caller
+    /// retries too early.
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after_ms
             .map(|millis| millis.div_ceil(MILLIS_PER_SECOND))
     }
 }
 
-/// The HTTP status of a refusal.
+/// Returns the HTTP status of a refusal.
 ///
-/// What the caller did wrong comes first, then the verdict: a caller must not
-/// read "come back later" where the request may already have run.
+/// Errors of the caller take precedence over the verdict, and the verdict over the
+/// reason: a caller must not get a status that suggests a retry if the request may
+/// already have run.
 pub fn status_of(refusal: &RefusalBody) -> ErrorStatusCode {
     match (refusal.reason, refusal.verdict) {
         (RefusalReason::Malformed, _) => ErrorStatusCode::BAD_REQUEST,
@@ -73,9 +74,9 @@
     }
 }
 
-/// Errors of the HTTP library itself. Those of the client kind arise while a
-/// request is read, before anything runs; the others while an answer is
-/// written, when everything may have run.
+/// Converts an error of the HTTP library. Client errors occur while a request is read,
+/// before anything runs; server errors occur while a response is written, when the
+/// request may have run.
 impl From<HttpError> for RefusalBody {
     fn from(error: HttpError) -> Self {
         let status = error.status_code.as_status();
--- a/src/api/response.rs
+++ b/src/api/response.rs
@@ -1,4 +1,4 @@
-//! Answers of the endpoints: a success, or a refusal with its headers.
+//! Responses of the endpoints: a success, or a refusal with its headers.
 
 use std::fmt;
 
@@ -15,22 +15,22 @@
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// Header that repeats the verdict of every error answer, for callers that
-/// look at the head only. It also sets these answers apart from the HTTP
-/// library's own.
+/// Header that repeats the verdict of every error response, for callers that read only
+/// the head. It also distinguishes these responses from those that the HTTP library
+/// creates.
 pub(super) const VERDICT_HEADER: &str = "x-verdict";
-/// How callers authenticate, as told with a 401.
+/// Authentication scheme sent with a 401.
 const AUTHENTICATION_SCHEME: &str = "Bearer";
 /// Media type of JSON.
 pub(super) const JSON: &str = "application/json";
 
-/// The body of a refused change.
+/// Body of the response to a change that was not accepted.
 #[derive(Debug, Serialize, JsonSchema)]
 #[serde(untagged)]
 pub(super) enum ChangeErrorBody {
-    /// It lost a race.
+    /// The change is based on an outdated version.
     Conflict(ConflictBody),
-    /// It was refused.
+    /// The change was refused.
     Refused(RefusalBody),
 }
 
@@ -73,9 +73,9 @@
     }
 }
 
-/// An error body with the headers that go with it.
+/// An error body that determines headers of its response.
 pub(super) trait ErrorHeaders: HttpResponseError + Serialize {
-    /// The refusal, if it is one.
+    /// Returns the refusal, unless the error is a conflict.
     fn refusal(&self) -> Option<&RefusalBody>;
 }
 
@@ -96,16 +96,16 @@
 
 /// A success of type `T`, or a complete error response.
 ///
-/// The library lets error types choose status and body but no headers. An
-/// endpoint therefore returns its refusals as an `EndpointResponse`; the error type in
-/// its signature documents them and carries the library's own errors.
+/// In the library, error types choose the status and the body but no headers. An endpoint
+/// therefore returns its refusals as an `EndpointResponse`; the error type in its
+/// signature documents them and carries the library's own errors.
 pub(super) enum EndpointResponse<T> {
     Success(T),
     Refused(Response<Body>),
 }
 
 impl<T> EndpointResponse<T> {
-    /// Builds the answer from an endpoint's result.
+    /// Converts the result of an endpoint.
     pub(super) fn from_result<E>(result: Result<T, E>) -> Self
     where
         E: ErrorHeaders,
@@ -140,7 +140,7 @@
     }
 }
 
-/// A verdict as it stands in the header.
+/// Returns the header value of a verdict.
 pub(super) fn verdict_value(verdict: RunVerdict) -> HeaderValue {
     HeaderValue::from_static(match verdict {
         RunVerdict::NotRun => "not_run",
@@ -149,7 +149,7 @@
     })
 }
 
-/// The whole response of an error.
+/// Returns the complete response of an error.
 pub(super) fn error_response<E>(error: &E) -> Response<Body>
 where
     E: ErrorHeaders,
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -1,4 +1,4 @@
-//! The two listeners: how they are opened and closed.
+//! Start and shutdown of the two listeners.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -15,22 +15,22 @@
 use super::operators;
 use super::proxy::{self, ApiBounds, ProxyContext, ProxyHandle, StreamSlots};
 
-/// Where the HTTP library listens: out of reach for other hosts.
+/// Address of the HTTP library's listener, which other hosts cannot reach.
 const INNER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Settings of one listener.
 #[derive(Debug, Clone)]
 pub struct ApiSettings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub address: SocketAddr,
-    /// What callers may send and hold.
+    /// Bounds on connections and requests.
     pub bounds: ApiBounds,
-    /// Where the HTTP library logs.
+    /// Logger for the HTTP library.
     pub log: slog::Logger,
 }
 
 impl ApiSettings {
-    /// Settings with the default bounds.
+    /// Creates settings with the default bounds.
     pub fn new(address: SocketAddr, log: slog::Logger) -> Self {
         Self {
             address,
@@ -40,51 +40,51 @@
     }
 }
 
-/// Why a listener could not be opened.
+/// Reason why a listener could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum ApiError {
-    /// The address is in use or not one of this host's.
+    /// The address is in use or does not belong to this host.
     #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// The address.
+        /// Address to listen on.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// The HTTP library's listener could not be opened.
-    #[error("cannot open the inner HTTP listener: {0}")]
+    /// The HTTP library's listener could not be started.
+    #[error("cannot start the inner HTTP listener: {0}")]
     Open(#[from] BuildError),
-    /// Two endpoints clash.
+    /// Two endpoints conflict.
     #[error("cannot register an endpoint: {0}")]
     Register(#[from] ApiDescriptionRegisterError),
-    /// The OpenAPI document could not be written.
+    /// The OpenAPI document could not be generated.
     #[error("cannot write the OpenAPI document: {0}")]
     Document(#[from] serde_json::Error),
 }
 
-/// A running listener.
+/// Handle of a running listener.
 pub struct ApiHandle {
     address: SocketAddr,
     close: Box<dyn FnOnce() -> BoxFuture<'static, ()> + Send>,
 }
 
 impl ApiHandle {
-    /// Address that it listens on.
+    /// Returns the address that it listens on.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Takes no new connection, lets requests and streams in flight finish,
-    /// and returns when the last one has.
+    /// Stops accepting connections, lets requests and streams in flight finish, and
+    /// returns when the last one has finished.
     pub async fn shutdown(self) {
         (self.close)().await;
     }
 }
 
-/// Opens the callers' listener.
+/// Starts the callers' listener.
 ///
 /// # Errors
-/// If the address cannot be listened on.
+/// Returns an error if the address cannot be bound.
 pub fn spawn_callers(
     settings: &ApiSettings,
     backend: CallerBackend,
@@ -100,10 +100,10 @@
     open(settings, server, slots, running_calls)
 }
 
-/// Opens the operators' listener.
+/// Starts the operators' listener.
 ///
 /// # Errors
-/// If the address cannot be listened on.
+/// Returns an error if the address cannot be bound.
 pub fn spawn_operators(
     settings: &ApiSettings,
     backend: OperatorBackend,
@@ -112,7 +112,7 @@
     open(settings, server, StreamSlots::default(), TaskTracker::new())
 }
 
-/// Opens the HTTP library's own listener.
+/// Starts the HTTP library's own listener.
 fn serve<C>(
     settings: &ApiSettings,
     api: ApiDescription<C>,
@@ -124,8 +124,8 @@
     let config = ConfigDropshot {
         bind_address: INNER_ADDRESS,
         default_request_body_max_bytes: settings.bounds.body_bytes,
-        // A handler is dropped when its caller goes away, which is how a
-        // backend notices that nobody waits for its answer.
+        // A handler is dropped when its caller disconnects, so that the backend notices
+        // that its response is no longer needed.
         default_handler_task_mode: HandlerTaskMode::CancelOnDisconnect,
         ..ConfigDropshot::default()
     };
@@ -134,7 +134,7 @@
         .start()
 }
 
-/// Opens the bounded listener before it.
+/// Starts the proxy in front of the HTTP library's listener.
 fn open<C>(
     settings: &ApiSettings,
     server: HttpServer<C>,
@@ -158,7 +158,7 @@
     })
 }
 
-/// Closes from the outside in: callers first, so that nothing new arrives.
+/// Closes the proxy first, so that no new request arrives while the rest shuts down.
 async fn close<C>(proxy: ProxyHandle, server: HttpServer<C>, running_calls: TaskTracker)
 where
     C: ServerContext,
@@ -167,6 +167,6 @@
     running_calls.close();
     running_calls.wait().await;
     if let Err(error) = server.close().await {
-        log::warn!("the inner HTTP listener ended badly: {error}");
+        log::warn!("cannot close the inner HTTP listener: {error}");
     }
 }
--- a/src/api/stream.rs
+++ b/src/api/stream.rs
@@ -1,4 +1,4 @@
-//! The answer of a generation as server-sent events.
+//! Response to a generation as server-sent events.
 
 use std::convert::Infallible;
 use std::task::{Context, Poll};
@@ -18,7 +18,7 @@
 
 /// Media type of server-sent events.
 pub(super) const EVENT_STREAM: &str = "text/event-stream";
-/// Intermediaries must neither keep nor hold back events.
+/// Cache policy: intermediaries must neither store nor buffer events.
 const NO_STORE: &str = "no-store";
 
 /// A response whose body is a stream of events.
@@ -29,7 +29,7 @@
         Ok(self.0)
     }
 
-    /// Documents one event; the media type is put right in the document.
+    /// Documents one event; `openapi` corrects the media type in the document.
     fn response_metadata() -> ApiEndpointResponse {
         <HttpResponseOk<StreamEvent> as HttpResponse>::response_metadata()
     }
@@ -40,8 +40,7 @@
 }
 
 impl EventResponse {
-    /// The head of the answer, with its events if the answer is written here
-    /// and none if they were handed over.
+    /// Creates the response; `body` is empty if the events are passed to the proxy.
     pub(super) fn new(body: Body) -> Self {
         let mut response = Response::new(body);
         let headers = response.headers_mut();
@@ -51,7 +50,7 @@
     }
 }
 
-/// The events of one answer as they are written.
+/// Returns a body that writes the events of one response.
 pub(super) fn stream_body(request: RequestId, events: GenerateStream) -> Body {
     let mut writer = EventWriter {
         request,
@@ -62,7 +61,7 @@
     Body::wrap(StreamBody::new(frames))
 }
 
-/// Writes events as frames until the last one.
+/// Writes events as frames up to the last one.
 struct EventWriter {
     request: RequestId,
     events: GenerateStream,
@@ -78,9 +77,9 @@
             return Poll::Ready(None);
         }
         self.events.poll_recv(context).map(|event| {
-            // A backend task that dies drops its sender. Without this event the
-            // caller would see the stream end and could take a part of the
-            // answer for the whole.
+            // A backend task that panics drops its sender. Without this event the stream
+            // would just end, and the caller could take an incomplete response for a
+            // complete one.
             let event = event.unwrap_or_else(|| self.interrupted());
             self.finished = matches!(event, StreamEvent::Done { .. } | StreamEvent::Error(_));
             Some(Ok(Frame::data(event_bytes(&event))))
@@ -90,13 +89,13 @@
     fn interrupted(&self) -> StreamEvent {
         StreamEvent::Error(RefusalBody {
             verdict: RunVerdict::MayHaveRun,
-            ..RefusalBody::not_run(RefusalReason::TargetFailed, "the answer broke off")
+            ..RefusalBody::not_run(RefusalReason::TargetFailed, "the response was interrupted")
                 .for_request(self.request.clone())
         })
     }
 }
 
-/// One event as it goes over the wire.
+/// Encodes one event.
 fn event_bytes(event: &StreamEvent) -> Bytes {
     let json = serde_json::to_string(event).unwrap_or_default();
     Bytes::from(format!("data: {json}\n\n"))
--- a/src/api/wire.rs
+++ b/src/api/wire.rs
@@ -8,7 +8,7 @@
 use crate::resources::{ResourceKey, ResourceSpec};
 use crate::verdict::RunVerdict;
 
-/// Header by which a caller marks a request as non-idempotent (`true`).
+/// Header with which a caller marks a request as non-idempotent (`true`).
 pub const NON_IDEMPOTENT_HEADER: &str = "x-non-idempotent";
 
 /// Body of `POST /v1/generate`.
@@ -17,72 +17,73 @@
 pub struct GenerateBody {
     /// Model to use.
     pub model: ModelId,
-    /// Prompt as token values; at least one.
+    /// Prompt as token values, at least one.
     pub prompt: Vec<TokenValue>,
     /// Tokens to generate, at least one.
     pub max_tokens: u64,
-    /// Time within which the answer is wanted, in milliseconds.
+    /// Deadline of the request, in milliseconds from its arrival.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// Higher goes first within the organisation and in the engines.
+    /// Requests with a higher priority go first within the organisation and in the
+    /// engines.
     #[serde(default)]
     pub priority: u8,
-    /// Given when the caller continues an answer that another entry host began.
+    /// Set when the caller resumes a response that another entry host started.
     #[serde(default)]
     pub resume: Option<ResumeToken>,
 }
 
-/// What a caller needs to continue a stream on another entry host.
+/// State that a caller needs to resume a stream on another entry host.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ResumeToken {
-    /// The request that was begun.
+    /// Id of the request to resume.
     pub request: RequestId,
-    /// Version that the answer began on.
+    /// Model version that the response started with.
     pub version: String,
-    /// Tokens that the caller holds, in order from number zero.
+    /// Tokens that the caller has received, in order from number zero.
     pub delivered: Vec<TokenValue>,
 }
 
-/// Events of the stream that answers `POST /v1/generate`.
+/// Events of the stream that responds to `POST /v1/generate`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum StreamEvent {
-    /// First event: what the caller needs for resuming elsewhere.
+    /// First event: what the caller needs to resume on another entry host.
     Started {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
-        /// Version that serves it.
+        /// Model version that serves it.
         version: String,
     },
     /// One token.
     Token {
-        /// Number in the answer, from zero, without gaps.
+        /// Number of the token in the response, from zero, without gaps.
         number: u64,
-        /// The token.
+        /// Value of the token.
         token: TokenValue,
     },
-    /// Last event of a whole answer.
+    /// Last event of a complete response.
     Done {
-        /// Number of tokens in the answer.
+        /// Number of tokens in the response.
         count: u64,
     },
-    /// Last event of an answer that was cut short.
+    /// Last event of an interrupted response.
     Error(RefusalBody),
 }
 
-/// Body of every refusal, and of the last event of a stream that broke.
+/// Body of every refusal, and of the last event of an interrupted stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct RefusalBody {
     /// Whether the request may have run.
     pub verdict: RunVerdict,
-    /// Why it was refused.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// What happened, for a person.
+    /// Human-readable description.
     pub message: String,
-    /// When to come back, in milliseconds; absent if coming back is useless.
+    /// Time after which to retry, in milliseconds; absent if a retry is useless.
     pub retry_after_ms: Option<u64>,
-    /// The request.
+    /// Id of the request.
     pub request: Option<RequestId>,
 }
 
@@ -90,69 +91,69 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyBody {
-    /// What is declared.
+    /// Spec of the resource.
     pub spec: ResourceSpec,
-    /// Offset of the change that the operator saw last; `None` for a new resource.
+    /// Offset of the last change that the operator saw; `None` for a new resource.
     pub based_on: Option<LogOffset>,
 }
 
-/// A declared resource as it stands.
+/// A declared resource in its current version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct ResourceView {
     /// Kind and name.
     pub key: ResourceKey,
-    /// What was declared.
+    /// Spec of the resource.
     pub spec: ResourceSpec,
     /// Offset of the accepted change: its version.
     pub version: LogOffset,
-    /// Operator who made it.
+    /// Operator who made the change.
     pub operator: OperatorId,
 }
 
-/// Answer to an accepted change.
+/// Response to an accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct AcceptedBody {
     /// Offset of the accepted change.
     pub version: LogOffset,
 }
 
-/// Answer (409) to a change that lost a race.
+/// Response (409) to a change that is based on an outdated version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ConflictBody {
-    /// Offset of the change that stands; `None` if the resource does not exist.
+    /// Offset of the change that is in effect; `None` if the resource does not exist.
     pub winner: Option<LogOffset>,
-    /// Operator who made it.
+    /// Operator who made that change.
     pub operator: Option<OperatorId>,
-    /// What to do next.
+    /// Human-readable hint on how to proceed.
     pub message: String,
 }
 
-/// How far a configuration is in force.
+/// Progress of hosts in applying the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ForceView {
-    /// Lowest applied end offset over the hosts that can be reached.
+    /// Lowest applied end offset of all reachable hosts.
     pub in_force: LogOffset,
-    /// Every host known, with what it has applied.
+    /// Every known host, with the offset that it has applied.
     pub hosts: Vec<HostForceView>,
 }
 
-/// One host's part of a [`ForceView`].
+/// One host of a [`ForceView`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct HostForceView {
     /// The host.
     pub host: HostId,
-    /// Offset after the last record that it has applied, as last heard.
+    /// Offset after the last record that the host has applied, as last reported.
     pub applied: LogOffset,
-    /// Whether it can be reached now.
+    /// Whether the host is reachable now.
     pub reachable: bool,
-    /// Whether it is shutting down.
+    /// Whether the host is shutting down.
     pub draining: bool,
 }
 
-/// What was decided about one request or resource, and why.
+/// Decisions about one request or resource, with their reasons.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ExplainView {
-    /// The request or resource asked about.
+    /// The request or resource.
     pub subject: String,
     /// Decisions, oldest first.
     pub entries: Vec<ExplainEntry>,
@@ -161,26 +162,26 @@
 /// One decision of an [`ExplainView`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct ExplainEntry {
-    /// When it was taken, in milliseconds since the Unix epoch.
+    /// Time of the decision, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What it was about.
+    /// Subject of the decision.
     pub subject: String,
-    /// The decision and its reason, for a person.
+    /// Human-readable decision with its reason.
     pub text: String,
 }
 
-/// How a host sees itself and the targets.
+/// State of a host and its view of the targets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct StatusView {
-    /// The host that answers.
+    /// The host that responds.
     pub host: HostId,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneId,
-    /// Whether it takes new work.
+    /// Whether the host accepts new work.
     pub ready: bool,
-    /// Whether it is shutting down.
+    /// Whether the host is shutting down.
     pub draining: bool,
-    /// Offset after the last record that it has applied.
+    /// Offset after the last record that the host has applied.
     pub applied: LogOffset,
     /// The declared targets as this host sees them.
     pub targets: Vec<TargetStatusView>,
@@ -191,12 +192,12 @@
 pub struct TargetStatusView {
     /// The target.
     pub target: TargetId,
-    /// Its availability zone.
+    /// Availability zone of the target.
     pub zone: ZoneId,
-    /// Whether it gets new work from this host.
+    /// Whether this host sends new work to the target.
     pub usable: bool,
-    /// Why not, or how it does, for a person.
+    /// Human-readable condition of the target.
     pub condition: String,
-    /// Steps and calls of this host in flight there.
+    /// Steps and calls of this host that are in flight on the target.
     pub in_flight: u64,
 }
