--- a/src/api/proxy/connection.rs
+++ b/src/api/proxy/connection.rs
@@ -53,8 +53,7 @@
     let served = http1::Builder::new()
         .keep_alive(false)
         .serve_connection(TokioIo::new(socket), service);
-    // On a timeout the caller sent no request; its permit must become free for another
-    // one.
+    // A caller that sends no request in time must not keep its permit from others.
     let _ = tokio::time::timeout(REFUSE_TIMEOUT, served).await;
 }
 
--- a/src/api/wire.rs
+++ b/src/api/wire.rs
@@ -196,7 +196,7 @@
     pub zone: ZoneId,
     /// Whether this host sends new work to the target.
     pub usable: bool,
-    /// Human-readable condition of the target.
+    /// Human-readable condition of the target: why it is unusable, or its current state.
     pub condition: String,
     /// Steps and calls of this host that are in flight on the target.
     pub in_flight: u64,
--- a/tests/api.rs
+++ b/tests/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP interfaces before backends of canned closures.
+//! Tests of the HTTP interfaces over stub backends.
 
 #[path = "api/bounds.rs"]
 mod bounds;
--- a/tests/api/bounds.rs
+++ b/tests/api/bounds.rs
@@ -1,4 +1,4 @@
-//! What callers may send and hold.
+//! Bounds on connections and requests.
 
 use std::time::Duration;
 
@@ -10,10 +10,9 @@
 use jackdawwick::verdict::RunVerdict;
 use tokio::sync::mpsc;
 
-/// Symptom: a caller with too long a body sees a reset connection and tries
-/// again for ever.
-/// Sequence: it sends the whole body before it reads the answer.
-/// Cause: the connection was closed on bytes not yet read.
+/// A caller that sends its whole body before it reads the response gets a 413. If the
+/// connection were closed with unread bytes, it would be reset, and the caller would
+/// retry for ever.
 #[tokio::test]
 async fn a_body_beyond_the_bound_is_refused() {
     const BOUND: usize = 1 << 20;
@@ -31,10 +30,8 @@
     assert_eq!(reply.status, StatusCode::OK);
 }
 
-/// Symptom: connections of callers that never finish a request pile up until
-/// no other one is served.
-/// Sequence: a caller sends nothing, half a head, or half a body, and waits.
-/// Cause: reading was not bounded in time.
+/// Callers that send nothing, half a head or half a body are disconnected. Without time
+/// limits on reading, such connections would pile up until no other caller is served.
 #[tokio::test]
 async fn slow_senders_are_disconnected() {
     let server = StubBackend::default()
@@ -51,8 +48,8 @@
     assert!(response.contains("\"not_run\""), "{response}");
 }
 
-/// Heads that cannot be read are answered by the HTTP library without a body,
-/// and HTTP/2, whose callers could not read the answer, by closing.
+/// The HTTP library responds to unreadable heads without a body. HTTP/2 connections are
+/// closed, since their callers could not read the response.
 #[tokio::test]
 async fn invalid_or_oversized_heads_are_refused() {
     let server = StubBackend::default().serve();
@@ -93,10 +90,8 @@
     in_time(sender.closed()).await;
 }
 
-/// Symptom: a run goes on for a caller that no longer takes its tokens.
-/// Sequence: a caller stops reading but keeps its connection open.
-/// Cause: the system offers the bytes again and again, for as long as the
-/// caller's system says that it has no room.
+/// A caller that stops reading but keeps its connection open is disconnected. Otherwise
+/// the run would go on, since the system probes a full receive window without end.
 #[tokio::test]
 async fn a_caller_that_stops_reading_is_disconnected() {
     let (sender, receiver) = mpsc::channel(64);
--- a/tests/api/callers.rs
+++ b/tests/api/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP interface before a backend of canned closures.
+//! Tests of the callers' HTTP interface over a stub backend.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -57,8 +57,7 @@
     assert_eq!((&*call.service, &*call.operation), ("ledger", "charge"));
 }
 
-/// Each malformed call gets a 4xx with the typed body, and none reaches the
-/// backend.
+/// Each malformed call gets a 4xx with the typed body, and none reaches the backend.
 #[tokio::test]
 async fn malformed_calls_are_refused_with_a_typed_body() {
     let server = StubBackend::default().serve();
@@ -93,7 +92,7 @@
     assert!(server.seen.generations.lock().is_empty());
 }
 
-/// The status says by itself whether the caller may simply come back.
+/// The HTTP status alone tells whether the caller may simply retry.
 #[tokio::test]
 async fn refusals_have_the_status_of_their_verdict() {
     use RefusalReason as Reason;
@@ -139,10 +138,8 @@
     assert_eq!(ready.refusal().reason, RefusalReason::NotReady);
 }
 
-/// Symptom: a caller takes a part of an answer for the whole.
-/// Sequence: a token is delivered, then the task that serves the run dies.
-/// Cause: its channel closes without a last event and the stream ends as if
-/// nothing had happened.
+/// If the task that serves a run dies after a token was delivered, its channel closes
+/// without a last event. The stream must not end like a complete one.
 #[tokio::test]
 async fn an_interrupted_stream_ends_with_an_error_event() {
     let (sender, receiver) = mpsc::channel(4);
@@ -158,9 +155,8 @@
     assert_eq!(refusal.verdict, RunVerdict::MayHaveRun);
 }
 
-/// Symptom: engines work on for callers that have long gone.
-/// Sequence: a caller reads one event and closes its connection.
-/// Cause: the backend was not told.
+/// When a caller closes its connection, the backend's channel closes, so that engines do
+/// not continue to work for it.
 #[tokio::test]
 async fn a_disconnected_caller_closes_the_event_channel() {
     let (sender, receiver) = mpsc::channel(4);
@@ -178,7 +174,7 @@
     in_time(sender.closed()).await;
 }
 
-/// What became of a call.
+/// Observed progress of a call.
 #[derive(Default)]
 struct CallOutcome {
     caller_disconnected: AtomicBool,
@@ -194,10 +190,8 @@
     }
 }
 
-/// Symptom: a settle-up charge stays "may have run" for ever.
-/// Sequence: the caller of a service closes while its call is carried out.
-/// Cause: the call was dropped with its connection, between its claim and its
-/// answer.
+/// A service call must not be dropped with its caller's connection: dropped between its
+/// claim and its response, it would stay "may have run" for ever.
 #[tokio::test]
 async fn a_service_call_outlives_its_caller_and_is_notified() {
     let release = Arc::new(Notify::new());
@@ -228,7 +222,7 @@
     .await;
     assert!(!outcome.caller_disconnected.load(Ordering::SeqCst));
     drop(caller);
-    eventually("the call is told", || {
+    eventually("the call is notified", || {
         outcome.caller_disconnected.load(Ordering::SeqCst)
     })
     .await;
@@ -241,9 +235,7 @@
     assert!(outcome.ended.load(Ordering::SeqCst));
 }
 
-/// Symptom: a restart of the daemon cuts answers short.
-/// Sequence: the listener is shut down while a stream is in flight.
-/// Cause: the connection was closed with the listener.
+/// A shutdown of the listener must not cut streams in flight short.
 #[tokio::test]
 async fn shutdown_waits_for_the_streams_in_flight() {
     let (sender, receiver) = mpsc::channel(4);
--- a/tests/api/client.rs
+++ b/tests/api/client.rs
@@ -1,4 +1,4 @@
-//! A small client for the tests of the HTTP interfaces.
+//! HTTP client for the tests of the HTTP interfaces.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use jackdawwick::api::wire::RefusalBody;
 use tokio::time::timeout;
 
-/// Time after which a test that waits has failed.
+/// Time after which a waiting test fails.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Names and values of headers.
 pub(crate) type Headers<'a> = &'a [(&'a str, &'a str)];
 
-/// An answer read to its end.
+/// A response with its complete body.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: StatusCode,
@@ -36,13 +36,13 @@
         std::str::from_utf8(&self.body).expect("UTF-8")
     }
 
-    /// The body as a refusal; fails the test if it is none.
+    /// Parses the body as a refusal; panics if it is none.
     pub(crate) fn refusal(&self) -> RefusalBody {
         serde_json::from_slice(&self.body).unwrap_or_else(|error| panic!("{error}: {self:?}"))
     }
 }
 
-/// Sends a request and reads the answer.
+/// Sends a request and reads the response.
 pub(crate) async fn send(
     address: SocketAddr,
     method: Method,
--- a/tests/api/operators.rs
+++ b/tests/api/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface before a backend of canned closures.
+//! Tests of the operators' HTTP interface over a stub backend.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 
 const BEARER: Headers<'_> = &[("authorization", "Bearer nino-token")];
 const LEDGER: &str = "/v1/resources/service/ledger";
-/// Version of the ledger service that stands.
+/// Current version of the ledger service.
 const CURRENT_VERSION: u64 = 41;
 
 /// An operators' listener and the changes that reached its backend.
@@ -60,8 +60,8 @@
     RefusalBody::not_run(RefusalReason::LogUnavailable, "the log is down")
 }
 
-/// A backend that knows one service, accepts changes based on its version and
-/// has lost the log for everything else.
+/// Starts a backend that has one service, accepts changes based on its version, and fails
+/// all other calls because the log is unavailable.
 fn serve() -> TestServer {
     let applied = Arc::new(Mutex::new(Vec::new()));
     let seen = Arc::clone(&applied);
@@ -191,7 +191,7 @@
     assert_eq!(down.refusal().verdict, RunVerdict::NotRun);
 }
 
-/// What is wrong by itself is refused before the backend sees it.
+/// Invalid changes are refused before they reach the backend.
 #[tokio::test]
 async fn a_malformed_change_is_refused() {
     let server = serve();
--- a/tests/api/server.rs
+++ b/tests/api/server.rs
@@ -1,4 +1,4 @@
-//! A callers' listener over a canned backend.
+//! A callers' listener over a stub backend.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,17 +23,17 @@
 
 /// Authorization of the organisation `office`.
 pub(crate) const BEARER: (&str, &str) = ("authorization", "Bearer office-token");
-/// A whole body of a generation.
+/// Body of a valid generation.
 pub(crate) const BODY: &str = r#"{"model":"reader","prompt":[1,2],"max_tokens":3}"#;
 
-/// The calls that reached the backend.
+/// Calls that reached the backend.
 #[derive(Default)]
 pub(crate) struct SeenCalls {
     pub(crate) generations: Mutex<Vec<GenerateCall>>,
     pub(crate) services: Mutex<Vec<ServiceCall>>,
 }
 
-/// A backend to be varied by a test.
+/// Backend that tests can configure.
 pub(crate) struct StubBackend {
     pub(crate) generate: AsyncCall<GenerateCall, Result<GenerateStream, RefusalBody>>,
     pub(crate) call_service: AsyncCall<ServiceCall, Result<ServiceResponse, RefusalBody>>,
@@ -53,7 +53,7 @@
 }
 
 impl StubBackend {
-    /// Refuses every generation.
+    /// Creates a backend that refuses every generation.
     pub(crate) fn refusing(refusal: RefusalBody) -> Self {
         Self {
             generate: Arc::new(move |_| ready(Err(refusal.clone())).boxed()),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Answers one generation with this stream.
+    /// Creates a backend that responds to one generation with this stream.
     pub(crate) fn streaming(receiver: GenerateStream) -> Self {
         let slot = Mutex::new(Some(receiver));
         Self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The bounds changed.
+    /// Changes the bounds.
     pub(crate) fn with_bounds<F>(mut self, change: F) -> Self
     where
         F: FnOnce(&mut ApiBounds),
@@ -82,7 +82,7 @@
         self
     }
 
-    /// Opens the callers' listener over it.
+    /// Starts the callers' listener over the backend.
     pub(crate) fn serve(self) -> TestServer {
         let seen = Arc::new(SeenCalls::default());
         let mut table = CredentialTable::default();
@@ -138,19 +138,19 @@
     })
 }
 
-/// A callers' listener and what reached its backend.
+/// A callers' listener and the calls that reached its backend.
 pub(crate) struct TestServer {
     pub(crate) handle: ApiHandle,
     pub(crate) seen: Arc<SeenCalls>,
 }
 
 impl TestServer {
-    /// Sends a generation and reads the answer.
+    /// Sends a generation and reads the response.
     pub(crate) async fn generate(&self, headers: Headers<'_>, body: &str) -> Reply {
         self.send(Method::POST, "/v1/generate", headers, body).await
     }
 
-    /// Sends a request and reads the answer.
+    /// Sends a request and reads the response.
     pub(crate) async fn send(
         &self,
         method: Method,
@@ -161,7 +161,7 @@
         send(self.handle.local_address(), method, path, headers, body).await
     }
 
-    /// Opens a connection, sends a request and does not wait for the answer.
+    /// Opens a connection and sends a request without waiting for the response.
     pub(crate) async fn start_request(&self, request: &str) -> TcpStream {
         let mut caller = self.connect().await;
         let sent = caller.write_all(request.as_bytes()).await;
@@ -177,7 +177,7 @@
     }
 }
 
-/// A call as raw bytes, but for its body.
+/// Returns the head of a call as raw bytes.
 pub(crate) fn raw_head(path: &str, length: usize) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\
@@ -186,23 +186,24 @@
     )
 }
 
-/// A whole generation as raw bytes.
+/// Returns a complete generation as raw bytes.
 pub(crate) fn raw_generation() -> String {
     raw_head("/v1/generate", BODY.len()) + BODY
 }
 
-/// Sends bytes and reads until the listener closes.
+/// Sends bytes and reads until the listener closes the connection.
 pub(crate) async fn send_and_read_all(stream: &mut TcpStream, bytes: &[u8]) -> String {
     stream.write_all(bytes).await.expect("bytes are taken");
     let mut response = Vec::new();
-    // A reset after the answer is an end too; what counts is what came before.
+    // A reset after the response also ends the connection; only the bytes before it
+    // count.
     let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut response))
         .await
         .expect("the listener closes in time");
     String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Waits for something that must come.
+/// Awaits a future and fails the test on a timeout.
 pub(crate) async fn in_time<F>(future: F) -> F::Output
 where
     F: Future,
@@ -210,7 +211,7 @@
     timeout(TEST_TIMEOUT, future).await.expect("in time")
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds and fails the test on a timeout.
 pub(crate) async fn eventually<F>(what: &str, condition: F)
 where
     F: Fn() -> bool,
--- a/tests/openapi.rs
+++ b/tests/openapi.rs
@@ -1,11 +1,11 @@
-//! The committed OpenAPI documents are those of the code.
+//! Checks that the committed OpenAPI documents match the code.
 
 use std::path::Path;
 use std::{env, fs};
 
 use jackdawwick::api::openapi;
 
-/// Set to any value, this variable makes the tests rewrite the documents.
+/// If this variable is set, the tests rewrite the documents.
 const UPDATE_VARIABLE: &str = "UPDATE_OPENAPI";
 
 fn check_document(name: &str, generated: &str) {
