--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: declares resources and shows what is true.
+//! The operators' command line: declares resources and shows the state of the system.
 
 mod apply;
 mod arguments;
@@ -27,9 +27,9 @@
 pub use rollout::{HostLag, RolloutProgress, rollout_progress};
 use session::OperatorSession;
 
-/// Runs the command line, the program's name first, and returns the exit
-/// status: 0 for success, 1 for a failure, 2 for a wrong command line or
-/// resource file, 3 for a lost race, 4 for a change not in force in time.
+/// Runs the command line, whose first argument is the program's name, and returns the
+/// exit status: 0 for success, 1 for a failure, 2 for an invalid command line or resource
+/// file, 3 for a lost race, 4 for a change that is not in effect everywhere in time.
 pub async fn run<I, T, W, E>(
     arguments: I,
     environment: CliEnvironment,
@@ -46,7 +46,7 @@
     let Err(error) = run_command(arguments, environment, &mut presenter).await else {
         return 0;
     };
-    // With standard error closed, the status still tells that it failed.
+    // If standard error is closed, the exit status still reports the failure.
     let _ = writeln!(errors, "{error}");
     error.exit_status()
 }
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: compares a file with what stands and declares the difference.
+//! `apply`: compares a file with the declared resources and declares the differences.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -14,35 +14,35 @@
 use crate::ids::LogOffset;
 use crate::resources::ResourceKey;
 
-/// What `apply` is to do about one resource.
+/// A resource of the file and the change that `apply` makes to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ApplyStep {
-    /// What the file declares.
+    /// Resource as declared in the file.
     pub declared: DeclaredResource,
-    /// How it differs from what stands.
+    /// Difference from the current resource.
     pub change: StepChange,
 }
 
-/// How a declared resource differs from what stands.
+/// Difference between a resource in the file and the current resource.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StepChange {
-    /// It does not exist yet.
+    /// The resource does not exist yet.
     Create,
-    /// It exists and differs.
+    /// The resource exists and differs.
     Update {
-        /// Version that the difference was taken from.
+        /// Version that was compared.
         based_on: LogOffset,
         /// The fields that differ.
         fields: Vec<FieldChange>,
     },
-    /// It stands as declared.
+    /// The resource is already as declared.
     Unchanged {
-        /// Its version.
+        /// Version of the resource.
         version: LogOffset,
     },
 }
 
-/// Compares declared resources with those that stand, in the declared order.
+/// Compares the resources of a file with the current ones, in the order of the file.
 pub fn plan_apply(declared: Vec<DeclaredResource>, current: &[ResourceView]) -> Vec<ApplyStep> {
     let current = current.iter().map(|view| (&view.key, view));
     let current = current.collect::<BTreeMap<&ResourceKey, _>>();
@@ -107,7 +107,7 @@
 where
     W: Write,
 {
-    /// Declares the resources of a file that differ from what stands.
+    /// Declares those resources of a file that differ from the current ones.
     pub(super) async fn apply(&mut self, file: &Path, dry_run: bool) -> Result<(), CliError> {
         let declared = read_file(file)?;
         let current = self.client.list(None).await?;
@@ -119,8 +119,8 @@
         self.apply_steps(&steps).await
     }
 
-    /// Declares the steps in order and stops at the first that fails: what
-    /// follows may refer to it.
+    /// Executes the steps in order and stops at the first failure, since later resources
+    /// may refer to the one that failed.
     async fn apply_steps(&mut self, steps: &[ApplyStep]) -> Result<(), CliError> {
         let mut reports = Vec::new();
         let mut failure = None;
--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -12,14 +12,14 @@
 use crate::ids::{LogOffset, RequestId};
 use crate::resources::{ResourceKey, ResourceKind};
 
-/// Environment variable with the server's address.
+/// Environment variable with the address of the server.
 const SERVER_VARIABLE: &str = "JACKDAWWICK_SERVER";
-/// Environment variable with the bearer token itself.
+/// Environment variable with the bearer token.
 const TOKEN_VARIABLE: &str = "JACKDAWWICK_TOKEN";
-/// How long `watch` goes on unless told otherwise.
+/// Default duration of `watch`.
 const DEFAULT_WATCH_TIMEOUT: &str = "60s";
 
-/// What the command line takes from its environment.
+/// Values that the command line takes from the environment.
 #[derive(Clone, Default)]
 pub struct CliEnvironment {
     /// Address of an operators' listener.
@@ -29,7 +29,7 @@
 }
 
 impl CliEnvironment {
-    /// Reads the process's environment.
+    /// Reads the environment of the process.
     pub fn from_process() -> Self {
         Self {
             server: std::env::var(SERVER_VARIABLE).ok(),
@@ -38,31 +38,31 @@
     }
 }
 
-/// How results are written.
+/// Output format of results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum OutputFormat {
-    /// Aligned columns for a person.
+    /// Aligned columns, for people.
     #[default]
     Table,
-    /// JSON for a program.
+    /// JSON, for programs.
     Json,
 }
 
-/// One command.
+/// Command to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CliAction {
     /// Declare the resources of a file.
     Apply {
         /// The TOML file.
         file: PathBuf,
-        /// Only show the difference.
+        /// Whether to only show the differences.
         dry_run: bool,
     },
     /// Show declared resources.
     Get {
-        /// Only this kind.
+        /// Only resources of this kind.
         kind: Option<ResourceKind>,
-        /// Only this name.
+        /// Only the resource of this name.
         name: Option<String>,
     },
     /// Remove a resource.
@@ -70,39 +70,39 @@
         /// Kind and name.
         key: ResourceKey,
     },
-    /// Show until a version is in force everywhere.
+    /// Show progress until a version is in effect everywhere.
     Watch {
-        /// Offset of the change; `None` for the newest that any host has applied.
+        /// Offset of the change; `None` for the newest one that any host has applied.
         version: Option<LogOffset>,
-        /// How long to go on.
+        /// Maximum time to watch.
         timeout: Duration,
     },
-    /// Show what was decided about a request.
+    /// Show the decisions about a request.
     Explain {
-        /// The request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Show how a host sees itself and the targets.
+    /// Show the state of a host and its view of the targets.
     Status,
 }
 
-/// The whole command line, resolved against the environment.
+/// Complete command line, resolved against the environment.
 pub struct CliArguments {
-    /// An operators' listener.
+    /// Address of an operators' listener.
     pub server: SocketAddr,
     /// Bearer token.
     pub token: String,
-    /// How results are written.
+    /// Output format of results.
     pub output: OutputFormat,
-    /// What to do.
+    /// Command to execute.
     pub action: CliAction,
 }
 
-/// The command line of `jackdawwick`.
+/// Returns the command line definition of `jackdawwick`.
 pub fn operator_command() -> Command {
     Command::new("jackdawwick")
         .version(crate_version!())
-        .about("Declares resources and shows what is true")
+        .about("Declares resources and shows the state of the system")
         .subcommand_required(true)
         .arg_required_else_help(true)
         .args(global_arguments())
@@ -112,7 +112,7 @@
             delete_command(),
             watch_command(),
             explain_command(),
-            Command::new("status").about("Show how the host sees itself and the targets"),
+            Command::new("status").about("Show the state of the host and its view of the targets"),
         ])
 }
 
@@ -138,7 +138,7 @@
         .value_parser(["table", "json"])
         .default_value("table")
         .global(true)
-        .help("How results are written");
+        .help("Output format of results");
     [server, token_file, output]
 }
 
@@ -153,15 +153,17 @@
         .action(ArgAction::SetTrue)
         .help("Show the difference and change nothing");
     Command::new("apply")
-        .about("Declare the resources of a file; those not in it stay as they are")
+        .about("Declare the resources of a file; other resources stay unchanged")
         .args([file, dry_run])
 }
 
 fn get_command() -> Command {
-    let name = Arg::new("name").value_name("NAME").help("Only this one");
+    let name = Arg::new("name")
+        .value_name("NAME")
+        .help("Only the resource of this name");
     Command::new("get")
         .about("Show declared resources")
-        .args([kind_argument().help("Only this kind"), name])
+        .args([kind_argument().help("Only resources of this kind"), name])
 }
 
 fn delete_command() -> Command {
@@ -176,22 +178,22 @@
         .long("version")
         .value_name("OFFSET")
         .value_parser(value_parser!(u64))
-        .help("Version to wait for; without it the newest that any host has applied");
+        .help("Version to wait for; by default the newest that any host has applied");
     let timeout = Arg::new("timeout")
         .long("timeout")
         .value_name("DURATION")
         .value_parser(humantime::parse_duration)
         .default_value(DEFAULT_WATCH_TIMEOUT)
-        .help("How long to go on, such as 30s");
+        .help("Maximum time to watch, such as 30s");
     Command::new("watch")
-        .about("Show how far a change is in force, until it is so everywhere")
+        .about("Show the progress of a change until it is in force on every host")
         .args([version, timeout])
 }
 
 fn explain_command() -> Command {
     let request = Arg::new("request").value_name("REQUEST").required(true);
     Command::new("explain")
-        .about("Show what was decided about a request, and why")
+        .about("Show the decisions about a request and their reasons")
         .arg(request.help("Id of the request, as in x-request-id"))
 }
 
@@ -206,7 +208,7 @@
     /// Resolves parsed arguments against the environment.
     ///
     /// # Errors
-    /// If the server or the token is missing or not usable.
+    /// Returns an error if the server or the token is missing or invalid.
     pub fn from_matches(
         matches: &ArgMatches,
         environment: CliEnvironment,
@@ -284,7 +286,8 @@
     }
 }
 
-/// An argument's text; `None` if the command does not have the argument.
+/// Returns the text of an argument; `None` if it is absent or the command does not define
+/// it.
 fn text(matches: &ArgMatches, name: &str) -> Option<String> {
     matches.try_get_one::<String>(name).ok().flatten().cloned()
 }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client of the operators' interface.
+//! HTTP client for the operators' interface.
 
 use std::error::Error;
 use std::fmt::Write;
@@ -23,40 +23,43 @@
 use crate::reason::RefusalReason;
 use crate::resources::{ResourceKey, ResourceKind};
 
-/// How long a connection may take to open.
+/// Maximum time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long an answer may take: a change is answered only once it is replayed.
+/// Maximum time to a response. A change is answered only after this host has replayed it
+/// from the log.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Longest answer that is read, in bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// A client of one entry host's operators' listener.
+/// Client of the operators' listener of one entry host.
 pub struct OperatorClient {
     client: Client<HttpConnector, Full<Bytes>>,
     server: SocketAddr,
     authorization: HeaderValue,
 }
 
-/// Status and body of an answer.
+/// Status and body of a response.
 struct RawResponse {
     status: StatusCode,
     body: Bytes,
 }
 
 impl OperatorClient {
-    /// Builds a client; connections are opened when first used.
+    /// Creates a client; connections are opened on first use.
     ///
     /// # Errors
-    /// If the token cannot stand in a header.
+    /// Returns an error if the token cannot be sent in a header.
     pub fn open(server: SocketAddr, token: &str) -> Result<Self, CliError> {
         let mut authorization = HeaderValue::try_from(format!("Bearer {token}")).map_err(|_| {
-            CliError::Usage("the token has characters that a header cannot carry".to_owned())
+            CliError::Usage(
+                "the token contains characters that are not allowed in a header".to_owned(),
+            )
         })?;
         authorization.set_sensitive(true);
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // The library would send a request again on another connection by
-        // itself; whether to repeat a change is the operator's choice.
+        // Without this setting the library would resend a request on another connection
+        // by itself, but only the operator may decide to repeat a change.
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build(connector);
@@ -67,10 +70,10 @@
         })
     }
 
-    /// All declared resources, or those of one kind.
+    /// Returns all declared resources, or those of one kind.
     ///
     /// # Errors
-    /// As of every call: no connection, no answer, or a refusal.
+    /// Returns an error if there is no connection, no response, or a refusal.
     pub async fn list(&self, kind: Option<ResourceKind>) -> Result<Vec<ResourceView>, CliError> {
         match kind {
             None => self.read("/v1/resources").await,
@@ -78,10 +81,10 @@
         }
     }
 
-    /// One declared resource; `None` if it does not exist.
+    /// Returns one declared resource; `None` if it does not exist.
     ///
     /// # Errors
-    /// As of every call: no connection, no answer, or a refusal.
+    /// Returns an error if there is no connection, no response, or a refusal.
     pub async fn find(&self, key: &ResourceKey) -> Result<Option<ResourceView>, CliError> {
         match self.read(&resource_path(key)).await {
             Ok(view) => Ok(Some(view)),
@@ -90,27 +93,27 @@
         }
     }
 
-    /// How far the configuration is in force.
+    /// Returns which hosts have applied the configuration.
     ///
     /// # Errors
-    /// As of every call: no connection, no answer, or a refusal.
+    /// Returns an error if there is no connection, no response, or a refusal.
     pub async fn force(&self) -> Result<ForceView, CliError> {
         self.read("/v1/force").await
     }
 
-    /// What was decided about a request.
+    /// Returns the decisions about a request.
     ///
     /// # Errors
-    /// As of every call: no connection, no answer, or a refusal.
+    /// Returns an error if there is no connection, no response, or a refusal.
     pub async fn explain(&self, request: &str) -> Result<ExplainView, CliError> {
         self.read(&format!("/v1/explain/{}", encode_segment(request)))
             .await
     }
 
-    /// How the host sees itself and the targets.
+    /// Returns the state of the host and its view of the targets.
     ///
     /// # Errors
-    /// As of every call: no connection, no answer, or a refusal.
+    /// Returns an error if there is no connection, no response, or a refusal.
     pub async fn status(&self) -> Result<StatusView, CliError> {
         self.read("/v1/status").await
     }
@@ -118,7 +121,8 @@
     /// Declares a resource.
     ///
     /// # Errors
-    /// As of every call, and if the change lost a race.
+    /// Returns an error if there is no connection, no response, or a refusal, or if the
+    /// change lost a race.
     pub async fn apply(
         &self,
         key: &ResourceKey,
@@ -132,7 +136,8 @@
     /// Removes a resource.
     ///
     /// # Errors
-    /// As of every call, and if the change lost a race.
+    /// Returns an error if there is no connection, no response, or a refusal, or if the
+    /// change lost a race.
     pub async fn delete(
         &self,
         key: &ResourceKey,
@@ -172,7 +177,9 @@
             .header(header::AUTHORIZATION, self.authorization.clone())
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
-            .map_err(|error| CliError::Usage(format!("{path} cannot be asked for: {error}")))?;
+            .map_err(|error| {
+                CliError::Usage(format!("cannot build the request for {path}: {error}"))
+            })?;
         match tokio::time::timeout(RESPONSE_TIMEOUT, self.exchange(request)).await {
             Ok(answer) => answer,
             Err(_) => Err(self.no_response(&"timed out")),
@@ -208,7 +215,9 @@
     {
         match serde_json::to_vec(body) {
             Ok(text) => Ok(text.into()),
-            Err(error) => Err(CliError::Usage(format!("cannot be sent as JSON: {error}"))),
+            Err(error) => Err(CliError::Usage(format!(
+                "cannot encode the request as JSON: {error}"
+            ))),
         }
     }
 
@@ -248,8 +257,8 @@
     )
 }
 
-/// Percent-encodes a text as one segment of a path: a name with a slash or a
-/// question mark in it would otherwise address another resource.
+/// Percent-encodes a text as one path segment. An unencoded slash or question mark in a
+/// name would address another resource.
 fn encode_segment(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
@@ -264,7 +273,7 @@
     encoded
 }
 
-/// An error with its causes; the outermost alone says only "client error".
+/// Formats an error with its causes; the outermost error alone says only "client error".
 fn with_causes<E>(error: &E) -> String
 where
     E: Error,
--- a/src/cli/difference.rs
+++ b/src/cli/difference.rs
@@ -1,4 +1,4 @@
-//! The difference between two versions of a resource, field by field.
+//! Field-by-field comparison of two versions of a resource.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,18 +7,18 @@
 
 use crate::resources::ResourceSpec;
 
-/// One field that differs.
+/// A field whose values differ.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct FieldChange {
     /// Path of the field, such as `capacity.requests_per_second`.
     pub field: String,
-    /// Value that stands; `None` if the field is new.
+    /// Current value; `None` if the field is new.
     pub before: Option<Value>,
-    /// Value that is declared; `None` if the field goes away.
+    /// Declared value; `None` if the field is removed.
     pub after: Option<Value>,
 }
 
-/// The fields in which two specs differ, by path.
+/// Returns the fields in which two specs differ, by path.
 pub fn compare_specs(before: &ResourceSpec, after: &ResourceSpec) -> Vec<FieldChange> {
     let before = flatten_spec(before);
     let after = flatten_spec(after);
@@ -33,10 +33,10 @@
         .collect()
 }
 
-/// Every plain value of a spec by its path.
+/// Returns every scalar value of a spec by its path.
 pub(super) fn flatten_spec(spec: &ResourceSpec) -> BTreeMap<String, Value> {
     let mut fields = BTreeMap::new();
-    // A spec always has a JSON form; it came from one or goes into one.
+    // Serialisation cannot fail: a spec is always exchanged as JSON.
     if let Ok(Value::Object(tagged)) = serde_json::to_value(spec) {
         for inner in tagged.into_iter().map(|(_, inner)| inner) {
             flatten("", inner, &mut fields);
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the command line; each says what to do next.
+//! Errors of the command line; each message says how to proceed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,18 +15,18 @@
 const LOST_RACE_STATUS: u8 = 3;
 const NOT_IN_FORCE_STATUS: u8 = 4;
 
-/// Why a command did not succeed.
+/// Reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// The command line is wrong.
+    /// The command line is invalid.
     #[error("{0}")]
     Usage(String),
     /// The resource file has mistakes.
     #[error("{file}: {} mistake(s), nothing was sent:\n  {}", mistakes.len(), mistakes.join("\n  "))]
     InvalidFile {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Every mistake, with its key.
+        /// All mistakes, each with its key.
         mistakes: Vec<String>,
     },
     /// No connection could be opened, so nothing was sent.
@@ -35,68 +35,68 @@
          operators' listener, or name another entry host."
     )]
     Unreachable {
-        /// The server.
+        /// Address of the server.
         server: SocketAddr,
-        /// What the connection said.
+        /// Cause of the failure.
         cause: String,
     },
-    /// The connection broke or timed out before an answer.
+    /// The connection broke or timed out before a response arrived.
     #[error(
-        "no answer from {server}: {cause}\nA change that was sent may have taken effect. Run the \
-         same command again: what has taken effect is not sent twice."
+        "no response from {server}: {cause}\nA change that was sent may have taken effect. Run the \
+         same command again: resources that are up to date are not sent again."
     )]
     NoResponse {
-        /// The server.
+        /// Address of the server.
         server: SocketAddr,
-        /// What the connection said.
+        /// Cause of the failure.
         cause: String,
     },
-    /// The daemon refused.
+    /// The daemon refused the call.
     #[error("refused ({}): {}{}", .0.reason.name(), .0.message, next_step(.0))]
     Refused(Box<RefusalBody>),
-    /// The change lost a race.
+    /// The change is based on an outdated version.
     #[error("{key}: lost the race: {}", conflict_message(key, conflict))]
     LostRace {
-        /// The resource.
+        /// Resource of the change.
         key: ResourceKey,
-        /// Who won.
+        /// Change that was accepted instead.
         conflict: Box<ConflictBody>,
     },
-    /// The answer is not one that the daemon gives.
+    /// The response is not one that the daemon sends.
     #[error(
-        "{server} gave an answer that is not understood ({cause})\nCheck that --server names an \
-         operators' listener and that both programs have the same version."
+        "invalid response from {server} ({cause})\nCheck that --server names an operators' listener \
+         and that both programs have the same version."
     )]
     InvalidResponse {
-        /// The server.
+        /// Address of the server.
         server: SocketAddr,
-        /// Status and cause.
+        /// HTTP status and cause.
         cause: String,
     },
-    /// The journal of the host has nothing on the request.
+    /// The journal of the host has no entry about the request.
     #[error(
-        "nothing is known about {request} here\nAsk the entry host that took the request; old \
-         decisions are dropped first."
+        "no decisions about {request} are recorded on this host\nAsk the entry host that took the \
+         request; old decisions are dropped first."
     )]
     NothingRecorded {
-        /// The request.
+        /// Id of the request.
         request: String,
     },
-    /// The time for watching is over.
+    /// The timeout of `watch` expired.
     #[error(
-        "not in force everywhere in time: {}\nWatch on with `jackdawwick watch --version {}`, and \
-         look at the hosts named.",
+        "not in force everywhere in time: {}\nContinue with `jackdawwick watch --version {}`, and \
+         check the hosts listed.",
         view::describe_progress(.0),
         .0.version()
     )]
     NotInForce(RolloutProgress),
     /// The result could not be written.
-    #[error("the result could not be written: {0}")]
+    #[error("cannot write the result: {0}")]
     Output(#[from] io::Error),
 }
 
 impl CliError {
-    /// The process's exit status.
+    /// Returns the exit status of the process.
     pub fn exit_status(&self) -> u8 {
         match self {
             Self::Usage(_) | Self::InvalidFile { .. } => USAGE_STATUS,
@@ -127,7 +127,7 @@
     };
     match (refusal.verdict, refusal.reason) {
         (RunVerdict::MayHaveRun, _) => "\nThe change may have taken effect. Run the same command \
-             again: what has taken effect is not sent twice."
+             again: resources that are up to date are not sent again."
             .to_owned(),
         (_, RefusalReason::Unauthenticated) => "\nCheck the token against the credentials in \
              the daemon's settings, section [operators]."
--- a/src/cli/presentation.rs
+++ b/src/cli/presentation.rs
@@ -1,4 +1,4 @@
-//! Writes results as tables or JSON; the only place that writes output.
+//! Writes results as tables or JSON. No other module writes output.
 
 use std::io::Write;
 use std::time::{Duration, UNIX_EPOCH};
@@ -12,10 +12,10 @@
 use super::{CliError, OutputFormat};
 use crate::api::wire::{ExplainView, ResourceView, StatusView};
 
-/// Milliseconds from the Unix epoch to the year 10000.
+/// Milliseconds from the Unix epoch to the start of the year 10000.
 const YEAR_10000_MS: u64 = 253_402_300_800_000;
 
-/// Writes results for a person or a program.
+/// Writes results as tables or JSON.
 pub(super) struct Presenter<W> {
     writer: W,
     format: OutputFormat,
@@ -25,7 +25,7 @@
 where
     W: Write,
 {
-    /// A presenter that writes tables.
+    /// Creates a presenter that writes tables.
     pub(super) fn new(writer: W) -> Self {
         Self {
             writer,
@@ -33,18 +33,18 @@
         }
     }
 
-    /// Chooses the format of what follows.
+    /// Sets the format of the results that follow.
     pub(super) fn use_format(&mut self, format: OutputFormat) {
         self.format = format;
     }
 
-    /// Writes a text as it is.
+    /// Writes a text unchanged.
     pub(super) fn text(&mut self, text: &str) -> Result<(), CliError> {
         self.writer.write_all(text.as_bytes())?;
         Ok(self.writer.flush()?)
     }
 
-    /// Writes a list of resources, one a row.
+    /// Writes a list of resources, one per row.
     pub(super) fn resources(&mut self, views: &[ResourceView]) -> Result<(), CliError> {
         if self.format == OutputFormat::Json {
             return self.json(views);
@@ -76,7 +76,7 @@
         self.table(&table)
     }
 
-    /// Writes what became of each resource, with the fields that differ.
+    /// Writes the outcome for each resource, with the fields that differ.
     pub(super) fn steps(&mut self, reports: &[StepReport]) -> Result<(), CliError> {
         if self.format == OutputFormat::Json {
             return self.json(reports);
@@ -102,7 +102,7 @@
         self.table(&table)
     }
 
-    /// Writes how far a change is in force, as one line.
+    /// Writes one line on how many hosts have applied a change.
     pub(super) fn progress(&mut self, progress: &RolloutProgress) -> Result<(), CliError> {
         if self.format == OutputFormat::Json {
             return self.json(progress);
@@ -110,7 +110,7 @@
         self.text(&format!("{}\n", view::describe_progress(progress)))
     }
 
-    /// Writes what was decided about a request.
+    /// Writes the decisions about a request.
     pub(super) fn explanation(&mut self, view: &ExplainView) -> Result<(), CliError> {
         if self.format == OutputFormat::Json {
             return self.json(view);
@@ -126,7 +126,7 @@
         self.table(&table)
     }
 
-    /// Writes how a host sees itself and the targets.
+    /// Writes the state of a host and its view of the targets.
     pub(super) fn status(&mut self, view: &StatusView) -> Result<(), CliError> {
         if self.format == OutputFormat::Json {
             return self.json(view);
@@ -158,7 +158,7 @@
         self.text(&(table.lines().join("\n") + "\n"))
     }
 
-    /// Writes one JSON value on a line.
+    /// Writes a value as one line of JSON.
     fn json<T>(&mut self, value: &T) -> Result<(), CliError>
     where
         T: Serialize + ?Sized,
@@ -170,7 +170,7 @@
 
 fn show_time(at_ms: u64) -> String {
     match at_ms {
-        // The formatter panics beyond the year 9999.
+        // The formatter panics for years after 9999.
         YEAR_10000_MS.. => format!("{at_ms} ms"),
         _ => {
             let time = UNIX_EPOCH + Duration::from_millis(at_ms);
--- a/src/cli/queries.rs
+++ b/src/cli/queries.rs
@@ -14,7 +14,7 @@
 where
     W: Write,
 {
-    /// Shows all resources, those of a kind, or one.
+    /// Shows all resources, those of one kind, or one resource.
     pub(super) async fn get(
         &mut self,
         kind: Option<ResourceKind>,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Removes a resource as it stands now.
+    /// Removes the current version of a resource.
     pub(super) async fn delete(&mut self, key: ResourceKey) -> Result<(), CliError> {
         let view = self.find(&key).await?;
         let accepted = self.client.delete(&key, view.version).await?;
@@ -45,7 +45,7 @@
         }])
     }
 
-    /// Shows what was decided about a request.
+    /// Shows the decisions about a request.
     pub(super) async fn explain(&mut self, request: &str) -> Result<(), CliError> {
         let nothing_recorded = || CliError::NothingRecorded {
             request: request.to_owned(),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Shows how the host sees itself and the targets.
+    /// Shows the state of the host and its view of the targets.
     pub(super) async fn status(&mut self) -> Result<(), CliError> {
         let view = self.client.status().await?;
         self.presenter.status(&view)
--- a/src/cli/resource_file.rs
+++ b/src/cli/resource_file.rs
@@ -1,24 +1,24 @@
-//! Reads the resources that an operator declares in a TOML file.
+//! Reads a TOML file of declared resources.
 
 use serde::de::DeserializeOwned;
 use toml::{Table, Value};
 
 use crate::resources::{ResourceKey, ResourceKind, ResourceSpec};
 
-/// One resource of a file.
+/// A resource declared in a file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeclaredResource {
     /// Kind and name.
     pub key: ResourceKey,
-    /// What is declared.
+    /// Spec of the resource.
     pub spec: ResourceSpec,
 }
 
-/// Reads and checks a file with tables such as `[model.NAME]`; the resources
-/// come in the order in which they are to be declared.
+/// Parses and validates a file with tables such as `[model.NAME]`. Resources are returned
+/// in the order in which they must be declared.
 ///
 /// # Errors
-/// Every mistake found, each with its key.
+/// Returns all mistakes, each with its key.
 pub fn parse_resources(text: &str) -> Result<Vec<DeclaredResource>, Vec<String>> {
     let table = text
         .parse::<Table>()
@@ -41,7 +41,7 @@
     }
 }
 
-/// The kind with a name.
+/// Returns the kind of the given name.
 pub(super) fn kind_by_name(name: &str) -> Option<ResourceKind> {
     ResourceKind::ALL
         .into_iter()
@@ -92,8 +92,9 @@
     }
 }
 
-/// Reads a resource from its fields. The deserialiser stops at the first
-/// mistake, so on failure each field is tried alone to report one of each.
+/// Reads a resource from its fields. The deserialiser stops at the first mistake, so
+/// after a failure each field is deserialised on its own to find the mistakes of all
+/// fields.
 fn read_fields<S>(fields: &Table) -> Result<S, Vec<String>>
 where
     S: DeserializeOwned,
@@ -106,8 +107,9 @@
         let field = Table::from_iter([(name.clone(), value.clone())]);
         deserialize::<S>(field).err()
     });
-    // A field alone always fails: for the fields that are missing beside it,
-    // which is said of the resource as a whole, or for a mistake of its own.
+    // Deserialising a single field always fails: either because of the other, missing
+    // fields, which is reported for the resource as a whole, or because of a mistake in
+    // this field.
     let mut mistakes = field_errors
         .filter(|mistake| mistake.is_in_field)
         .map(|mistake| mistake.text)
@@ -118,9 +120,9 @@
     Err(mistakes)
 }
 
-/// A mistake of the deserialiser.
+/// An error of the deserialiser.
 struct FieldMistake {
-    /// Whether it lies in a field that is there.
+    /// Whether the mistake is in a field that is present.
     is_in_field: bool,
     /// Path and message.
     text: String,
--- a/src/cli/rollout.rs
+++ b/src/cli/rollout.rs
@@ -1,45 +1,45 @@
-//! Judges how far a change is in force.
+//! Computes how far a change has been applied by the hosts.
 
 use serde::Serialize;
 
 use crate::api::wire::{ForceView, HostForceView};
 use crate::ids::{HostId, LogOffset};
 
-/// How far a change is in force.
+/// Progress of a change across the hosts.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RolloutProgress {
     /// End offset that every host must have applied.
     pub required: LogOffset,
-    /// Lowest applied end offset over the hosts that can be reached.
+    /// Lowest applied end offset of all reachable hosts.
     pub in_force: LogOffset,
-    /// Whether every host has applied it.
+    /// Whether every host has applied the change.
     pub done: bool,
-    /// Hosts that can be reached and have not applied it.
+    /// Reachable hosts that have not applied the change.
     pub behind: Vec<HostLag>,
-    /// Hosts that cannot be reached, whatever they had applied.
+    /// Unreachable hosts, whatever they had applied.
     pub unreachable: Vec<HostLag>,
 }
 
-/// A host and how far it was when last heard.
+/// A host and the offset that it last reported.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct HostLag {
     /// The host.
     pub host: HostId,
-    /// Offset after the last record that it has applied.
+    /// Offset after the last record that the host has applied.
     pub applied: LogOffset,
 }
 
 impl RolloutProgress {
-    /// Version of the change: the offset of the last record required.
+    /// Returns the version of the change: the offset of the last required record.
     pub fn version(&self) -> LogOffset {
         self.required.saturating_sub(1)
     }
 }
 
-/// Judges a view against the end offset that is required.
+/// Compares the hosts' applied offsets with the required end offset.
 ///
-/// A host that cannot be reached counts with what it was last heard to have
-/// applied: it is not left out, since it may go on serving callers.
+/// An unreachable host counts with the offset that it last reported. It is not left out,
+/// since it may still be serving callers.
 pub fn rollout_progress(view: &ForceView, required: LogOffset) -> RolloutProgress {
     let is_behind = |host: &&HostForceView| host.applied < required;
     let reachable = view.hosts.iter().filter(|host| host.reachable);
@@ -53,7 +53,7 @@
     }
 }
 
-/// The end offset of the newest change that any host has applied.
+/// Returns the end offset of the newest change that any host has applied.
 pub(super) fn newest_applied(view: &ForceView) -> LogOffset {
     let applied = view.hosts.iter().map(|host| host.applied);
     applied.fold(view.in_force, LogOffset::max)
--- a/src/cli/session.rs
+++ b/src/cli/session.rs
@@ -1,12 +1,12 @@
-//! What every command of the command line works with.
+//! State shared by all commands.
 
 use super::client::OperatorClient;
 use super::presentation::Presenter;
 
-/// A client and a presenter; each command is a method of it.
+/// Client and presenter; each command is a method.
 pub(super) struct OperatorSession<'p, W> {
-    /// Talks to the daemon.
+    /// Client of the daemon.
     pub(super) client: OperatorClient,
-    /// Writes what the operator sees.
+    /// Writer of the results.
     pub(super) presenter: &'p mut Presenter<W>,
 }
--- a/src/cli/table.rs
+++ b/src/cli/table.rs
@@ -1,21 +1,21 @@
-//! Aligned columns.
+//! Tables with aligned columns.
 
-/// Spaces between two columns.
+/// Number of spaces between two columns.
 const COLUMN_GAP: usize = 2;
 
-/// Rows of text under a header, aligned when written.
+/// Rows of text under a header, aligned on output.
 pub(super) struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    /// A table with its header.
+    /// Creates a table with a header.
     pub(super) fn new(header: &[&str]) -> Self {
         let header = header.iter().map(|&name| name.to_owned()).collect();
         Self { rows: vec![header] }
     }
 
-    /// Adds a row with a cell for each column.
+    /// Adds a row with one cell per column.
     pub(super) fn row<C>(&mut self, cells: C)
     where
         C: IntoIterator<Item = String>,
@@ -28,7 +28,7 @@
         );
     }
 
-    /// The lines, aligned.
+    /// Returns the aligned lines.
     pub(super) fn lines(&self) -> Vec<String> {
         let columns = self.rows.iter().map(Vec::len).max().unwrap_or(0);
         let widths = (0..columns).map(|column| self.width(column));
@@ -53,8 +53,8 @@
     line.trim_end().to_owned()
 }
 
-/// Replaces control characters: another operator's text could otherwise move
-/// the cursor and hide what this operator is about to decide on.
+/// Replaces control characters. Text from another operator could otherwise move the
+/// cursor and hide information that this operator needs for a decision.
 fn replace_control_characters(cell: &str) -> String {
     cell.replace(char::is_control, "?")
 }
--- a/src/cli/view.rs
+++ b/src/cli/view.rs
@@ -1,4 +1,4 @@
-//! What the commands report, and how it reads.
+//! Reports of the commands and their text form.
 
 use serde::Serialize;
 use serde_json::Value;
@@ -9,7 +9,7 @@
 use crate::ids::LogOffset;
 use crate::resources::{ResourceKey, ResourceSpec};
 
-/// What became of one resource.
+/// Outcome of a step for one resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum StepOutcome {
@@ -25,7 +25,7 @@
 }
 
 impl StepOutcome {
-    /// The outcome of a step that ended in an error.
+    /// Returns the outcome of a step that failed with an error.
     pub(super) fn from_error(error: &CliError) -> Self {
         match error {
             CliError::LostRace { .. } => Self::LostRace,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The outcome as a table shows it.
+    /// Returns the outcome as shown in a table.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Created => "created",
@@ -48,13 +48,13 @@
         }
     }
 
-    /// Whether this resource's fields took effect or would.
+    /// Returns whether the table shows the fields that differ for this outcome.
     pub(super) fn shows_fields(self) -> bool {
         matches!(self, Self::Changed | Self::WouldCreate | Self::WouldChange)
     }
 }
 
-/// What became of one resource, and in which fields it differs.
+/// Outcome for one resource, with the fields that differ.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub(super) struct StepReport {
     pub(super) resource: ResourceKey,
@@ -63,7 +63,7 @@
     pub(super) fields: Vec<FieldChange>,
 }
 
-/// One line on a resource's content.
+/// Summarises the content of a resource in one line.
 pub(super) fn summarise(spec: &ResourceSpec) -> String {
     match spec {
         ResourceSpec::Model(model) => {
@@ -85,7 +85,7 @@
     }
 }
 
-/// One line on how far a change is in force.
+/// Describes in one line how many hosts have applied a change.
 pub(super) fn describe_progress(progress: &RolloutProgress) -> String {
     let version = progress.version();
     let state = match progress.done {
@@ -108,7 +108,7 @@
     format!("; {label}: {}", names.collect::<Vec<_>>().join(", "))
 }
 
-/// A plain value as a person reads it.
+/// Formats a scalar value; strings are written without quotes.
 pub(super) fn value_text(value: &Value) -> String {
     match value {
         Value::String(text) if !text.is_empty() => text.clone(),
@@ -116,7 +116,7 @@
     }
 }
 
-/// One line on a field that differs.
+/// Describes in one line a field that differs.
 pub(super) fn describe_field(change: &FieldChange) -> String {
     match (&change.before, &change.after) {
         (Some(before), Some(after)) => {
--- a/src/cli/watch.rs
+++ b/src/cli/watch.rs
@@ -1,4 +1,4 @@
-//! `watch`: shows how far a change is in force, until it is so everywhere.
+//! `watch`: shows the progress of a change until it is in effect everywhere.
 
 use std::io::Write;
 use std::time::Duration;
@@ -10,14 +10,15 @@
 use super::session::OperatorSession;
 use crate::ids::LogOffset;
 
-/// Time between two looks.
+/// Time between two polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<W> OperatorSession<'_, W>
 where
     W: Write,
 {
-    /// Shows each progress of a change until every host has applied it.
+    /// Shows the progress of a change whenever it advances, until every host has applied
+    /// it.
     pub(super) async fn watch(
         &mut self,
         version: Option<LogOffset>,
@@ -40,8 +41,8 @@
                     last_shown = Some(progress);
                     None
                 }
-                // A host that is replaced while one watches comes back or has a
-                // successor; a refusal stays.
+                // A host that is replaced during the watch comes back or gets a
+                // successor, so connection failures are retried; a refusal is permanent.
                 Err(error @ (CliError::Unreachable { .. } | CliError::NoResponse { .. })) => {
                     Some(error)
                 }
@@ -51,7 +52,9 @@
                 return Err(match (failure, last_shown) {
                     (None, Some(progress)) => CliError::NotInForce(progress),
                     (Some(error), _) => error,
-                    (None, None) => CliError::Usage("no time to watch: raise --timeout".to_owned()),
+                    (None, None) => {
+                        CliError::Usage("no result in time: raise --timeout".to_owned())
+                    }
                 });
             }
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,5 +1,5 @@
-//! The operators' command line against a real operators' listener, behind
-//! which a table stands in for the replicated resources.
+//! Tests of the operators' command line against a real operators' listener. An in-memory
+//! table replaces the replicated resources.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::Read;
@@ -50,17 +50,17 @@
 address = "127.0.0.1:7002"
 "#;
 
-/// The resources, and what the tests let happen to them.
+/// Resources and the behaviour that tests configure.
 #[derive(Default)]
 struct FakeState {
     resources: BTreeMap<ResourceKey, ResourceView>,
     next_version: u64,
-    /// The keys of all changes that arrived, in order.
+    /// Keys of all received changes, in order.
     changes: Vec<String>,
-    /// Another operator's change, which arrives just before the next change of
-    /// the same resource.
+    /// Another operator's change, applied just before the next change of the same
+    /// resource.
     concurrent_change: Option<ResourceView>,
-    /// Answers about force; the last one stays.
+    /// Responses of the force endpoint; the last one is repeated.
     force: VecDeque<ForceView>,
 }
 
@@ -216,7 +216,7 @@
     }
 }
 
-/// What one run of the command line left behind.
+/// Result of one run of the command line.
 #[derive(Debug)]
 struct CliResult {
     status: u8,
@@ -297,9 +297,9 @@
     "#);
 }
 
-/// Symptom: an operator's change silently undoes another's. Sequence: both
-/// read version 1, the other's change is accepted first, then this one is.
-/// Cause: the change did not say which version it was made from.
+/// Two operators read version 1 and both change the resource. The second change must be
+/// refused, or it would silently undo the first; it therefore names the version it is
+/// based on.
 #[tokio::test]
 async fn a_lost_race_names_the_winner_and_stops() {
     let daemon = FakeDaemon::spawn();
@@ -395,9 +395,8 @@
     "#);
 }
 
-/// Symptom: a change is called in force everywhere while a host still serves
-/// the old configuration. Sequence: the host is cut off before the change and
-/// goes on serving. Cause: a host that cannot be reached was left out.
+/// A host that is cut off before a change may still serve the old configuration, so the
+/// change must not be reported as in force everywhere.
 #[tokio::test]
 async fn watch_does_not_end_while_a_host_that_is_cut_off_may_lack_the_change() {
     let cut_off = force(6, &[("h1", 6, true), ("h3", 2, false)]);
@@ -413,7 +412,7 @@
     assert_eq!(watched.status, 4);
     insta::assert_snapshot!(watched.errors, @r#"
     not in force everywhere in time: version 5 is not in force everywhere; cannot be reached: h3 (has 1)
-    Watch on with `jackdawwick watch --version 5`, and look at the hosts named.
+    Continue with `jackdawwick watch --version 5`, and check the hosts listed.
     "#);
 }
 
@@ -478,9 +477,9 @@
     }
 }
 
-/// Symptom: an operator repeats a change that took effect, or gives up one
-/// that did. Sequence: the change arrives and the connection breaks before the
-/// answer. Cause: a broken connection was told like one that never opened.
+/// If the connection breaks after the change arrived, the change may have taken effect.
+/// The message must differ from that of a connection that never opened, or the operator
+/// may repeat a change or give up one that took effect.
 #[tokio::test]
 async fn a_lost_response_differs_from_an_unreachable_server() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("port");
@@ -498,8 +497,8 @@
         lost.errors
     );
 
-    // Bound and not listening: it refuses connections, and nobody else gets
-    // the port in the meantime.
+    // Bound but not listening: it refuses connections, and no other process can get the
+    // port.
     let socket = TcpSocket::new_v4().expect("socket");
     socket
         .bind(SocketAddr::from(([127, 0, 0, 1], 0)))
@@ -524,7 +523,7 @@
     assert_eq!(run(&["status"]).status.code(), Some(2));
 }
 
-/// The documented sample is what a newcomer copies from.
+/// New users copy from the documented sample, so it must be valid.
 #[test]
 fn the_sample_of_resources_is_valid_and_names_every_kind() {
     let resources = parse_resources(include_str!("../docs/resources.toml")).unwrap_or_default();
