--- a/src/bin/jackdawwickd.rs
+++ b/src/bin/jackdawwickd.rs
@@ -1,4 +1,4 @@
-//! The daemon's program: reads the command line, runs until told to stop.
+//! Program of the daemon: reads the command line and runs until a signal stops it.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
 }
 
 fn fail(message: &str, status: u8) -> ExitCode {
-    // Nothing is left to try if standard error is closed too.
+    // If standard error is closed too, the message cannot be reported anywhere.
     let _ = writeln!(std::io::stderr().lock(), "{message}");
     ExitCode::from(status)
 }
@@ -47,7 +47,8 @@
     runtime.block_on(serve(options))
 }
 
-/// One thread: an entry host has a part of one core.
+/// Runs the daemon as an entry host on the users' platform. It uses one thread, because
+/// an entry host gets a fraction of one core.
 fn run_on_platform(path: PathBuf) -> ExitCode {
     if let Err(error) = logging::install_bounded() {
         return fail(&error.to_string(), 1);
@@ -76,12 +77,12 @@
     if let Err(error) = wait_for_signal().await {
         return fail(&format!("cannot listen for signals: {error}"), 1);
     }
-    log::info!("shutting down: finishing what is in flight");
+    log::info!("shutting down: waiting for requests in flight");
     handle.shutdown().await;
     ExitCode::SUCCESS
 }
 
-/// Tells the addresses in use, since the settings may say port 0.
+/// Prints the addresses in use, since port 0 in the settings selects a free port.
 fn announce(handle: &DaemonHandle) -> std::io::Result<()> {
     let mut stdout = std::io::stdout().lock();
     writeln!(stdout, "callers {}", handle.caller_address())?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,26 +1,25 @@
-//! Jackdawwick routes requests over pipelines of mixed accelerators.
+//! Jackdawwick routes requests through pipelines of mixed accelerators.
 //!
-//! The flow from start to stop:
+//! The life of a daemon from start to stop:
 //!
-//! 1. [`options`] turns the command line and the settings file into one checked
+//! 1. [`options`] parses the command line and the settings file into one validated
 //!    struct; [`logging`] starts.
-//! 2. [`daemon`] opens the clients of the [`platform`], of [`target`]s and of
-//!    [`peer`]s, builds the tables and starts the workers.
-//! 3. [`replay`] turns the platform's log into declared [`resources`]; until it
-//!    has caught up, the daemon takes no work.
-//! 4. [`api`] takes a request: [`auth`] finds its organisation, [`admission`]
-//!    starts, queues or refuses it, [`routing`] chooses one target a stage, and
-//!    [`run`] takes it through the stages and repairs what breaks. A
-//!    non-idempotent request is first claimed in the log ([`claims`]).
-//! 5. Meanwhile [`membership`] keeps track of the other entry hosts, [`retry`]
-//!    of targets that misbehave, and [`reconcile`] orders targets to hold what
-//!    is declared.
-//! 6. [`journal`] and [`metrics`] keep what was decided and why.
-//! 7. On SIGTERM the daemon takes nothing new, finishes what is in flight and
-//!    hands back what it held.
+//! 2. [`daemon`] opens the clients of the [`platform`], of [`target`]s and of [`peer`]s,
+//!    builds the tables and starts the workers.
+//! 3. [`replay`] turns the platform's log into declared [`resources`]; until it has caught
+//!    up, the daemon accepts no work.
+//! 4. [`api`] receives a request: [`auth`] finds its organisation, [`admission`] starts,
+//!    queues or refuses it, [`routing`] selects one target per stage, and [`run`] executes
+//!    the stages and recovers from failures. A non-idempotent request is first claimed in
+//!    the log ([`claims`]).
+//! 5. Meanwhile [`membership`] keeps track of the other entry hosts, [`retry`] ejects
+//!    failing targets, and [`reconcile`] orders targets to hold what is declared.
+//! 6. [`journal`] and [`metrics`] record the decisions and their reasons.
+//! 7. On SIGTERM the daemon stops accepting work, finishes the requests in flight and
+//!    releases what it holds.
 //!
-//! Tables decide, and take the present time as an argument; only [`daemon`]
-//! and the clients do I/O. [`cli`] is the operators' command line.
+//! Tables make decisions and take the current time as an argument; only [`daemon`] and the
+//! clients do I/O. [`cli`] is the operators' command line.
 
 pub mod admission;
 pub mod api;
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,8 +1,8 @@
-//! The daemon's settings: command line and TOML file, checked and merged.
+//! The daemon's settings: command line and TOML file, validated and merged.
 //!
-//! Each section of the file is read by one function that takes every key by
-//! name, so that all mistakes of a file are found in one pass: a reader that
-//! stops at the first one makes an operator start the daemon once for each.
+//! Each section of the file is read by one function that looks up every key by name, so
+//! that all mistakes of a file are found in one pass. A reader that stopped at the first
+//! mistake would make an operator start the daemon once for each.
 
 mod arguments;
 mod host;
@@ -41,48 +41,48 @@
 pub use startup::{StartupAction, plan_startup};
 pub use timing::TimingOptions;
 
-/// The documented sample file; every key stands in it with its default.
+/// Documented sample file, which contains every key with its default.
 pub const SAMPLE_TOML: &str = include_str!("../sample.toml");
 
-/// Checked settings of one daemon.
+/// Validated settings of one daemon.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DaemonOptions {
-    /// Who this daemon is, and what it uses of its host.
+    /// Identity of the daemon and its use of the host.
     pub host: HostOptions,
-    /// Addresses on which it listens.
+    /// Addresses to listen on.
     pub listen: ListenOptions,
-    /// The platform's log service and host list.
+    /// Log service and host list of the platform.
     pub platform: PlatformOptions,
     /// Daemons to contact first.
     pub peers: PeerOptions,
-    /// Who may use the operators' listener.
+    /// Credentials for the operators' listener.
     pub operators: OperatorOptions,
     /// Intervals, timeouts and windows.
     pub timing: TimingOptions,
-    /// Bounds on what callers may send and on what is kept.
+    /// Bounds on requests and on data kept in memory.
     pub limits: LimitOptions,
     /// Retry budget and outlier ejection.
     pub retries: RetryOptions,
-    /// How targets are chosen.
+    /// Selection of targets.
     pub routing: RoutingOptions,
     /// Log level and format.
     pub log: LogOptions,
 }
 
 impl DaemonOptions {
-    /// The window within which idempotency keys are accepted.
+    /// Returns the window in which idempotency keys are accepted.
     ///
     /// # Errors
-    /// If the log keeps records too briefly for it; settings read by
-    /// [`Self::from_toml`] have been checked for that.
+    /// Returns an error if the log keeps records too briefly for the window; settings
+    /// read by [`Self::from_toml`] are already checked for this.
     pub fn claim_window(&self) -> Result<ClaimWindow, WindowError> {
         claim_window(&self.platform, &self.timing)
     }
 
-    /// Reads and checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// Every mistake in the text, or the first one alone if it is not TOML.
+    /// Returns every mistake in the text, or only the first one if it is not valid TOML.
     pub fn from_toml(text: &str) -> Result<Self, OptionsError> {
         let table = text
             .parse::<Table>()
@@ -107,8 +107,9 @@
     )
 }
 
-/// With records that expire too soon a host that starts could not know every
-/// claim that still counts, and a request could run a second time.
+/// Reports a record horizon that is too short for the claim window. If records expired
+/// too soon, a starting host could miss claims that still count, and a request could run
+/// twice.
 fn check_claim_window(
     file: &mut FileReader<'_>,
     platform: &PlatformOptions,
@@ -123,9 +124,9 @@
     }
 }
 
-/// Every key that a settings file may have, with its legal range.
+/// Returns every key that a settings file may contain, with its legal range.
 pub fn documented_keys() -> Vec<DocumentedKey> {
-    // One empty entry in each list makes the reader ask for the keys of entries.
+    // One empty entry in each list makes the reader look up the keys of its entries.
     let entry = Value::Array(vec![Value::Table(Table::new())]);
     let mut table = Table::new();
     for (section, list) in [("peers", "seeds"), ("operators", "credentials")] {
@@ -138,8 +139,8 @@
 }
 
 fn read_sections(file: &mut FileReader<'_>) -> Option<DaemonOptions> {
-    // Every section is read before `?` gives up on any, so that the mistakes
-    // of later sections are reported too.
+    // Every section is read before `?` returns, so that the mistakes of all sections are
+    // reported.
     let host = file.section("host", host::read);
     let listen = file.section("listen", listen::read);
     let platform = file.section("platform", platform::read);
--- a/src/options/arguments.rs
+++ b/src/options/arguments.rs
@@ -1,20 +1,20 @@
-//! The daemon's command line.
+//! Command line of the daemon.
 
 use std::path::PathBuf;
 
 use clap::{Arg, ArgAction, Command, crate_version, value_parser};
 
-/// Name of the argument that names the settings file.
+/// Argument with the path of the settings file.
 pub(super) const CONFIG: &str = "config";
-/// Name of the argument that checks the settings and exits.
+/// Argument that checks the settings and exits.
 pub(super) const CHECK: &str = "check";
-/// Name of the argument that prints the sample file.
+/// Argument that prints the sample file.
 pub(super) const PRINT_SAMPLE: &str = "print-sample";
 
-/// Name of the argument that takes the settings from the users' platform.
+/// Argument that takes the settings from the users' platform.
 pub(super) const PLATFORM: &str = "platform";
 
-/// The command line of `jackdawwickd`.
+/// Returns the command line definition of `jackdawwickd`.
 pub fn daemon_command() -> Command {
     let config = Arg::new(CONFIG)
         .long(CONFIG)
@@ -35,7 +35,7 @@
         .long(PLATFORM)
         .action(ArgAction::SetTrue)
         .conflicts_with_all([CONFIG, CHECK, PRINT_SAMPLE])
-        .help("Run as an entry host with the settings that the users' platform gives");
+        .help("Run as an entry host with the settings of the users' platform");
     Command::new("jackdawwickd")
         .version(crate_version!())
         .about("Routes requests over pipelines of mixed accelerators")
--- a/src/options/host.rs
+++ b/src/options/host.rs
@@ -1,4 +1,4 @@
-//! Section `[host]`: who this daemon is.
+//! Section `[host]`: identity of the daemon.
 
 use super::range::NumberRange;
 use super::section::SectionReader;
@@ -7,16 +7,16 @@
 const WORKER_THREADS: NumberRange<usize> = NumberRange::new(0, 1024, 0);
 const MAX_SEED: i64 = i64::MAX;
 
-/// Who this daemon is, and what it uses of its host.
+/// Identity of the daemon and its use of the host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostOptions {
-    /// Name of the host, unique over the system.
+    /// Name of the host, unique in the system.
     pub name: HostId,
-    /// Availability zone in which it stands.
+    /// Availability zone of the host.
     pub zone: ZoneId,
-    /// Worker threads; 0 means one for each core.
+    /// Number of worker threads; 0 means one per core.
     pub worker_threads: usize,
-    /// Seed for randomness; `None` draws one at start.
+    /// Seed of the random number generator; `None` draws one at startup.
     pub seed: Option<u64>,
 }
 
--- a/src/options/limits.rs
+++ b/src/options/limits.rs
@@ -1,4 +1,4 @@
-//! Section `[limits]`: bounds on what callers may send and on what is kept.
+//! Section `[limits]`: bounds on requests and on data kept in memory.
 
 use super::range::NumberRange;
 use super::section::SectionReader;
@@ -10,20 +10,20 @@
 const MAX_QUEUED: NumberRange<usize> = NumberRange::new(0, 1_000_000, 256);
 const JOURNAL_ENTRIES: NumberRange<usize> = NumberRange::new(1, 10_000_000, 10_000);
 
-/// Bounds on what callers may send and on what is kept in memory.
+/// Bounds on requests and on data kept in memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LimitOptions {
-    /// Longest body of a request, in bytes.
+    /// Maximum length of the body of a request, in bytes.
     pub max_body_bytes: usize,
-    /// Most headers of a request.
+    /// Maximum number of headers of a request.
     pub max_header_count: usize,
-    /// Longest header section of a request, in bytes.
+    /// Maximum length of the header section of a request, in bytes.
     pub max_header_bytes: usize,
-    /// Most connections of callers at once.
+    /// Maximum number of simultaneous connections of callers.
     pub max_connections: usize,
-    /// Most requests of one organisation that wait at once on this host.
+    /// Maximum number of waiting requests per organisation on this host.
     pub max_queued_per_organisation: usize,
-    /// Decisions kept for `explain`, the oldest dropped first.
+    /// Number of decisions kept for `explain`; the oldest are dropped first.
     pub journal_entries: usize,
 }
 
--- a/src/options/listen.rs
+++ b/src/options/listen.rs
@@ -1,10 +1,10 @@
-//! Section `[listen]`: addresses on which the daemon listens.
+//! Section `[listen]`: addresses to listen on.
 
 use std::net::SocketAddr;
 
 use super::section::SectionReader;
 
-/// Addresses on which the daemon listens. Port 0 lets the system choose one.
+/// Addresses to listen on. With port 0 the system chooses a free port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenOptions {
     /// Listener for callers.
@@ -13,7 +13,7 @@
     pub operators: SocketAddr,
     /// Listener for the daemons of other hosts.
     pub peers: SocketAddr,
-    /// Address that peers are told; `None` means the one that `peers` bound.
+    /// Address announced to peers; `None` announces the bound address of `peers`.
     pub advertised_peers: Option<SocketAddr>,
 }
 
@@ -33,8 +33,8 @@
     })
 }
 
-/// Two listeners on one address: the second would fail to bind, after the
-/// first has already told the balancer that the daemon is there.
+/// Reports an address that two listeners share. The second listener would fail to bind
+/// after the first has already told the load balancer that the daemon is available.
 fn check_distinct(
     section: &mut SectionReader<'_>,
     key: &str,
@@ -49,8 +49,8 @@
     }
 }
 
-/// Peers that are told 0.0.0.0 connect to themselves: each would believe that
-/// it reaches this host, and the host would look alive after its death.
+/// Reports a missing address for peers. Peers that connected to 0.0.0.0 would reach
+/// themselves: they would consider this host reachable, even after it failed.
 fn check_advertised(
     section: &mut SectionReader<'_>,
     peers: Option<SocketAddr>,
--- a/src/options/log.rs
+++ b/src/options/log.rs
@@ -9,19 +9,19 @@
 /// Log level and format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogOptions {
-    /// Least severe level that is written.
+    /// Lowest level that is written.
     pub level: LevelFilter,
-    /// How a line is written.
+    /// Format of a log line.
     pub format: LogFormat,
 }
 
-/// How a log line is written.
+/// Format of a log line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum LogFormat {
-    /// One readable line.
+    /// Readable text on one line.
     #[default]
     Text,
-    /// One JSON object on a line.
+    /// One JSON object per line.
     Json,
 }
 
--- a/src/options/mistake.rs
+++ b/src/options/mistake.rs
@@ -1,27 +1,27 @@
-//! What can be wrong with a settings file.
+//! Mistakes in a settings file.
 
 use std::fmt;
 
-/// One mistake in a settings file.
+/// A mistake in a settings file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OptionMistake {
     /// The text is not TOML.
     #[error("line {line}: not valid TOML: {message}")]
     Syntax {
-        /// Line, from one.
+        /// Line number, from one.
         line: usize,
-        /// The cause.
+        /// Message of the parser.
         message: String,
     },
-    /// A key that does not exist.
+    /// The key does not exist.
     #[error("{key}: unknown key, known here: {known}")]
     UnknownKey {
         /// Path of the key.
         key: String,
-        /// Keys that exist in its place, separated by commas.
+        /// Valid keys of the same table, separated by commas.
         known: String,
     },
-    /// A required key is absent.
+    /// A required key is missing.
     #[error("{key}: missing, expected {legal}")]
     Missing {
         /// Path of the key.
@@ -29,29 +29,29 @@
         /// The legal range.
         legal: String,
     },
-    /// A value has the wrong type or lies outside its legal range.
+    /// A value has the wrong type or is outside its legal range.
     #[error("{key}: {found} is not allowed, expected {legal}")]
     BadValue {
         /// Path of the key.
         key: String,
-        /// The value as written.
+        /// Value as written in the file.
         found: String,
         /// The legal range.
         legal: String,
     },
 }
 
-/// Every mistake that a settings file has.
+/// All mistakes of a settings file.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub struct OptionsError {
-    /// The mistakes, in the order of the sections, then those between
-    /// two sections; at least one.
+    /// Mistakes in the order of the sections, followed by those that concern two
+    /// sections; at least one.
     pub mistakes: Vec<OptionMistake>,
 }
 
 impl OptionsError {
-    /// The parser's own text is not used whole: it quotes the line, which may
-    /// hold a token.
+    /// Creates the error of a syntax mistake. The parser's full text is not used, since
+    /// it quotes the line, which may contain a token.
     pub(super) fn syntax(text: &str, error: &toml::de::Error) -> Self {
         let start = error.span().map_or(0, |span| span.start);
         let before = text.get(..start).unwrap_or(text);
--- a/src/options/operators.rs
+++ b/src/options/operators.rs
@@ -1,4 +1,4 @@
-//! Section `[operators]`: who may use the operators' listener.
+//! Section `[operators]`: credentials for the operators' listener.
 
 use std::collections::BTreeSet;
 
@@ -6,17 +6,17 @@
 use crate::auth::TokenDigest;
 use crate::ids::OperatorId;
 
-/// Legal form of a digest in the file.
+/// Legal form of a token digest.
 const DIGEST_FORM: &str = "the token's SHA-256 digest as 64 hex digits";
 
-/// Who may use the operators' listener.
+/// Credentials for the operators' listener.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct OperatorOptions {
-    /// The credentials; an operator may have several while a token is replaced.
+    /// Credentials; an operator may have several while a token is being replaced.
     pub credentials: Vec<OperatorCredential>,
 }
 
-/// One token of an operator, known by its digest alone.
+/// A token of an operator, stored only as a digest.
 #[derive(Debug, Clone)]
 pub struct OperatorCredential {
     /// The operator.
@@ -36,8 +36,8 @@
     let credentials = section.list("credentials", read_credential)?;
     let mut digests = BTreeSet::new();
     for credential in &credentials {
-        // One token for two operators: a change would be signed with whichever
-        // of them stands first in the file.
+        // If two operators shared a token, a change would be attributed to whichever of
+        // them comes first in the file.
         if !digests.insert(credential.token_digest.to_hex()) {
             let operator = &credential.operator;
             section.report_conflict("credentials", operator, "a token of its own");
--- a/src/options/peers.rs
+++ b/src/options/peers.rs
@@ -9,23 +9,23 @@
 /// Daemons to contact before the platform's host list is known.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PeerOptions {
-    /// The daemons, without this one; all hosts may share one list.
+    /// The daemons without this one, so that all hosts can use the same list.
     pub seeds: Vec<PeerSeed>,
 }
 
-/// One daemon to contact first.
+/// A daemon to contact first.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerSeed {
-    /// Its host.
+    /// Host of the daemon.
     pub host: HostId,
-    /// The host's availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneId,
-    /// Its listener for peers.
+    /// Address of its listener for peers.
     pub address: SocketAddr,
 }
 
 impl PeerOptions {
-    /// The same without the entry of one host.
+    /// Returns the options without the entry of one host.
     pub(super) fn without(mut self, host: &str) -> Self {
         self.seeds.retain(|seed| &*seed.host != host);
         self
--- a/src/options/platform.rs
+++ b/src/options/platform.rs
@@ -1,4 +1,4 @@
-//! Section `[platform]`: the log service and the host list.
+//! Section `[platform]`: log service and host list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 const YEAR_MS: u64 = 8766 * HOUR_MS;
 const RECORD_HORIZON: DurationRange = DurationRange::millis(HOUR_MS, YEAR_MS, 72 * HOUR_MS);
 
-/// Where the platform is, and how often its log is condensed.
+/// Address of the platform and settings of its log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformOptions {
     /// Address of the platform's HTTP service.
     pub address: SocketAddr,
-    /// Declared changes between two checkpoints, in records.
+    /// Number of declared changes between two checkpoints, in records.
     pub checkpoint_records: u64,
-    /// How long the log keeps a record.
+    /// Time for which the log keeps a record.
     pub record_horizon: Duration,
 }
 
--- a/src/options/range.rs
+++ b/src/options/range.rs
@@ -14,7 +14,7 @@
 pub(super) type DurationRange = NumberRange<Duration>;
 
 impl DurationRange {
-    /// A range in milliseconds.
+    /// Creates a range in milliseconds.
     pub(super) const fn millis(min: u64, max: u64, default: u64) -> Self {
         Self {
             min: Duration::from_millis(min),
@@ -28,12 +28,12 @@
 where
     N: Copy + PartialOrd,
 {
-    /// A range with inclusive ends.
+    /// Creates a range with inclusive ends.
     pub(super) const fn new(min: N, max: N, default: N) -> Self {
         Self { min, max, default }
     }
 
-    /// The number if it lies in the range.
+    /// Returns the number if it is in the range.
     pub(super) fn check(self, number: N) -> Option<N> {
         (self.min <= number && number <= self.max).then_some(number)
     }
--- a/src/options/reader.rs
+++ b/src/options/reader.rs
@@ -5,18 +5,18 @@
 use super::OptionMistake;
 use super::section::{SectionReader, bad_value};
 
-/// A key that a settings file may have.
+/// A key that a settings file may contain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DocumentedKey {
-    /// Section or list, such as `timing` or `peers.seeds`.
+    /// Section or list that contains it, such as `timing` or `peers.seeds`.
     pub section: String,
     /// Name within the section.
     pub key: &'static str,
-    /// The legal range, in words.
+    /// Description of the legal range.
     pub legal: String,
 }
 
-/// A whole file being read.
+/// Reader of a whole file.
 pub(super) struct FileReader<'t> {
     table: &'t Table,
     sections: Vec<&'static str>,
@@ -25,7 +25,7 @@
 }
 
 impl<'t> FileReader<'t> {
-    /// Starts reading a parsed file.
+    /// Creates a reader of a parsed file.
     pub(super) fn new(table: &'t Table) -> Self {
         Self {
             table,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Reads one section; an absent one counts as empty.
+    /// Reads a section; a missing section counts as empty.
     pub(super) fn section<T, F>(&mut self, name: &'static str, read: F) -> Option<T>
     where
         F: FnOnce(&mut SectionReader<'_>) -> Option<T>,
@@ -56,14 +56,14 @@
         value
     }
 
-    /// Reports a value that conflicts with one of another section.
+    /// Reports a value that conflicts with a value of another section.
     pub(super) fn report_conflict(&mut self, key: &str, found: String, legal: String) {
         let key = key.to_owned();
         self.mistakes
             .push(OptionMistake::BadValue { key, found, legal });
     }
 
-    /// Ends the reading: unknown sections count as mistakes too.
+    /// Returns all mistakes, including unknown sections.
     pub(super) fn finish(mut self) -> Vec<OptionMistake> {
         let known = self.sections.join(", ");
         for key in self.table.keys() {
@@ -77,7 +77,7 @@
         self.mistakes
     }
 
-    /// Every key that was asked for, found or not.
+    /// Returns every key that was looked up, whether or not it is present.
     pub(super) fn into_documented(self) -> Vec<DocumentedKey> {
         self.documented
     }
--- a/src/options/retries.rs
+++ b/src/options/retries.rs
@@ -14,22 +14,22 @@
 /// Retry budget and outlier ejection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryOptions {
-    /// Retries allowed for each first attempt, over time.
+    /// Retries allowed per first attempt, on average over time.
     pub budget_ratio: f64,
-    /// Retries allowed at once when the budget is full.
+    /// Maximum number of retries at once when the budget is full.
     pub burst: u32,
-    /// When a failing target is taken out of rotation.
+    /// Conditions for ejecting a failing target.
     pub ejection: EjectionOptions,
 }
 
-/// When a failing target is taken out of rotation.
+/// Conditions for ejecting a failing target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EjectionOptions {
-    /// Failures in a row that eject a target.
+    /// Consecutive failures that eject a target.
     pub consecutive_failures: u32,
-    /// How long the first ejection lasts; later ones last longer.
+    /// Duration of the first ejection; later ones last longer.
     pub base_time: Duration,
-    /// Largest part of a group of targets that may be out at once.
+    /// Maximum fraction of a group of targets that may be ejected at once.
     pub max_fraction: f64,
 }
 
--- a/src/options/routing.rs
+++ b/src/options/routing.rs
@@ -1,13 +1,13 @@
-//! Section `[routing]`: how targets are chosen.
+//! Section `[routing]`: selection of targets.
 
 use crate::routing::RoutePolicy;
 
 use super::section::SectionReader;
 
-/// How targets are chosen.
+/// Selection of targets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoutingOptions {
-    /// Policy by which a stage's target is chosen among its candidates.
+    /// Policy that selects the target of a stage among its candidates.
     pub policy: RoutePolicy,
 }
 
--- a/src/options/section.rs
+++ b/src/options/section.rs
@@ -1,4 +1,4 @@
-//! Takes values out of one table of a settings file and collects every mistake.
+//! Reads values from one table of a settings file and collects all mistakes.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 use super::range::{DurationRange, NumberRange};
 use super::{DocumentedKey, OptionMistake};
 
-/// Longest name of a host, availability zone or operator, in bytes.
+/// Maximum length of the name of a host, availability zone or operator, in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// Legal form of such a name.
+/// Legal form of a name.
 const NAME_FORM: &str = "1 to 64 letters, digits, '-', '_' or '.'";
-/// Legal form of an address.
+/// Legal form of an address to listen on.
 const ADDRESS_FORM: &str = "an IP address and port, such as \"127.0.0.1:8080\"";
 
-/// Legal form of an address that is connected to.
+/// Legal form of an address to connect to.
 const REMOTE_FORM: &str =
     "an IP address and port that can be connected to, such as \"192.0.2.1:8080\"";
 
-/// One table of the file being read: a section or an entry of a list.
+/// Reader of one table: a section or an entry of a list.
 ///
-/// The getters return `None` after reporting a mistake, so that a section goes
-/// on to its other keys before it gives up.
+/// The getters report a mistake and return `None`, so that the other keys of the section
+/// are still checked.
 pub(super) struct SectionReader<'t> {
     path: String,
     table: &'t Table,
@@ -34,7 +34,7 @@
 }
 
 impl<'t> SectionReader<'t> {
-    /// Starts reading a table.
+    /// Creates a reader of a table.
     pub(super) fn new(path: String, table: &'t Table) -> Self {
         Self {
             path,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A duration with its unit.
+    /// Reads a duration with a unit.
     pub(super) fn duration(&mut self, key: &'static str, range: DurationRange) -> Option<Duration> {
         let [min, max] = [range.min, range.max].map(humantime::format_duration);
         let legal = format!("a duration from \"{min}\" to \"{max}\"");
@@ -55,7 +55,7 @@
         })
     }
 
-    /// A whole number.
+    /// Reads an integer.
     pub(super) fn integer<N>(&mut self, key: &'static str, range: NumberRange<N>) -> Option<N>
     where
         N: Copy + PartialOrd + Display + TryFrom<i64>,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// A fraction.
+    /// Reads a floating-point number.
     pub(super) fn fraction(&mut self, key: &'static str, range: NumberRange<f64>) -> Option<f64> {
         let legal = format!("a number from {:?} to {:?}", range.min, range.max);
         self.optional(key, &legal, range.default, |value| {
@@ -76,7 +76,7 @@
         })
     }
 
-    /// A required name.
+    /// Reads a required name.
     pub(super) fn name(&mut self, key: &'static str) -> Option<Arc<str>> {
         self.required(key, NAME_FORM, |value| {
             let name = value.as_str()?;
@@ -84,17 +84,17 @@
         })
     }
 
-    /// A required IP address and port.
+    /// Reads a required IP address and port.
     pub(super) fn address(&mut self, key: &'static str) -> Option<SocketAddr> {
         self.required(key, ADDRESS_FORM, parse_address)
     }
 
-    /// A required IP address and port to connect to.
+    /// Reads a required IP address and port to connect to.
     pub(super) fn remote_address(&mut self, key: &'static str) -> Option<SocketAddr> {
         self.required(key, REMOTE_FORM, parse_remote)
     }
 
-    /// An IP address and port to connect to, which may be absent.
+    /// Reads an optional IP address and port to connect to.
     pub(super) fn optional_remote_address(
         &mut self,
         key: &'static str,
@@ -104,7 +104,7 @@
         })
     }
 
-    /// A value that may be absent.
+    /// Reads an optional value.
     pub(super) fn optional<T, F>(
         &mut self,
         key: &'static str,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A value that must be present.
+    /// Reads a required value.
     pub(super) fn required<T, F>(&mut self, key: &'static str, legal: &str, parse: F) -> Option<T>
     where
         F: FnOnce(&Value) -> Option<T>,
@@ -135,13 +135,13 @@
         }
     }
 
-    /// A required value that no mistake may show.
+    /// Reads a required value that must not appear in a mistake.
     pub(super) fn secret<T, F>(&mut self, key: &'static str, legal: &str, parse: F) -> Option<T>
     where
         F: FnOnce(&Value) -> Option<T>,
     {
-        // The value may be a token pasted in place of its digest: shown, it
-        // would end up in the log of whatever started the daemon.
+        // The value may be a token pasted in place of its digest. If it were shown, it
+        // would end up in the log of the program that started the daemon.
         let parsed = self.required(key, legal, |value| Some(parse(value)))?;
         if parsed.is_none() {
             self.report_conflict(key, "the value", legal);
@@ -149,7 +149,7 @@
         parsed
     }
 
-    /// A list of tables; absent counts as empty.
+    /// Reads a list of tables; a missing list counts as empty.
     pub(super) fn list<T, F>(&mut self, key: &'static str, mut read: F) -> Option<Vec<T>>
     where
         F: FnMut(&mut SectionReader<'_>) -> Option<T>,
@@ -171,7 +171,7 @@
         values.into_iter().collect()
     }
 
-    /// Reports a key that is absent and has no default here.
+    /// Reports a missing key that has no default.
     pub(super) fn report_missing(&mut self, key: &str, legal: &str) {
         self.mistakes.push(OptionMistake::Missing {
             key: self.key_path(key),
@@ -179,7 +179,7 @@
         });
     }
 
-    /// Reports a value that conflicts with another one.
+    /// Reports a value that conflicts with another value.
     pub(super) fn report_conflict<V>(&mut self, key: &str, found: &V, legal: &str)
     where
         V: Display + ?Sized,
@@ -241,7 +241,7 @@
         format!("{}.{key}", self.path)
     }
 
-    /// Ends the reading: keys that were not asked for count as mistakes.
+    /// Finishes the table: keys that were not looked up are reported as unknown.
     pub(super) fn finish(
         mut self,
         documented: &mut Vec<DocumentedKey>,
@@ -279,7 +279,7 @@
     (address.port() != 0 && !address.ip().is_unspecified()).then_some(address)
 }
 
-/// The mistake of a value that is not legal.
+/// Creates the mistake of an illegal value.
 pub(super) fn bad_value(key: &str, found: &Value, legal: &str) -> OptionMistake {
     OptionMistake::BadValue {
         key: key.to_owned(),
@@ -288,7 +288,7 @@
     }
 }
 
-/// The value as a mistake shows it.
+/// Formats a value for a mistake.
 fn display_value(value: &Value) -> String {
     match value {
         Value::Table(_) => "a table".to_owned(),
--- a/src/options/startup.rs
+++ b/src/options/startup.rs
@@ -1,4 +1,4 @@
-//! What the daemon's `main` is to do, from its command line.
+//! Determines from the command line what the daemon's `main` does.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -7,30 +7,29 @@
 use super::{DaemonOptions, SAMPLE_TOML};
 use crate::platform::names::SETTINGS_VARIABLE;
 
-/// Exit status for a wrong command line or wrong settings.
+/// Exit status for an invalid command line or invalid settings.
 const USAGE_STATUS: u8 = 2;
 
-/// What the daemon's `main` is to do.
+/// Action that the daemon's `main` executes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StartupAction {
     /// Run with these settings.
     Run(Box<DaemonOptions>),
-    /// Run as an entry host of the users' platform, with the settings at this
-    /// path.
+    /// Run as an entry host of the users' platform with the settings file at this path.
     RunEntry(PathBuf),
     /// Print the text to standard output and exit with status 0.
     Print(String),
-    /// Print the message to standard error and exit with the status.
+    /// Print the message to standard error and exit with the given status.
     Fail {
-        /// What is wrong and what to do next.
+        /// Cause of the failure and how to proceed.
         message: String,
         /// Exit status.
         status: u8,
     },
 }
 
-/// Reads the command line, the program's name first, and the settings file
-/// that it names.
+/// Reads the command line, whose first argument is the program's name, and the settings
+/// file that it names.
 pub fn plan_startup<I, T>(arguments: I) -> StartupAction
 where
     I: IntoIterator<Item = T>,
@@ -49,14 +48,16 @@
     }
     match matches.get_one::<PathBuf>(CONFIG) {
         Some(path) => load(path, matches.get_flag(CHECK)),
-        None => fail("name a settings file with --config FILE".to_owned()),
+        None => fail("no settings file: give --config FILE".to_owned()),
     }
 }
 
 fn plan_entry() -> StartupAction {
     match std::env::var_os(SETTINGS_VARIABLE) {
         Some(path) => StartupAction::RunEntry(PathBuf::from(path)),
-        None => fail(format!("{SETTINGS_VARIABLE} names no settings file")),
+        None => fail(format!(
+            "{SETTINGS_VARIABLE} is not set to the path of a settings file"
+        )),
     }
 }
 
--- a/src/options/timing.rs
+++ b/src/options/timing.rs
@@ -30,31 +30,31 @@
 pub struct TimingOptions {
     /// Time between two heartbeats to a peer.
     pub heartbeat_interval: Duration,
-    /// Silence after which a peer counts as unreachable.
+    /// Time without a heartbeat after which a peer counts as unreachable.
     pub peer_timeout: Duration,
     /// Time between two reads of the platform's host list.
     pub host_list_interval: Duration,
-    /// Time between two reads of a watched target's load report.
+    /// Time between two reads of the load report of a watched target.
     pub load_interval: Duration,
-    /// How long a read of the log waits for new records.
+    /// Maximum time for which a read of the log waits for new records.
     pub log_wait: Duration,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none.
     pub default_deadline: Duration,
     /// Age after which an idempotency key is refused.
     pub idempotency_window: Duration,
-    /// How long a claim on an idempotency key may take to settle.
+    /// Maximum time for a claim on an idempotency key to settle.
     pub claim_timeout: Duration,
-    /// Bound on the difference of two hosts' wall clocks.
+    /// Maximum difference between the wall clocks of two hosts.
     pub clock_skew: Duration,
-    /// How long a target may take for one step of a stage.
+    /// Maximum time for a target to execute one step of a stage.
     pub step_timeout: Duration,
-    /// How long a connection may take to open.
+    /// Maximum time to open a connection.
     pub connect_timeout: Duration,
-    /// Length of a lease, from before its append was sent.
+    /// Length of a lease, counted from before its append was sent.
     pub lease_duration: Duration,
-    /// Bound on the difference of two hosts' clock rates, as a fraction.
+    /// Maximum difference between the clock rates of two hosts, as a fraction.
     pub clock_rate_margin: f64,
-    /// How long a shutdown waits for requests in flight.
+    /// Maximum time for which a shutdown waits for requests in flight.
     pub drain_timeout: Duration,
 }
 
@@ -76,8 +76,8 @@
     check_constraints(
         section,
         &[
-            // With less than two heartbeats in the timeout, one lost heartbeat
-            // makes a healthy peer look unreachable and its grants look free.
+            // If the timeout covered less than two heartbeats, one lost heartbeat would
+            // make a healthy peer look unreachable and its grants look free.
             DurationConstraint {
                 key: "peer_timeout",
                 found: peer_timeout,
@@ -116,7 +116,7 @@
     })
 }
 
-/// A rule on a duration that only makes sense in relation to another one.
+/// Constraint on a duration in relation to another one.
 struct DurationConstraint {
     key: &'static str,
     found: Option<Duration>,
@@ -124,8 +124,8 @@
     legal: &'static str,
 }
 
-/// Reports the rules that do not hold; a duration that is itself a mistake is
-/// not judged against another.
+/// Reports the constraints that do not hold. A duration that is itself invalid is not
+/// compared with others.
 fn check_constraints(section: &mut SectionReader<'_>, constraints: &[DurationConstraint]) {
     for constraint in constraints.iter().filter(|constraint| !constraint.holds) {
         if let Some(found) = constraint.found {
--- a/tests/options.rs
+++ b/tests/options.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: defaults, every kind of mistake, and the sample file.
+//! Tests of the daemon's settings: defaults, every kind of mistake, and the sample file.
 
 use std::time::Duration;
 
