--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -227,15 +227,15 @@
 }
 
 fn find_server(matches: &ArgMatches, variable: Option<String>) -> Result<SocketAddr, CliError> {
-    let given = text(matches, "server").or(variable);
-    let Some(given) = given else {
+    let address = text(matches, "server").or(variable);
+    let Some(address) = address else {
         return Err(CliError::Usage(format!(
             "no server: give --server IP:PORT or set {SERVER_VARIABLE}"
         )));
     };
-    given.parse().map_err(|_| {
+    address.parse().map_err(|_| {
         CliError::Usage(format!(
-            "server {given:?} is not an IP address and port, such as 127.0.0.1:8081"
+            "server {address:?} is not an IP address and port, such as 127.0.0.1:8081"
         ))
     })
 }
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -129,8 +129,8 @@
         body: &ApplyBody,
     ) -> Result<AcceptedBody, CliError> {
         let body = self.encode(body)?;
-        let answer = self.send(Method::PUT, &resource_path(key), body).await?;
-        self.decode_change(key, &answer)
+        let response = self.send(Method::PUT, &resource_path(key), body).await?;
+        self.decode_change(key, &response)
     }
 
     /// Removes a resource.
@@ -144,29 +144,29 @@
         based_on: LogOffset,
     ) -> Result<AcceptedBody, CliError> {
         let path = format!("{}?based_on={based_on}", resource_path(key));
-        let answer = self.send(Method::DELETE, &path, Bytes::new()).await?;
-        self.decode_change(key, &answer)
+        let response = self.send(Method::DELETE, &path, Bytes::new()).await?;
+        self.decode_change(key, &response)
     }
 
     async fn read<T>(&self, path: &str) -> Result<T, CliError>
     where
         T: DeserializeOwned,
     {
-        let answer = self.send(Method::GET, path, Bytes::new()).await?;
-        self.decode(&answer)
+        let response = self.send(Method::GET, path, Bytes::new()).await?;
+        self.decode(&response)
     }
 
     fn decode_change(
         &self,
         key: &ResourceKey,
-        answer: &RawResponse,
+        response: &RawResponse,
     ) -> Result<AcceptedBody, CliError> {
-        match serde_json::from_slice::<ConflictBody>(&answer.body) {
-            Ok(conflict) if answer.status == StatusCode::CONFLICT => Err(CliError::LostRace {
+        match serde_json::from_slice::<ConflictBody>(&response.body) {
+            Ok(conflict) if response.status == StatusCode::CONFLICT => Err(CliError::LostRace {
                 key: key.clone(),
                 conflict: Box::new(conflict),
             }),
-            _ => self.decode(answer),
+            _ => self.decode(response),
         }
     }
 
@@ -181,7 +181,7 @@
                 CliError::Usage(format!("cannot build the request for {path}: {error}"))
             })?;
         match tokio::time::timeout(RESPONSE_TIMEOUT, self.exchange(request)).await {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(_) => Err(self.no_response(&"timed out")),
         }
     }
@@ -221,18 +221,18 @@
         }
     }
 
-    fn decode<T>(&self, answer: &RawResponse) -> Result<T, CliError>
+    fn decode<T>(&self, response: &RawResponse) -> Result<T, CliError>
     where
         T: DeserializeOwned,
     {
         let invalid_response = |error: serde_json::Error| CliError::InvalidResponse {
             server: self.server,
-            cause: format!("status {}: {error}", answer.status),
+            cause: format!("status {}: {error}", response.status),
         };
-        if answer.status.is_success() {
-            return serde_json::from_slice(&answer.body).map_err(invalid_response);
+        if response.status.is_success() {
+            return serde_json::from_slice(&response.body).map_err(invalid_response);
         }
-        match serde_json::from_slice::<RefusalBody>(&answer.body) {
+        match serde_json::from_slice::<RefusalBody>(&response.body) {
             Ok(refusal) => Err(CliError::Refused(Box::new(refusal))),
             Err(error) => Err(invalid_response(error)),
         }
--- a/src/options/section.rs
+++ b/src/options/section.rs
@@ -71,8 +71,8 @@
     pub(super) fn fraction(&mut self, key: &'static str, range: NumberRange<f64>) -> Option<f64> {
         let legal = format!("a number from {:?} to {:?}", range.min, range.max);
         self.optional(key, &legal, range.default, |value| {
-            let whole = value.as_integer().map(|number| number as f64);
-            range.check(value.as_float().or(whole)?)
+            let from_integer = value.as_integer().map(|number| number as f64);
+            range.check(value.as_float().or(from_integer)?)
         })
     }
 
--- a/tests/api/bounds.rs
+++ b/tests/api/bounds.rs
@@ -79,7 +79,7 @@
         .serve();
     let first = server.start_request(&raw_generation()).await;
     eventually("the first call begins", || {
-        !server.seen.generations.lock().is_empty()
+        !server.received.generations.lock().is_empty()
     })
     .await;
     let reply = server.send(Method::GET, "/healthz", &[], "").await;
--- a/tests/api/callers.rs
+++ b/tests/api/callers.rs
@@ -24,7 +24,7 @@
 };
 
 #[tokio::test]
-async fn an_answer_is_streamed_event_by_event() {
+async fn a_generation_is_streamed_event_by_event() {
     let server = StubBackend::default().serve();
     let headers = [
         BEARER,
@@ -37,7 +37,7 @@
     assert_eq!(reply.header("content-type"), "text/event-stream");
     assert_eq!(reply.header("x-request-id"), "r-1");
     insta::assert_snapshot!(reply.text());
-    let call = server.seen.generations.lock()[0].clone();
+    let call = server.received.generations.lock()[0].clone();
     assert_eq!(&*call.organisation, "office");
     assert_eq!(call.key.as_deref(), Some("k\"1"));
     assert!(call.non_idempotent);
@@ -53,7 +53,7 @@
     assert_eq!(reply.header("content-type"), "text/plain");
     assert_eq!(reply.header("x-verdict"), "ran");
     assert_eq!(reply.text(), "raw");
-    let call = server.seen.services.lock()[0].clone();
+    let call = server.received.services.lock()[0].clone();
     assert_eq!((&*call.service, &*call.operation), ("ledger", "charge"));
 }
 
@@ -89,7 +89,7 @@
     let method = server.send(Method::GET, "/v1/generate", &[], "").await;
     assert_eq!(method.status, StatusCode::METHOD_NOT_ALLOWED);
     assert_eq!(method.refusal().reason, RefusalReason::Malformed);
-    assert!(server.seen.generations.lock().is_empty());
+    assert!(server.received.generations.lock().is_empty());
 }
 
 /// The HTTP status alone tells whether the caller may simply retry.
@@ -163,11 +163,11 @@
     sender.try_send(TOKEN).expect("the channel has room");
     let server = StubBackend::streaming(receiver).serve();
     let mut caller = server.start_request(&raw_generation()).await;
-    let mut seen = String::new();
-    while !seen.contains("data: ") {
+    let mut events_text = String::new();
+    while !events_text.contains("data: ") {
         let mut bytes = [0; 512];
         let count = caller.read(&mut bytes).await.expect("an answer");
-        seen.push_str(&String::from_utf8_lossy(&bytes[..count]));
+        events_text.push_str(&String::from_utf8_lossy(&bytes[..count]));
     }
     assert!(!sender.is_closed());
     drop(caller);
@@ -217,7 +217,7 @@
         .start_request(&raw_head("/v1/services/ledger/charge", 0))
         .await;
     eventually("the call begins", || {
-        !server.seen.services.lock().is_empty()
+        !server.received.services.lock().is_empty()
     })
     .await;
     assert!(!outcome.caller_disconnected.load(Ordering::SeqCst));
@@ -243,7 +243,7 @@
     let address = server.handle.local_address();
     let mut caller = server.start_request(&raw_generation()).await;
     eventually("the call begins", || {
-        !server.seen.generations.lock().is_empty()
+        !server.received.generations.lock().is_empty()
     })
     .await;
     let closing = tokio::spawn(server.handle.shutdown());
--- a/tests/api/operators.rs
+++ b/tests/api/operators.rs
@@ -180,11 +180,11 @@
     assert_eq!(lost.status, StatusCode::CONFLICT);
     let conflict: ConflictBody = serde_json::from_slice(&lost.body).expect("a conflict");
     assert_eq!(conflict.operator.as_deref(), Some("giorgi"));
-    let gone = format!("{LEDGER}?based_on=40");
-    let lost = server.send(Method::DELETE, &gone, BEARER, "").await;
+    let delete_path = format!("{LEDGER}?based_on=40");
+    let lost = server.send(Method::DELETE, &delete_path, BEARER, "").await;
     assert_eq!(lost.status, StatusCode::CONFLICT);
-    let gone = format!("{LEDGER}?based_on=41");
-    let deleted = server.send(Method::DELETE, &gone, BEARER, "").await;
+    let delete_path = format!("{LEDGER}?based_on=41");
+    let deleted = server.send(Method::DELETE, &delete_path, BEARER, "").await;
     assert_eq!(deleted.status, StatusCode::OK);
     let down = server.send(Method::GET, "/v1/force", BEARER, "").await;
     assert_eq!(down.status, StatusCode::SERVICE_UNAVAILABLE);
--- a/tests/api/server.rs
+++ b/tests/api/server.rs
@@ -28,7 +28,7 @@
 
 /// Calls that reached the backend.
 #[derive(Default)]
-pub(crate) struct SeenCalls {
+pub(crate) struct ReceivedCalls {
     pub(crate) generations: Mutex<Vec<GenerateCall>>,
     pub(crate) services: Mutex<Vec<ServiceCall>>,
 }
@@ -84,11 +84,11 @@
 
     /// Starts the callers' listener over the backend.
     pub(crate) fn serve(self) -> TestServer {
-        let seen = Arc::new(SeenCalls::default());
+        let received = Arc::new(ReceivedCalls::default());
         let mut table = CredentialTable::default();
         table.insert("office".into(), TokenDigest::of_token("office-token"));
         let (generate, call_service) = (self.generate, self.call_service);
-        let (generations, services) = (Arc::clone(&seen), Arc::clone(&seen));
+        let (generations, services) = (Arc::clone(&received), Arc::clone(&received));
         let backend = CallerBackend {
             organisation_of: Arc::new(move |digest| table.lookup(digest)),
             generate: Arc::new(move |call| {
@@ -106,7 +106,7 @@
         let mut settings = ApiSettings::new(SocketAddr::from(([127, 0, 0, 1], 0)), log);
         settings.bounds = self.bounds;
         let handle = spawn_callers(&settings, backend).expect("a free port");
-        TestServer { handle, seen }
+        TestServer { handle, received }
     }
 }
 
@@ -141,7 +141,7 @@
 /// A callers' listener and the calls that reached its backend.
 pub(crate) struct TestServer {
     pub(crate) handle: ApiHandle,
-    pub(crate) seen: Arc<SeenCalls>,
+    pub(crate) received: Arc<ReceivedCalls>,
 }
 
 impl TestServer {
--- a/tests/options.rs
+++ b/tests/options.rs
@@ -73,13 +73,13 @@
         let (_, after) = SAMPLE_TOML
             .split_once(&format!("[{header}]"))
             .unwrap_or_else(|| panic!("no section {header}"));
-        let stands = [
+        let accepted_forms = [
             format!("# Legal: {legal}\n{key} = "),
             format!("# Legal: {legal}\n# {key} = "),
             format!("# Legal: {legal}\n[[{section}.{key}]]"),
         ];
         assert!(
-            stands.iter().any(|text| after.contains(text)),
+            accepted_forms.iter().any(|text| after.contains(text)),
             "{section}.{key}: {legal}"
         );
     }
@@ -129,16 +129,16 @@
 #[test]
 fn a_section_that_is_not_a_table_is_reported() {
     let error = DaemonOptions::from_toml("timing = 3").expect_err("no table");
-    let shown = error.to_string();
-    assert!(shown.contains("timing: 3 is not allowed, expected a table"));
-    assert!(shown.contains("host.name: missing"));
+    let message = error.to_string();
+    assert!(message.contains("timing: 3 is not allowed, expected a table"));
+    assert!(message.contains("host.name: missing"));
 }
 
 #[test]
 fn invalid_toml_reports_its_line() {
-    let shown = mistakes("token = secret");
-    assert!(shown.contains("line 11: not valid TOML: "), "{shown}");
-    assert!(!shown.contains("secret"), "{shown}");
+    let message = mistakes("token = secret");
+    assert!(message.contains("line 11: not valid TOML: "), "{message}");
+    assert!(!message.contains("secret"), "{message}");
 }
 
 #[test]
@@ -149,21 +149,21 @@
     let options = accepted("[routing]\npolicy = \"least_outstanding\"");
     assert_eq!(options.routing.policy, RoutePolicy::LeastOutstanding);
     for beyond in ["199ms", "300001ms", "-1s", "", "5"] {
-        let shown = mistakes(&format!("[timing]\nlease_duration = \"{beyond}\""));
+        let message = mistakes(&format!("[timing]\nlease_duration = \"{beyond}\""));
         assert!(
-            shown.starts_with("1 mistake:\n  timing.lease_duration: "),
-            "{shown}"
+            message.starts_with("1 mistake:\n  timing.lease_duration: "),
+            "{message}"
         );
     }
 }
 
 #[test]
 fn durations_that_contradict_each_other_are_refused() {
-    let shown = mistakes(
+    let message = mistakes(
         "[timing]\nheartbeat_interval = \"2s\"\nstep_timeout = \"100ms\"\n\
          default_deadline = \"1s\"",
     );
-    insta::assert_snapshot!(shown, @r#"
+    insta::assert_snapshot!(message, @r#"
     3 mistakes:
       timing.peer_timeout: 2s is not allowed, expected at least twice timing.heartbeat_interval
       timing.connect_timeout: 300ms is not allowed, expected at most timing.step_timeout
@@ -173,22 +173,22 @@
 
 #[test]
 fn a_window_longer_than_the_log_keeps_records_is_refused() {
-    let shown = mistakes("[timing]\nidempotency_window = \"48h\"");
-    insta::assert_snapshot!(shown, @r#"
+    let message = mistakes("[timing]\nidempotency_window = \"48h\"");
+    insta::assert_snapshot!(message, @r#"
     1 mistake:
       platform.record_horizon: 3days is not allowed, expected more than 3days 1m 30s, for timing.idempotency_window and timing.clock_skew as they are
     "#);
-    let held = accepted("[timing]\nidempotency_window = \"47h\"");
-    assert!(held.claim_window().is_ok());
+    let settings = accepted("[timing]\nidempotency_window = \"47h\"");
+    assert!(settings.claim_window().is_ok());
 }
 
 #[test]
 fn listeners_share_no_address_and_an_unspecified_one_must_be_advertised() {
     let text = REQUIRED.replace("127.0.0.1:0", "0.0.0.0:80");
-    let shown = DaemonOptions::from_toml(&text)
+    let message = DaemonOptions::from_toml(&text)
         .expect_err("shared")
         .to_string();
-    insta::assert_snapshot!(shown, @r#"
+    insta::assert_snapshot!(message, @r#"
     3 mistakes:
       listen.operators: 0.0.0.0:80 is not allowed, expected an address that no other listener has
       listen.peers: 0.0.0.0:80 is not allowed, expected an address that no other listener has
@@ -204,8 +204,8 @@
     let options = accepted(&(seed("a") + &seed("b")));
     let hosts = options.peers.seeds.iter().map(|seed| &*seed.host);
     assert_eq!(hosts.collect::<Vec<_>>(), ["b"]);
-    let shown = mistakes(&(seed("b") + &seed("b")));
-    assert!(shown.contains("peers.seeds: b is not allowed, expected each host once"));
+    let message = mistakes(&(seed("b") + &seed("b")));
+    assert!(message.contains("peers.seeds: b is not allowed, expected each host once"));
 }
 
 #[test]
@@ -219,8 +219,8 @@
     let options = accepted(&(credential("o", "a") + &credential("o", "B")));
     let digest = options.operators.credentials[1].token_digest;
     assert_eq!(digest.to_hex(), "b".repeat(64));
-    let shown = mistakes(&(credential("o", "a") + &credential("p", "A")));
-    assert!(shown.contains("operators.credentials: p is not allowed"));
+    let message = mistakes(&(credential("o", "a") + &credential("p", "A")));
+    assert!(message.contains("operators.credentials: p is not allowed"));
 }
 
 #[test]
