--- a/src/api.rs
+++ b/src/api.rs
@@ -1,24 +1,24 @@
-//! The HTTP interfaces towards callers and operators.
+//! The HTTP interfaces for callers and operators.
 //!
-//! A thin layer of presentation: it checks who calls and whether the call is
-//! well formed, hands a typed call to a backend of closures and puts the typed
-//! result into HTTP. It knows none of the daemon's tables.
+//! A thin presentation layer: it authenticates and validates each call, passes it as a
+//! typed value to a backend made of closures, and converts the typed result into an HTTP
+//! response. It has no access to the daemon's tables.
 
-mod answer;
 pub mod backend;
 mod body;
 mod callers;
 mod credentials;
 mod explain;
-mod front;
 mod head;
 pub mod openapi;
 mod operators;
+mod proxy;
 mod refusal;
+mod response;
 mod server;
 mod stream;
 pub mod wire;
 
-pub use front::ApiBounds;
+pub use proxy::ApiBounds;
 pub use refusal::status_of;
 pub use server::{ApiError, ApiHandle, ApiSettings, spawn_callers, spawn_operators};
--- a/src/api/callers.rs
+++ b/src/api/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' endpoints.
+//! Endpoints for callers.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,38 +14,38 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::answer::{Answer, JSON, VERDICT_HEADER, verdict_value};
-use super::backend::{CallerBackend, GenerateCall, GenerateStream, ServiceCall, ServiceReply};
+use super::backend::{CallerBackend, GenerateCall, GenerateStream, ServiceCall, ServiceResponse};
 use super::body::DeferredBody;
 use super::credentials::identify;
-use super::front::{SLOT_HEADER, StreamSlots};
 use super::head::{CallHead, CallHeaders, is_label, malformed};
+use super::proxy::{SLOT_HEADER, StreamSlots};
+use super::response::{EndpointResponse, JSON, VERDICT_HEADER, verdict_value};
 use super::stream::{EventResponse, stream_body};
 use super::wire::{GenerateBody, RefusalBody};
 use crate::ids::{OrganisationId, RequestId};
 use crate::reason::RefusalReason;
 use crate::verdict::RunVerdict;
 
-/// When a caller should come back to a daemon that is not ready.
+/// Time after which a caller should retry while the daemon is not ready.
 const NOT_READY_RETRY: Duration = Duration::from_secs(1);
-/// Header of an answer that an earlier call with the same key got.
+/// Header that marks the stored response to an earlier call with the same key.
 const REPLAYED_HEADER: &str = "idempotent-replayed";
 
-/// What the callers' endpoints share.
+/// State shared by the callers' endpoints.
 pub(super) struct CallerContext {
     pub(super) backend: CallerBackend,
-    /// Calls that go on when their caller goes away.
-    pub(super) detached: TaskTracker,
-    /// Where streams are handed to the listener in front.
+    /// Calls that continue after their caller has disconnected.
+    pub(super) running_calls: TaskTracker,
+    /// Slots through which streams are passed to the proxy.
     pub(super) slots: StreamSlots,
 }
 
 type Shared = Arc<CallerContext>;
 
-/// Answer of the balancer's probes.
+/// Response to the health probes of a load balancer.
 #[derive(Debug, Serialize, JsonSchema)]
 struct ProbeBody {
-    /// Always `true`; the opposite is a refusal.
+    /// Always `true`; a failed probe gets a refusal instead.
     ok: bool,
 }
 
@@ -58,7 +58,7 @@
     operation: String,
 }
 
-/// All endpoints of the callers' listener.
+/// Returns the description of all endpoints of the callers' listener.
 pub(super) fn description() -> Result<ApiDescription<Shared>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(generate)?;
@@ -70,21 +70,21 @@
 
 /// Generate tokens.
 ///
-/// Answers with server-sent events: each is one line `data: ` with the JSON of
-/// a stream event. The last event is `done` with the number of tokens, or
-/// `error` with a refusal; an answer without either was cut off on the way.
+/// Responds with server-sent events: each is one line `data: ` followed by a stream event
+/// as JSON. The last event is `done` with the number of tokens, or `error` with a
+/// refusal; a response without either was cut off in transit.
 #[endpoint { method = POST, path = "/v1/generate", operation_id = "generate" }]
 async fn generate(
     context: RequestContext<Shared>,
     headers: Header<CallHeaders>,
     body: DeferredBody<GenerateBody>,
-) -> Result<Answer<EventResponse>, RefusalBody> {
+) -> Result<EndpointResponse<EventResponse>, RefusalBody> {
     let shared = context.context();
     let slot = context.request.headers().get(SLOT_HEADER);
     let slot = slot.and_then(|name| name.to_str().ok());
-    let headers = headers.into_inner().joined_with(&context.request_id);
+    let headers = headers.into_inner().with_library_id(&context.request_id);
     let started = start_generation(&shared.backend, &headers, body).await;
-    Ok(Answer::from_result(started.map(|generation| {
+    Ok(EndpointResponse::from_result(started.map(|generation| {
         let StartedGeneration { request, events } = generation;
         EventResponse::new(match shared.slots.put(slot, events) {
             Ok(()) => Body::empty(),
@@ -93,7 +93,7 @@
     })))
 }
 
-/// An answer that has begun.
+/// A response that has started.
 struct StartedGeneration {
     request: RequestId,
     events: GenerateStream,
@@ -104,26 +104,26 @@
     headers: &CallHeaders,
     body: DeferredBody<GenerateBody>,
 ) -> Result<StartedGeneration, RefusalBody> {
-    let admitted = admit(backend, headers)?;
-    let request = admitted.head.request.clone();
-    let named = |refusal: RefusalBody| refusal.for_request(request.clone());
-    let body = body.into_inner().map_err(named)?;
-    check_generate(&body).map_err(named)?;
+    let checked = check_call(backend, headers)?;
+    let request = checked.head.request.clone();
+    let with_request = |refusal: RefusalBody| refusal.for_request(request.clone());
+    let body = body.into_inner().map_err(with_request)?;
+    check_body(&body).map_err(with_request)?;
     let call = GenerateCall {
-        request: admitted.head.request,
-        organisation: admitted.organisation,
+        request: checked.head.request,
+        organisation: checked.organisation,
         body,
-        non_idempotent: admitted.head.non_idempotent,
-        key: admitted.head.key,
-        received: admitted.received,
+        non_idempotent: checked.head.non_idempotent,
+        key: checked.head.key,
+        received: checked.received,
     };
-    let events = (backend.generate)(call).await.map_err(named)?;
+    let events = (backend.generate)(call).await.map_err(with_request)?;
     Ok(StartedGeneration { request, events })
 }
 
-fn check_generate(body: &GenerateBody) -> Result<(), RefusalBody> {
+fn check_body(body: &GenerateBody) -> Result<(), RefusalBody> {
     match body {
-        body if body.prompt.is_empty() => Err(malformed("prompt must hold at least one token")),
+        body if body.prompt.is_empty() => Err(malformed("prompt must contain at least one token")),
         body if body.max_tokens == 0 => Err(malformed("max_tokens must be at least 1")),
         _ => Ok(()),
     }
@@ -131,19 +131,19 @@
 
 /// Call an operation of a plain service.
 ///
-/// The body is passed on as it is, and so are status and body of the answer.
+/// The body is forwarded unchanged, and so are the status and the body of the response.
 #[endpoint { method = POST, path = "/v1/services/{service}/{operation}" }]
 async fn call_service(
     context: RequestContext<Shared>,
     path: Path<ServicePath>,
     headers: Header<CallHeaders>,
     body: UntypedBody,
-) -> Result<Answer<Response<Body>>, RefusalBody> {
+) -> Result<EndpointResponse<Response<Body>>, RefusalBody> {
     let shared = context.context();
     let bytes = Bytes::copy_from_slice(body.as_bytes());
-    let headers = headers.into_inner().joined_with(&context.request_id);
+    let headers = headers.into_inner().with_library_id(&context.request_id);
     let result = run_service(shared, path.into_inner(), &headers, bytes).await;
-    Ok(Answer::from_result(result))
+    Ok(EndpointResponse::from_result(result))
 }
 
 async fn run_service(
@@ -152,48 +152,48 @@
     headers: &CallHeaders,
     body: Bytes,
 ) -> Result<Response<Body>, RefusalBody> {
-    let admitted = admit(&shared.backend, headers)?;
-    let request = admitted.head.request.clone();
-    let named = |refusal: RefusalBody| refusal.for_request(request.clone());
+    let checked = check_call(&shared.backend, headers)?;
+    let request = checked.head.request.clone();
+    let with_request = |refusal: RefusalBody| refusal.for_request(request.clone());
     if !is_label(&path.service) || !is_label(&path.operation) {
-        return Err(named(malformed(
+        return Err(with_request(malformed(
             "service and operation must be 1 to 128 visible ASCII characters",
         )));
     }
     let call = ServiceCall {
-        request: admitted.head.request,
-        organisation: admitted.organisation,
+        request: checked.head.request,
+        organisation: checked.organisation,
         service: path.service.into(),
         operation: path.operation.into(),
         body,
-        non_idempotent: admitted.head.non_idempotent,
-        key: admitted.head.key,
-        received: admitted.received,
-        caller_gone: CancellationToken::new(),
+        non_idempotent: checked.head.non_idempotent,
+        key: checked.head.key,
+        received: checked.received,
+        caller_disconnected: CancellationToken::new(),
     };
-    let reply = carry_out(shared, call).await.map_err(named)?;
-    reply_response(reply).map_err(named)
+    let reply = execute_call(shared, call).await.map_err(with_request)?;
+    http_response(reply).map_err(with_request)
 }
 
-/// Runs a call to its end, even if its caller goes away. Dropped after its
-/// claim was won, a non-idempotent call could never be settled: a repeat with
-/// the same key would be told that it may have run, for ever. Which calls are
-/// non-idempotent is not known here, since a service may declare them so.
-async fn carry_out(shared: &Shared, call: ServiceCall) -> Result<ServiceReply, RefusalBody> {
-    let caller = call.caller_gone.clone().drop_guard();
+/// Runs a call to its end, even if its caller disconnects. If a non-idempotent call were
+/// dropped after its claim was won, the claim could never be settled, and every repeat
+/// with the same key would be answered with "may have run". This function does not know
+/// which calls are non-idempotent, since a service may declare them so.
+async fn execute_call(shared: &Shared, call: ServiceCall) -> Result<ServiceResponse, RefusalBody> {
+    let caller = call.caller_disconnected.clone().drop_guard();
     let running = (shared.backend.call_service)(call);
     let reply = shared
-        .detached
+        .running_calls
         .spawn(running)
         .await
-        .unwrap_or_else(|_| Err(may_have_run("the call broke off")));
+        .unwrap_or_else(|_| Err(may_have_run("the call was interrupted")));
     caller.disarm();
     reply
 }
 
-fn reply_response(reply: ServiceReply) -> Result<Response<Body>, RefusalBody> {
+fn http_response(reply: ServiceResponse) -> Result<Response<Body>, RefusalBody> {
     let status = StatusCode::from_u16(reply.status)
-        .map_err(|_| may_have_run("the service answered with an invalid status"))?;
+        .map_err(|_| may_have_run("the service returned an invalid HTTP status"))?;
     let mut response = Response::new(Body::from(reply.body));
     *response.status_mut() = status;
     let media_type = reply
@@ -202,7 +202,7 @@
         .unwrap_or(HeaderValue::from_static(JSON));
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, media_type);
-    // An error of the service itself is its answer, not a refusal.
+    // An error returned by the service itself is its response and not a refusal.
     headers.insert(VERDICT_HEADER, verdict_value(RunVerdict::Ran));
     if reply.replayed {
         headers.insert(REPLAYED_HEADER, HeaderValue::from_static("true"));
@@ -217,32 +217,34 @@
     }
 }
 
-/// A call whose caller is known.
-struct AdmittedCall {
+/// A call with a known caller and valid headers.
+struct CheckedCall {
     head: CallHead,
     organisation: OrganisationId,
     received: Instant,
 }
 
-fn admit(backend: &CallerBackend, headers: &CallHeaders) -> Result<AdmittedCall, RefusalBody> {
+fn check_call(backend: &CallerBackend, headers: &CallHeaders) -> Result<CheckedCall, RefusalBody> {
     let received = Instant::now();
     let request = headers.request()?;
-    let named = |refusal: RefusalBody| refusal.for_request(request.clone());
+    let with_request = |refusal: RefusalBody| refusal.for_request(request.clone());
     let organisation = identify(headers.authorization.as_deref(), &backend.organisation_of)
-        .map_err(|refusal| unless_ready(backend, refusal))
-        .map_err(named)?;
-    let head = headers.head(request.clone()).map_err(named)?;
-    Ok(AdmittedCall {
+        .map_err(|refusal| not_ready_or(backend, refusal))
+        .map_err(with_request)?;
+    let head = headers.head(request.clone()).map_err(with_request)?;
+    Ok(CheckedCall {
         head,
         organisation,
         received,
     })
 }
 
-/// A daemon without configuration, or with an old one, does not know every
-/// organisation. Told that its token is unknown, a caller would give up; told
-/// that the host is not ready, it comes back or asks another.
-fn unless_ready(backend: &CallerBackend, refusal: RefusalBody) -> RefusalBody {
+/// Replaces a refusal by "not ready" while the daemon is not ready.
+///
+/// A daemon with no configuration or an outdated one does not know every organisation. A
+/// caller that is told that its token is unknown gives up; one that is told that the host
+/// is not ready retries or tries another host.
+fn not_ready_or(backend: &CallerBackend, refusal: RefusalBody) -> RefusalBody {
     match (backend.ready)() {
         true => refusal,
         false => RefusalBody::not_run(RefusalReason::NotReady, "the daemon takes no new work")
@@ -250,26 +252,26 @@
     }
 }
 
-/// Whether the daemon is alive.
+/// Check whether the daemon is alive.
 #[endpoint { method = GET, path = "/healthz" }]
 async fn healthz(
     context: RequestContext<Shared>,
-) -> Result<Answer<HttpResponseOk<ProbeBody>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<ProbeBody>>, RefusalBody> {
     let healthy = (context.context().backend.healthy)();
     Ok(probe(healthy, "the daemon is not healthy"))
 }
 
-/// Whether the daemon takes new work.
+/// Check whether the daemon accepts new work.
 #[endpoint { method = GET, path = "/readyz" }]
 async fn readyz(
     context: RequestContext<Shared>,
-) -> Result<Answer<HttpResponseOk<ProbeBody>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<ProbeBody>>, RefusalBody> {
     let ready = (context.context().backend.ready)();
     Ok(probe(ready, "the daemon takes no new work"))
 }
 
-fn probe(ok: bool, message: &str) -> Answer<HttpResponseOk<ProbeBody>> {
-    Answer::from_result(match ok {
+fn probe(ok: bool, message: &str) -> EndpointResponse<HttpResponseOk<ProbeBody>> {
+    EndpointResponse::from_result(match ok {
         true => Ok(HttpResponseOk(ProbeBody { ok })),
         false => Err(RefusalBody::not_run(RefusalReason::NotReady, message)),
     })
--- a/src/api/explain.rs
+++ b/src/api/explain.rs
@@ -1,4 +1,4 @@
-//! How the journal is shown.
+//! Conversion of journal entries for the `explain` endpoint.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -6,10 +6,10 @@
 use crate::journal::{Explanation, JournalEntry, JournalSubject};
 
 impl ExplainView {
-    /// Shows what the journal knows about a subject. What is left out is
-    /// shown too, so that a part is not taken for the whole.
+    /// Converts the journal's entries on a subject. Omitted entries are counted in a
+    /// first entry, so that an incomplete list is not taken for a complete one.
     pub fn new(subject: &JournalSubject, explanation: &Explanation) -> Self {
-        let dropped = explanation
+        let omitted = explanation
             .entries
             .first()
             .filter(|_| explanation.dropped > 0)
@@ -18,15 +18,15 @@
                 subject: subject.to_string(),
                 text: format!("{} earlier decisions left out", explanation.dropped),
             });
-        let kept = explanation.entries.iter().map(shown_entry);
+        let recorded = explanation.entries.iter().map(entry_view);
         Self {
             subject: subject.to_string(),
-            entries: dropped.into_iter().chain(kept).collect(),
+            entries: omitted.into_iter().chain(recorded).collect(),
         }
     }
 }
 
-fn shown_entry(entry: &JournalEntry) -> ExplainEntry {
+fn entry_view(entry: &JournalEntry) -> ExplainEntry {
     ExplainEntry {
         at_ms: unix_millis(entry.at),
         subject: entry.subject.to_string(),
--- a/src/api/operators.rs
+++ b/src/api/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' endpoints.
+//! Endpoints for operators.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use super::answer::{Answer, ChangeErrorBody};
 use super::backend::{ApplyCall, DeleteCall, OperatorBackend};
 use super::body::DeferredBody;
 use super::credentials::{OperatorHeaders, identify};
 use super::head::{is_label, malformed};
+use super::response::{ChangeErrorBody, EndpointResponse};
 use super::wire::{
     AcceptedBody, ApplyBody, ExplainView, ForceView, RefusalBody, ResourceView, StatusView,
 };
@@ -23,7 +23,7 @@
 
 type Shared = Arc<OperatorBackend>;
 
-/// Media type of the metrics' text format.
+/// Media type of the OpenMetrics text format.
 const METRICS_MEDIA_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// A kind of resource.
@@ -49,7 +49,7 @@
     request: String,
 }
 
-/// What a removal is based on.
+/// Version that a removal is based on.
 #[derive(Debug, Deserialize, JsonSchema)]
 struct DeleteQuery {
     /// Version of the resource that the operator saw last.
@@ -63,7 +63,7 @@
     etag: String,
 }
 
-/// All endpoints of the operators' listener.
+/// Returns the description of all endpoints of the operators' listener.
 pub(super) fn description() -> Result<ApiDescription<Shared>, ApiDescriptionRegisterError> {
     let mut api = ApiDescription::new();
     api.register(list_resources)?;
@@ -89,26 +89,26 @@
     )
 }
 
-/// All declared resources.
+/// List all declared resources.
 #[endpoint { method = GET, path = "/v1/resources" }]
 async fn list_resources(
     context: RequestContext<Shared>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<Vec<ResourceView>>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<Vec<ResourceView>>>, RefusalBody> {
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().list)(()).await,
         Err(refusal) => Err(refusal),
     };
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
-/// The declared resources of one kind.
+/// List the declared resources of one kind.
 #[endpoint { method = GET, path = "/v1/resources/{kind}" }]
 async fn list_kind(
     context: RequestContext<Shared>,
     path: Path<KindPath>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<Vec<ResourceView>>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<Vec<ResourceView>>>, RefusalBody> {
     let kind = path.into_inner().kind;
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().list)(()).await,
@@ -118,18 +118,21 @@
         let of_kind = views.into_iter().filter(|view| view.key.kind == kind);
         HttpResponseOk(of_kind.collect())
     });
-    Ok(Answer::from_result(result))
+    Ok(EndpointResponse::from_result(result))
 }
 
-/// One declared resource.
+/// Get one declared resource.
 #[endpoint { method = GET, path = "/v1/resources/{kind}/{name}" }]
 async fn get_resource(
     context: RequestContext<Shared>,
     path: Path<ResourcePath>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseHeaders<HttpResponseOk<ResourceView>, VersionHeader>>, RefusalBody> {
+) -> Result<
+    EndpointResponse<HttpResponseHeaders<HttpResponseOk<ResourceView>, VersionHeader>>,
+    RefusalBody,
+> {
     let result = find_resource(&context, path, headers).await;
-    Ok(Answer::from_result(result.map(|view| {
+    Ok(EndpointResponse::from_result(result.map(|view| {
         let etag = format!("\"{}\"", view.version);
         HttpResponseHeaders::new(HttpResponseOk(view), VersionHeader { etag })
     })))
@@ -152,9 +155,9 @@
     path: Path<ResourcePath>,
     headers: Header<OperatorHeaders>,
     body: DeferredBody<ApplyBody>,
-) -> Result<Answer<HttpResponseOk<AcceptedBody>>, ChangeErrorBody> {
+) -> Result<EndpointResponse<HttpResponseOk<AcceptedBody>>, ChangeErrorBody> {
     let result = apply(&context, path, headers, body).await;
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
 async fn apply(
@@ -187,9 +190,9 @@
     path: Path<ResourcePath>,
     query: Query<DeleteQuery>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<AcceptedBody>>, ChangeErrorBody> {
+) -> Result<EndpointResponse<HttpResponseOk<AcceptedBody>>, ChangeErrorBody> {
     let result = delete(&context, path, query, headers).await;
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
 async fn delete(
@@ -213,52 +216,52 @@
     }
 }
 
-/// How far the configuration is in force.
+/// Show which hosts have applied the configuration.
 #[endpoint { method = GET, path = "/v1/force" }]
 async fn show_force(
     context: RequestContext<Shared>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<ForceView>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<ForceView>>, RefusalBody> {
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().force)(()).await,
         Err(refusal) => Err(refusal),
     };
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
-/// What was decided about a request, and why.
+/// Show the decisions about a request and their reasons.
 #[endpoint { method = GET, path = "/v1/explain/{request}" }]
 async fn explain_request(
     context: RequestContext<Shared>,
     path: Path<RequestPath>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<ExplainView>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<ExplainView>>, RefusalBody> {
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().explain)(path.into_inner().request.into()).await,
         Err(refusal) => Err(refusal),
     };
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
-/// How this host sees itself and the targets.
+/// Show this host's state and its view of the targets.
 #[endpoint { method = GET, path = "/v1/status" }]
 async fn show_status(
     context: RequestContext<Shared>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<HttpResponseOk<StatusView>>, RefusalBody> {
+) -> Result<EndpointResponse<HttpResponseOk<StatusView>>, RefusalBody> {
     let result = match authenticate(&context, headers) {
         Ok(_) => (context.context().status)(()).await,
         Err(refusal) => Err(refusal),
     };
-    Ok(Answer::from_result(result.map(HttpResponseOk)))
+    Ok(EndpointResponse::from_result(result.map(HttpResponseOk)))
 }
 
-/// Metrics in the OpenMetrics text format.
+/// Get the metrics in the OpenMetrics text format.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn show_metrics(
     context: RequestContext<Shared>,
     headers: Header<OperatorHeaders>,
-) -> Result<Answer<Response<Body>>, RefusalBody> {
+) -> Result<EndpointResponse<Response<Body>>, RefusalBody> {
     let result = authenticate(&context, headers).map(|_| {
         let mut response = Response::new(Body::from((context.context().metrics)()));
         let media_type = HeaderValue::from_static(METRICS_MEDIA_TYPE);
@@ -267,5 +270,5 @@
             .insert(header::CONTENT_TYPE, media_type);
         response
     });
-    Ok(Answer::from_result(result))
+    Ok(EndpointResponse::from_result(result))
 }
--- a/src/api/front/connection.rs
+++ b/src/api/proxy/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a caller.
+//! Connections of callers.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 use hyper_util::server::graceful::Watcher;
 use tokio::net::TcpStream;
 
-use super::FrontContext;
+use super::ProxyContext;
 use super::forward::Forwarder;
-use super::intake;
-use crate::api::answer::error_response;
+use super::request_reader;
+use crate::api::response::error_response;
 use crate::api::wire::RefusalBody;
 use crate::reason::RefusalReason;
 
-/// Time spent on telling one connection too many that it is.
+/// Maximum time for answering a connection beyond the bound.
 const REFUSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// When such a caller should come back.
-const REFUSE_RETRY: Duration = Duration::from_secs(1);
+/// Time after which a caller refused for too many connections should retry.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Serves requests until the caller closes or a bound is reached.
-pub(super) async fn serve(socket: TcpStream, context: FrontContext, watcher: Watcher) {
+/// Serves requests until the caller closes the connection or a bound is exceeded.
+pub(super) async fn serve(socket: TcpStream, context: ProxyContext, watcher: Watcher) {
     let forwarder = Forwarder::new(context.inner, context.slots.clone());
     let bounds = context.bounds;
     let service = service_fn(|request: Request<Incoming>| async {
-        let answer = match intake::read(request, &bounds).await {
+        let response = match request_reader::read(request, &bounds).await {
             Ok(request) => forwarder.forward(request).await,
             Err(refusal) => refusal.into_response(),
         };
-        Ok::<_, Infallible>(answer)
+        Ok::<_, Infallible>(response)
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -42,26 +42,27 @@
         .max_header_size(bounds.head_bytes)
         .serve_connection(TokioIo::new(socket), service);
     if let Err(error) = watcher.watch(served).await {
-        log::debug!("a caller's connection ended: {error}");
+        log::debug!("connection of a caller failed: {error}");
     }
 }
 
-/// Tells a connection beyond the bound to come back, and closes it.
+/// Answers a connection beyond the bound with a refusal and closes it.
 pub(super) async fn refuse(socket: TcpStream) {
-    let service = service_fn(|_: Request<Incoming>| async { Ok::<_, Infallible>(too_many()) });
+    let service =
+        service_fn(|_: Request<Incoming>| async { Ok::<_, Infallible>(too_many_connections()) });
     let served = http1::Builder::new()
         .keep_alive(false)
         .serve_connection(TokioIo::new(socket), service);
-    // A caller that sends no request leaves the place of another one taken.
+    // A caller that sends no request in time must not keep its permit from others.
     let _ = tokio::time::timeout(REFUSE_TIMEOUT, served).await;
 }
 
-fn too_many() -> Response<Body> {
+fn too_many_connections() -> Response<Body> {
     let refusal = RefusalBody::not_run(
         RefusalReason::QueueFull,
-        "this host has as many connections as it takes",
+        "the host has reached its maximum number of connections",
     );
-    let mut response = error_response(&refusal.retry_after(REFUSE_RETRY));
+    let mut response = error_response(&refusal.retry_after(RETRY_AFTER));
     response
         .headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/src/api/front/intake.rs
+++ b/src/api/proxy/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reading a request whole, within the bounds.
+//! Reads whole requests within the bounds.
 
 use bytes::Bytes;
 use dropshot::Body;
@@ -8,18 +8,18 @@
 use uuid::Uuid;
 
 use super::{ApiBounds, SLOT_HEADER};
-use crate::api::answer::error_response;
 use crate::api::head::malformed;
+use crate::api::response::error_response;
 use crate::api::wire::{NON_IDEMPOTENT_HEADER, RefusalBody};
 
-/// Header with the request's id.
+/// Header with the request id.
 pub(super) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// How many times the bound on a body is read and thrown away before the
-/// connection is closed on a caller that is still sending.
+/// How many times the maximum body length is read and discarded before the connection is
+/// closed while the caller is still sending.
 const DISCARD_FACTOR: usize = 4;
 
-/// Headers that may stand once. Read twice, two parts of the system could
-/// each believe another value of them.
+/// Headers that may occur only once. If one were repeated, two components could each use
+/// a different value of it.
 static SINGLE_HEADERS: [HeaderName; 4] = [
     header::AUTHORIZATION,
     HeaderName::from_static("idempotency-key"),
@@ -27,8 +27,8 @@
     REQUEST_ID,
 ];
 
-/// Headers that concern one connection only, and the length, which is set anew.
-static HOP_HEADERS: [HeaderName; 8] = [
+/// Headers that concern one connection only, and the length, which is set again.
+static HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -39,15 +39,15 @@
     HeaderName::from_static(SLOT_HEADER),
 ];
 
-/// A request that broke a bound.
+/// A request that exceeded a bound or could not be read.
 #[derive(Debug)]
-pub(super) struct IntakeRefusal {
-    /// More exact than the status of its reason.
+pub(super) struct RequestRefusal {
+    /// More specific than the status that belongs to the reason.
     status: StatusCode,
     body: RefusalBody,
 }
 
-impl IntakeRefusal {
+impl RequestRefusal {
     fn new(status: StatusCode, message: &str) -> Self {
         Self {
             status,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The whole response.
+    /// Converts the refusal into a response.
     pub(super) fn into_response(self) -> Response<Body> {
         let mut response = error_response(&self.body);
         *response.status_mut() = self.status;
@@ -63,18 +63,18 @@
     }
 }
 
-/// Reads a request and readies it for being passed on.
+/// Reads a request and prepares it for forwarding.
 ///
 /// # Errors
-/// If a bound is broken.
+/// Returns a refusal if a bound is exceeded or the request is malformed.
 pub(super) async fn read(
     request: Request<Incoming>,
     bounds: &ApiBounds,
-) -> Result<Request<Full<Bytes>>, IntakeRefusal> {
+) -> Result<Request<Full<Bytes>>, RequestRefusal> {
     let (mut parts, body) = request.into_parts();
     let bytes = read_body(body, bounds).await?;
-    check_single(&parts.headers)?;
-    for name in &HOP_HEADERS {
+    check_duplicates(&parts.headers)?;
+    for name in &HOP_BY_HOP_HEADERS {
         parts.headers.remove(name);
     }
     parts.version = http::Version::HTTP_11;
@@ -82,61 +82,61 @@
     parts
         .headers
         .entry(REQUEST_ID)
-        .or_insert_with(fresh_request_id);
+        .or_insert_with(new_request_id);
     Ok(Request::from_parts(parts, Full::new(bytes)))
 }
 
-fn fresh_request_id() -> http::HeaderValue {
+fn new_request_id() -> http::HeaderValue {
     let id = Uuid::new_v4().to_string();
     http::HeaderValue::try_from(id).unwrap_or(http::HeaderValue::from_static(""))
 }
 
-fn check_single(headers: &HeaderMap) -> Result<(), IntakeRefusal> {
-    let doubled = SINGLE_HEADERS
+fn check_duplicates(headers: &HeaderMap) -> Result<(), RequestRefusal> {
+    let duplicated = SINGLE_HEADERS
         .iter()
         .find(|name| headers.get_all(*name).iter().count() > 1);
-    match doubled {
+    match duplicated {
         None => Ok(()),
-        Some(name) => Err(IntakeRefusal::new(
+        Some(name) => Err(RequestRefusal::new(
             StatusCode::BAD_REQUEST,
-            &format!("header {name} may stand only once"),
+            &format!("header {name} may occur only once"),
         )),
     }
 }
 
-async fn read_body(mut body: Incoming, bounds: &ApiBounds) -> Result<Bytes, IntakeRefusal> {
+async fn read_body(mut body: Incoming, bounds: &ApiBounds) -> Result<Bytes, RequestRefusal> {
     let reading = Limited::new(&mut body, bounds.body_bytes).collect();
     let error = match tokio::time::timeout(bounds.body_timeout, reading).await {
         Ok(Ok(collected)) => return Ok(collected.to_bytes()),
         Ok(Err(error)) => error,
         Err(_) => {
-            return Err(IntakeRefusal::new(
+            return Err(RequestRefusal::new(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body did not arrive in time",
             ));
         }
     };
     if error.downcast_ref::<LengthLimitError>().is_none() {
-        return Err(IntakeRefusal::new(
+        return Err(RequestRefusal::new(
             StatusCode::BAD_REQUEST,
             "the body could not be read",
         ));
     }
-    discard(body, bounds).await;
+    drain_body(body, bounds).await;
     let message = format!("the body is longer than {} bytes", bounds.body_bytes);
-    Err(IntakeRefusal::new(StatusCode::PAYLOAD_TOO_LARGE, &message))
+    Err(RequestRefusal::new(StatusCode::PAYLOAD_TOO_LARGE, &message))
 }
 
-/// Throws away the rest of a body that is too long, within bounds. Closed on
-/// unread bytes, the connection would be reset, and the caller would lose the
-/// answer that tells it why.
-async fn discard(mut body: Incoming, bounds: &ApiBounds) {
-    let mut left = bounds.body_bytes.saturating_mul(DISCARD_FACTOR);
+/// Reads and discards the rest of a body that is too long, within bounds. Closing the
+/// connection with unread bytes would reset it, and the caller would lose the response
+/// that gives the reason.
+async fn drain_body(mut body: Incoming, bounds: &ApiBounds) {
+    let mut remaining = bounds.body_bytes.saturating_mul(DISCARD_FACTOR);
     let reading = async {
         while let Some(Ok(frame)) = body.frame().await {
             let length = frame.data_ref().map_or(0, Bytes::len);
-            left = left.saturating_sub(length);
-            if left == 0 || body.is_end_stream() {
+            remaining = remaining.saturating_sub(length);
+            if remaining == 0 || body.is_end_stream() {
                 return;
             }
         }
--- a/src/cli/apply.rs
+++ b/src/cli/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: compares a file with what stands and declares the difference.
+//! `apply`: compares a file with the declared resources and declares the differences.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -14,47 +14,47 @@
 use crate::ids::LogOffset;
 use crate::resources::ResourceKey;
 
-/// What `apply` is to do about one resource.
+/// A resource of the file and the change that `apply` makes to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ApplyStep {
-    /// What the file declares.
+    /// Resource as declared in the file.
     pub declared: DeclaredResource,
-    /// How it differs from what stands.
+    /// Difference from the current resource.
     pub change: StepChange,
 }
 
-/// How a declared resource differs from what stands.
+/// Difference between a resource in the file and the current resource.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StepChange {
-    /// It does not exist yet.
+    /// The resource does not exist yet.
     Create,
-    /// It exists and differs.
+    /// The resource exists and differs.
     Update {
-        /// Version that the difference was taken from.
+        /// Version that was compared.
         based_on: LogOffset,
         /// The fields that differ.
         fields: Vec<FieldChange>,
     },
-    /// It stands as declared.
+    /// The resource is already as declared.
     Unchanged {
-        /// Its version.
+        /// Version of the resource.
         version: LogOffset,
     },
 }
 
-/// Compares declared resources with those that stand, in the declared order.
-pub fn plan_apply(declared: Vec<DeclaredResource>, present: &[ResourceView]) -> Vec<ApplyStep> {
-    let present = present.iter().map(|view| (&view.key, view));
-    let present = present.collect::<BTreeMap<&ResourceKey, _>>();
+/// Compares the resources of a file with the current ones, in the order of the file.
+pub fn plan_apply(declared: Vec<DeclaredResource>, current: &[ResourceView]) -> Vec<ApplyStep> {
+    let current = current.iter().map(|view| (&view.key, view));
+    let current = current.collect::<BTreeMap<&ResourceKey, _>>();
     let steps = declared.into_iter().map(|declared| {
-        let change = plan_step(&declared, present.get(&declared.key).copied());
+        let change = plan_step(&declared, current.get(&declared.key).copied());
         ApplyStep { declared, change }
     });
     steps.collect()
 }
 
-fn plan_step(declared: &DeclaredResource, present: Option<&ResourceView>) -> StepChange {
-    let Some(view) = present else {
+fn plan_step(declared: &DeclaredResource, current: Option<&ResourceView>) -> StepChange {
+    let Some(view) = current else {
         return StepChange::Create;
     };
     let fields = compare_specs(&view.spec, &declared.spec);
@@ -73,7 +73,7 @@
     fn report(&self, outcome: StepOutcome, version: Option<LogOffset>) -> StepReport {
         let fields = match &self.change {
             StepChange::Update { fields, .. } => fields.clone(),
-            StepChange::Create => compare_created(&self.declared),
+            StepChange::Create => created_fields(&self.declared),
             StepChange::Unchanged { .. } => Vec::new(),
         };
         StepReport {
@@ -93,7 +93,7 @@
     }
 }
 
-fn compare_created(declared: &DeclaredResource) -> Vec<FieldChange> {
+fn created_fields(declared: &DeclaredResource) -> Vec<FieldChange> {
     let fields = super::difference::flatten_spec(&declared.spec).into_iter();
     let changes = fields.map(|(field, after)| FieldChange {
         field,
@@ -107,21 +107,21 @@
 where
     W: Write,
 {
-    /// Declares the resources of a file that differ from what stands.
+    /// Declares those resources of a file that differ from the current ones.
     pub(super) async fn apply(&mut self, file: &Path, dry_run: bool) -> Result<(), CliError> {
         let declared = read_file(file)?;
-        let present = self.client.list(None).await?;
-        let steps = plan_apply(declared, &present);
+        let current = self.client.list(None).await?;
+        let steps = plan_apply(declared, &current);
         if dry_run {
             let reports = steps.iter().map(ApplyStep::preview).collect::<Vec<_>>();
             return self.presenter.steps(&reports);
         }
-        self.declare(&steps).await
+        self.apply_steps(&steps).await
     }
 
-    /// Declares the steps in order and stops at the first that fails: what
-    /// follows may refer to it.
-    async fn declare(&mut self, steps: &[ApplyStep]) -> Result<(), CliError> {
+    /// Executes the steps in order and stops at the first failure, since later resources
+    /// may refer to the one that failed.
+    async fn apply_steps(&mut self, steps: &[ApplyStep]) -> Result<(), CliError> {
         let mut reports = Vec::new();
         let mut failure = None;
         for step in steps {
@@ -129,10 +129,10 @@
                 reports.push(step.report(StepOutcome::NotSent, None));
                 continue;
             }
-            match self.declare_step(step).await {
+            match self.apply_step(step).await {
                 Ok(report) => reports.push(report),
                 Err(error) => {
-                    reports.push(step.report(StepOutcome::of_failure(&error), None));
+                    reports.push(step.report(StepOutcome::from_error(&error), None));
                     failure = Some(error);
                 }
             }
@@ -144,7 +144,7 @@
         }
     }
 
-    async fn declare_step(&self, step: &ApplyStep) -> Result<StepReport, CliError> {
+    async fn apply_step(&self, step: &ApplyStep) -> Result<StepReport, CliError> {
         let (based_on, outcome) = match step.change {
             StepChange::Create => (None, StepOutcome::Created),
             StepChange::Update { based_on, .. } => (Some(based_on), StepOutcome::Changed),
@@ -162,11 +162,11 @@
 }
 
 fn read_file(file: &Path) -> Result<Vec<DeclaredResource>, CliError> {
-    let shown = file.display().to_string();
+    let file_name = file.display().to_string();
     let text = std::fs::read_to_string(file)
-        .map_err(|error| CliError::Usage(format!("{shown}: cannot be read: {error}")))?;
-    parse_resources(&text).map_err(|mistakes| CliError::BadFile {
-        file: shown,
+        .map_err(|error| CliError::Usage(format!("{file_name}: cannot be read: {error}")))?;
+    parse_resources(&text).map_err(|mistakes| CliError::InvalidFile {
+        file: file_name,
         mistakes,
     })
 }
--- a/src/cli/queries.rs
+++ b/src/cli/queries.rs
@@ -14,7 +14,7 @@
 where
     W: Write,
 {
-    /// Shows all resources, those of a kind, or one.
+    /// Shows all resources, those of one kind, or one resource.
     pub(super) async fn get(
         &mut self,
         kind: Option<ResourceKind>,
@@ -27,13 +27,13 @@
             }
             (kind, _) => {
                 let mut views = self.client.list(kind).await?;
-                views.sort_by(|one, other| one.key.cmp(&other.key));
+                views.sort_by(|left, right| left.key.cmp(&right.key));
                 self.presenter.resources(&views)
             }
         }
     }
 
-    /// Removes a resource as it stands now.
+    /// Removes the current version of a resource.
     pub(super) async fn delete(&mut self, key: ResourceKey) -> Result<(), CliError> {
         let view = self.find(&key).await?;
         let accepted = self.client.delete(&key, view.version).await?;
@@ -45,22 +45,22 @@
         }])
     }
 
-    /// Shows what was decided about a request.
+    /// Shows the decisions about a request.
     pub(super) async fn explain(&mut self, request: &str) -> Result<(), CliError> {
-        let nothing_known = || CliError::NothingKnown {
+        let nothing_recorded = || CliError::NothingRecorded {
             request: request.to_owned(),
         };
         match self.client.explain(request).await {
-            Ok(view) if view.entries.is_empty() => Err(nothing_known()),
+            Ok(view) if view.entries.is_empty() => Err(nothing_recorded()),
             Ok(view) => self.presenter.explanation(&view),
             Err(CliError::Refused(refusal)) if refusal.reason == RefusalReason::Unknown => {
-                Err(nothing_known())
+                Err(nothing_recorded())
             }
             Err(error) => Err(error),
         }
     }
 
-    /// Shows how the host sees itself and the targets.
+    /// Shows the state of the host and its view of the targets.
     pub(super) async fn status(&mut self) -> Result<(), CliError> {
         let view = self.client.status().await?;
         self.presenter.status(&view)
--- a/src/cli/resource_file.rs
+++ b/src/cli/resource_file.rs
@@ -1,24 +1,24 @@
-//! Reads the resources that an operator declares in a TOML file.
+//! Reads a TOML file of declared resources.
 
 use serde::de::DeserializeOwned;
 use toml::{Table, Value};
 
 use crate::resources::{ResourceKey, ResourceKind, ResourceSpec};
 
-/// One resource of a file.
+/// A resource declared in a file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeclaredResource {
     /// Kind and name.
     pub key: ResourceKey,
-    /// What is declared.
+    /// Spec of the resource.
     pub spec: ResourceSpec,
 }
 
-/// Reads and checks a file with tables such as `[model.NAME]`; the resources
-/// come in the order in which they are to be declared.
+/// Parses and validates a file with tables such as `[model.NAME]`. Resources are returned
+/// in the order in which they must be declared.
 ///
 /// # Errors
-/// Every mistake found, each with its key.
+/// Returns all mistakes, each with its key.
 pub fn parse_resources(text: &str) -> Result<Vec<DeclaredResource>, Vec<String>> {
     let table = text
         .parse::<Table>()
@@ -28,8 +28,8 @@
     for kind in ResourceKind::ALL {
         match table.get(kind.name()) {
             None => (),
-            Some(Value::Table(named)) => {
-                read_kind(kind, named, &mut resources, &mut mistakes);
+            Some(Value::Table(tables)) => {
+                read_kind(kind, tables, &mut resources, &mut mistakes);
             }
             Some(_) => mistakes.push(format!("{0}: expected tables [{0}.NAME]", kind.name())),
         }
@@ -41,7 +41,7 @@
     }
 }
 
-/// The kind with a name.
+/// Returns the kind of the given name.
 pub(super) fn kind_by_name(name: &str) -> Option<ResourceKind> {
     ResourceKind::ALL
         .into_iter()
@@ -58,11 +58,11 @@
 
 fn read_kind(
     kind: ResourceKind,
-    named: &Table,
+    tables: &Table,
     resources: &mut Vec<DeclaredResource>,
     mistakes: &mut Vec<String>,
 ) {
-    for (name, value) in named {
+    for (name, value) in tables {
         let path = format!("{}.{name}", kind.name());
         let Value::Table(fields) = value else {
             mistakes.push(format!("{path}: expected a table"));
@@ -92,35 +92,37 @@
     }
 }
 
-/// Reads a resource from its fields. The deserialiser stops at the first
-/// mistake, so on failure each field is tried alone to report one of each.
+/// Reads a resource from its fields. The deserialiser stops at the first mistake, so
+/// after a failure each field is deserialised on its own to find the mistakes of all
+/// fields.
 fn read_fields<S>(fields: &Table) -> Result<S, Vec<String>>
 where
     S: DeserializeOwned,
 {
-    let whole = match deserialize::<S>(fields.clone()) {
+    let spec_error = match deserialize::<S>(fields.clone()) {
         Ok(spec) => return Ok(spec),
         Err(mistake) => mistake,
     };
-    let alone = fields.iter().filter_map(|(name, value)| {
+    let field_errors = fields.iter().filter_map(|(name, value)| {
         let field = Table::from_iter([(name.clone(), value.clone())]);
         deserialize::<S>(field).err()
     });
-    // A field alone always fails: for the fields that are missing beside it,
-    // which is said of the resource as a whole, or for a mistake of its own.
-    let mut mistakes = alone
+    // Deserialising a single field always fails: either because of the other, missing
+    // fields, which is reported for the resource as a whole, or because of a mistake in
+    // this field.
+    let mut mistakes = field_errors
         .filter(|mistake| mistake.is_in_field)
         .map(|mistake| mistake.text)
         .collect::<Vec<_>>();
-    if !whole.is_in_field {
-        mistakes.push(whole.text);
+    if !spec_error.is_in_field {
+        mistakes.push(spec_error.text);
     }
     Err(mistakes)
 }
 
-/// A mistake of the deserialiser.
+/// An error of the deserialiser.
 struct FieldMistake {
-    /// Whether it lies in a field that is there.
+    /// Whether the mistake is in a field that is present.
     is_in_field: bool,
     /// Path and message.
     text: String,
--- a/src/daemon/callers.rs
+++ b/src/daemon/callers.rs
@@ -7,7 +7,7 @@
 
 use super::core::DaemonCore;
 use super::{generate, services};
-use crate::api::backend::{CallerBackend, ServiceReply};
+use crate::api::backend::{CallerBackend, ServiceResponse};
 use crate::api::wire::RefusalBody;
 use crate::auth::TokenDigest;
 use crate::ids::OrganisationId;
@@ -58,7 +58,7 @@
 
 /// Returns the outcome of a call for the metrics. There is no outcome for a disconnected
 /// caller, because calls run to their end without one.
-fn call_outcome(response: &Result<ServiceReply, RefusalBody>) -> RequestOutcome {
+fn call_outcome(response: &Result<ServiceResponse, RefusalBody>) -> RequestOutcome {
     match response {
         Ok(_) => RequestOutcome::Whole,
         Err(refusal) if refusal.verdict == RunVerdict::NotRun => RequestOutcome::NotRun,
--- a/src/daemon/claims/reply.rs
+++ b/src/daemon/claims/reply.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 
 use super::ticket::ClaimSubject;
-use crate::api::backend::ServiceReply;
+use crate::api::backend::ServiceResponse;
 use crate::api::wire::RefusalBody;
 use crate::claims::record::{ClaimOutcome, StoredResponse};
 use crate::claims::response::{ClaimRefusal, ClaimResponse};
@@ -48,13 +48,13 @@
 pub(in crate::daemon) fn reply_of(
     response: ClaimResponse,
     request: &RequestId,
-) -> Result<ServiceReply, RefusalBody> {
+) -> Result<ServiceResponse, RefusalBody> {
     match response {
         ClaimResponse::Known(ClaimOutcome {
             verdict: RunVerdict::Ran,
             status,
             answer: StoredResponse::Whole(text),
-        }) => Ok(ServiceReply {
+        }) => Ok(ServiceResponse {
             status,
             body: Bytes::from(text),
             content_type: None,
--- a/tests/api/bounds.rs
+++ b/tests/api/bounds.rs
@@ -1,61 +1,58 @@
-//! What callers may send and hold.
+//! Bounds on connections and requests.
 
 use std::time::Duration;
 
 use crate::server::{
-    BEARER, BODY, CannedBackend, eventually, exchange, in_time, raw_generation, raw_head,
+    BEARER, BODY, StubBackend, eventually, in_time, raw_generation, raw_head, send_and_read_all,
 };
 use http::{Method, StatusCode};
 use jackdawwick::api::wire::StreamEvent;
 use jackdawwick::verdict::RunVerdict;
 use tokio::sync::mpsc;
 
-/// Symptom: a caller with too long a body sees a reset connection and tries
-/// again for ever.
-/// Sequence: it sends the whole body before it reads the answer.
-/// Cause: the connection was closed on bytes not yet read.
+/// A caller that sends its whole body before it reads the response gets a 413. If the
+/// connection were closed with unread bytes, it would be reset, and the caller would
+/// retry for ever.
 #[tokio::test]
 async fn a_body_beyond_the_bound_is_refused() {
     const BOUND: usize = 1 << 20;
-    let server = CannedBackend::default()
-        .bounded(|bounds| bounds.body_bytes = BOUND)
+    let server = StubBackend::default()
+        .with_bounds(|bounds| bounds.body_bytes = BOUND)
         .serve();
     let reply = server.generate(&[BEARER], &" ".repeat(BOUND + 1)).await;
     assert_eq!(reply.status, StatusCode::PAYLOAD_TOO_LARGE);
     assert_eq!(reply.refusal().verdict, RunVerdict::NotRun);
     let long = raw_head("/v1/generate", 4 * BOUND) + &" ".repeat(4 * BOUND);
-    let answer = exchange(&mut server.connect().await, long.as_bytes()).await;
-    assert!(answer.starts_with("HTTP/1.1 413 "), "{answer:?}");
+    let response = send_and_read_all(&mut server.connect().await, long.as_bytes()).await;
+    assert!(response.starts_with("HTTP/1.1 413 "), "{response:?}");
     let padded = " ".repeat(BOUND - BODY.len()) + BODY;
     let reply = server.generate(&[BEARER], &padded).await;
     assert_eq!(reply.status, StatusCode::OK);
 }
 
-/// Symptom: connections of callers that never finish a request pile up until
-/// no other one is served.
-/// Sequence: a caller sends nothing, half a head, or half a body, and waits.
-/// Cause: reading was not bounded in time.
+/// Callers that send nothing, half a head or half a body are disconnected. Without time
+/// limits on reading, such connections would pile up until no other caller is served.
 #[tokio::test]
-async fn slow_senders_are_cut_off() {
-    let server = CannedBackend::default()
-        .bounded(|bounds| {
+async fn slow_senders_are_disconnected() {
+    let server = StubBackend::default()
+        .with_bounds(|bounds| {
             bounds.head_timeout = Duration::from_millis(50);
             bounds.body_timeout = Duration::from_millis(50);
         })
         .serve();
-    exchange(&mut server.connect().await, b"").await;
-    exchange(&mut server.connect().await, b"POST /v1/gen").await;
+    send_and_read_all(&mut server.connect().await, b"").await;
+    send_and_read_all(&mut server.connect().await, b"POST /v1/gen").await;
     let half = raw_head("/v1/generate", BODY.len()) + &BODY[..9];
-    let answer = exchange(&mut server.connect().await, half.as_bytes()).await;
-    assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
-    assert!(answer.contains("\"not_run\""), "{answer}");
+    let response = send_and_read_all(&mut server.connect().await, half.as_bytes()).await;
+    assert!(response.starts_with("HTTP/1.1 408 "), "{response}");
+    assert!(response.contains("\"not_run\""), "{response}");
 }
 
-/// Heads that cannot be read are answered by the HTTP library without a body,
-/// and HTTP/2, whose callers could not read the answer, by closing.
+/// The HTTP library responds to unreadable heads without a body. HTTP/2 connections are
+/// closed, since their callers could not read the response.
 #[tokio::test]
-async fn bytes_that_are_no_request_are_refused() {
-    let server = CannedBackend::default().serve();
+async fn invalid_or_oversized_heads_are_refused() {
+    let server = StubBackend::default().serve();
     let large = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(17 << 10));
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(65));
     let cases = [
@@ -64,22 +61,25 @@
         (many.as_str(), "HTTP/1.1 431 "),
         ("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", ""),
     ];
-    for (bytes, begin) in cases {
-        let answer = exchange(&mut server.connect().await, bytes.as_bytes()).await;
-        assert!(answer.starts_with(begin), "{bytes:.40?}: {answer:?}");
-        assert_eq!(answer.is_empty(), begin.is_empty(), "{answer:?}");
+    for (bytes, status_line) in cases {
+        let response = send_and_read_all(&mut server.connect().await, bytes.as_bytes()).await;
+        assert!(
+            response.starts_with(status_line),
+            "{bytes:.40?}: {response:?}"
+        );
+        assert_eq!(response.is_empty(), status_line.is_empty(), "{response:?}");
     }
 }
 
 #[tokio::test]
-async fn connections_beyond_the_bound_are_told_so() {
+async fn connections_beyond_the_bound_get_429() {
     let (sender, receiver) = mpsc::channel(1);
-    let server = CannedBackend::streaming(receiver)
-        .bounded(|bounds| bounds.connections = 1)
+    let server = StubBackend::streaming(receiver)
+        .with_bounds(|bounds| bounds.connections = 1)
         .serve();
-    let first = server.begin(&raw_generation()).await;
+    let first = server.start_request(&raw_generation()).await;
     eventually("the first call begins", || {
-        !server.seen.generations.lock().is_empty()
+        !server.received.generations.lock().is_empty()
     })
     .await;
     let reply = server.send(Method::GET, "/healthz", &[], "").await;
@@ -90,17 +90,15 @@
     in_time(sender.closed()).await;
 }
 
-/// Symptom: a run goes on for a caller that no longer takes its tokens.
-/// Sequence: a caller stops reading but keeps its connection open.
-/// Cause: the system offers the bytes again and again, for as long as the
-/// caller's system says that it has no room.
+/// A caller that stops reading but keeps its connection open is disconnected. Otherwise
+/// the run would go on, since the system probes a full receive window without end.
 #[tokio::test]
-async fn a_caller_that_stops_reading_is_cut_off() {
+async fn a_caller_that_stops_reading_is_disconnected() {
     let (sender, receiver) = mpsc::channel(64);
-    let server = CannedBackend::streaming(receiver)
-        .bounded(|bounds| bounds.stall_timeout = Duration::from_millis(50))
+    let server = StubBackend::streaming(receiver)
+        .with_bounds(|bounds| bounds.stall_timeout = Duration::from_millis(50))
         .serve();
-    let caller = server.begin(&raw_generation()).await;
+    let caller = server.start_request(&raw_generation()).await;
     in_time(async {
         let event = StreamEvent::Token {
             number: 0,
--- a/tests/api/operators.rs
+++ b/tests/api/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface before a backend of canned closures.
+//! Tests of the operators' HTTP interface over a stub backend.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,8 +20,8 @@
 
 const BEARER: Headers<'_> = &[("authorization", "Bearer nino-token")];
 const LEDGER: &str = "/v1/resources/service/ledger";
-/// Version of the ledger service that stands.
-const STANDING: u64 = 41;
+/// Current version of the ledger service.
+const CURRENT_VERSION: u64 = 41;
 
 /// An operators' listener and the changes that reached its backend.
 struct TestServer {
@@ -43,14 +43,14 @@
             targets: vec!["vake-9".into()],
             non_idempotent: Vec::new(),
         }),
-        version: STANDING,
+        version: CURRENT_VERSION,
         operator: "nino".into(),
     }
 }
 
 fn lost_race() -> ChangeRefusal {
     ChangeRefusal::Conflict(ConflictBody {
-        winner: Some(STANDING),
+        winner: Some(CURRENT_VERSION),
         operator: Some("giorgi".into()),
         message: "read the resource and apply again".into(),
     })
@@ -60,8 +60,8 @@
     RefusalBody::not_run(RefusalReason::LogUnavailable, "the log is down")
 }
 
-/// A backend that knows one service, accepts changes based on its version and
-/// has lost the log for everything else.
+/// Starts a backend that has one service, accepts changes based on its version, and fails
+/// all other calls because the log is unavailable.
 fn serve() -> TestServer {
     let applied = Arc::new(Mutex::new(Vec::new()));
     let seen = Arc::clone(&applied);
@@ -76,9 +76,9 @@
             ready((found.key == key).then_some(found).ok_or_else(unknown)).boxed()
         }),
         apply: Arc::new(move |call: ApplyCall| {
-            let accepted = call.body.based_on == Some(STANDING);
+            let accepted = call.body.based_on == Some(CURRENT_VERSION);
             seen.lock().push(call);
-            let version = STANDING + 1;
+            let version = CURRENT_VERSION + 1;
             ready(
                 accepted
                     .then_some(AcceptedBody { version })
@@ -87,8 +87,8 @@
             .boxed()
         }),
         delete: Arc::new(|call| {
-            let accepted = call.based_on == STANDING;
-            let version = STANDING + 1;
+            let accepted = call.based_on == CURRENT_VERSION;
+            let version = CURRENT_VERSION + 1;
             ready(
                 accepted
                     .then_some(AcceptedBody { version })
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test]
-async fn every_path_asks_who_calls() {
+async fn every_path_requires_a_known_token() {
     let server = serve();
     let cases = [
         (Method::GET, "/v1/resources"),
@@ -164,7 +164,7 @@
 }
 
 #[tokio::test]
-async fn a_change_is_accepted_or_told_who_won() {
+async fn a_change_is_accepted_or_names_the_winner() {
     let server = serve();
     let change = |based_on: &str| {
         format!(r#"{{"spec":{{"service":{{"targets":["t"]}}}},"based_on":{based_on}}}"#)
@@ -180,20 +180,20 @@
     assert_eq!(lost.status, StatusCode::CONFLICT);
     let conflict: ConflictBody = serde_json::from_slice(&lost.body).expect("a conflict");
     assert_eq!(conflict.operator.as_deref(), Some("giorgi"));
-    let gone = format!("{LEDGER}?based_on=40");
-    let lost = server.send(Method::DELETE, &gone, BEARER, "").await;
+    let delete_path = format!("{LEDGER}?based_on=40");
+    let lost = server.send(Method::DELETE, &delete_path, BEARER, "").await;
     assert_eq!(lost.status, StatusCode::CONFLICT);
-    let gone = format!("{LEDGER}?based_on=41");
-    let deleted = server.send(Method::DELETE, &gone, BEARER, "").await;
+    let delete_path = format!("{LEDGER}?based_on=41");
+    let deleted = server.send(Method::DELETE, &delete_path, BEARER, "").await;
     assert_eq!(deleted.status, StatusCode::OK);
     let down = server.send(Method::GET, "/v1/force", BEARER, "").await;
     assert_eq!(down.status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(down.refusal().verdict, RunVerdict::NotRun);
 }
 
-/// What is wrong by itself is refused before the backend sees it.
+/// Invalid changes are refused before they reach the backend.
 #[tokio::test]
-async fn a_wrong_change_is_malformed() {
+async fn a_malformed_change_is_refused() {
     let server = serve();
     let cases = [
         (Method::PUT, LEDGER, "{"),
--- a/tests/api/server.rs
+++ b/tests/api/server.rs
@@ -1,4 +1,4 @@
-//! A callers' listener over a canned backend.
+//! A callers' listener over a stub backend.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use futures::future::ready;
 use http::Method;
 use jackdawwick::api::backend::{
-    AsyncCall, CallerBackend, GenerateCall, GenerateStream, ServiceCall, ServiceReply,
+    AsyncCall, CallerBackend, GenerateCall, GenerateStream, ServiceCall, ServiceResponse,
 };
 use jackdawwick::api::wire::{RefusalBody, StreamEvent};
 use jackdawwick::api::{ApiBounds, ApiHandle, ApiSettings, spawn_callers};
@@ -19,32 +19,32 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use crate::client::{Headers, PATIENCE, Reply, send};
+use crate::client::{Headers, Reply, TEST_TIMEOUT, send};
 
 /// Authorization of the organisation `office`.
 pub(crate) const BEARER: (&str, &str) = ("authorization", "Bearer office-token");
-/// A whole body of a generation.
+/// Body of a valid generation.
 pub(crate) const BODY: &str = r#"{"model":"reader","prompt":[1,2],"max_tokens":3}"#;
 
-/// The calls that reached the backend.
+/// Calls that reached the backend.
 #[derive(Default)]
-pub(crate) struct SeenCalls {
+pub(crate) struct ReceivedCalls {
     pub(crate) generations: Mutex<Vec<GenerateCall>>,
     pub(crate) services: Mutex<Vec<ServiceCall>>,
 }
 
-/// A backend to be varied by a test.
-pub(crate) struct CannedBackend {
+/// Backend that tests can configure.
+pub(crate) struct StubBackend {
     pub(crate) generate: AsyncCall<GenerateCall, Result<GenerateStream, RefusalBody>>,
-    pub(crate) call_service: AsyncCall<ServiceCall, Result<ServiceReply, RefusalBody>>,
+    pub(crate) call_service: AsyncCall<ServiceCall, Result<ServiceResponse, RefusalBody>>,
     pub(crate) ready: bool,
     pub(crate) bounds: ApiBounds,
 }
 
-impl Default for CannedBackend {
+impl Default for StubBackend {
     fn default() -> Self {
         Self {
-            generate: Arc::new(|call| whole_answer(call).boxed()),
+            generate: Arc::new(|call| complete_stream(call).boxed()),
             call_service: Arc::new(|call| echo(call).boxed()),
             ready: true,
             bounds: ApiBounds::default(),
@@ -52,8 +52,8 @@
     }
 }
 
-impl CannedBackend {
-    /// Refuses every generation.
+impl StubBackend {
+    /// Creates a backend that refuses every generation.
     pub(crate) fn refusing(refusal: RefusalBody) -> Self {
         Self {
             generate: Arc::new(move |_| ready(Err(refusal.clone())).boxed()),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Answers one generation with this stream.
+    /// Creates a backend that responds to one generation with this stream.
     pub(crate) fn streaming(receiver: GenerateStream) -> Self {
         let slot = Mutex::new(Some(receiver));
         Self {
@@ -73,8 +73,8 @@
         }
     }
 
-    /// The bounds changed.
-    pub(crate) fn bounded<F>(mut self, change: F) -> Self
+    /// Changes the bounds.
+    pub(crate) fn with_bounds<F>(mut self, change: F) -> Self
     where
         F: FnOnce(&mut ApiBounds),
     {
@@ -82,13 +82,13 @@
         self
     }
 
-    /// Opens the callers' listener over it.
+    /// Starts the callers' listener over the backend.
     pub(crate) fn serve(self) -> TestServer {
-        let seen = Arc::new(SeenCalls::default());
+        let received = Arc::new(ReceivedCalls::default());
         let mut table = CredentialTable::default();
         table.insert("office".into(), TokenDigest::of_token("office-token"));
         let (generate, call_service) = (self.generate, self.call_service);
-        let (generations, services) = (Arc::clone(&seen), Arc::clone(&seen));
+        let (generations, services) = (Arc::clone(&received), Arc::clone(&received));
         let backend = CallerBackend {
             organisation_of: Arc::new(move |digest| table.lookup(digest)),
             generate: Arc::new(move |call| {
@@ -106,11 +106,11 @@
         let mut settings = ApiSettings::new(SocketAddr::from(([127, 0, 0, 1], 0)), log);
         settings.bounds = self.bounds;
         let handle = spawn_callers(&settings, backend).expect("a free port");
-        TestServer { handle, seen }
+        TestServer { handle, received }
     }
 }
 
-async fn whole_answer(call: GenerateCall) -> Result<GenerateStream, RefusalBody> {
+async fn complete_stream(call: GenerateCall) -> Result<GenerateStream, RefusalBody> {
     let (sender, receiver) = mpsc::channel(8);
     let events = [
         StreamEvent::Started {
@@ -129,8 +129,8 @@
     Ok(receiver)
 }
 
-async fn echo(call: ServiceCall) -> Result<ServiceReply, RefusalBody> {
-    Ok(ServiceReply {
+async fn echo(call: ServiceCall) -> Result<ServiceResponse, RefusalBody> {
+    Ok(ServiceResponse {
         status: 418,
         body: call.body,
         content_type: Some("text/plain".into()),
@@ -138,19 +138,19 @@
     })
 }
 
-/// A callers' listener and what reached its backend.
+/// A callers' listener and the calls that reached its backend.
 pub(crate) struct TestServer {
     pub(crate) handle: ApiHandle,
-    pub(crate) seen: Arc<SeenCalls>,
+    pub(crate) received: Arc<ReceivedCalls>,
 }
 
 impl TestServer {
-    /// Sends a generation and reads the answer.
+    /// Sends a generation and reads the response.
     pub(crate) async fn generate(&self, headers: Headers<'_>, body: &str) -> Reply {
         self.send(Method::POST, "/v1/generate", headers, body).await
     }
 
-    /// Sends a request and reads the answer.
+    /// Sends a request and reads the response.
     pub(crate) async fn send(
         &self,
         method: Method,
@@ -161,8 +161,8 @@
         send(self.handle.local_address(), method, path, headers, body).await
     }
 
-    /// Opens a connection, sends a request and does not wait for the answer.
-    pub(crate) async fn begin(&self, request: &str) -> TcpStream {
+    /// Opens a connection and sends a request without waiting for the response.
+    pub(crate) async fn start_request(&self, request: &str) -> TcpStream {
         let mut caller = self.connect().await;
         let sent = caller.write_all(request.as_bytes()).await;
         sent.expect("bytes are taken");
@@ -177,7 +177,7 @@
     }
 }
 
-/// A call as raw bytes, but for its body.
+/// Returns the head of a call as raw bytes.
 pub(crate) fn raw_head(path: &str, length: usize) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\
@@ -186,31 +186,32 @@
     )
 }
 
-/// A whole generation as raw bytes.
+/// Returns a complete generation as raw bytes.
 pub(crate) fn raw_generation() -> String {
     raw_head("/v1/generate", BODY.len()) + BODY
 }
 
-/// Sends bytes and reads until the listener closes.
-pub(crate) async fn exchange(stream: &mut TcpStream, bytes: &[u8]) -> String {
+/// Sends bytes and reads until the listener closes the connection.
+pub(crate) async fn send_and_read_all(stream: &mut TcpStream, bytes: &[u8]) -> String {
     stream.write_all(bytes).await.expect("bytes are taken");
-    let mut answer = Vec::new();
-    // A reset after the answer is an end too; what counts is what came before.
-    let _ = timeout(PATIENCE, stream.read_to_end(&mut answer))
+    let mut response = Vec::new();
+    // A reset after the response also ends the connection; only the bytes before it
+    // count.
+    let _ = timeout(TEST_TIMEOUT, stream.read_to_end(&mut response))
         .await
         .expect("the listener closes in time");
-    String::from_utf8_lossy(&answer).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
-/// Waits for something that must come.
+/// Awaits a future and fails the test on a timeout.
 pub(crate) async fn in_time<F>(future: F) -> F::Output
 where
     F: Future,
 {
-    timeout(PATIENCE, future).await.expect("in time")
+    timeout(TEST_TIMEOUT, future).await.expect("in time")
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds and fails the test on a timeout.
 pub(crate) async fn eventually<F>(what: &str, condition: F)
 where
     F: Fn() -> bool,
@@ -220,5 +221,5 @@
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    assert!(timeout(PATIENCE, waiting).await.is_ok(), "{what}");
+    assert!(timeout(TEST_TIMEOUT, waiting).await.is_ok(), "{what}");
 }
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,5 +1,5 @@
-//! The operators' command line against a real operators' listener, behind
-//! which a table stands in for the replicated resources.
+//! Tests of the operators' command line against a real operators' listener. An in-memory
+//! table replaces the replicated resources.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::Read;
@@ -14,7 +14,7 @@
 };
 use jackdawwick::api::{ApiHandle, ApiSettings, spawn_operators};
 use jackdawwick::auth::TokenDigest;
-use jackdawwick::cli::{self, CliEnvironment, judge_force, parse_resources};
+use jackdawwick::cli::{self, CliEnvironment, parse_resources, rollout_progress};
 use jackdawwick::reason::RefusalReason;
 use jackdawwick::resources::{ResourceKey, ResourceKind, ResourceSpec};
 use parking_lot::Mutex;
@@ -50,29 +50,32 @@
 address = "127.0.0.1:7002"
 "#;
 
-/// The resources, and what the tests let happen to them.
+/// Resources and the behaviour that tests configure.
 #[derive(Default)]
 struct FakeState {
     resources: BTreeMap<ResourceKey, ResourceView>,
     next_version: u64,
-    /// The keys of all changes that arrived, in order.
+    /// Keys of all received changes, in order.
     changes: Vec<String>,
-    /// Another operator's change, which arrives just before the next change of
-    /// the same resource.
-    rival: Option<ResourceView>,
-    /// Answers about force; the last one stays.
+    /// Another operator's change, applied just before the next change of the same
+    /// resource.
+    concurrent_change: Option<ResourceView>,
+    /// Responses of the force endpoint; the last one is repeated.
     force: VecDeque<ForceView>,
 }
 
 impl FakeState {
-    fn judge(
+    fn accept_change(
         &mut self,
         key: &ResourceKey,
         based_on: Option<u64>,
     ) -> Result<AcceptedBody, ChangeRefusal> {
         self.changes.push(key.to_string());
-        if let Some(rival) = self.rival.take_if(|rival| rival.key == *key) {
-            self.resources.insert(key.clone(), rival);
+        if let Some(concurrent_change) = self
+            .concurrent_change
+            .take_if(|concurrent_change| concurrent_change.key == *key)
+        {
+            self.resources.insert(key.clone(), concurrent_change);
         }
         let present = self.resources.get(key);
         if present.map(|view| view.version) != based_on {
@@ -89,14 +92,14 @@
     }
 
     fn apply(&mut self, call: ApplyCall) -> Result<AcceptedBody, ChangeRefusal> {
-        let accepted = self.judge(&call.key, call.body.based_on)?;
+        let accepted = self.accept_change(&call.key, call.body.based_on)?;
         let view = view(&call.key, call.body.spec, accepted.version, &call.operator);
         self.resources.insert(call.key, view);
         Ok(accepted)
     }
 
     fn delete(&mut self, call: &DeleteCall) -> Result<AcceptedBody, ChangeRefusal> {
-        let accepted = self.judge(&call.key, Some(call.based_on))?;
+        let accepted = self.accept_change(&call.key, Some(call.based_on))?;
         self.resources.remove(&call.key);
         Ok(accepted)
     }
@@ -213,7 +216,7 @@
     }
 }
 
-/// What one run of the command line left behind.
+/// Result of one run of the command line.
 #[derive(Debug)]
 struct CliResult {
     status: u8,
@@ -283,8 +286,8 @@
     KIND    NAME  VERSION  OPERATOR  SUMMARY
     target  e1    1        ana       127.0.0.1:7001 in a
     "#);
-    let one = daemon.run(&["get", "organisation", "desk"]).await;
-    insta::assert_snapshot!(one.output, @r#"
+    let resource = daemon.run(&["get", "organisation", "desk"]).await;
+    insta::assert_snapshot!(resource.output, @r#"
     FIELD                              VALUE
     version                            7
     operator                           ana
@@ -294,16 +297,16 @@
     "#);
 }
 
-/// Symptom: an operator's change silently undoes another's. Sequence: both
-/// read version 1, the other's change is accepted first, then this one is.
-/// Cause: the change did not say which version it was made from.
+/// Two operators read version 1 and both change the resource. The second change must be
+/// refused, or it would silently undo the first; it therefore names the version it is
+/// based on.
 #[tokio::test]
 async fn a_lost_race_names_the_winner_and_stops() {
     let daemon = FakeDaemon::spawn();
     daemon.apply(FILE, &[]).await;
     let key = ResourceKey::new(ResourceKind::Model, "reader");
     let spec = daemon.state.lock().resources[&key].spec.clone();
-    daemon.state.lock().rival = Some(view(&key, spec, 99, "boris"));
+    daemon.state.lock().concurrent_change = Some(view(&key, spec, 99, "boris"));
     let next = FILE
         .replace("layers = 4", "layers = 5")
         .replace("requests_per_second = 20", "requests_per_second = 30");
@@ -392,15 +395,14 @@
     "#);
 }
 
-/// Symptom: a change is called in force everywhere while a host still serves
-/// the old configuration. Sequence: the host is cut off before the change and
-/// goes on serving. Cause: a host that cannot be reached was left out.
+/// A host that is cut off before a change may still serve the old configuration, so the
+/// change must not be reported as in force everywhere.
 #[tokio::test]
 async fn watch_does_not_end_while_a_host_that_is_cut_off_may_lack_the_change() {
     let cut_off = force(6, &[("h1", 6, true), ("h3", 2, false)]);
-    assert!(!judge_force(&cut_off, 6).done);
-    assert!(judge_force(&cut_off, 2).done);
-    assert!(!judge_force(&force(5, &[]), 6).done);
+    assert!(!rollout_progress(&cut_off, 6).done);
+    assert!(rollout_progress(&cut_off, 2).done);
+    assert!(!rollout_progress(&force(5, &[]), 6).done);
 
     let daemon = FakeDaemon::spawn();
     daemon.state.lock().force = VecDeque::from([cut_off]);
@@ -410,7 +412,7 @@
     assert_eq!(watched.status, 4);
     insta::assert_snapshot!(watched.errors, @r#"
     not in force everywhere in time: version 5 is not in force everywhere; cannot be reached: h3 (has 1)
-    Watch on with `jackdawwick watch --version 5`, and look at the hosts named.
+    Continue with `jackdawwick watch --version 5`, and check the hosts listed.
     "#);
 }
 
@@ -475,11 +477,11 @@
     }
 }
 
-/// Symptom: an operator repeats a change that took effect, or gives up one
-/// that did. Sequence: the change arrives and the connection breaks before the
-/// answer. Cause: a broken connection was told like one that never opened.
+/// If the connection breaks after the change arrived, the change may have taken effect.
+/// The message must differ from that of a connection that never opened, or the operator
+/// may repeat a change or give up one that took effect.
 #[tokio::test]
-async fn a_lost_answer_is_told_apart_from_a_server_that_is_not_there() {
+async fn a_lost_response_differs_from_an_unreachable_server() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("port");
     let server = listener.local_addr().expect("address");
     let reader = std::thread::spawn(move || {
@@ -495,8 +497,8 @@
         lost.errors
     );
 
-    // Bound and not listening: it refuses connections, and nobody else gets
-    // the port in the meantime.
+    // Bound but not listening: it refuses connections, and no other process can get the
+    // port.
     let socket = TcpSocket::new_v4().expect("socket");
     socket
         .bind(SocketAddr::from(([127, 0, 0, 1], 0)))
@@ -521,12 +523,14 @@
     assert_eq!(run(&["status"]).status.code(), Some(2));
 }
 
-/// The documented sample is what a newcomer copies from.
+/// New users copy from the documented sample, so it must be valid.
 #[test]
 fn the_sample_of_resources_is_valid_and_names_every_kind() {
     let resources = parse_resources(include_str!("../docs/resources.toml")).unwrap_or_default();
     for kind in ResourceKind::ALL {
-        let named = resources.iter().filter(|one| one.key.kind == kind);
+        let named = resources
+            .iter()
+            .filter(|resource| resource.key.kind == kind);
         assert!(named.count() > 0, "{}", kind.name());
     }
 }
