--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -8,7 +8,7 @@
 
 use clap::{Arg, ArgAction, Command};
 use jackdawwick::api::wire::{ExplainView, GenerateBody};
-use standins::caller::{CallerClient, HeardAnswer, OutgoingCall, new_key, token_of};
+use standins::caller::{CallerClient, GenerationResponse, OutgoingCall, new_key, token_of};
 use standins::check::{CallHistory, GenerationHistory, RunHistory, check_all};
 use standins::declarations::VERSION;
 use standins::fleet::{Fleet, FleetDaemon, FleetLayout};
@@ -118,7 +118,7 @@
     }
 }
 
-fn summary(answer: &HeardAnswer) -> String {
+fn summary(answer: &GenerationResponse) -> String {
     let first = answer.first_token().unwrap_or_default();
     match answer.refused() {
         Some(refusal) => format!("refused: {refusal:?}"),
--- a/standins/src/bin/plans.rs
+++ b/standins/src/bin/plans.rs
@@ -5,7 +5,7 @@
 
 use clap::{Arg, Command, value_parser};
 use standins::command_line::{number, number_arg};
-use standins::pipeline::WorldSettings;
+use standins::pipeline::SimulationSettings;
 use standins::trial::{PlanKind, RoutingRule, TrialSettings, ZoneEngines, plot_rows, run_trial};
 
 fn main() -> std::io::Result<()> {
@@ -50,7 +50,7 @@
         for plan in PlanKind::ALL {
             for rule in RoutingRule::ALL {
                 let mut figures = run_trial(&TrialSettings {
-                    world: WorldSettings::default(),
+                    world: SimulationSettings::default(),
                     zones: zones.clone(),
                     plan,
                     rule,
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -39,13 +39,13 @@
 
 /// What a caller was told about one generation.
 #[derive(Debug, Clone)]
-pub struct HeardAnswer {
+pub struct GenerationResponse {
     /// When the request was sent.
     pub sent: Instant,
     /// HTTP status; `None` if the connection brought none.
     pub status: Option<StatusCode>,
     /// Events in the order heard, each with its time.
-    pub events: Vec<HeardEvent>,
+    pub events: Vec<ReceivedEvent>,
     /// Body of a refusal that came instead of a stream.
     pub refusal: Option<RefusalBody>,
     /// Whether the connection broke before the closing event.
@@ -56,17 +56,17 @@
 
 /// One event of a stream.
 #[derive(Debug, Clone)]
-pub struct HeardEvent {
+pub struct ReceivedEvent {
     /// When it was heard.
     pub at: Instant,
     /// What it said.
     pub event: StreamEvent,
 }
 
-impl HeardAnswer {
+impl GenerationResponse {
     /// Tokens in the order of their numbers, as heard.
     pub fn tokens(&self) -> Vec<u64> {
-        let token = |heard: &HeardEvent| match heard.event {
+        let token = |heard: &ReceivedEvent| match heard.event {
             StreamEvent::Token { token, .. } => Some(token),
             _ => None,
         };
@@ -83,7 +83,7 @@
 
     /// Time from sending to the first token.
     pub fn first_token(&self) -> Option<Duration> {
-        let is_token = |heard: &&HeardEvent| matches!(heard.event, StreamEvent::Token { .. });
+        let is_token = |heard: &&ReceivedEvent| matches!(heard.event, StreamEvent::Token { .. });
         let first = self.events.iter().find(is_token)?;
         Some(first.at - self.sent)
     }
@@ -100,7 +100,7 @@
 
 /// Answer of a plain service, as the caller saw it.
 #[derive(Debug, Clone)]
-pub struct HeardReply {
+pub struct CallResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// Body.
@@ -138,7 +138,7 @@
         host: SocketAddr,
         request: &str,
         body: &GenerateBody,
-    ) -> HeardAnswer {
+    ) -> GenerationResponse {
         self.generate_under(host, request, body, None).await
     }
 
@@ -149,7 +149,7 @@
         request: &str,
         body: &GenerateBody,
         key: &str,
-    ) -> HeardAnswer {
+    ) -> GenerationResponse {
         self.generate_under(host, request, body, Some(key)).await
     }
 
@@ -159,8 +159,8 @@
         request: &str,
         body: &GenerateBody,
         key: Option<&str>,
-    ) -> HeardAnswer {
-        let mut answer = HeardAnswer {
+    ) -> GenerationResponse {
+        let mut answer = GenerationResponse {
             sent: Instant::now(),
             status: None,
             events: Vec::new(),
@@ -210,7 +210,7 @@
         host: SocketAddr,
         request: &str,
         call: OutgoingCall<'_>,
-    ) -> Result<HeardReply, CallError> {
+    ) -> Result<CallResponse, CallError> {
         let path = format!("/v1/services/{}", call.path);
         let mut builder = self
             .request(Method::POST, host, &path)
@@ -224,7 +224,7 @@
             .await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
-        Ok(HeardReply { status, body })
+        Ok(CallResponse { status, body })
     }
 
     fn request(&self, method: Method, host: SocketAddr, path: &str) -> Builder {
@@ -236,7 +236,10 @@
     }
 }
 
-async fn hear(response: Response<Incoming>, answer: &mut HeardAnswer) -> Result<(), CallError> {
+async fn hear(
+    response: Response<Incoming>,
+    answer: &mut GenerationResponse,
+) -> Result<(), CallError> {
     answer.status = Some(response.status());
     if response.status() != StatusCode::OK {
         let body = response.into_body().collect().await?.to_bytes();
@@ -248,7 +251,7 @@
         let event: StreamEvent = serde_json::from_str(&event?.data)?;
         let is_last = matches!(event, StreamEvent::Done { .. } | StreamEvent::Error(_));
         let at = Instant::now();
-        answer.events.push(HeardEvent { at, event });
+        answer.events.push(ReceivedEvent { at, event });
         if is_last {
             return Ok(());
         }
--- a/standins/src/check/answers.rs
+++ b/standins/src/check/answers.rs
@@ -3,7 +3,7 @@
 use jackdawwick::api::wire::StreamEvent;
 
 use super::{BrokenPromise, CheckedPromise, GenerationHistory, RunHistory};
-use crate::caller::HeardAnswer;
+use crate::caller::GenerationResponse;
 use crate::reference;
 
 /// Checks that tokens are numbered without gaps, are the right ones for the
@@ -71,7 +71,7 @@
     generations.chain(calls).collect()
 }
 
-fn is_final(answer: &HeardAnswer) -> bool {
+fn is_final(answer: &GenerationResponse) -> bool {
     let has_closing = answer.events.iter().any(|heard| {
         matches!(
             heard.event,
--- a/standins/src/check/history.rs
+++ b/standins/src/check/history.rs
@@ -4,7 +4,7 @@
 use jackdawwick::collections::FastMap;
 use jackdawwick::ids::{LayerIndex, OrganisationId, RequestId, TargetId, TokenValue};
 
-use crate::caller::{HeardAnswer, HeardReply};
+use crate::caller::{CallResponse, GenerationResponse};
 use crate::engine::StepRecord;
 use crate::service::CallRecord;
 
@@ -51,7 +51,7 @@
     pub max_tokens: u64,
     /// Answers heard: more than one if the caller came back with what it held
     /// after an entry host had died.
-    pub answers: Vec<HeardAnswer>,
+    pub answers: Vec<GenerationResponse>,
 }
 
 impl GenerationHistory {
@@ -68,7 +68,7 @@
 
     /// Refusal that ended the request.
     pub fn refusal(&self) -> Option<&RefusalBody> {
-        self.answers.last().and_then(HeardAnswer::refused)
+        self.answers.last().and_then(GenerationResponse::refused)
     }
 
     /// Count of the closing event, if the answer came to one.
@@ -92,7 +92,7 @@
     pub key: Option<String>,
     /// The last answer on each way on which it was sent; `None` if there is
     /// none.
-    pub replies: Vec<Option<HeardReply>>,
+    pub replies: Vec<Option<CallResponse>>,
     /// Times that the connection broke and the caller sent it again.
     pub lost_sends: usize,
 }
--- a/standins/src/daemon_settings.rs
+++ b/standins/src/daemon_settings.rs
@@ -9,7 +9,7 @@
 
 /// What differs between the daemons of one fleet.
 #[derive(Debug, Clone)]
-pub struct DaemonPlace {
+pub struct DaemonConfig {
     /// Name of the entry host.
     pub host: String,
     /// Its availability zone.
@@ -19,12 +19,12 @@
     /// Address for peers; port 0 where nobody needs to know it beforehand.
     pub peers: SocketAddr,
     /// Daemons to contact first.
-    pub seeds: Vec<SeedPlace>,
+    pub seeds: Vec<SeedPeer>,
 }
 
 /// A daemon to contact first.
 #[derive(Debug, Clone)]
-pub struct SeedPlace {
+pub struct SeedPeer {
     /// Its host.
     pub host: String,
     /// Its zone.
@@ -33,7 +33,7 @@
     pub address: SocketAddr,
 }
 
-impl DaemonPlace {
+impl DaemonConfig {
     /// A daemon without peers.
     pub fn new(host: &str, zone: &str, platform: SocketAddr) -> Self {
         Self {
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -4,16 +4,16 @@
 //! without warning and its processor time can be told apart.
 
 mod daemon;
-mod gate;
 mod layout;
 mod operations;
 mod start;
+mod zone_proxy;
 
 pub use daemon::FleetDaemon;
-pub use gate::ZoneGate;
 pub use layout::{
     EnginePlan, FleetLayout, OrganisationPlan, PREFILL_PER_STEP, ServicePlan, StagePlan, ZonePlan,
 };
+pub use zone_proxy::ZoneProxy;
 
 use jackdawwick::platform::wire::HostList;
 
@@ -29,7 +29,7 @@
     /// The platform.
     pub platform: PlatformServer,
     /// Each zone's way to the platform.
-    pub gates: Vec<ZoneGate>,
+    pub zone_proxies: Vec<ZoneProxy>,
     /// Engines, stage after stage.
     pub engines: Vec<FleetEngine>,
     /// Targets of the plain service.
--- a/standins/src/fleet/operations.rs
+++ b/standins/src/fleet/operations.rs
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// If that takes too long; the message names the daemon.
-    pub async fn wait_in_force(&self, version: LogOffset) -> Result<(), CallError> {
+    pub async fn wait_until_applied(&self, version: LogOffset) -> Result<(), CallError> {
         let deadline = Instant::now() + FORCE_PATIENCE;
         for daemon in self.running() {
             while !is_in_force(daemon, version).await {
--- a/standins/src/fleet/start.rs
+++ b/standins/src/fleet/start.rs
@@ -7,8 +7,8 @@
 
 use super::daemon::FleetDaemon;
 use super::layout::{FleetLayout, PREFILL_PER_STEP, StagePlan};
-use super::{Fleet, FleetEngine, FleetService, ZoneGate};
-use crate::daemon_settings::{DaemonPlace, SeedPlace};
+use super::{Fleet, FleetEngine, FleetService, ZoneProxy};
+use crate::daemon_settings::{DaemonConfig, SeedPeer};
 use crate::declarations::{self, StageLayout, StageTarget, VERSION};
 use crate::engine::{EngineServer, EngineSettings};
 use crate::json_client::CallError;
@@ -37,14 +37,14 @@
             ..PlatformSettings::default()
         };
         let platform = PlatformServer::bind(any_port(), settings).await?;
-        let mut gates = Vec::new();
+        let mut zone_proxies = Vec::new();
         for zone in &layout.zones {
-            gates.push(ZoneGate::bind(&zone.name, platform.local_addr()).await?);
+            zone_proxies.push(ZoneProxy::bind(&zone.name, platform.local_addr()).await?);
         }
         let mut fleet = Self {
             layout,
             platform,
-            gates,
+            zone_proxies,
             engines,
             services,
             hosts,
@@ -52,13 +52,13 @@
         };
         fleet.start_daemons(&places).await?;
         let version = fleet.declare(&fleet.declarations()).await?;
-        fleet.wait_in_force(version).await?;
+        fleet.wait_until_applied(version).await?;
         Ok(fleet)
     }
 
-    async fn start_daemons(&mut self, places: &[SeedPlace]) -> Result<(), CallError> {
+    async fn start_daemons(&mut self, places: &[SeedPeer]) -> Result<(), CallError> {
         for (seed, place) in (self.layout.seed..).zip(places) {
-            let settings = DaemonPlace {
+            let settings = DaemonConfig {
                 host: place.host.clone(),
                 zone: place.zone.clone(),
                 platform: self.platform_for(&place.zone),
@@ -80,8 +80,8 @@
     }
 
     fn platform_for(&self, zone: &str) -> SocketAddr {
-        let gate = self.gates.iter().find(|gate| gate.zone == zone);
-        gate.map_or(self.platform.local_addr(), ZoneGate::local_addr)
+        let gate = self.zone_proxies.iter().find(|gate| gate.zone == zone);
+        gate.map_or(self.platform.local_addr(), ZoneProxy::local_addr)
     }
 
     /// Every declared resource of the fleet.
@@ -143,7 +143,7 @@
 }
 
 /// Names the entry hosts and finds a free port for each one's peers.
-fn peer_places(layout: &FleetLayout) -> Result<Vec<SeedPlace>, CallError> {
+fn peer_places(layout: &FleetLayout) -> Result<Vec<SeedPeer>, CallError> {
     let hosts = layout.zones.iter().flat_map(|zone| {
         (1..=zone.entry_hosts).map(|number| (format!("{}-{number}", zone.name), zone.name.clone()))
     });
@@ -155,7 +155,7 @@
         let listener = TcpListener::bind(own)?;
         let address = listener.local_addr()?;
         held.push(listener);
-        places.push(SeedPlace {
+        places.push(SeedPeer {
             host,
             zone,
             address,
@@ -164,8 +164,8 @@
     Ok(places)
 }
 
-fn host_list(places: &[SeedPlace], engines: &[FleetEngine], services: &[FleetService]) -> HostList {
-    let host = |place: &SeedPlace| ListedHost {
+fn host_list(places: &[SeedPeer], engines: &[FleetEngine], services: &[FleetService]) -> HostList {
+    let host = |place: &SeedPeer| ListedHost {
         host: place.host.as_str().into(),
         zone: place.zone.as_str().into(),
         peer_address: place.address.to_string(),
--- a/standins/src/fleet/gate.rs
+++ b/standins/src/fleet/zone_proxy.rs
@@ -10,7 +10,7 @@
 /// Passes connections of one zone's entry hosts on to the platform; dropping
 /// it ends them.
 #[derive(Debug)]
-pub struct ZoneGate {
+pub struct ZoneProxy {
     /// Zone whose hosts go through here.
     pub zone: String,
     local_addr: SocketAddr,
@@ -18,7 +18,7 @@
     task: JoinHandle<()>,
 }
 
-impl ZoneGate {
+impl ZoneProxy {
     /// Opens a gate from a zone to the platform.
     pub(super) async fn bind(zone: &str, platform: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
@@ -44,7 +44,7 @@
     }
 }
 
-impl Drop for ZoneGate {
+impl Drop for ZoneProxy {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/standins/src/load/driver.rs
+++ b/standins/src/load/driver.rs
@@ -11,7 +11,7 @@
 
 use super::outcome::{CallOutcome, GenerationOutcome, LoadOutcomes};
 use super::{PlannedKind, PlannedRequest, TrafficMix};
-use crate::caller::{CallerClient, HeardReply, OutgoingCall, new_key};
+use crate::caller::{CallResponse, CallerClient, OutgoingCall, new_key};
 use crate::check::{CallHistory, GenerationHistory};
 use crate::declarations::VERSION;
 use crate::fleet::Fleet;
@@ -43,7 +43,7 @@
 
 /// What came of one way on which a call was sent.
 struct SentCall {
-    reply: Option<HeardReply>,
+    reply: Option<CallResponse>,
     lost_sends: usize,
 }
 
--- a/standins/src/load/fault.rs
+++ b/standins/src/load/fault.rs
@@ -85,7 +85,7 @@
             faults.update(|faults| faults.outage = is_on);
         }
         LoadFault::ZoneCut => {
-            if let Some(gate) = fleet.gates.first() {
+            if let Some(gate) = fleet.zone_proxies.first() {
                 gate.set_cut(is_on);
             }
         }
--- a/standins/src/load/options.rs
+++ b/standins/src/load/options.rs
@@ -79,9 +79,9 @@
     /// Calls of the plain service for each generation.
     pub calls_per_generation: f64,
     /// Part of these calls that may not be repeated.
-    pub keyed_part: f64,
+    pub keyed_fraction: f64,
     /// Part of the keyed calls that is sent to two hosts at once.
-    pub doubled_part: f64,
+    pub doubled_fraction: f64,
 }
 
 impl TrafficMix {
@@ -90,8 +90,8 @@
         max_tokens: 1,
         deadline: Duration::from_secs(1),
         calls_per_generation: 0.2,
-        keyed_part: 0.5,
-        doubled_part: 0.1,
+        keyed_fraction: 0.5,
+        doubled_fraction: 0.1,
     };
 }
 
--- a/standins/src/load/schedule.rs
+++ b/standins/src/load/schedule.rs
@@ -108,10 +108,10 @@
             prompt: prompt.collect(),
         };
     }
-    match rng.random_bool(mix.keyed_part) {
+    match rng.random_bool(mix.keyed_fraction) {
         true => PlannedKind::Keyed {
             random: rng.random(),
-            doubled: rng.random_bool(mix.doubled_part),
+            doubled: rng.random_bool(mix.doubled_fraction),
         },
         false => PlannedKind::Plain,
     }
--- a/standins/src/losses.rs
+++ b/standins/src/losses.rs
@@ -7,5 +7,5 @@
 mod line;
 mod tally;
 
-pub use line::{DecisionLine, RequestFate, parse_line};
+pub use line::{DecisionLine, RequestOutcome, parse_line};
 pub use tally::LossTally;
--- a/standins/src/losses/line.rs
+++ b/standins/src/losses/line.rs
@@ -6,7 +6,7 @@
 
 /// What a line says became of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum RequestFate {
+pub enum RequestOutcome {
     /// Answered in time.
     Served,
     /// Answered, and something came late.
@@ -19,7 +19,7 @@
     Cut(String),
 }
 
-impl RequestFate {
+impl RequestOutcome {
     /// The name of the row that counts it.
     pub fn cause(&self) -> String {
         match self {
@@ -40,7 +40,7 @@
     /// The request.
     pub request: String,
     /// What became of it.
-    pub fate: RequestFate,
+    pub outcome: RequestOutcome,
 }
 
 /// Reads a line; `None` if it tells of nothing that counts here. What stands
@@ -50,23 +50,23 @@
     let members = serde_json::from_str::<Map<String, Value>>(object).ok()?;
     let text = |key: &str| members.get(key).and_then(Value::as_str);
     let reason = || text("reason").unwrap_or("none").to_owned();
-    let fate = match text("message")? {
+    let outcome = match text("message")? {
         "answered" => answered(text("status")?, text("late").unwrap_or("no")),
-        "refused" => RequestFate::Refused(reason()),
-        "stream cut" => RequestFate::Cut(reason()),
+        "refused" => RequestOutcome::Refused(reason()),
+        "stream cut" => RequestOutcome::Cut(reason()),
         _ => return None,
     };
     Some(DecisionLine {
         at: humantime::parse_rfc3339(text("time")?).ok()?,
         request: text("request")?.to_owned(),
-        fate,
+        outcome,
     })
 }
 
-fn answered(status: &str, late: &str) -> RequestFate {
+fn answered(status: &str, late: &str) -> RequestOutcome {
     match late {
-        _ if !status.starts_with('2') => RequestFate::Failed(status.to_owned()),
-        "no" => RequestFate::Served,
-        what => RequestFate::Late(what.to_owned()),
+        _ if !status.starts_with('2') => RequestOutcome::Failed(status.to_owned()),
+        "no" => RequestOutcome::Served,
+        what => RequestOutcome::Late(what.to_owned()),
     }
 }
--- a/standins/src/losses/tally.rs
+++ b/standins/src/losses/tally.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use std::time::SystemTime;
 
-use super::line::{DecisionLine, RequestFate};
+use super::line::{DecisionLine, RequestOutcome};
 
 /// Counts of one cause.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LossTally {
     first: Option<SystemTime>,
-    causes: BTreeMap<RequestFate, CauseCount>,
+    causes: BTreeMap<RequestOutcome, CauseCount>,
 }
 
 impl LossTally {
@@ -39,14 +39,14 @@
     fn count(&mut self, line: DecisionLine) {
         let first = *self.first.get_or_insert(line.at);
         let since = line.at.duration_since(first).unwrap_or_default();
-        let count = self.causes.entry(line.fate).or_default();
+        let count = self.causes.entry(line.outcome).or_default();
         count.all += 1;
         *count.seconds.entry(since.as_secs()).or_default() += 1;
     }
 
     /// Requests of one fate.
-    pub fn count_of(&self, fate: &RequestFate) -> u64 {
-        self.causes.get(fate).map_or(0, |count| count.all)
+    pub fn count_of(&self, outcome: &RequestOutcome) -> u64 {
+        self.causes.get(outcome).map_or(0, |count| count.all)
     }
 
     fn last_second(&self) -> u64 {
@@ -64,8 +64,8 @@
             write!(formatter, " {second:>4}")?;
         }
         writeln!(formatter)?;
-        for (fate, count) in &self.causes {
-            write!(formatter, "{:<24} {:>7}", fate.cause(), count.all)?;
+        for (outcome, count) in &self.causes {
+            write!(formatter, "{:<24} {:>7}", outcome.cause(), count.all)?;
             for second in 0..=last {
                 match count.seconds.get(&second) {
                     Some(requests) => write!(formatter, " {requests:>4}")?,
--- a/standins/src/pipeline.rs
+++ b/standins/src/pipeline.rs
@@ -15,5 +15,5 @@
 
 pub use engine::EngineIndex;
 pub use request::{PathPart, RequestSettings};
-pub use settings::WorldSettings;
-pub use world::{EngineStatus, PipelineWorld, SubmitError, WorldEvent};
+pub use settings::SimulationSettings;
+pub use world::{EngineStatus, PipelineSimulation, SimulationEvent, SubmitError};
--- a/standins/src/pipeline/engine.rs
+++ b/standins/src/pipeline/engine.rs
@@ -27,7 +27,7 @@
     pub(super) used: f64,
     pub(super) orders: u64,
     /// Factor on all times, for an engine that is slow.
-    pub(super) slowness: f64,
+    pub(super) slow_factor: f64,
     /// Grows at each death: passes under way before are void.
     pub(super) life: u64,
 }
--- a/standins/src/pipeline/intake.rs
+++ b/standins/src/pipeline/intake.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::request::{PathPart, RequestPhase, RequestSettings, SimRequest};
-use super::world::{PipelineWorld, SubmitError};
+use super::world::{PipelineSimulation, SubmitError};
 
-impl PipelineWorld {
+impl PipelineSimulation {
     /// Takes a request in.
     ///
     /// # Errors
@@ -17,7 +17,7 @@
             let need = request.prompt * f64::from(part.layers.width());
             let state = &self.engines[part.engine];
             if state.used + need > state.room(&self.settings.model) {
-                return Err(SubmitError::NoRoom(part.engine));
+                return Err(SubmitError::NoCapacity(part.engine));
             }
         }
         self.sequence += 1;
@@ -55,7 +55,7 @@
         for part in path {
             let state = &self.engines[part.engine];
             if !state.alive || state.draining {
-                return Err(SubmitError::NoRoom(part.engine));
+                return Err(SubmitError::NoCapacity(part.engine));
             }
             if !state.holds(part.layers) {
                 return Err(SubmitError::WrongLayers(part.engine));
@@ -93,7 +93,7 @@
             let state = &self.engines[part.engine];
             let need = context * f64::from(part.layers.width());
             if state.used + need > state.room(&self.settings.model) {
-                return Err(SubmitError::NoRoom(part.engine));
+                return Err(SubmitError::NoCapacity(part.engine));
             }
         }
         self.release_where(id, |part| !path.contains(part));
--- a/standins/src/pipeline/memory.rs
+++ b/standins/src/pipeline/memory.rs
@@ -4,9 +4,9 @@
 
 use super::engine::EngineIndex;
 use super::request::{PathPart, RequestPhase};
-use super::world::PipelineWorld;
+use super::world::PipelineSimulation;
 
-impl PipelineWorld {
+impl PipelineSimulation {
     /// A request reaches the engine of its part.
     pub(super) fn arrive(&mut self, id: &str, now: Duration) {
         let Some(request) = self.requests.get_mut(id) else {
--- a/standins/src/pipeline/passes.rs
+++ b/standins/src/pipeline/passes.rs
@@ -4,9 +4,9 @@
 
 use super::engine::EngineIndex;
 use super::request::RequestPhase;
-use super::world::{Action, PipelineWorld, WorldEvent};
+use super::world::{Action, PipelineSimulation, SimulationEvent};
 
-impl PipelineWorld {
+impl PipelineSimulation {
     pub(super) fn start_pass(&mut self, engine: EngineIndex, now: Duration) {
         let state = &self.engines[engine];
         if !state.alive || state.pass.is_some() || state.ready.is_empty() {
@@ -60,7 +60,7 @@
             }
         }
         step_ms += model.step_ms * state.kind.pace * step_share;
-        let total_ms = (step_ms * stride + read_ms) * state.slowness;
+        let total_ms = (step_ms * stride + read_ms) * state.slow_factor;
         (jobs, Duration::from_secs_f64(total_ms.max(0.01) / 1000.0))
     }
 
@@ -112,7 +112,7 @@
         request.phase = RequestPhase::Writing;
         request.hop = 0;
         let (made, last) = (request.made, request.made >= request.answer);
-        self.events.push(WorldEvent::Event {
+        self.events.push(SimulationEvent::Event {
             id: id.to_owned(),
             made,
             last,
--- a/standins/src/pipeline/settings.rs
+++ b/standins/src/pipeline/settings.rs
@@ -7,7 +7,7 @@
 
 /// Figures that all engines share.
 #[derive(Debug, Clone)]
-pub struct WorldSettings {
+pub struct SimulationSettings {
     /// How the engines work.
     pub model: EngineModel,
     /// Most prompt tokens read in one step.
@@ -31,7 +31,7 @@
     pub report_lag: Duration,
 }
 
-impl Default for WorldSettings {
+impl Default for SimulationSettings {
     /// A model of 80 layers on three kinds of accelerators.
     fn default() -> Self {
         let kind = |memory_mb, pace, read_factor| AcceleratorKind {
@@ -72,7 +72,7 @@
     }
 }
 
-impl WorldSettings {
+impl SimulationSettings {
     /// Time to hand `tokens` on, over one link.
     pub(super) fn link_time(&self, tokens: f64) -> Duration {
         transfer(tokens * self.token_bytes, self.link_mbps)
--- a/standins/src/pipeline/world.rs
+++ b/standins/src/pipeline/world.rs
@@ -9,11 +9,11 @@
 
 use super::engine::{EngineIndex, SimEngine};
 use super::request::SimRequest;
-use super::settings::WorldSettings;
+use super::settings::SimulationSettings;
 
 /// What callers see of the model.
 #[derive(Debug, Clone, PartialEq)]
-pub enum WorldEvent {
+pub enum SimulationEvent {
     /// An event of a stream: so many tokens are made now.
     Event {
         /// The request.
@@ -43,7 +43,7 @@
     /// An engine does not hold its part.
     WrongLayers(EngineIndex),
     /// An engine is dead, draining, or short of memory.
-    NoRoom(EngineIndex),
+    NoCapacity(EngineIndex),
     /// An engine appears twice, or there is none.
     BadPath,
     /// No such request.
@@ -81,19 +81,19 @@
 
 /// Engines and requests.
 #[derive(Debug)]
-pub struct PipelineWorld {
-    pub(super) settings: WorldSettings,
+pub struct PipelineSimulation {
+    pub(super) settings: SimulationSettings,
     pub(super) engines: Vec<SimEngine>,
     pub(super) requests: BTreeMap<String, SimRequest>,
     pub(super) agenda: BinaryHeap<Reverse<(Duration, u64, Action)>>,
     pub(super) pipes: FastMap<(String, String), Duration>,
-    pub(super) events: Vec<WorldEvent>,
+    pub(super) events: Vec<SimulationEvent>,
     pub(super) sequence: u64,
 }
 
-impl PipelineWorld {
+impl PipelineSimulation {
     /// A world without engines.
-    pub fn new(settings: WorldSettings) -> Self {
+    pub fn new(settings: SimulationSettings) -> Self {
         Self {
             settings,
             engines: Vec::new(),
@@ -106,7 +106,7 @@
     }
 
     /// The figures of the world.
-    pub fn settings(&self) -> &WorldSettings {
+    pub fn settings(&self) -> &SimulationSettings {
         &self.settings
     }
 
@@ -124,7 +124,7 @@
             parked: Vec::new(),
             used: 0.0,
             orders: 0,
-            slowness: 1.0,
+            slow_factor: 1.0,
             life: 0,
         });
         self.engines.len() - 1
@@ -190,8 +190,8 @@
     }
 
     /// Makes an engine slower.
-    pub fn set_slowness(&mut self, engine: EngineIndex, factor: f64) {
-        self.engines[engine].slowness = factor;
+    pub fn set_slow_factor(&mut self, engine: EngineIndex, factor: f64) {
+        self.engines[engine].slow_factor = factor;
     }
 
     /// Makes an engine refuse what is new.
@@ -222,7 +222,7 @@
         let state = &mut self.engines[engine];
         state.alive = true;
         state.draining = false;
-        state.slowness = 1.0;
+        state.slow_factor = 1.0;
     }
 
     /// When something happens next.
@@ -231,7 +231,7 @@
     }
 
     /// Lets time pass up to `now`; gives what callers see, in order.
-    pub fn advance(&mut self, now: Duration) -> Vec<WorldEvent> {
+    pub fn advance(&mut self, now: Duration) -> Vec<SimulationEvent> {
         while self.next_time().is_some_and(|at| at <= now) {
             let Some(Reverse((at, _, action))) = self.agenda.pop() else {
                 break;
@@ -298,8 +298,8 @@
             return;
         }
         let event = match request.is_begun() {
-            true => WorldEvent::Cut { id: id.to_owned() },
-            false => WorldEvent::Refused {
+            true => SimulationEvent::Cut { id: id.to_owned() },
+            false => SimulationEvent::Refused {
                 id: id.to_owned(),
                 at: request.part().engine,
             },
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -20,7 +20,7 @@
 use crate::faults::FaultSwitch;
 use crate::http_server::HttpServer;
 use calls::ServiceCalls;
-pub use settings::{CallRecord, DeathPoint, ServiceAnswer, ServiceFaults, ServiceSettings};
+pub use settings::{CallRecord, DeathPoint, ServiceFaults, ServiceResponse, ServiceSettings};
 
 /// A running service; dropping it stops it.
 #[derive(Debug)]
--- a/standins/src/service/calls.rs
+++ b/standins/src/service/calls.rs
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use tokio::time::{sleep, sleep_until};
 
-use super::settings::{CallRecord, DeathPoint, ServiceAnswer, ServiceFaults, ServiceSettings};
+use super::settings::{CallRecord, DeathPoint, ServiceFaults, ServiceResponse, ServiceSettings};
 use crate::batch::StepBatch;
 use crate::faults::FaultSwitch;
 use crate::http_server::{CallOutcome, ServedCall};
@@ -108,7 +108,7 @@
         if self.faults.take_one(|faults| &mut faults.lose_answers) {
             return Err(CallOutcome::Close);
         }
-        Ok(CallOutcome::ok(&ServiceAnswer {
+        Ok(CallOutcome::ok(&ServiceResponse {
             ran,
             operation: operation.to_owned(),
         }))
--- a/standins/src/service/settings.rs
+++ b/standins/src/service/settings.rs
@@ -111,7 +111,7 @@
 
 /// What a service answers to a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServiceAnswer {
+pub struct ServiceResponse {
     /// Number of calls that this service has run, with this one.
     pub ran: u64,
     /// Operation called.
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -4,10 +4,10 @@
 //! a gate that counts its bytes. From the slopes a larger size is worked out.
 
 mod control;
-mod counting_gate;
+mod counting_proxy;
 mod data_path;
+mod decisions;
 mod fleet;
-mod pure;
 mod report;
 mod shape;
 mod usage;
@@ -53,9 +53,9 @@
     let mut figures = match series {
         "stages" => data_path::measure(count, data_path::USUAL_TOKENS, window).await?,
         "tokens" => data_path::measure(data_path::USUAL_STAGES, value, window).await?,
-        "replay" => pure::replay(count)?,
-        "admission" => pure::admission(count),
-        "routing" => pure::routing(count),
+        "replay" => decisions::replay(count)?,
+        "admission" => decisions::admission(count),
+        "routing" => decisions::routing(count),
         _ => control::measure(&SlopeShape::varied(series, count)?, window).await?,
     };
     if !after_start {
--- a/standins/src/slopes/control.rs
+++ b/standins/src/slopes/control.rs
@@ -91,7 +91,7 @@
     let started = Instant::now();
     let declared = [organisation(0, 0)];
     let version = operator::declare_all(fleet.daemons[0].operators, &declared).await?;
-    fleet.wait_in_force(version).await?;
+    fleet.wait_until_applied(version).await?;
     Ok(started.elapsed().as_secs_f64())
 }
 
--- a/standins/src/slopes/counting_gate.rs
+++ b/standins/src/slopes/counting_proxy.rs
@@ -30,13 +30,13 @@
 
 /// A gate; dropping it ends its connections.
 #[derive(Debug)]
-pub(super) struct CountingGate {
+pub(super) struct CountingProxy {
     /// Where it listens.
     pub(super) local_addr: SocketAddr,
     task: JoinHandle<()>,
 }
 
-impl CountingGate {
+impl CountingProxy {
     /// Opens a gate to `far`.
     pub(super) async fn bind(far: SocketAddr, counts: &WireCounts) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for CountingGate {
+impl Drop for CountingProxy {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/standins/src/slopes/data_path.rs
+++ b/standins/src/slopes/data_path.rs
@@ -10,7 +10,7 @@
 use super::fleet::any_port;
 use super::usage::ThreadSample;
 use crate::caller::CallerClient;
-use crate::daemon_settings::DaemonPlace;
+use crate::daemon_settings::DaemonConfig;
 use crate::declarations::{self, StageLayout, StageTarget, VERSION};
 use crate::engine::{EngineServer, EngineSettings};
 use crate::fleet::FleetDaemon;
@@ -74,7 +74,7 @@
             targets,
         });
     }
-    let place = DaemonPlace::new(HOST, "zone-0", platform.local_addr());
+    let place = DaemonConfig::new(HOST, "zone-0", platform.local_addr());
     let text = place.to_toml("\n[log]\nlevel = \"off\"\n");
     let mut daemon = FleetDaemon::spawn(&text).await?;
     let mut declared = declarations::pipeline("model", &layouts);
--- a/standins/src/slopes/fleet.rs
+++ b/standins/src/slopes/fleet.rs
@@ -10,9 +10,9 @@
 use jackdawwick::records::DECLARATION_STREAM;
 
 use super::SlopeShape;
-use super::counting_gate::{CountingGate, WireCounts};
-use super::pure::record_text;
-use crate::daemon_settings::{DaemonPlace, SeedPlace};
+use super::counting_proxy::{CountingProxy, WireCounts};
+use super::decisions::record_text;
+use crate::daemon_settings::{DaemonConfig, SeedPeer};
 use crate::declarations::{self, StageLayout, StageTarget, VERSION};
 use crate::engine::{EngineServer, EngineSettings};
 use crate::fleet::FleetDaemon;
@@ -31,7 +31,7 @@
     pub(super) counts: WireCounts,
     pub(super) daemons: Vec<FleetDaemon>,
     _engines: Vec<EngineServer>,
-    _gates: Vec<CountingGate>,
+    _gates: Vec<CountingProxy>,
 }
 
 impl SlopeFleet {
@@ -50,7 +50,7 @@
             let engine = EngineServer::bind(any_port(), settings).await?;
             let mut targets = Vec::new();
             for number in (model..shape.targets).step_by(shape.models) {
-                let gate = CountingGate::bind(engine.local_addr(), &counts).await?;
+                let gate = CountingProxy::bind(engine.local_addr(), &counts).await?;
                 targets.push(StageTarget {
                     name: format!("engine-{number}"),
                     zone: zone_name(shape.zone_of_target(number)).as_str().into(),
@@ -98,7 +98,7 @@
         let client = PlatformClient::open(self.platform.local_addr(), timeouts);
         let appended = client.append(DECLARATION_STREAM, records?).await?;
         let last = appended.first_offset + declared.len() as LogOffset - 1;
-        self.wait_in_force(last).await
+        self.wait_until_applied(last).await
     }
 
     async fn start_daemons(
@@ -106,13 +106,13 @@
         shape: &SlopeShape,
         targets: Vec<ListedTarget>,
     ) -> Result<(), CallError> {
-        let platform = CountingGate::bind(self.platform.local_addr(), &self.counts).await?;
+        let platform = CountingProxy::bind(self.platform.local_addr(), &self.counts).await?;
         let mut held = Vec::new();
         let mut seeds = Vec::new();
         for number in 0..shape.daemons() {
             let listener = TcpListener::bind(peer_address())?;
-            let gate = CountingGate::bind(listener.local_addr()?, &self.counts).await?;
-            seeds.push(SeedPlace {
+            let gate = CountingProxy::bind(listener.local_addr()?, &self.counts).await?;
+            seeds.push(SeedPeer {
                 host: format!("host-{number}"),
                 zone: zone_name(shape.zone_of_host(number)),
                 address: gate.local_addr,
@@ -123,7 +123,7 @@
         let hosts = seeds.iter().map(listed_host).collect();
         self.platform.set_hosts(HostList { hosts, targets });
         for (listener, seed) in held.into_iter().zip(&seeds) {
-            let place = DaemonPlace {
+            let place = DaemonConfig {
                 host: seed.host.clone(),
                 zone: seed.zone.clone(),
                 platform: platform.local_addr,
@@ -140,7 +140,7 @@
         Ok(())
     }
 
-    pub(super) async fn wait_in_force(&self, version: LogOffset) -> Result<(), CallError> {
+    pub(super) async fn wait_until_applied(&self, version: LogOffset) -> Result<(), CallError> {
         let deadline = Instant::now() + FORCE_PATIENCE;
         for daemon in &self.daemons {
             loop {
@@ -173,7 +173,7 @@
     format!("zone-{number}")
 }
 
-fn listed_host(seed: &SeedPlace) -> ListedHost {
+fn listed_host(seed: &SeedPeer) -> ListedHost {
     ListedHost {
         host: seed.host.as_str().into(),
         zone: seed.zone.as_str().into(),
--- a/standins/src/trial/figures.rs
+++ b/standins/src/trial/figures.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TrialFigures {
     /// Requests asked.
-    pub asked: usize,
+    pub offered: usize,
     /// Whole answers, in time.
     pub on_time: usize,
     /// Whole answers with a late event.
@@ -25,7 +25,7 @@
     /// A row of a table: shares in 100, first event at 50 and 95 in 100 and
     /// longest pause at 95 in 100, in milliseconds.
     pub fn row(&mut self) -> String {
-        let share = |count: usize| 100.0 * count as f64 / self.asked.max(1) as f64;
+        let share = |count: usize| 100.0 * count as f64 / self.offered.max(1) as f64;
         let [on_time, late] = [self.on_time, self.late].map(share);
         let [refused, cut] = [self.refused, self.cut].map(share);
         let first = [0.5, 0.95].map(|part| quantile(&mut self.first, part).as_millis());
@@ -38,7 +38,7 @@
 
     /// Whole answers in time as a share of what was asked.
     pub fn on_time_share(&self) -> f64 {
-        self.on_time as f64 / self.asked.max(1) as f64
+        self.on_time as f64 / self.offered.max(1) as f64
     }
 }
 
--- a/standins/src/trial/fleet.rs
+++ b/standins/src/trial/fleet.rs
@@ -3,7 +3,7 @@
 use jackdawwick::fleet::{FleetTable, LayerRange, TargetEntry};
 use jackdawwick::ids::TargetId;
 
-use crate::pipeline::{EngineIndex, PathPart, PipelineWorld};
+use crate::pipeline::{EngineIndex, PathPart, PipelineSimulation};
 use crate::trial::PlanKind;
 
 /// How many engines of each kind a zone has.
@@ -20,12 +20,16 @@
 
 /// Engines with their layers, and the table of the hosts.
 pub(super) struct TrialFleet {
-    pub(super) world: PipelineWorld,
+    pub(super) world: PipelineSimulation,
     pub(super) table: FleetTable,
 }
 
 impl TrialFleet {
-    pub(super) fn open(mut world: PipelineWorld, zones: &[ZoneEngines], plan: PlanKind) -> Self {
+    pub(super) fn open(
+        mut world: PipelineSimulation,
+        zones: &[ZoneEngines],
+        plan: PlanKind,
+    ) -> Self {
         let mut table = FleetTable::default();
         for zone in zones {
             let kinds = zone.kinds.iter();
--- a/standins/src/trial/run.rs
+++ b/standins/src/trial/run.rs
@@ -10,7 +10,7 @@
 
 use super::fleet::{SERVICE, TrialFleet, engine_of, id_of, part};
 use crate::pipeline::{
-    PathPart, PipelineWorld, RequestSettings, SubmitError, WorldEvent, WorldSettings,
+    PathPart, PipelineSimulation, RequestSettings, SimulationEvent, SimulationSettings, SubmitError,
 };
 use crate::trial::{PlanKind, TrialFigures, ZoneEngines};
 
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 pub struct TrialSettings {
     /// Figures of the engines.
-    pub world: WorldSettings,
+    pub world: SimulationSettings,
     /// The engines.
     pub zones: Vec<ZoneEngines>,
     /// Which engine holds what.
@@ -64,7 +64,7 @@
 }
 
 struct CallerState {
-    asked: Duration,
+    offered: Duration,
     heard: Duration,
     longest: Duration,
     path: Vec<PathPart>,
@@ -83,7 +83,7 @@
 
 /// Plays a trial.
 pub fn run_trial(settings: &TrialSettings) -> TrialFigures {
-    let world = PipelineWorld::new(settings.world.clone());
+    let world = PipelineSimulation::new(settings.world.clone());
     let mut run = TrialRun {
         fleet: TrialFleet::open(world, &settings.zones, settings.plan),
         rule: settings.rule,
@@ -122,7 +122,7 @@
     }
 
     fn ask(&mut self, count: usize, zone: &str, now: Duration) {
-        self.figures.asked += 1;
+        self.figures.offered += 1;
         let size = self.draw_size();
         let id = format!("r-{count}");
         let Some(path) = self.choose(zone, size, now) else {
@@ -139,7 +139,7 @@
             Ok(()) => {
                 self.count(&path, size, true);
                 let caller = CallerState {
-                    asked: now,
+                    offered: now,
                     heard: now,
                     longest: Duration::ZERO,
                     path,
@@ -148,7 +148,9 @@
                 };
                 self.callers.insert(id, caller);
             }
-            Err(SubmitError::NoRoom(_) | SubmitError::WrongLayers(_)) => self.figures.refused += 1,
+            Err(SubmitError::NoCapacity(_) | SubmitError::WrongLayers(_)) => {
+                self.figures.refused += 1
+            }
             Err(SubmitError::BadPath | SubmitError::Unknown) => self.figures.cut += 1,
         }
     }
@@ -261,13 +263,13 @@
         }
     }
 
-    fn observe(&mut self, event: WorldEvent, now: Duration) {
+    fn observe(&mut self, event: SimulationEvent, now: Duration) {
         match event {
-            WorldEvent::Event { id, last, .. } => {
+            SimulationEvent::Event { id, last, .. } => {
                 if let Some(mut caller) = self.callers.remove(&id) {
                     match caller.first {
                         None => {
-                            caller.first = Some(now - caller.asked);
+                            caller.first = Some(now - caller.offered);
                             self.observe_read(&caller.path, caller.size);
                         }
                         Some(_) => caller.longest = caller.longest.max(now - caller.heard),
@@ -279,10 +281,10 @@
                     self.end(&caller);
                 }
             }
-            WorldEvent::Refused { id, .. } => {
+            SimulationEvent::Refused { id, .. } => {
                 self.figures.refused += usize::from(self.drop_caller(&id).is_some());
             }
-            WorldEvent::Cut { id } => {
+            SimulationEvent::Cut { id } => {
                 self.figures.cut += usize::from(self.drop_caller(&id).is_some());
             }
         }
--- a/standins/tests/checkers.rs
+++ b/standins/tests/checkers.rs
@@ -5,7 +5,7 @@
 use http::StatusCode;
 use jackdawwick::api::wire::{RefusalBody, StreamEvent};
 use jackdawwick::reason::RefusalReason;
-use standins::caller::{HeardAnswer, HeardEvent, HeardReply};
+use standins::caller::{CallResponse, GenerationResponse, ReceivedEvent};
 use standins::check::{
     CallHistory, CheckedPromise, GenerationHistory, RunHistory, TargetLeave, TargetSteps, check_all,
 };
@@ -22,13 +22,13 @@
 const TOKENS: u64 = 3;
 const GRACE: Duration = Duration::from_secs(2);
 
-fn heard(event: StreamEvent) -> HeardEvent {
+fn heard(event: StreamEvent) -> ReceivedEvent {
     let at = Instant::now();
-    HeardEvent { at, event }
+    ReceivedEvent { at, event }
 }
 
-fn answer(events: Vec<StreamEvent>) -> HeardAnswer {
-    HeardAnswer {
+fn answer(events: Vec<StreamEvent>) -> GenerationResponse {
+    GenerationResponse {
         sent: Instant::now(),
         status: Some(StatusCode::OK),
         events: events.into_iter().map(heard).collect(),
@@ -120,8 +120,8 @@
     }
 }
 
-fn reply(status: StatusCode, body: Vec<u8>) -> HeardReply {
-    HeardReply {
+fn reply(status: StatusCode, body: Vec<u8>) -> CallResponse {
+    CallResponse {
         status,
         body: body.into(),
     }
@@ -155,7 +155,7 @@
     &mut history.steps[0].records
 }
 
-fn events(history: &mut RunHistory) -> &mut Vec<HeardEvent> {
+fn events(history: &mut RunHistory) -> &mut Vec<ReceivedEvent> {
     &mut history.generations[0].answers[0].events
 }
 
--- a/standins/tests/claim_fleet/mod.rs
+++ b/standins/tests/claim_fleet/mod.rs
@@ -15,11 +15,11 @@
 use jackdawwick::api::wire::{ForceView, GenerateBody, RefusalBody, StatusView};
 use jackdawwick::verdict::RunVerdict;
 use parking_lot::Mutex;
-use standins::caller::{CallerClient, HeardAnswer, HeardReply, OutgoingCall};
+use standins::caller::{CallResponse, CallerClient, GenerationResponse, OutgoingCall};
 use standins::check::{
     CallHistory, GenerationHistory, RunHistory, TargetSteps, check_at_most_once, check_not_run,
 };
-use standins::daemon_settings::DaemonPlace;
+use standins::daemon_settings::DaemonConfig;
 use standins::declarations::VERSION;
 use standins::engine::EngineServer;
 use standins::fleet::{
@@ -201,7 +201,7 @@
         host: &str,
         extra_settings: &str,
     ) -> Result<DaemonProcess, TestError> {
-        let place = DaemonPlace::new(host, ZONE, self.fleet.platform.local_addr());
+        let place = DaemonConfig::new(host, ZONE, self.fleet.platform.local_addr());
         let daemon = DaemonProcess::spawn(&place.to_toml(extra_settings))?;
         let first = self.fleet.daemons.first().ok_or("no daemon")?.operators;
         let version = operator::read::<StatusView>(first, "/v1/status").await?;
@@ -272,7 +272,7 @@
         request: &str,
         key: Option<&str>,
         max_tokens: u64,
-    ) -> HeardAnswer {
+    ) -> GenerationResponse {
         let body = GenerateBody {
             model: MODEL.into(),
             prompt: PROMPT.to_vec(),
@@ -432,7 +432,7 @@
     }
 }
 
-fn told(reply: Option<HeardReply>) -> Told {
+fn told(reply: Option<CallResponse>) -> Told {
     match reply {
         None => Told::Nothing,
         Some(reply) if reply.status == StatusCode::OK => Told::Answer(reply.body.to_vec()),
--- a/standins/tests/force_time.rs
+++ b/standins/tests/force_time.rs
@@ -37,7 +37,7 @@
         let began = Instant::now();
         let version = operator::declare_all(host, &[organisation("measured", round)]).await?;
         told.push(began.elapsed());
-        fleet.wait_in_force(version).await?;
+        fleet.wait_until_applied(version).await?;
         in_force.push(began.elapsed());
     }
     print_times("accepted", told);
--- a/standins/tests/leaving.rs
+++ b/standins/tests/leaving.rs
@@ -6,7 +6,7 @@
 
 use jackdawwick::api::wire::GenerateBody;
 use jackdawwick::resources::{ResourceSpec, TargetKind, TargetPhase};
-use standins::caller::{CallerClient, HeardReply, OutgoingCall};
+use standins::caller::{CallResponse, CallerClient, OutgoingCall};
 use standins::check::{GenerationHistory, RunHistory, TargetLeave, check_all};
 use standins::declarations::{self, StageTarget, VERSION};
 use standins::fleet::{EnginePlan, Fleet, FleetLayout, StagePlan, ZonePlan};
@@ -113,7 +113,7 @@
 #[derive(Default)]
 struct HeardLoad {
     generations: Vec<GenerationHistory>,
-    calls: Vec<Result<HeardReply, String>>,
+    calls: Vec<Result<CallResponse, String>>,
 }
 
 /// Short requests and calls at a steady rate through all running daemons,
@@ -299,7 +299,7 @@
     let mut fleet = start_fleet(["didube", "vake"]).await?;
     let load = SteadyLoad::spawn(&fleet);
     let service = wait_until_used(&fleet).await?;
-    for gate in fleet.gates.iter().filter(|gate| gate.zone == "vake") {
+    for gate in fleet.zone_proxies.iter().filter(|gate| gate.zone == "vake") {
         gate.set_cut(true);
     }
     fleet.leave(ENGINE);
--- a/standins/tests/losses.rs
+++ b/standins/tests/losses.rs
@@ -1,6 +1,6 @@
 //! What became of requests, read from log lines.
 
-use standins::losses::{LossTally, RequestFate, parse_line};
+use standins::losses::{LossTally, RequestOutcome, parse_line};
 
 fn line(second: u32, message: &str, more: &str) -> String {
     format!(
@@ -21,7 +21,7 @@
         "not a line of a host".to_owned(),
     ];
     let tally = LossTally::of(lines.iter().filter_map(|line| parse_line(line)));
-    assert_eq!(tally.count_of(&RequestFate::Late("pause".to_owned())), 2);
+    assert_eq!(tally.count_of(&RequestOutcome::Late("pause".to_owned())), 2);
     insta::assert_snapshot!(tally.to_string(), @r"
     cause                        all    0    1    2
     served                         1    1    .    .
--- a/standins/tests/not_run.rs
+++ b/standins/tests/not_run.rs
@@ -8,7 +8,7 @@
 use jackdawwick::reason::RefusalReason;
 use jackdawwick::target::wire::TargetRefusalKind;
 use jackdawwick::verdict::RunVerdict;
-use standins::caller::HeardAnswer;
+use standins::caller::GenerationResponse;
 use standins::engine::EngineFaults;
 use standins::service::{DeathPoint, ServiceFaults};
 use support::{TestResult, eventually};
@@ -193,7 +193,7 @@
     ]
 }
 
-fn verdict_of(answer: &HeardAnswer) -> Option<RunVerdict> {
+fn verdict_of(answer: &GenerationResponse) -> Option<RunVerdict> {
     answer.refused().map(|body| body.verdict)
 }
 
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -19,7 +19,7 @@
 use standins::check::{
     GenerationHistory, RunHistory, TargetSteps, check_layers, check_not_run, check_whole_answers,
 };
-use standins::daemon_settings::{DaemonPlace, SeedPlace};
+use standins::daemon_settings::{DaemonConfig, SeedPeer};
 use standins::declarations::{self, StageLayout, StageTarget, VERSION};
 use standins::engine::{EngineServer, EngineSettings, FencingMode};
 use standins::json_client::call;
@@ -85,10 +85,10 @@
     let places = peer_places()?;
     let mut daemons = Vec::new();
     for place in &places {
-        let settings = DaemonPlace {
+        let settings = DaemonConfig {
             peers: place.address,
             seeds: places.clone(),
-            ..DaemonPlace::new(&place.host, ZONE, platform.local_addr())
+            ..DaemonConfig::new(&place.host, ZONE, platform.local_addr())
         };
         let timing = "\n[timing]\nlease_duration = \"2s\"\ndefault_deadline = \"4s\"\n";
         daemons.push(DaemonProcess::spawn(&settings.to_toml(timing))?);
@@ -121,13 +121,13 @@
 
 /// Finds a port for each host's peers, on a loopback address from which no
 /// connection goes out, so that the ports stay free until the daemons listen.
-fn peer_places() -> Result<Vec<SeedPlace>, TestError> {
+fn peer_places() -> Result<Vec<SeedPeer>, TestError> {
     let [.., high, low] = std::process::id().to_be_bytes();
     let mut held = Vec::new();
     let mut places = Vec::new();
     for host in HOSTS {
         let listener = TcpListener::bind(SocketAddr::from(([127, high, low, 4], 0)))?;
-        places.push(SeedPlace {
+        places.push(SeedPeer {
             host: host.to_owned(),
             zone: ZONE.to_owned(),
             address: listener.local_addr()?,
--- a/standins/tests/pipeline.rs
+++ b/standins/tests/pipeline.rs
@@ -4,7 +4,7 @@
 
 use jackdawwick::fleet::LayerRange;
 use standins::pipeline::{
-    PathPart, PipelineWorld, RequestSettings, SubmitError, WorldEvent, WorldSettings,
+    PathPart, PipelineSimulation, RequestSettings, SimulationEvent, SimulationSettings, SubmitError,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -14,8 +14,8 @@
 }
 
 /// Three engines of 40 layers: 0 holds the first half, 1 and 2 the second.
-fn world() -> PipelineWorld {
-    let mut world = PipelineWorld::new(WorldSettings::default());
+fn world() -> PipelineSimulation {
+    let mut world = PipelineSimulation::new(SimulationSettings::default());
     for layers in [range(0, 40), range(40, 80), range(40, 80)] {
         let engine = world.add_engine("z", "a100");
         world.preload(engine, layers);
@@ -37,7 +37,7 @@
     }
 }
 
-fn play(world: &mut PipelineWorld, until: Duration) -> Vec<WorldEvent> {
+fn play(world: &mut PipelineSimulation, until: Duration) -> Vec<SimulationEvent> {
     let mut seen = Vec::new();
     while let Some(next) = world.next_time().filter(|next| *next <= until) {
         seen.extend(world.advance(next));
@@ -53,7 +53,7 @@
         .expect("taken");
     let seen = play(&mut world, 10 * SECOND);
     let made = seen.iter().map(|event| match event {
-        WorldEvent::Event { made, last, .. } => (*made, *last),
+        SimulationEvent::Event { made, last, .. } => (*made, *last),
         other => panic!("{other:?}"),
     });
     let made = made.collect::<Vec<_>>();
@@ -73,7 +73,7 @@
     assert_eq!(taken, Err(SubmitError::WrongLayers(1)));
     world.set_draining(1, true);
     let taken = world.submit(request("r", 10.0), Duration::ZERO);
-    assert_eq!(taken, Err(SubmitError::NoRoom(1)));
+    assert_eq!(taken, Err(SubmitError::NoCapacity(1)));
 }
 
 #[test]
@@ -96,7 +96,7 @@
     play(&mut world, SECOND * 2);
     assert_eq!(world.stalled(0, SECOND * 2), [("r".to_owned(), 1)]);
     let seen = play(&mut world, SECOND * 5);
-    assert_eq!(seen, [WorldEvent::Cut { id: "r".to_owned() }]);
+    assert_eq!(seen, [SimulationEvent::Cut { id: "r".to_owned() }]);
 }
 
 #[test]
@@ -112,13 +112,13 @@
     let after = play(&mut world, SECOND * 20);
     let lasts = after
         .iter()
-        .filter(|event| matches!(event, WorldEvent::Event { last: true, .. }));
+        .filter(|event| matches!(event, SimulationEvent::Event { last: true, .. }));
     assert!(!before.is_empty());
     assert_eq!(lasts.count(), 1);
     assert!(
         !after
             .iter()
-            .any(|event| matches!(event, WorldEvent::Cut { .. }))
+            .any(|event| matches!(event, SimulationEvent::Cut { .. }))
     );
     assert_eq!(
         world.repath("r", path(1), SECOND * 20),
@@ -143,5 +143,5 @@
         },
         SECOND * 11,
     );
-    assert_eq!(taken, Err(SubmitError::NoRoom(2)));
+    assert_eq!(taken, Err(SubmitError::NoCapacity(2)));
 }
--- a/standins/tests/shutdown.rs
+++ b/standins/tests/shutdown.rs
@@ -18,7 +18,7 @@
     GenerationHistory, RunHistory, TargetSteps, check_answered_once, check_layers,
     check_whole_answers,
 };
-use standins::daemon_settings::DaemonPlace;
+use standins::daemon_settings::DaemonConfig;
 use standins::declarations::{self, StageLayout, StageTarget, VERSION};
 use standins::engine::{EngineServer, EngineSettings};
 use standins::json_client::call;
@@ -141,7 +141,7 @@
 ) -> Result<DaemonProcess, TestError> {
     let timing =
         format!("\n[timing]\ndrain_timeout = {drain_timeout:?}\nlease_duration = {LEASE:?}\n");
-    let settings = DaemonPlace::new(host, ZONE, platform.local_addr()).to_toml(&timing);
+    let settings = DaemonConfig::new(host, ZONE, platform.local_addr()).to_toml(&timing);
     DaemonProcess::spawn(&settings)
 }
 
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -10,7 +10,7 @@
 use standins::json_client::{CallError, JsonReply, call};
 use standins::platform::{PlatformServer, PlatformSettings};
 use standins::reference;
-use standins::service::{ServiceAnswer, ServiceServer, ServiceSettings};
+use standins::service::{ServiceResponse, ServiceServer, ServiceSettings};
 use tokio::time::timeout;
 
 const MODEL: &str = "reader";
@@ -220,7 +220,7 @@
     service.faults().update(|faults| faults.refuse_calls = 1);
     let refused = call(Method::POST, addr, path, &"b").await?;
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
-    let answer: ServiceAnswer = call(Method::POST, addr, path, &"c").await?.json()?;
+    let answer: ServiceResponse = call(Method::POST, addr, path, &"c").await?.json()?;
     assert_eq!(answer.ran, 2);
     let bodies: Vec<_> = service
         .record()
--- a/standins/tests/support/hosts.rs
+++ b/standins/tests/support/hosts.rs
@@ -13,7 +13,7 @@
 use jackdawwick::options::DaemonOptions;
 use jackdawwick::resources::ResourceKey;
 use parking_lot::Mutex;
-use standins::daemon_settings::{DaemonPlace, SeedPlace};
+use standins::daemon_settings::{DaemonConfig, SeedPeer};
 use standins::declarations;
 use standins::operator::{self, Declaration};
 use tokio::task::JoinHandle;
@@ -51,14 +51,14 @@
         timing: &str,
     ) -> Result<Self, TestError> {
         let from_peers = TestLink::bind().await?;
-        let seeds = seeds.iter().map(|seed| SeedPlace {
+        let seeds = seeds.iter().map(|seed| SeedPeer {
             host: seed.name.clone(),
             zone: seed.zone.clone(),
             address: seed.from_peers.address,
         });
-        let place = DaemonPlace {
+        let place = DaemonConfig {
             seeds: seeds.collect(),
-            ..DaemonPlace::new(name, zone, platform)
+            ..DaemonConfig::new(name, zone, platform)
         };
         let second = standins::caller::token_of("operator-2");
         let digest = jackdawwick::auth::TokenDigest::of_token(&second).to_hex();
--- a/standins/tests/whole_answers.rs
+++ b/standins/tests/whole_answers.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use jackdawwick::api::wire::{GenerateBody, ResumeToken, StreamEvent};
-use standins::caller::{CallerClient, HeardAnswer};
+use standins::caller::{CallerClient, GenerationResponse};
 use standins::check::{
     GenerationHistory, RunHistory, check_answered_once, check_layers, check_whole_answers,
 };
@@ -68,7 +68,7 @@
     CallerClient::open("organisation-1")
 }
 
-fn history(fleet: &Fleet, request: &str, answers: Vec<HeardAnswer>) -> RunHistory {
+fn history(fleet: &Fleet, request: &str, answers: Vec<GenerationResponse>) -> RunHistory {
     RunHistory {
         generations: vec![GenerationHistory {
             request: request.into(),
@@ -133,7 +133,7 @@
     stages: &[usize],
     position: u64,
     fault: F,
-) -> Result<HeardAnswer, TestError>
+) -> Result<GenerationResponse, TestError>
 where
     F: Fn(&FleetEngine),
 {
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -8,7 +8,7 @@
 use jackdawwick::api::wire::{GenerateBody, StatusView};
 use jackdawwick::platform::wire::{HostList, ListedHost, ListedPhase};
 use standins::caller::{CallerClient, OutgoingCall};
-use standins::daemon_settings::DaemonPlace;
+use standins::daemon_settings::DaemonConfig;
 use standins::declarations::{self, StageLayout, StageTarget};
 use standins::engine::{EngineFaults, StepRecord};
 use standins::json_client::call;
@@ -64,7 +64,7 @@
     let ledger = start("service", &[])?;
     let mut daemons = Vec::new();
     for (host, zone) in PLACES {
-        let settings = DaemonPlace::new(host, zone, platform).to_toml("");
+        let settings = DaemonConfig::new(host, zone, platform).to_toml("");
         daemons.push(DaemonProcess::spawn(&settings)?);
     }
     let hosts = HostList {
