--- a/standins/src/batch.rs
+++ b/standins/src/batch.rs
@@ -27,10 +27,10 @@
 struct BatchState {
     running: usize,
     arrivals: u64,
-    waiting: BTreeMap<QueuePlace, oneshot::Sender<BatchSlot>>,
+    waiting: BTreeMap<QueueKey, oneshot::Sender<BatchSlot>>,
 }
 
-type QueuePlace = (Reverse<u8>, u64);
+type QueueKey = (Reverse<u8>, u64);
 
 /// Numbers for the load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -50,12 +50,12 @@
 /// Takes a waiting step out of the queue when its caller gives up.
 struct QueueGuard<'a> {
     batch: &'a StepBatch,
-    place: QueuePlace,
+    key: QueueKey,
 }
 
 impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
-        let sender = self.batch.state.lock().waiting.remove(&self.place);
+        let sender = self.batch.state.lock().waiting.remove(&self.key);
         drop(sender);
     }
 }
@@ -80,7 +80,7 @@
     /// Waits for a slot; higher priorities first, then earlier arrivals.
     pub(crate) async fn acquire(self: &Arc<Self>, priority: u8) -> Result<BatchSlot, QueueFull> {
         let arrived_at = Instant::now();
-        let (place, receiver) = {
+        let (key, receiver) = {
             let mut state = self.state.lock();
             if state.running < self.concurrency {
                 state.running += 1;
@@ -90,12 +90,12 @@
                 return Err(QueueFull);
             }
             state.arrivals += 1;
-            let place = (Reverse(priority), state.arrivals);
+            let key = (Reverse(priority), state.arrivals);
             let (sender, receiver) = oneshot::channel();
-            state.waiting.insert(place, sender);
-            (place, receiver)
+            state.waiting.insert(key, sender);
+            (key, receiver)
         };
-        let _guard = QueueGuard { batch: self, place };
+        let _guard = QueueGuard { batch: self, key };
         let mut slot = receiver.await.map_err(|_| QueueFull)?;
         slot.free_at = slot.free_at.max(arrived_at);
         Ok(slot)
--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -23,7 +23,7 @@
 /// Random part of the one idempotency key; a real caller draws it.
 const KEY_RANDOM: [u8; 10] = [7; 10];
 /// Bound on waiting for the run to get half-way.
-const PATIENCE: Duration = Duration::from_secs(10);
+const HALF_WAY_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::main]
 async fn main() -> ExitCode {
@@ -64,10 +64,10 @@
         let request = format!("read-{number}");
         history
             .generations
-            .push(ask(&fleet, daemon, &request).await);
+            .push(request_generation(&fleet, daemon, &request).await);
     }
     history.service_calls.push(call_service(&fleet).await?);
-    let killed = ask_and_kill(&fleet).await?;
+    let killed = generate_and_kill(&fleet).await?;
     explain(&fleet.daemons[0], &killed.request).await?;
     history.generations.push(killed);
     check(&fleet, history)?;
@@ -101,7 +101,11 @@
     }
 }
 
-async fn ask(fleet: &Fleet, daemon: &FleetDaemon, request: &str) -> GenerationHistory {
+async fn request_generation(
+    fleet: &Fleet,
+    daemon: &FleetDaemon,
+    request: &str,
+) -> GenerationHistory {
     let body = body(fleet);
     let caller = CallerClient::open(ORGANISATION);
     let answer = caller.generate(daemon.callers, request, &body).await;
@@ -160,10 +164,10 @@
 }
 
 /// Asks for a generation and kills one of its targets half-way.
-async fn ask_and_kill(fleet: &Fleet) -> Result<GenerationHistory, CallError> {
+async fn generate_and_kill(fleet: &Fleet) -> Result<GenerationHistory, CallError> {
     let request = "killed-half-way";
-    let asked = ask(fleet, &fleet.daemons[0], request);
-    let (history, killed) = tokio::join!(asked, kill_half_way(fleet, request));
+    let pending = request_generation(fleet, &fleet.daemons[0], request);
+    let (history, killed) = tokio::join!(pending, kill_half_way(fleet, request));
     println!("(the target {} was killed half-way)", killed?);
     Ok(history)
 }
@@ -171,7 +175,7 @@
 async fn kill_half_way(fleet: &Fleet, request: &str) -> Result<String, CallError> {
     let half_way = PROMPT_TOKENS + TOKENS / 2;
     let run = format!("{request}~");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + HALF_WAY_TIMEOUT;
     while Instant::now() < deadline {
         let stage = fleet.engines.iter();
         for engine in stage.filter(|engine| engine.stage == KILLED_STAGE) {
@@ -197,10 +201,10 @@
     Ok(())
 }
 
-fn check(fleet: &Fleet, heard: RunHistory) -> Result<(), CallError> {
+fn check(fleet: &Fleet, observed: RunHistory) -> Result<(), CallError> {
     let history = RunHistory {
-        generations: heard.generations,
-        service_calls: heard.service_calls,
+        generations: observed.generations,
+        service_calls: observed.service_calls,
         ..fleet.recorded()
     };
     let broken = check_all(&history, Duration::ZERO);
--- a/standins/src/bin/plans.rs
+++ b/standins/src/bin/plans.rs
@@ -50,7 +50,7 @@
         for plan in PlanKind::ALL {
             for rule in RoutingRule::ALL {
                 let mut figures = run_trial(&TrialSettings {
-                    world: SimulationSettings::default(),
+                    simulation: SimulationSettings::default(),
                     zones: zones.clone(),
                     plan,
                     rule,
--- a/standins/src/bin/slopes.rs
+++ b/standins/src/bin/slopes.rs
@@ -15,7 +15,7 @@
 /// Longest measured window, in seconds.
 const MAX_SECONDS: u64 = 60;
 /// Bound on one run beside its window: start, declarations, warm-up, end.
-const RUN_PATIENCE: Duration = Duration::from_secs(90);
+const RUN_OVERHEAD_TIMEOUT: Duration = Duration::from_secs(90);
 
 fn command() -> Command {
     let series: Vec<&str> = SERIES.iter().map(|(name, _)| *name).collect();
@@ -86,7 +86,7 @@
         for _ in 0..number("runs") {
             for value in values {
                 let once = run_once(series, *value, window, runs.is_empty());
-                let run = tokio::time::timeout(window + RUN_PATIENCE, once).await??;
+                let run = tokio::time::timeout(window + RUN_OVERHEAD_TIMEOUT, once).await??;
                 let line = serde_json::to_string(&run)?;
                 println!("{line}");
                 if let Some(path) = matches.get_one::<PathBuf>("out") {
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -66,7 +66,7 @@
 impl GenerationResponse {
     /// Tokens in the order of their numbers, as heard.
     pub fn tokens(&self) -> Vec<u64> {
-        let token = |heard: &ReceivedEvent| match heard.event {
+        let token = |received: &ReceivedEvent| match received.event {
             StreamEvent::Token { token, .. } => Some(token),
             _ => None,
         };
@@ -75,7 +75,7 @@
 
     /// Whether the closing event came and counts what was heard.
     pub fn is_whole(&self) -> bool {
-        self.events.iter().any(|heard| match heard.event {
+        self.events.iter().any(|received| match received.event {
             StreamEvent::Done { count } => count == self.tokens().len() as u64,
             _ => false,
         })
@@ -83,17 +83,21 @@
 
     /// Time from sending to the first token.
     pub fn first_token(&self) -> Option<Duration> {
-        let is_token = |heard: &&ReceivedEvent| matches!(heard.event, StreamEvent::Token { .. });
+        let is_token =
+            |received: &&ReceivedEvent| matches!(received.event, StreamEvent::Token { .. });
         let first = self.events.iter().find(is_token)?;
         Some(first.at - self.sent)
     }
 
     /// The refusal, whether it came instead of a stream or ended one.
     pub fn refused(&self) -> Option<&RefusalBody> {
-        let in_stream = self.events.iter().find_map(|heard| match &heard.event {
-            StreamEvent::Error(body) => Some(body),
-            _ => None,
-        });
+        let in_stream = self
+            .events
+            .iter()
+            .find_map(|received| match &received.event {
+                StreamEvent::Error(body) => Some(body),
+                _ => None,
+            });
         self.refusal.as_ref().or(in_stream)
     }
 }
@@ -139,7 +143,7 @@
         request: &str,
         body: &GenerateBody,
     ) -> GenerationResponse {
-        self.generate_under(host, request, body, None).await
+        self.generate_with_key(host, request, body, None).await
     }
 
     /// Asks for a generation that may run at most once, under a key.
@@ -150,10 +154,10 @@
         body: &GenerateBody,
         key: &str,
     ) -> GenerationResponse {
-        self.generate_under(host, request, body, Some(key)).await
+        self.generate_with_key(host, request, body, Some(key)).await
     }
 
-    async fn generate_under(
+    async fn generate_with_key(
         &self,
         host: SocketAddr,
         request: &str,
@@ -168,11 +172,11 @@
             broken: false,
             ended: Instant::now(),
         };
-        let heard = match self.send_generation(host, request, body, key).await {
-            Ok(response) => hear(response, &mut answer).await,
+        let received = match self.send_generation(host, request, body, key).await {
+            Ok(response) => read_response(response, &mut answer).await,
             Err(error) => Err(error),
         };
-        answer.broken = heard.is_err();
+        answer.broken = received.is_err();
         answer.ended = Instant::now();
         answer
     }
@@ -198,7 +202,7 @@
             .request(Method::POST, host, "/v1/generate")
             .header("x-request-id", request);
         if let Some(key) = key {
-            builder = mark(builder, key);
+            builder = add_key_headers(builder, key);
         }
         let request = builder.body(Full::new(Bytes::from(serde_json::to_vec(body)?)))?;
         Ok(self.client.request(request).await?)
@@ -216,7 +220,7 @@
             .request(Method::POST, host, &path)
             .header("x-request-id", request);
         if let Some(key) = call.key {
-            builder = mark(builder, key);
+            builder = add_key_headers(builder, key);
         }
         let response = self
             .client
@@ -236,7 +240,7 @@
     }
 }
 
-async fn hear(
+async fn read_response(
     response: Response<Incoming>,
     answer: &mut GenerationResponse,
 ) -> Result<(), CallError> {
@@ -260,7 +264,7 @@
 }
 
 /// Marks a request as non-idempotent.
-fn mark(builder: Builder, key: &str) -> Builder {
+fn add_key_headers(builder: Builder, key: &str) -> Builder {
     builder
         .header("idempotency-key", format!("\"{key}\""))
         .header("x-non-idempotent", "true")
--- a/standins/src/declarations.rs
+++ b/standins/src/declarations.rs
@@ -100,10 +100,13 @@
 pub fn service(name: &str, targets: &[StageTarget], non_idempotent: &[&str]) -> Vec<Declaration> {
     let mut declarations: Vec<Declaration> = targets
         .iter()
-        .map(|one| target(one, TargetKind::Service))
+        .map(|service_target| target(service_target, TargetKind::Service))
         .collect();
     let spec = ServiceSpec {
-        targets: targets.iter().map(|one| one.name.as_str().into()).collect(),
+        targets: targets
+            .iter()
+            .map(|service_target| service_target.name.as_str().into())
+            .collect(),
         non_idempotent: non_idempotent.iter().map(ToString::to_string).collect(),
     };
     declarations.push(Declaration::new(name, ResourceSpec::Service(spec)));
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -91,7 +91,7 @@
     /// Comes back after [`EngineServer::die`], without any session or cache.
     /// Wait in between until a call fails: a death that nobody saw is none.
     pub fn revive(&self) {
-        self.calls.steps.forget_all();
+        self.calls.steps.clear_state();
         self.calls.faults.update(|faults| faults.dead = false);
     }
 
@@ -100,7 +100,7 @@
         self.die();
         self.http.shutdown();
         self.gauge_task.abort();
-        self.calls.steps.forget_all();
+        self.calls.steps.clear_state();
     }
 }
 
--- a/standins/src/engine/calls.rs
+++ b/standins/src/engine/calls.rs
@@ -141,7 +141,7 @@
         }
         self.admit(&order).map_err(refusal_outcome)?;
         let result = self.steps.run(&order).await.map_err(refusal_outcome)?;
-        let crossed = self.cross(&result.answer);
+        let crossed = self.exchange_answer(&result.answer);
         if self.faults.take_one(|faults| &mut faults.lose_answers) {
             return Err(CallOutcome::Close);
         }
@@ -170,7 +170,7 @@
     }
 
     /// Remembers `answer` and gives the last answer of another session.
-    fn cross(&self, answer: &StepAnswer) -> StepAnswer {
+    fn exchange_answer(&self, answer: &StepAnswer) -> StepAnswer {
         let mut recent = self.recent_answers.lock();
         recent.retain(|other| other.label != answer.label);
         let crossed = recent
--- a/standins/src/engine/range_store.rs
+++ b/standins/src/engine/range_store.rs
@@ -49,7 +49,7 @@
         order: StateOrder,
         now: Instant,
     ) -> Result<(), TargetRefusalKind> {
-        self.settle(now);
+        self.finish_loading(now);
         if self.fencing == FencingMode::Checks {
             let is_old = |highest| order.fencing < highest;
             if self.highest_fencing.is_some_and(is_old) {
@@ -68,11 +68,11 @@
                 self.loading.push(LoadingRange { range, ready_at });
             }
         }
-        self.settle(now);
+        self.finish_loading(now);
         Ok(())
     }
 
-    fn settle(&mut self, now: Instant) {
+    fn finish_loading(&mut self, now: Instant) {
         let (ready, loading) = std::mem::take(&mut self.loading)
             .into_iter()
             .partition(|loading| loading.ready_at <= now);
@@ -84,7 +84,7 @@
 
     /// Whether a loaded range covers the layers of `order`.
     pub(super) fn holds(&mut self, order: &StepOrder, now: Instant) -> bool {
-        self.settle(now);
+        self.finish_loading(now);
         self.loaded.iter().any(|range| {
             range.model == order.model
                 && range.version == order.version
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn state(&mut self, leaving: bool, now: Instant) -> TargetState {
-        self.settle(now);
+        self.finish_loading(now);
         let loading = self.loading.iter().map(|loading| loading.range.clone());
         TargetState {
             loaded: self.loaded.clone(),
--- a/standins/src/engine/session.rs
+++ b/standins/src/engine/session.rs
@@ -168,7 +168,7 @@
         let mut layers = Vec::with_capacity(self.kv_states.len());
         let mut value = input;
         for (kv_state, layer) in self.kv_states.iter_mut().zip(self.first_layer..) {
-            for _ in 0..runs_of(layer, faults) {
+            for _ in 0..run_count(layer, faults) {
                 let outcome = run_layer_with(self.weights, layer, *kv_state, value);
                 *kv_state = outcome.kv_state;
                 value = outcome.output;
@@ -182,7 +182,7 @@
     }
 }
 
-fn runs_of(layer: LayerIndex, faults: &EngineFaults) -> usize {
+fn run_count(layer: LayerIndex, faults: &EngineFaults) -> usize {
     match layer {
         layer if faults.skip_layer == Some(layer) => 0,
         layer if faults.double_layer == Some(layer) => 2,
--- a/standins/src/engine/steps.rs
+++ b/standins/src/engine/steps.rs
@@ -58,7 +58,7 @@
     }
 
     /// Drops all sessions and the prefix cache.
-    pub(super) fn forget_all(&self) {
+    pub(super) fn clear_state(&self) {
         self.sessions.close_all();
         self.cache.lock().clear(Instant::now());
     }
@@ -111,12 +111,12 @@
             let output = data
                 .output(position)
                 .ok_or_else(|| unknown_position(next))?;
-            self.note(order, position, input, output, &[], StepKind::Resumed);
+            self.record_step(order, position, input, output, &[], StepKind::Resumed);
             outputs.push(output);
         }
         for (&input, position) in new_inputs.iter().zip(next..) {
             let run = data.run_next(input, self.settings.model_layers, &faults);
-            self.note(
+            self.record_step(
                 order,
                 position,
                 input,
@@ -184,7 +184,7 @@
         }
     }
 
-    fn note(
+    fn record_step(
         &self,
         order: &StepOrder,
         position: TokenPosition,
--- a/standins/src/fleet/daemon.rs
+++ b/standins/src/fleet/daemon.rs
@@ -12,7 +12,7 @@
 const WORKER_THREADS: usize = 2;
 
 /// Address of a listener that is not open.
-const NOWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+const UNBOUND: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// A daemon of the fleet; dropping it ends its runtime.
 pub struct FleetDaemon {
@@ -45,8 +45,8 @@
         let mut daemon = Self {
             host,
             zone,
-            callers: NOWHERE,
-            operators: NOWHERE,
+            callers: UNBOUND,
+            operators: UNBOUND,
             handle: None,
             runtime: Some(runtime),
         };
--- a/standins/src/fleet/operations.rs
+++ b/standins/src/fleet/operations.rs
@@ -12,9 +12,9 @@
 use crate::operator::{self, Declaration};
 
 /// Bound on waiting for a change to be in force.
-const FORCE_PATIENCE: Duration = Duration::from_secs(20);
+const APPLY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Fleet {
     /// Declares resources through the first running daemon, and gives the
@@ -32,13 +32,13 @@
     /// # Errors
     /// If that takes too long; the message names the daemon.
     pub async fn wait_until_applied(&self, version: LogOffset) -> Result<(), CallError> {
-        let deadline = Instant::now() + FORCE_PATIENCE;
+        let deadline = Instant::now() + APPLY_TIMEOUT;
         for daemon in self.running() {
-            while !is_in_force(daemon, version).await {
+            while !has_applied(daemon, version).await {
                 if Instant::now() > deadline {
                     return Err(format!("not in force on {}", daemon.host).into());
                 }
-                tokio::time::sleep(LOOK_INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
@@ -75,7 +75,9 @@
         let services = self.services.iter();
         RunHistory {
             steps: steps.collect(),
-            calls: services.flat_map(|one| one.server.record()).collect(),
+            calls: services
+                .flat_map(|service| service.server.record())
+                .collect(),
             ..RunHistory::default()
         }
     }
@@ -95,7 +97,7 @@
     }
 }
 
-async fn is_in_force(daemon: &FleetDaemon, version: LogOffset) -> bool {
+async fn has_applied(daemon: &FleetDaemon, version: LogOffset) -> bool {
     let status = operator::read::<StatusView>(daemon.operators, "/v1/status").await;
     status.is_ok_and(|status| status.ready && status.applied > version)
 }
--- a/standins/src/fleet/start.rs
+++ b/standins/src/fleet/start.rs
@@ -25,13 +25,13 @@
     /// # Errors
     /// If something cannot be started or declared, or is not in force in time.
     pub async fn start(layout: FleetLayout) -> Result<Self, CallError> {
-        let places = peer_places(&layout)?;
+        let seed_peers = allocate_peers(&layout)?;
         let mut engines = Vec::new();
         for (index, stage) in layout.stages.iter().enumerate() {
             engines.extend(start_stage(&layout, index, stage).await?);
         }
         let services = start_services(&layout).await?;
-        let hosts = host_list(&places, &engines, &services);
+        let hosts = host_list(&seed_peers, &engines, &services);
         let settings = PlatformSettings {
             hosts: hosts.clone(),
             ..PlatformSettings::default()
@@ -50,20 +50,20 @@
             hosts,
             daemons: Vec::new(),
         };
-        fleet.start_daemons(&places).await?;
+        fleet.start_daemons(&seed_peers).await?;
         let version = fleet.declare(&fleet.declarations()).await?;
         fleet.wait_until_applied(version).await?;
         Ok(fleet)
     }
 
-    async fn start_daemons(&mut self, places: &[SeedPeer]) -> Result<(), CallError> {
-        for (seed, place) in (self.layout.seed..).zip(places) {
+    async fn start_daemons(&mut self, seed_peers: &[SeedPeer]) -> Result<(), CallError> {
+        for (seed, peer) in (self.layout.seed..).zip(seed_peers) {
             let settings = DaemonConfig {
-                host: place.host.clone(),
-                zone: place.zone.clone(),
-                platform: self.platform_for(&place.zone),
-                peers: place.address,
-                seeds: places.to_vec(),
+                host: peer.host.clone(),
+                zone: peer.zone.clone(),
+                platform: self.platform_for(&peer.zone),
+                peers: peer.address,
+                seeds: seed_peers.to_vec(),
             };
             let extra = format!(
                 "\n[routing]\npolicy = \"{}\"\n\n[log]\nlevel = \"off\"\n{}",
@@ -80,8 +80,8 @@
     }
 
     fn platform_for(&self, zone: &str) -> SocketAddr {
-        let gate = self.zone_proxies.iter().find(|gate| gate.zone == zone);
-        gate.map_or(self.platform.local_addr(), ZoneProxy::local_addr)
+        let proxy = self.zone_proxies.iter().find(|proxy| proxy.zone == zone);
+        proxy.map_or(self.platform.local_addr(), ZoneProxy::local_addr)
     }
 
     /// Every declared resource of the fleet.
@@ -123,9 +123,9 @@
 }
 
 /// Fleets that this process has started, for an address of its own to each.
-static FLEETS: AtomicU32 = AtomicU32::new(0);
+static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
 /// Last parts of loopback addresses to choose from, from 2 on.
-const LAST_PARTS: u32 = 250;
+const LAST_OCTETS: u32 = 250;
 
 /// A loopback address that only the peers of one fleet use: two fleets of one
 /// process would otherwise find the same free port.
@@ -134,41 +134,45 @@
 /// outgoing connection before its daemon listens; one sees "address in use" at
 /// the start, now and then. Connections go out from 127.0.0.1 alone, so on any
 /// other loopback address the port stays free.
-fn peer_address() -> SocketAddr {
+fn fleet_peer_address() -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let number = FLEETS.fetch_add(1, Ordering::Relaxed) % LAST_PARTS;
+    let number = NEXT_FLEET.fetch_add(1, Ordering::Relaxed) % LAST_OCTETS;
     // The last part keeps away from 127.0.0.1 itself.
     let [.., last] = (number + 2).to_be_bytes();
     SocketAddr::from(([127, high, low, last], 0))
 }
 
 /// Names the entry hosts and finds a free port for each one's peers.
-fn peer_places(layout: &FleetLayout) -> Result<Vec<SeedPeer>, CallError> {
+fn allocate_peers(layout: &FleetLayout) -> Result<Vec<SeedPeer>, CallError> {
     let hosts = layout.zones.iter().flat_map(|zone| {
         (1..=zone.entry_hosts).map(|number| (format!("{}-{number}", zone.name), zone.name.clone()))
     });
     // All are held until the last is found, so that none is found twice.
-    let own = peer_address();
-    let mut held = Vec::new();
-    let mut places = Vec::new();
+    let base_address = fleet_peer_address();
+    let mut listeners = Vec::new();
+    let mut seed_peers = Vec::new();
     for (host, zone) in hosts {
-        let listener = TcpListener::bind(own)?;
+        let listener = TcpListener::bind(base_address)?;
         let address = listener.local_addr()?;
-        held.push(listener);
-        places.push(SeedPeer {
+        listeners.push(listener);
+        seed_peers.push(SeedPeer {
             host,
             zone,
             address,
         });
     }
-    Ok(places)
+    Ok(seed_peers)
 }
 
-fn host_list(places: &[SeedPeer], engines: &[FleetEngine], services: &[FleetService]) -> HostList {
-    let host = |place: &SeedPeer| ListedHost {
-        host: place.host.as_str().into(),
-        zone: place.zone.as_str().into(),
-        peer_address: place.address.to_string(),
+fn host_list(
+    seed_peers: &[SeedPeer],
+    engines: &[FleetEngine],
+    services: &[FleetService],
+) -> HostList {
+    let host = |peer: &SeedPeer| ListedHost {
+        host: peer.host.as_str().into(),
+        zone: peer.zone.as_str().into(),
+        peer_address: peer.address.to_string(),
         phase: ListedPhase::Live,
     };
     let names = engines
@@ -176,7 +180,7 @@
         .map(|engine| &engine.target.name)
         .chain(services.iter().map(|service| &service.name));
     HostList {
-        hosts: places.iter().map(host).collect(),
+        hosts: seed_peers.iter().map(host).collect(),
         targets: names
             .map(|name| ListedTarget {
                 target: name.as_str().into(),
--- a/standins/src/fleet/zone_proxy.rs
+++ b/standins/src/fleet/zone_proxy.rs
@@ -24,7 +24,7 @@
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let local_addr = listener.local_addr()?;
         let cut = watch::Sender::new(false);
-        let task = tokio::spawn(pass_all(listener, platform, cut.subscribe()));
+        let task = tokio::spawn(accept_all(listener, platform, cut.subscribe()));
         Ok(Self {
             zone: zone.to_owned(),
             local_addr,
@@ -50,28 +50,32 @@
     }
 }
 
-async fn pass_all(listener: TcpListener, platform: SocketAddr, cut: watch::Receiver<bool>) {
+async fn accept_all(listener: TcpListener, platform: SocketAddr, cut: watch::Receiver<bool>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                tokio::spawn(pass(stream, platform, cut.clone()));
+                tokio::spawn(forward_connection(stream, platform, cut.clone()));
             }
             Err(error) => log::warn!("accept failed: {error}"),
         }
     }
 }
 
-async fn pass(mut near: TcpStream, platform: SocketAddr, mut cut: watch::Receiver<bool>) {
+async fn forward_connection(
+    mut downstream: TcpStream,
+    platform: SocketAddr,
+    mut cut: watch::Receiver<bool>,
+) {
     if *cut.borrow() {
         return;
     }
-    let Ok(mut far) = TcpStream::connect(platform).await else {
+    let Ok(mut upstream) = TcpStream::connect(platform).await else {
         return;
     };
     // Small bodies would wait for the other side's delayed acknowledgement.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
+    let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
     tokio::select! {
-        _ = tokio::io::copy_bidirectional(&mut near, &mut far) => {}
+        _ = tokio::io::copy_bidirectional(&mut downstream, &mut upstream) => {}
         // Ends as well when the gate is dropped.
         _ = cut.wait_for(|cut| *cut) => {}
     }
--- a/standins/src/http_server.rs
+++ b/standins/src/http_server.rs
@@ -138,12 +138,12 @@
     {
         let listener = TcpListener::bind(addr).await?;
         let local_addr = listener.local_addr()?;
-        let lasting_handler = {
+        let detached_handler = {
             let faults = faults.clone();
-            move |call| run_to_end(handler(call), faults.clone(), is_dead)
+            move |call| run_detached(handler(call), faults.clone(), is_dead)
         };
-        let lives = serve_lives(listener, local_addr, faults, is_dead, lasting_handler);
-        let task = tokio::spawn(lives);
+        let serving = serve_restarts(listener, local_addr, faults, is_dead, detached_handler);
+        let task = tokio::spawn(serving);
         Ok(Self { local_addr, task })
     }
 
@@ -164,7 +164,7 @@
     }
 }
 
-async fn serve_lives<F, H, R>(
+async fn serve_restarts<F, H, R>(
     listener: TcpListener,
     addr: SocketAddr,
     faults: FaultSwitch<F>,
@@ -197,7 +197,7 @@
 
 /// Handles a call to its end even if its caller hangs up, for a real target
 /// would not notice; only death ends it early.
-async fn run_to_end<F, R>(
+async fn run_detached<F, R>(
     handling: R,
     faults: FaultSwitch<F>,
     is_dead: fn(&F) -> bool,
--- a/standins/src/load/driver.rs
+++ b/standins/src/load/driver.rs
@@ -19,7 +19,7 @@
 /// Times that a caller sends one request, over lost connections.
 const MAX_SENDS: usize = 4;
 /// Time after the deadline at which a caller gives up.
-const CALLER_PATIENCE: Duration = Duration::from_secs(10);
+const CALLER_GRACE: Duration = Duration::from_secs(10);
 
 /// What every caller needs.
 #[derive(Debug)]
@@ -51,7 +51,10 @@
     pub(super) fn new(fleet: &Fleet, mix: TrafficMix) -> Arc<Self> {
         let layout = &fleet.layout;
         let service = &layout.service;
-        let names = layout.organisations.iter().map(|one| one.name.clone());
+        let names = layout
+            .organisations
+            .iter()
+            .map(|organisation| organisation.name.clone());
         let organisations: Vec<String> = names.collect();
         Arc::new(Self {
             hosts: fleet.daemons.iter().map(|daemon| daemon.callers).collect(),
@@ -136,12 +139,12 @@
             },
         };
         let caller = &self.callers[planned.organisation];
-        let patience = self.mix.deadline + CALLER_PATIENCE;
+        let max_wait = self.mix.deadline + CALLER_GRACE;
         for sends in 0..MAX_SENDS {
             let host = self.host(planned.host, sends);
             let body = self.body(&outcome.history, intended);
             let answer = caller.generate(host, &planned.request, &body);
-            let Ok(answer) = timeout(patience, answer).await else {
+            let Ok(answer) = timeout(max_wait, answer).await else {
                 break;
             };
             let is_lost = answer.broken;
@@ -172,7 +175,7 @@
         doubled: bool,
         intended: Instant,
     ) -> CallOutcome {
-        let send = |host| self.call_until_answered(planned, key.as_deref(), host);
+        let send = |host| self.call_with_failover(planned, key.as_deref(), host);
         let sent = match doubled {
             true => {
                 let (first, second) = tokio::join!(send(planned.host), send(planned.host + 1));
@@ -194,7 +197,7 @@
     }
 
     /// Calls the service, at the next host after a lost connection.
-    async fn call_until_answered(
+    async fn call_with_failover(
         &self,
         planned: &PlannedRequest,
         key: Option<&str>,
@@ -205,7 +208,7 @@
             None => &self.plain_path,
         };
         let caller = &self.callers[planned.organisation];
-        let patience = self.mix.deadline + CALLER_PATIENCE;
+        let max_wait = self.mix.deadline + CALLER_GRACE;
         for lost_sends in 0..MAX_SENDS {
             let call = OutgoingCall {
                 path,
@@ -214,7 +217,7 @@
             };
             let host = self.host(first_host, lost_sends);
             let reply = caller.call_service(host, &planned.request, call);
-            let reply = match timeout(patience, reply).await {
+            let reply = match timeout(max_wait, reply).await {
                 Ok(Ok(reply)) => Some(reply),
                 Ok(Err(_)) => continue,
                 Err(_) => None,
@@ -231,7 +234,7 @@
 /// What a caller shows another host to go on from there.
 fn resume_token(history: &GenerationHistory) -> Option<ResumeToken> {
     let mut events = history.answers.iter().flat_map(|answer| &answer.events);
-    let version = events.find_map(|heard| match &heard.event {
+    let version = events.find_map(|received| match &received.event {
         StreamEvent::Started { version, .. } => Some(version.clone()),
         _ => None,
     })?;
--- a/standins/src/load/fault.rs
+++ b/standins/src/load/fault.rs
@@ -23,7 +23,7 @@
 
 /// What failed, and when.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct FaultMark {
+pub(super) struct InjectedFault {
     /// When.
     pub(super) at: Instant,
     /// When, in microseconds since the Unix epoch.
@@ -35,16 +35,16 @@
 }
 
 /// Waits for the window, lets the fault strike and ends it.
-pub(super) async fn strike(
+pub(super) async fn inject_fault(
     fleet: &mut Fleet,
     fault: LoadFault,
     window: FaultWindow,
-) -> Option<FaultMark> {
+) -> Option<InjectedFault> {
     if fault == LoadFault::None {
         return None;
     }
     sleep_until(window.begin.into()).await;
-    let mut mark = FaultMark {
+    let mut injected = InjectedFault {
         at: Instant::now(),
         at_micros: now_micros(),
         target: None,
@@ -52,30 +52,30 @@
     };
     match fault {
         LoadFault::StageKill => {
-            let engine = fastest(fleet)?;
+            let engine = fastest_engine(fleet)?;
             engine.server.die();
-            mark.target = Some(engine.target.name.clone());
+            injected.target = Some(engine.target.name.clone());
         }
         LoadFault::HostKill => {
             fleet.daemons.get_mut(FAILING_HOST)?.kill().await;
-            mark.host = Some(FAILING_HOST);
+            injected.host = Some(FAILING_HOST);
         }
-        passing => {
-            set_passing(fleet, passing, true);
+        transient => {
+            set_transient_fault(fleet, transient, true);
             sleep_until(window.end.into()).await;
-            set_passing(fleet, passing, false);
+            set_transient_fault(fleet, transient, false);
         }
     }
-    Some(mark)
+    Some(injected)
 }
 
 /// Begins or ends a fault that passes.
-fn set_passing(fleet: &Fleet, fault: LoadFault, is_on: bool) {
+fn set_transient_fault(fleet: &Fleet, fault: LoadFault, is_on: bool) {
     match fault {
         LoadFault::SlowLink => {
             let usual = fleet.layout.link_delay_ms;
             let delay = if is_on { SLOW_LINK_MS } else { usual };
-            if let Some(engine) = fastest(fleet) {
+            if let Some(engine) = fastest_engine(fleet) {
                 let faults = engine.server.faults();
                 faults.update(|faults| faults.link_delay_ms = delay);
             }
@@ -85,8 +85,8 @@
             faults.update(|faults| faults.outage = is_on);
         }
         LoadFault::ZoneCut => {
-            if let Some(gate) = fleet.zone_proxies.first() {
-                gate.set_cut(is_on);
+            if let Some(proxy) = fleet.zone_proxies.first() {
+                proxy.set_cut(is_on);
             }
         }
         LoadFault::None | LoadFault::StageKill | LoadFault::HostKill => {}
@@ -94,13 +94,13 @@
 }
 
 /// The fastest engine of the failing stage: the one whose loss hurts most.
-fn fastest(fleet: &Fleet) -> Option<&FleetEngine> {
+fn fastest_engine(fleet: &Fleet) -> Option<&FleetEngine> {
     let stage = fleet.engines.iter();
     stage
         .filter(|engine| engine.stage == FAILING_STAGE)
-        .max_by(|one, other| {
-            let (one, other) = (&one.target, &other.target);
-            one.tokens_per_second.total_cmp(&other.tokens_per_second)
+        .max_by(|left, right| {
+            let (left, right) = (&left.target, &right.target);
+            left.tokens_per_second.total_cmp(&right.tokens_per_second)
         })
 }
 
--- a/standins/src/load/measure.rs
+++ b/standins/src/load/measure.rs
@@ -9,7 +9,7 @@
 
 /// The part of a run that counts, and what it is measured against.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct SteadyPart {
+pub(super) struct SteadyWindow {
     pub(super) begin: Instant,
     pub(super) end: Instant,
     pub(super) mix: TrafficMix,
@@ -26,7 +26,7 @@
     Unanswered,
 }
 
-impl SteadyPart {
+impl SteadyWindow {
     fn seconds(&self) -> f64 {
         (self.end - self.begin).as_secs_f64()
     }
@@ -52,30 +52,32 @@
         &self,
         generations: &'a [GenerationOutcome],
     ) -> Vec<&'a GenerationOutcome> {
-        let arrived = generations.iter().filter(|one| self.holds(one.intended));
+        let arrived = generations
+            .iter()
+            .filter(|outcome| self.holds(outcome.intended));
         arrived.collect()
     }
 
     /// Tokens a second heard, as a share of the bound.
     pub(super) fn throughput(&self, tokens: &[Instant]) -> f64 {
-        let heard = tokens.iter().filter(|at| self.holds(**at)).count();
-        heard as f64 / self.seconds() / self.bound.tokens_per_second
+        let received = tokens.iter().filter(|at| self.holds(**at)).count();
+        received as f64 / self.seconds() / self.bound.tokens_per_second
     }
 
     /// Answers in time a second, as a share of the bound. Like the tokens of
     /// the throughput, answers count when they are heard: were those counted
     /// that arrived, a queue that shrinks would seem to be lost capacity.
     pub(super) fn goodput(&self, generations: &[GenerationOutcome]) -> f64 {
-        let in_time = generations.iter().filter(|one| {
-            let ended_here = one.ended().is_some_and(|ended| self.holds(ended));
-            ended_here && self.end_of(one) == GenerationEnd::InTime
+        let in_time = generations.iter().filter(|outcome| {
+            let ended_here = outcome.ended().is_some_and(|ended| self.holds(ended));
+            ended_here && self.end_of(outcome) == GenerationEnd::InTime
         });
         in_time.count() as f64 / self.seconds() / self.bound.requests_per_second
     }
 
     pub(super) fn counts(&self, arrived: &[&GenerationOutcome]) -> RequestCounts {
         let count = |end: GenerationEnd| {
-            let ended = arrived.iter().filter(|one| self.end_of(one) == end);
+            let ended = arrived.iter().filter(|outcome| self.end_of(outcome) == end);
             ended.count() as u64
         };
         RequestCounts {
@@ -92,8 +94,8 @@
     pub(super) fn refusal_times(&self, arrived: &[&GenerationOutcome]) -> Quantiles {
         let refused = arrived
             .iter()
-            .filter(|one| self.end_of(one) == GenerationEnd::Refused);
-        Quantiles::of(refused.filter_map(|one| Some(one.ended()? - one.intended)))
+            .filter(|outcome| self.end_of(outcome) == GenerationEnd::Refused);
+        Quantiles::of(refused.filter_map(|outcome| Some(outcome.ended()? - outcome.intended)))
     }
 
     pub(super) fn organisations(
@@ -103,7 +105,9 @@
     ) -> Vec<OrganisationFigures> {
         let organisations = layout.organisations.iter().enumerate();
         let figures = organisations.map(|(index, organisation)| {
-            let own = arrived.iter().filter(|one| one.organisation == index);
+            let own = arrived
+                .iter()
+                .filter(|outcome| outcome.organisation == index);
             let own: Vec<&GenerationOutcome> = own.copied().collect();
             let counts = self.counts(&own);
             OrganisationFigures {
@@ -133,14 +137,15 @@
 
 /// From the intended start to the first token.
 pub(super) fn first_tokens(generations: &[&GenerationOutcome]) -> Quantiles {
-    let first = |one: &&GenerationOutcome| Some(*one.token_times().first()? - one.intended);
+    let first =
+        |outcome: &&GenerationOutcome| Some(*outcome.token_times().first()? - outcome.intended);
     Quantiles::of(generations.iter().filter_map(first))
 }
 
 /// Between two tokens of one answer.
 pub(super) fn token_gaps(generations: &[&GenerationOutcome]) -> Quantiles {
-    let gaps = generations.iter().flat_map(|one| {
-        let times = one.token_times();
+    let gaps = generations.iter().flat_map(|outcome| {
+        let times = outcome.token_times();
         let pairs = times.windows(2).map(|pair| pair[1] - pair[0]);
         pairs.collect::<Vec<Duration>>()
     });
@@ -149,14 +154,18 @@
 
 /// From the intended start to the whole answer.
 pub(super) fn whole_answers(generations: &[&GenerationOutcome]) -> Quantiles {
-    let whole = generations.iter().filter(|one| one.is_whole());
-    Quantiles::of(whole.filter_map(|one| Some(one.ended()? - one.intended)))
+    let whole = generations.iter().filter(|outcome| outcome.is_whole());
+    Quantiles::of(whole.filter_map(|outcome| Some(outcome.ended()? - outcome.intended)))
 }
 
 /// Jain's index of the parts answered in time: 1 if all fare alike, 1/n if
 /// one gets everything.
 pub(super) fn fairness(organisations: &[OrganisationFigures]) -> f64 {
-    let parts = || organisations.iter().map(|one| one.in_time_part);
+    let parts = || {
+        organisations
+            .iter()
+            .map(|organisation| organisation.in_time_part)
+    };
     let sum: f64 = parts().sum();
     let squares: f64 = parts().map(|part| part * part).sum();
     match squares > 0.0 {
--- a/standins/src/load/outcome.rs
+++ b/standins/src/load/outcome.rs
@@ -35,8 +35,8 @@
         let answers = self.history.answers.iter();
         let events = answers.flat_map(|answer| &answer.events);
         events
-            .filter(|heard| matches!(heard.event, StreamEvent::Token { .. }))
-            .map(|heard| heard.at)
+            .filter(|received| matches!(received.event, StreamEvent::Token { .. }))
+            .map(|received| received.at)
             .collect()
     }
 }
--- a/standins/src/load/recovery.rs
+++ b/standins/src/load/recovery.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::fault::FaultMark;
+use super::fault::InjectedFault;
 use super::figures::{Quantiles, RecoveryFigures};
 use super::outcome::GenerationOutcome;
 use crate::check::RunHistory;
@@ -13,12 +13,12 @@
 /// Step between two such intervals.
 const INTERVAL_STEP: Duration = Duration::from_millis(100);
 /// Part of the earlier rate at which the fleet counts as recovered.
-const NORMAL_PART: f64 = 0.9;
+const RECOVERED_FRACTION: f64 = 0.9;
 
 /// What recovery is judged by.
 pub(super) struct RecoveryInput<'a> {
     pub(super) layout: &'a FleetLayout,
-    pub(super) mark: &'a FaultMark,
+    pub(super) injected: &'a InjectedFault,
     pub(super) recorded: &'a RunHistory,
     pub(super) generations: &'a [GenerationOutcome],
     /// Median time between tokens.
@@ -43,9 +43,9 @@
 
 /// Recovery of the requests that were on the target or host that died.
 pub(super) fn recovery(input: &RecoveryInput<'_>) -> Option<RecoveryFigures> {
-    let repaired: Vec<RepairedRequest> = match (&input.mark.target, input.mark.host) {
-        (Some(target), _) => on_target(input, target),
-        (None, Some(host)) => on_host(input, host),
+    let repaired: Vec<RepairedRequest> = match (&input.injected.target, input.injected.host) {
+        (Some(target), _) => repaired_on_target(input, target),
+        (None, Some(host)) => repaired_on_host(input, host),
         (None, None) => return None,
     };
     let times = || repaired.iter().filter_map(|request| request.time);
@@ -60,19 +60,19 @@
         whole: repaired.iter().filter(|request| request.is_whole).count() as u64,
         next_token: Quantiles::of(times()),
         best_possible_ms: best.p50_ms,
-        ratio_p50: at_part(&ratios, 0.5),
-        ratio_p95: at_part(&ratios, 0.95),
+        ratio_p50: quantile(&ratios, 0.5),
+        ratio_p95: quantile(&ratios, 0.95),
     })
 }
 
-fn at_part(sorted: &[f64], part: f64) -> f64 {
+fn quantile(sorted: &[f64], part: f64) -> f64 {
     let index = (sorted.len().saturating_sub(1) as f64 * part).round() as usize;
     sorted.get(index).copied().unwrap_or_default()
 }
 
 /// Requests whose last position before the death ran on the target. Their
 /// next position is the first that cannot come without a repair.
-fn on_target(input: &RecoveryInput<'_>, target: &str) -> Vec<RepairedRequest> {
+fn repaired_on_target(input: &RecoveryInput<'_>, target: &str) -> Vec<RepairedRequest> {
     let mut engines = input.recorded.steps.iter();
     let Some(engine) = engines.find(|engine| *engine.target == *target) else {
         return Vec::new();
@@ -80,7 +80,7 @@
     let in_flight = input
         .generations
         .iter()
-        .filter(|outcome| was_in_flight(outcome, input.mark.at));
+        .filter(|outcome| was_in_flight(outcome, input.injected.at));
     let repaired = in_flight.filter_map(|outcome| {
         let run = format!("{}~", outcome.history.request);
         let own = engine
@@ -93,9 +93,9 @@
         if number >= outcome.history.max_tokens {
             return None;
         }
-        let heard = outcome.token_times().get(number as usize).copied();
+        let received = outcome.token_times().get(number as usize).copied();
         Some(RepairedRequest {
-            time: heard.map(|heard| heard.saturating_duration_since(input.mark.at)),
+            time: received.map(|received| received.saturating_duration_since(input.injected.at)),
             best_possible: input.usual_wait() + replay_time(input.layout, last + 1),
             is_whole: outcome.is_whole(),
         })
@@ -104,16 +104,16 @@
 }
 
 /// Requests that were streamed by the host.
-fn on_host(input: &RecoveryInput<'_>, host: usize) -> Vec<RepairedRequest> {
+fn repaired_on_host(input: &RecoveryInput<'_>, host: usize) -> Vec<RepairedRequest> {
     let in_flight = input
         .generations
         .iter()
-        .filter(|outcome| outcome.host == host && was_in_flight(outcome, input.mark.at));
+        .filter(|outcome| outcome.host == host && was_in_flight(outcome, input.injected.at));
     let repaired = in_flight.map(|outcome| {
         let times = outcome.token_times();
-        let mut after = times.into_iter().filter(|at| *at > input.mark.at);
+        let mut after = times.into_iter().filter(|at| *at > input.injected.at);
         RepairedRequest {
-            time: after.next().map(|at| at - input.mark.at),
+            time: after.next().map(|at| at - input.injected.at),
             best_possible: input.usual_wait(),
             is_whole: outcome.is_whole(),
         }
@@ -150,15 +150,15 @@
         inside.count() as f64
     };
     let before = count(steady_begin, fault) / (fault - steady_begin).as_secs_f64();
-    let normal = before * INTERVAL.as_secs_f64() * NORMAL_PART;
+    let normal = before * INTERVAL.as_secs_f64() * RECOVERED_FRACTION;
     let mut from = fault;
     // The last dip counts: only from here on does no interval fall below.
-    let mut back = fault;
+    let mut recovered_at = fault;
     while from + INTERVAL <= end {
         if count(from, from + INTERVAL) < normal {
-            back = from + INTERVAL_STEP;
+            recovered_at = from + INTERVAL_STEP;
         }
         from += INTERVAL_STEP;
     }
-    (back + INTERVAL <= end).then(|| back - fault)
+    (recovered_at + INTERVAL <= end).then(|| recovered_at - fault)
 }
--- a/standins/src/load/report.rs
+++ b/standins/src/load/report.rs
@@ -190,8 +190,8 @@
     ]
 }
 
-fn percent(part: f64) -> String {
-    format!("{:.1}%", part * 100.0)
+fn percent(fraction: f64) -> String {
+    format!("{:.1}%", fraction * 100.0)
 }
 
 fn triple(quantiles: &Quantiles) -> String {
--- a/standins/src/load/run.rs
+++ b/standins/src/load/run.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use super::driver::LoadDriver;
-use super::fault::{FaultMark, FaultWindow, strike};
+use super::fault::{FaultWindow, InjectedFault, inject_fault};
 use super::figures::{LoadFigures, UsageFigures};
-use super::measure::{self, SteadyPart};
+use super::measure::{self, SteadyWindow};
 use super::outcome::LoadOutcomes;
 use super::recovery::{self, RecoveryInput};
 use super::usage::{UsageSample, resident_megabytes};
@@ -16,11 +16,11 @@
 use crate::json_client::CallError;
 
 /// Part of the run that is left out at its beginning.
-const WARM_UP_PART: f64 = 0.2;
+const WARM_UP_FRACTION: f64 = 0.2;
 /// When the fault begins, as a part of the run.
-const FAULT_BEGIN_PART: f64 = 0.5;
+const FAULT_BEGIN_FRACTION: f64 = 0.5;
 /// When a fault that passes ends, as a part of the run.
-const FAULT_END_PART: f64 = 0.75;
+const FAULT_END_FRACTION: f64 = 0.75;
 /// Time from the start of the fleet to the first arrival, for the daemons to
 /// have heard of each other and of the targets' load.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
@@ -30,8 +30,8 @@
 /// What a run leaves to be measured.
 struct LoadRun {
     outcomes: LoadOutcomes,
-    mark: Option<FaultMark>,
-    steady: SteadyPart,
+    injected: Option<InjectedFault>,
+    steady: SteadyWindow,
     before: UsageSample,
     after: UsageSample,
 }
@@ -70,26 +70,26 @@
     let mix = options.shape.mix();
     let planned = plan_arrivals(options, &fleet.layout, &mix);
     let start = Instant::now();
-    let steady = SteadyPart {
-        begin: start + options.length.mul_f64(WARM_UP_PART),
+    let steady = SteadyWindow {
+        begin: start + options.length.mul_f64(WARM_UP_FRACTION),
         end: start + options.length,
         mix,
         bound: HardwareBound::new(&fleet.layout, &mix),
     };
     let window = FaultWindow {
-        begin: start + options.length.mul_f64(FAULT_BEGIN_PART),
-        end: start + options.length.mul_f64(FAULT_END_PART),
+        begin: start + options.length.mul_f64(FAULT_BEGIN_FRACTION),
+        end: start + options.length.mul_f64(FAULT_END_FRACTION),
     };
     let driver = LoadDriver::new(fleet, mix);
     let load = tokio::spawn(driver.drive(planned, start));
     tokio::time::sleep_until(steady.begin.into()).await;
     let before = UsageSample::take(fleet).await;
-    let mark = strike(fleet, options.fault, window).await;
+    let injected = inject_fault(fleet, options.fault, window).await;
     tokio::time::sleep_until(steady.end.into()).await;
     let after = UsageSample::take(fleet).await;
     LoadRun {
         outcomes: load.await.unwrap_or_default(),
-        mark,
+        injected,
         steady,
         before,
         after,
@@ -123,19 +123,18 @@
         let histories = run.outcomes.calls.iter().map(|call| &call.history);
         histories.filter(|call| call.key.is_some())
     };
-    let recovery = run.mark.as_ref().and_then(|mark| {
+    let recovery = run.injected.as_ref().and_then(|injected| {
         recovery::recovery(&RecoveryInput {
             layout: &fleet.layout,
-            mark,
+            injected,
             recorded,
             generations,
             usual_gap: Duration::from_secs_f64(between_tokens.p50_ms / 1000.0),
         })
     });
-    let throughput_back = run
-        .mark
-        .as_ref()
-        .and_then(|mark| recovery::throughput_back(&tokens, steady.begin, mark.at, steady.end));
+    let throughput_back = run.injected.as_ref().and_then(|injected| {
+        recovery::throughput_back(&tokens, steady.begin, injected.at, steady.end)
+    });
     LoadFigures {
         shape: options.shape.name().to_owned(),
         policy: options.policy.clone(),
@@ -174,15 +173,15 @@
 
 fn usage(fleet: &Fleet, run: &LoadRun) -> UsageFigures {
     let daemons = fleet.daemons.len() as f64;
-    let between = run.after.since(&run.before, fleet);
+    let delta = run.after.since(&run.before, fleet);
     let control = |way: &str| {
         let name = format!("jackdawwick_control_{way}_bytes_total");
-        run.after.growth(&run.before, &name) / between.seconds / daemons
+        run.after.growth(&run.before, &name) / delta.seconds / daemons
     };
     UsageFigures {
-        cores_per_daemon: between.daemon_cores / daemons,
-        peer_cores_per_daemon: between.peer_cores / daemons,
-        process_cores: between.process_cores,
+        cores_per_daemon: delta.daemon_cores / daemons,
+        peer_cores_per_daemon: delta.peer_cores / daemons,
+        process_cores: delta.process_cores,
         process_megabytes: resident_megabytes(),
         control_sent_per_daemon: control("sent"),
         control_received_per_daemon: control("received"),
--- a/standins/src/load/schedule.rs
+++ b/standins/src/load/schedule.rs
@@ -101,8 +101,8 @@
 }
 
 fn pick_kind(mix: &TrafficMix, rng: &mut StdRng) -> PlannedKind {
-    let call_part = mix.calls_per_generation / (1.0 + mix.calls_per_generation);
-    if !rng.random_bool(call_part) {
+    let call_fraction = mix.calls_per_generation / (1.0 + mix.calls_per_generation);
+    if !rng.random_bool(call_fraction) {
         let prompt = (0..mix.prompt_tokens).map(|_| rng.random_range(0..PROMPT_VALUES));
         return PlannedKind::Generate {
             prompt: prompt.collect(),
--- a/standins/src/load/usage.rs
+++ b/standins/src/load/usage.rs
@@ -28,7 +28,7 @@
 
 /// What was used between two samples.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct UsageBetween {
+pub(super) struct UsageDelta {
     /// Cores kept busy by the threads of all daemons but those for peers.
     pub(super) daemon_cores: f64,
     /// Cores kept busy by all threads for peers.
@@ -57,7 +57,7 @@
     }
 
     /// Processor time used since `earlier`.
-    pub(super) fn since(&self, earlier: &Self, fleet: &Fleet) -> UsageBetween {
+    pub(super) fn since(&self, earlier: &Self, fleet: &Fleet) -> UsageDelta {
         let seconds = (self.at - earlier.at).as_secs_f64();
         let used = |name: &str| {
             let before = earlier.threads.get(name).copied().unwrap_or_default();
@@ -68,7 +68,7 @@
             let kept = daemon.host.len().min(THREAD_NAME_LENGTH);
             used(&daemon.host[..kept])
         });
-        UsageBetween {
+        UsageDelta {
             daemon_cores: hosts.sum(),
             peer_cores: used(PEER_THREAD),
             process_cores: self.threads.keys().map(|name| used(name)).sum(),
--- a/standins/src/losses/line.rs
+++ b/standins/src/losses/line.rs
@@ -51,7 +51,7 @@
     let text = |key: &str| members.get(key).and_then(Value::as_str);
     let reason = || text("reason").unwrap_or("none").to_owned();
     let outcome = match text("message")? {
-        "answered" => answered(text("status")?, text("late").unwrap_or("no")),
+        "answered" => answered_outcome(text("status")?, text("late").unwrap_or("no")),
         "refused" => RequestOutcome::Refused(reason()),
         "stream cut" => RequestOutcome::Cut(reason()),
         _ => return None,
@@ -63,7 +63,7 @@
     })
 }
 
-fn answered(status: &str, late: &str) -> RequestOutcome {
+fn answered_outcome(status: &str, late: &str) -> RequestOutcome {
     match late {
         _ if !status.starts_with('2') => RequestOutcome::Failed(status.to_owned()),
         "no" => RequestOutcome::Served,
--- a/standins/src/pipeline.rs
+++ b/standins/src/pipeline.rs
@@ -11,9 +11,9 @@
 mod passes;
 mod request;
 mod settings;
-mod world;
+mod simulation;
 
 pub use engine::EngineIndex;
 pub use request::{PathPart, RequestSettings};
 pub use settings::SimulationSettings;
-pub use world::{EngineStatus, PipelineSimulation, SimulationEvent, SubmitError};
+pub use simulation::{EngineStatus, PipelineSimulation, SimulationEvent, SubmitError};
--- a/standins/src/pipeline/engine.rs
+++ b/standins/src/pipeline/engine.rs
@@ -29,11 +29,11 @@
     /// Factor on all times, for an engine that is slow.
     pub(super) slow_factor: f64,
     /// Grows at each death: passes under way before are void.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
 }
 
 impl SimEngine {
-    pub(super) fn room(&self, model: &EngineModel) -> f64 {
+    pub(super) fn capacity(&self, model: &EngineModel) -> f64 {
         let held = self.layers.map_or(0, LayerRange::width);
         model.cache_capacity(self.kind, held)
     }
--- a/standins/src/pipeline/intake.rs
+++ b/standins/src/pipeline/intake.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::request::{PathPart, RequestPhase, RequestSettings, SimRequest};
-use super::world::{PipelineSimulation, SubmitError};
+use super::simulation::{PipelineSimulation, SubmitError};
 
 impl PipelineSimulation {
     /// Takes a request in.
@@ -16,7 +16,7 @@
         for part in &request.path {
             let need = request.prompt * f64::from(part.layers.width());
             let state = &self.engines[part.engine];
-            if state.used + need > state.room(&self.settings.model) {
+            if state.used + need > state.capacity(&self.settings.model) {
                 return Err(SubmitError::NoCapacity(part.engine));
             }
         }
@@ -29,8 +29,8 @@
                 path: request.path,
                 prompt: request.prompt,
                 answer: request.answer,
-                made: 0.0,
-                phase: RequestPhase::Reading {
+                generated: 0.0,
+                phase: RequestPhase::Prefill {
                     left: request.prompt,
                 },
                 hop: 0,
@@ -92,7 +92,7 @@
         for part in &fresh {
             let state = &self.engines[part.engine];
             let need = context * f64::from(part.layers.width());
-            if state.used + need > state.room(&self.settings.model) {
+            if state.used + need > state.capacity(&self.settings.model) {
                 return Err(SubmitError::NoCapacity(part.engine));
             }
         }
@@ -118,12 +118,12 @@
         request.stalled = None;
         request.hop = 0;
         request.phase = match request.is_begun() {
-            true => RequestPhase::Writing,
-            false => RequestPhase::Reading {
+            true => RequestPhase::Decode,
+            false => RequestPhase::Prefill {
                 left: request.prompt,
             },
         };
-        self.forget(id);
+        self.remove_from_engines(id);
         self.arrive(id, now);
         Ok(())
     }
@@ -131,7 +131,7 @@
     /// The caller has left.
     pub fn cancel(&mut self, id: &str, now: Duration) {
         self.release_where(id, |_| true);
-        self.forget(id);
+        self.remove_from_engines(id);
         if self.requests.remove(id).is_some() {
             self.unpark_all(now);
         }
--- a/standins/src/pipeline/memory.rs
+++ b/standins/src/pipeline/memory.rs
@@ -4,7 +4,7 @@
 
 use super::engine::EngineIndex;
 use super::request::{PathPart, RequestPhase};
-use super::world::PipelineSimulation;
+use super::simulation::PipelineSimulation;
 
 impl PipelineSimulation {
     /// A request reaches the engine of its part.
@@ -20,14 +20,14 @@
         }
         let mut need = request.context();
         if request.unread[hop] {
-            request.phase = RequestPhase::Reading { left: need };
-        } else if matches!(request.phase, RequestPhase::Writing) {
+            request.phase = RequestPhase::Prefill { left: need };
+        } else if matches!(request.phase, RequestPhase::Decode) {
             need += f64::from(self.settings.model.stride);
         }
         let need = need * f64::from(part.layers.width());
         let more = need - request.held[hop];
         if self.engines[part.engine].used + more
-            > self.engines[part.engine].room(&self.settings.model)
+            > self.engines[part.engine].capacity(&self.settings.model)
         {
             self.park(id, part.engine);
             return;
@@ -54,13 +54,13 @@
         if let Some(newest) = newest {
             self.engines[engine].ready.retain(|other| *other != newest);
             self.engines[engine].parked.push(newest.clone());
-            self.yield_memory(&newest, engine);
+            self.release_memory(&newest, engine);
         } else {
-            self.yield_memory(id, engine);
+            self.release_memory(id, engine);
         }
     }
 
-    pub(super) fn yield_memory(&mut self, id: &str, engine: EngineIndex) {
+    pub(super) fn release_memory(&mut self, id: &str, engine: EngineIndex) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -86,7 +86,7 @@
             };
             let need = request.context() * f64::from(request.part().layers.width());
             let state = &self.engines[engine];
-            if rest.is_empty() && state.used + need <= state.room(&self.settings.model) {
+            if rest.is_empty() && state.used + need <= state.capacity(&self.settings.model) {
                 self.arrive(&id, now);
             } else {
                 rest.push(id);
@@ -95,8 +95,8 @@
         self.engines[engine].parked.extend(rest);
     }
 
-    /// Gives back the memory of the parts that `gone` names.
-    pub(super) fn release_where<F>(&mut self, id: &str, gone: F)
+    /// Gives back the memory of the parts that `released` names.
+    pub(super) fn release_where<F>(&mut self, id: &str, released: F)
     where
         F: Fn(&PathPart) -> bool,
     {
@@ -105,14 +105,14 @@
         };
         for (part, held) in request.path.iter().zip(&mut request.held) {
             let engine = &mut self.engines[part.engine];
-            if gone(part) {
+            if released(part) {
                 engine.used = (engine.used - std::mem::take(held)).max(0.0);
             }
         }
     }
 
     /// Takes a request out of every engine's lists.
-    pub(super) fn forget(&mut self, id: &str) {
+    pub(super) fn remove_from_engines(&mut self, id: &str) {
         for engine in &mut self.engines {
             engine.ready.retain(|other| other != id);
             engine.parked.retain(|other| other != id);
--- a/standins/src/pipeline/passes.rs
+++ b/standins/src/pipeline/passes.rs
@@ -4,7 +4,7 @@
 
 use super::engine::EngineIndex;
 use super::request::RequestPhase;
-use super::world::{Action, PipelineSimulation, SimulationEvent};
+use super::simulation::{Action, PipelineSimulation, SimulationEvent};
 
 impl PipelineSimulation {
     pub(super) fn start_pass(&mut self, engine: EngineIndex, now: Duration) {
@@ -16,8 +16,14 @@
         let state = &mut self.engines[engine];
         state.ready.clear();
         state.pass = Some(jobs);
-        let life = state.life;
-        self.schedule(now + took, Action::EndPass { engine, life });
+        let incarnation = state.incarnation;
+        self.schedule(
+            now + took,
+            Action::EndPass {
+                engine,
+                incarnation,
+            },
+        );
     }
 
     /// What each request of the next pass reads, and how long the pass takes.
@@ -31,10 +37,10 @@
             .iter()
             .filter_map(|id| Some((id, self.requests.get(id)?)));
         let requests = requests.collect::<Vec<_>>();
-        let writes = requests
+        let has_decode = requests
             .iter()
-            .any(|(_, request)| matches!(request.phase, RequestPhase::Writing));
-        let mut chunk = self.settings.chunk * if writes { stride } else { 1.0 };
+            .any(|(_, request)| matches!(request.phase, RequestPhase::Decode));
+        let mut chunk = self.settings.chunk * if has_decode { stride } else { 1.0 };
         let mut step_share = 0.0_f64;
         let mut step_ms = 0.0;
         let mut read_ms = 0.0;
@@ -42,14 +48,14 @@
         for (id, request) in requests {
             let share = f64::from(request.part().layers.width()) / layers;
             match request.phase {
-                RequestPhase::Writing => {
+                RequestPhase::Decode => {
                     step_share = step_share.max(share);
                     let context_ms =
                         request.context() / 1000.0 * model.per_context_k_ms * state.kind.pace;
                     step_ms += (model.per_request_ms * state.kind.read_factor + context_ms) * share;
                     jobs.push((id.clone(), 0.0));
                 }
-                RequestPhase::Reading { left } => {
+                RequestPhase::Prefill { left } => {
                     let read = left.min(chunk);
                     chunk -= read;
                     let pairs = read * request.context() / 1e6 * self.settings.pairs_per_m_ms;
@@ -67,14 +73,20 @@
     pub(super) fn end_pass(&mut self, engine: EngineIndex, now: Duration) {
         let jobs = self.engines[engine].pass.take().unwrap_or_default();
         for (id, read) in jobs {
-            self.end_turn(&id, read, engine, now);
+            self.end_request_pass(&id, read, engine, now);
         }
         self.unpark(engine, now);
         self.start_pass(engine, now);
     }
 
     /// A request's part in a pass is over.
-    pub(super) fn end_turn(&mut self, id: &str, read: f64, engine: EngineIndex, now: Duration) {
+    pub(super) fn end_request_pass(
+        &mut self,
+        id: &str,
+        read: f64,
+        engine: EngineIndex,
+        now: Duration,
+    ) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -83,49 +95,49 @@
         }
         let hop = request.hop;
         let tokens = match request.phase {
-            RequestPhase::Reading { left } if left - read > 0.5 => {
-                request.phase = RequestPhase::Reading { left: left - read };
+            RequestPhase::Prefill { left } if left - read > 0.5 => {
+                request.phase = RequestPhase::Prefill { left: left - read };
                 self.engines[engine].ready.push(id.to_owned());
                 return;
             }
-            RequestPhase::Reading { .. } => {
+            RequestPhase::Prefill { .. } => {
                 request.unread[hop] = false;
                 request.context()
             }
-            RequestPhase::Writing => f64::from(self.settings.model.stride),
+            RequestPhase::Decode => f64::from(self.settings.model.stride),
         };
         if hop + 1 < request.path.len() {
             request.hop += 1;
             request.phase = match request.unread[hop + 1] {
-                true => RequestPhase::Reading {
+                true => RequestPhase::Prefill {
                     left: request.context(),
                 },
-                false => RequestPhase::Writing,
+                false => RequestPhase::Decode,
             };
-            self.travel(id, engine, tokens, now);
+            self.forward(id, engine, tokens, now);
             return;
         }
-        request.made += match request.phase {
-            RequestPhase::Reading { .. } => 1.0,
-            RequestPhase::Writing => f64::from(self.settings.model.stride),
+        request.generated += match request.phase {
+            RequestPhase::Prefill { .. } => 1.0,
+            RequestPhase::Decode => f64::from(self.settings.model.stride),
         };
-        request.phase = RequestPhase::Writing;
+        request.phase = RequestPhase::Decode;
         request.hop = 0;
-        let (made, last) = (request.made, request.made >= request.answer);
+        let (generated, last) = (request.generated, request.generated >= request.answer);
         self.events.push(SimulationEvent::Event {
             id: id.to_owned(),
-            made,
+            generated,
             last,
         });
         if last {
             self.cancel(id, now);
         } else {
-            self.travel(id, engine, 1.0, now);
+            self.forward(id, engine, 1.0, now);
         }
     }
 
     /// Sends what an engine made to the request's next part.
-    pub(super) fn travel(&mut self, id: &str, from: EngineIndex, tokens: f64, now: Duration) {
+    pub(super) fn forward(&mut self, id: &str, from: EngineIndex, tokens: f64, now: Duration) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
@@ -136,16 +148,16 @@
         );
         let mut at = now + self.settings.link_time(tokens);
         if zones.0 == zones.1 {
-            at += self.settings.near_delay;
+            at += self.settings.same_zone_delay;
         } else {
             let pair = if zones.0 < zones.1 {
                 zones
             } else {
                 (zones.1, zones.0)
             };
-            let free = self.pipes.entry(pair).or_default();
-            *free = at.max(*free) + self.settings.pipe_time(tokens);
-            at = *free + self.settings.far_delay;
+            let free = self.zone_links.entry(pair).or_default();
+            *free = at.max(*free) + self.settings.zone_link_time(tokens);
+            at = *free + self.settings.cross_zone_delay;
         }
         self.schedule(
             at,
--- a/standins/src/pipeline/request.rs
+++ b/standins/src/pipeline/request.rs
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum RequestPhase {
     /// So many tokens are still to be read at this part.
-    Reading { left: f64 },
+    Prefill { left: f64 },
     /// One step after the other.
-    Writing,
+    Decode,
 }
 
 #[derive(Debug, Clone)]
@@ -42,7 +42,7 @@
     pub(super) path: Vec<PathPart>,
     pub(super) prompt: f64,
     pub(super) answer: f64,
-    pub(super) made: f64,
+    pub(super) generated: f64,
     pub(super) phase: RequestPhase,
     /// Index of the part where the request is, or is on the way to.
     pub(super) hop: usize,
@@ -60,7 +60,7 @@
 
 impl SimRequest {
     pub(super) fn context(&self) -> f64 {
-        self.prompt + self.made
+        self.prompt + self.generated
     }
 
     pub(super) fn part(&self) -> PathPart {
@@ -68,6 +68,6 @@
     }
 
     pub(super) fn is_begun(&self) -> bool {
-        self.made > 0.0
+        self.generated > 0.0
     }
 }
--- a/standins/src/pipeline/settings.rs
+++ b/standins/src/pipeline/settings.rs
@@ -20,11 +20,11 @@
     /// Rate of an engine's own link, in megabits a second.
     pub link_mbps: f64,
     /// Rate of the pipe that all share between two zones.
-    pub pipe_mbps: f64,
+    pub zone_link_mbps: f64,
     /// One-way delay within a zone, and between zones.
-    pub near_delay: Duration,
+    pub same_zone_delay: Duration,
     /// One-way delay between zones.
-    pub far_delay: Duration,
+    pub cross_zone_delay: Duration,
     /// How long work waits for an engine that is gone.
     pub stall: Duration,
     /// Age of what a report tells.
@@ -63,9 +63,9 @@
             pairs_per_m_ms: 0.309,
             token_bytes: 45_900.0,
             link_mbps: 400_000.0,
-            pipe_mbps: 18_000.0,
-            near_delay: Duration::from_micros(200),
-            far_delay: Duration::from_micros(500),
+            zone_link_mbps: 18_000.0,
+            same_zone_delay: Duration::from_micros(200),
+            cross_zone_delay: Duration::from_micros(500),
             stall: Duration::from_secs(2),
             report_lag: Duration::from_millis(200),
         }
@@ -79,8 +79,8 @@
     }
 
     /// Time to hand `tokens` on, over the pipe between two zones.
-    pub(super) fn pipe_time(&self, tokens: f64) -> Duration {
-        transfer(tokens * self.token_bytes, self.pipe_mbps)
+    pub(super) fn zone_link_time(&self, tokens: f64) -> Duration {
+        transfer(tokens * self.token_bytes, self.zone_link_mbps)
     }
 }
 
--- a/standins/src/pipeline/world.rs
+++ b/standins/src/pipeline/simulation.rs
@@ -19,7 +19,7 @@
         /// The request.
         id: String,
         /// Tokens made so far.
-        made: f64,
+        generated: f64,
         /// Whether it was the last.
         last: bool,
     },
@@ -73,10 +73,22 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Action {
-    Arrive { id: String, epoch: u64 },
-    EndPass { engine: EngineIndex, life: u64 },
-    EndLoad { engine: EngineIndex, life: u64 },
-    EndStall { id: String, epoch: u64 },
+    Arrive {
+        id: String,
+        epoch: u64,
+    },
+    EndPass {
+        engine: EngineIndex,
+        incarnation: u64,
+    },
+    EndLoad {
+        engine: EngineIndex,
+        incarnation: u64,
+    },
+    EndStall {
+        id: String,
+        epoch: u64,
+    },
 }
 
 /// Engines and requests.
@@ -85,8 +97,8 @@
     pub(super) settings: SimulationSettings,
     pub(super) engines: Vec<SimEngine>,
     pub(super) requests: BTreeMap<String, SimRequest>,
-    pub(super) agenda: BinaryHeap<Reverse<(Duration, u64, Action)>>,
-    pub(super) pipes: FastMap<(String, String), Duration>,
+    pub(super) event_queue: BinaryHeap<Reverse<(Duration, u64, Action)>>,
+    pub(super) zone_links: FastMap<(String, String), Duration>,
     pub(super) events: Vec<SimulationEvent>,
     pub(super) sequence: u64,
 }
@@ -98,8 +110,8 @@
             settings,
             engines: Vec::new(),
             requests: BTreeMap::new(),
-            agenda: BinaryHeap::new(),
-            pipes: FastMap::default(),
+            event_queue: BinaryHeap::new(),
+            zone_links: FastMap::default(),
             events: Vec::new(),
             sequence: 0,
         }
@@ -125,7 +137,7 @@
             used: 0.0,
             orders: 0,
             slow_factor: 1.0,
-            life: 0,
+            incarnation: 0,
         });
         self.engines.len() - 1
     }
@@ -140,7 +152,7 @@
             running: state.ready.len() + state.pass.as_ref().map_or(0, Vec::len),
             waiting: state.parked.len(),
             used: state.used,
-            total: state.room(&self.settings.model),
+            total: state.capacity(&self.settings.model),
             draining: state.draining,
         }
     }
@@ -149,11 +161,14 @@
     /// tells them.
     pub fn stalled(&self, engine: EngineIndex, now: Duration) -> Vec<(String, EngineIndex)> {
         let lag = self.settings.report_lag;
-        let told = |request: &&SimRequest| {
+        let is_reported = |request: &&SimRequest| {
             request.path[0].engine == engine
                 && request.stalled.is_some_and(|since| now >= since + lag)
         };
-        let requests = self.requests.iter().filter(|(_, request)| told(request));
+        let requests = self
+            .requests
+            .iter()
+            .filter(|(_, request)| is_reported(request));
         requests
             .map(|(id, request)| (id.clone(), request.part().engine))
             .collect()
@@ -180,8 +195,14 @@
         let share = f64::from(layers.width() - kept) / f64::from(model.layers);
         let done = now + Duration::from_secs_f64(model.load_s * share);
         state.loading = Some((layers, done));
-        let life = state.life;
-        self.schedule(done, Action::EndLoad { engine, life });
+        let incarnation = state.incarnation;
+        self.schedule(
+            done,
+            Action::EndLoad {
+                engine,
+                incarnation,
+            },
+        );
     }
 
     /// Gives an engine its layers at once, for a start.
@@ -203,13 +224,13 @@
     pub fn kill(&mut self, engine: EngineIndex, now: Duration) {
         let state = &mut self.engines[engine];
         state.alive = false;
-        state.life += 1;
+        state.incarnation += 1;
         state.layers = None;
         state.loading = None;
         state.orders = 0;
         state.used = 0.0;
-        let passed = state.pass.take().unwrap_or_default();
-        let mut waiting = passed.into_iter().map(|(id, _)| id).collect::<Vec<_>>();
+        let in_pass = state.pass.take().unwrap_or_default();
+        let mut waiting = in_pass.into_iter().map(|(id, _)| id).collect::<Vec<_>>();
         waiting.append(&mut state.ready);
         waiting.append(&mut state.parked);
         for id in waiting {
@@ -227,21 +248,27 @@
 
     /// When something happens next.
     pub fn next_time(&self) -> Option<Duration> {
-        self.agenda.peek().map(|Reverse((at, ..))| *at)
+        self.event_queue.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// Lets time pass up to `now`; gives what callers see, in order.
     pub fn advance(&mut self, now: Duration) -> Vec<SimulationEvent> {
         while self.next_time().is_some_and(|at| at <= now) {
-            let Some(Reverse((at, _, action))) = self.agenda.pop() else {
+            let Some(Reverse((at, _, action))) = self.event_queue.pop() else {
                 break;
             };
             match action {
                 Action::Arrive { id, epoch } if self.is_current(&id, epoch) => self.arrive(&id, at),
-                Action::EndPass { engine, life } if self.engines[engine].life == life => {
+                Action::EndPass {
+                    engine,
+                    incarnation,
+                } if self.engines[engine].incarnation == incarnation => {
                     self.end_pass(engine, at);
                 }
-                Action::EndLoad { engine, life } if self.engines[engine].life == life => {
+                Action::EndLoad {
+                    engine,
+                    incarnation,
+                } if self.engines[engine].incarnation == incarnation => {
                     self.end_load(engine, at);
                 }
                 Action::EndStall { id, epoch } if self.is_current(&id, epoch) => {
@@ -261,7 +288,7 @@
 
     pub(super) fn schedule(&mut self, at: Duration, action: Action) {
         self.sequence += 1;
-        self.agenda.push(Reverse((at, self.sequence, action)));
+        self.event_queue.push(Reverse((at, self.sequence, action)));
     }
 
     pub(super) fn end_load(&mut self, engine: EngineIndex, now: Duration) {
--- a/standins/src/platform/log_store.rs
+++ b/standins/src/platform/log_store.rs
@@ -65,7 +65,7 @@
     /// Reads at once, or as soon as there is something, or when the wait ends.
     pub(super) async fn read(&self, stream: &str, range: ReadRange) -> ReadAnswer {
         let mut appends = self.appends.subscribe();
-        let something = async {
+        let available = async {
             loop {
                 appends.borrow_and_update();
                 let answer = self.read_now(stream, range);
@@ -74,7 +74,7 @@
                 }
             }
         };
-        match timeout(range.wait, something).await {
+        match timeout(range.wait, available).await {
             Ok(answer) => answer,
             Err(_) => self.read_now(stream, range),
         }
--- a/standins/src/service/calls.rs
+++ b/standins/src/service/calls.rs
@@ -95,16 +95,16 @@
         let slot = self.batch.acquire(0).await;
         let mut slot = slot.map_err(|_| refusal_outcome(refused(TargetRefusalKind::Overloaded)))?;
         // Whoever dies while the call waits for its slot never runs it.
-        self.pass(DeathPoint::Before)?;
+        self.check_death_point(DeathPoint::Before)?;
         let ran = self.ran.fetch_add(1, Ordering::Relaxed) + 1;
-        self.note(call, operation, body);
-        self.pass(DeathPoint::During)?;
+        self.record_call(call, operation, body);
+        self.check_death_point(DeathPoint::During)?;
         let slow_factor = self.faults.read(|faults| faults.slow_factor).max(0.0);
         let done_at = slot.book(self.settings.call_time.mul_f64(slow_factor));
         sleep_until(done_at.into()).await;
         drop(slot);
         self.gauge.count(1);
-        self.pass(DeathPoint::After)?;
+        self.check_death_point(DeathPoint::After)?;
         if self.faults.take_one(|faults| &mut faults.lose_answers) {
             return Err(CallOutcome::Close);
         }
@@ -129,7 +129,7 @@
     }
 
     /// Dies here if a fault says so; a dead service goes no further.
-    fn pass(&self, point: DeathPoint) -> Result<(), CallOutcome> {
+    fn check_death_point(&self, point: DeathPoint) -> Result<(), CallOutcome> {
         self.faults.update_if(|faults| {
             let dies = faults.die_at == Some(point);
             if dies {
@@ -144,7 +144,7 @@
         }
     }
 
-    fn note(&self, call: &ServedCall, operation: &str, body: Value) {
+    fn record_call(&self, call: &ServedCall, operation: &str, body: Value) {
         self.record.push(|| CallRecord {
             order: next_order(),
             request: call.header_text(REQUEST_ID_HEADER).map(Into::into),
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -51,8 +51,8 @@
 ) -> Result<SlopeRun, CallError> {
     let count = usize::try_from(value)?;
     let mut figures = match series {
-        "stages" => data_path::measure(count, data_path::USUAL_TOKENS, window).await?,
-        "tokens" => data_path::measure(data_path::USUAL_STAGES, value, window).await?,
+        "stages" => data_path::measure(count, data_path::DEFAULT_TOKENS, window).await?,
+        "tokens" => data_path::measure(data_path::DEFAULT_STAGES, value, window).await?,
         "replay" => decisions::replay(count)?,
         "admission" => decisions::admission(count),
         "routing" => decisions::routing(count),
--- a/standins/src/slopes/control.rs
+++ b/standins/src/slopes/control.rs
@@ -52,8 +52,8 @@
     ordinary.sort_by(f64::total_cmp);
     let mut figures = SlopeFigures::new();
     let mut put = |name: &str, figure: f64| figures.insert(name.to_owned(), figure);
-    if let Some(middle) = ordinary.get(ordinary.len() / 2) {
-        put("processor, % of a core: ordinary host", *middle);
+    if let Some(median) = ordinary.get(ordinary.len() / 2) {
+        put("processor, % of a core: ordinary host", *median);
     }
     put("processor, % of a core: first host", percent("host-0"));
     put("processor, % of a core: holder of orders", percent(&orders));
@@ -79,7 +79,7 @@
         all_bytes += bytes;
     }
     put("bytes/s a daemon: all", all_bytes);
-    let seconds = time_to_force(&fleet).await?;
+    let seconds = time_to_apply(&fleet).await?;
     put("time until one change is in force everywhere, s", seconds);
     fleet.shutdown().await;
     Ok(figures)
@@ -87,7 +87,7 @@
 
 /// Seconds from an operator's call until every daemon was seen, one after the
 /// other, to have applied the change.
-async fn time_to_force(fleet: &SlopeFleet) -> Result<f64, CallError> {
+async fn time_to_apply(fleet: &SlopeFleet) -> Result<f64, CallError> {
     let started = Instant::now();
     let declared = [organisation(0, 0)];
     let version = operator::declare_all(fleet.daemons[0].operators, &declared).await?;
--- a/standins/src/slopes/counting_proxy.rs
+++ b/standins/src/slopes/counting_proxy.rs
@@ -14,7 +14,7 @@
 /// Most bytes passed on at once.
 const CHUNK_BYTES: usize = 64 * 1024;
 /// Kind of all that is not HTTP.
-const PEERS: &str = "peers";
+const PEER_KIND: &str = "peers";
 
 /// What went through for one kind of message.
 #[derive(Debug, Clone, Copy, Default)]
@@ -37,16 +37,20 @@
 }
 
 impl CountingProxy {
-    /// Opens a gate to `far`.
-    pub(super) async fn bind(far: SocketAddr, counts: &WireCounts) -> io::Result<Self> {
+    /// Opens a gate to `upstream`.
+    pub(super) async fn bind(upstream: SocketAddr, counts: &WireCounts) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let local_addr = listener.local_addr()?;
         let counts = Arc::clone(counts);
         let task = tokio::spawn(async move {
-            let mut passing = tokio::task::JoinSet::new();
-            while let Ok((near, _)) = listener.accept().await {
-                passing.spawn(pass(near, far, Arc::clone(&counts)));
-                while passing.try_join_next().is_some() {}
+            let mut connections = tokio::task::JoinSet::new();
+            while let Ok((downstream, _)) = listener.accept().await {
+                connections.spawn(forward_connection(
+                    downstream,
+                    upstream,
+                    Arc::clone(&counts),
+                ));
+                while connections.try_join_next().is_some() {}
             }
         });
         Ok(Self { local_addr, task })
@@ -59,35 +63,35 @@
     }
 }
 
-async fn pass(near: TcpStream, far: SocketAddr, counts: WireCounts) {
-    let Ok(far) = TcpStream::connect(far).await else {
+async fn forward_connection(downstream: TcpStream, upstream: SocketAddr, counts: WireCounts) {
+    let Ok(upstream) = TcpStream::connect(upstream).await else {
         return;
     };
     // Small bodies would wait for the other side's delayed acknowledgement.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let kind = Arc::new(Mutex::new(PEERS.to_owned()));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let requests = pump(near_read, far_write, |piece| {
+    let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
+    let kind = Arc::new(Mutex::new(PEER_KIND.to_owned()));
+    let (downstream_read, downstream_write) = downstream.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let requests = copy_counted(downstream_read, upstream_write, |segment| {
         let mut kind = kind.lock();
-        let named = request_kind(piece);
-        let messages = u64::from(named.is_some() || *kind == PEERS);
+        let named = request_kind(segment);
+        let messages = u64::from(named.is_some() || *kind == PEER_KIND);
         if let Some(named) = named {
             *kind = named;
         }
-        add(&counts, &kind, messages, piece.len());
+        add(&counts, &kind, messages, segment.len());
     });
-    let answers = pump(far_read, near_write, |piece| {
-        add(&counts, &kind.lock(), 0, piece.len());
+    let responses = copy_counted(upstream_read, downstream_write, |segment| {
+        add(&counts, &kind.lock(), 0, segment.len());
     });
     // Either side's end is the connection's.
     tokio::select! {
         () = requests => {}
-        () = answers => {}
+        () = responses => {}
     }
 }
 
-async fn pump<F>(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, count: F)
+async fn copy_counted<F>(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, count: F)
 where
     F: Fn(&[u8]),
 {
@@ -108,8 +112,8 @@
 }
 
 /// Kind of an HTTP request, if this piece begins one.
-fn request_kind(piece: &[u8]) -> Option<String> {
-    let line = piece.split(|byte| *byte == b'\r').next()?;
+fn request_kind(segment: &[u8]) -> Option<String> {
+    let line = segment.split(|byte| *byte == b'\r').next()?;
     let mut words = std::str::from_utf8(line).ok()?.split(' ');
     let (method, path) = (words.next()?, words.next()?);
     let path = path.split('?').next()?.strip_prefix("/v1/")?;
--- a/standins/src/slopes/data_path.rs
+++ b/standins/src/slopes/data_path.rs
@@ -19,9 +19,9 @@
 use crate::platform::{PlatformServer, PlatformSettings};
 
 /// Tokens of an answer while stages are varied.
-pub(super) const USUAL_TOKENS: u64 = 480;
+pub(super) const DEFAULT_TOKENS: u64 = 480;
 /// Stages while tokens are varied.
-pub(super) const USUAL_STAGES: usize = 3;
+pub(super) const DEFAULT_STAGES: usize = 3;
 /// Requests at once.
 const STREAMS: usize = 4;
 const PROMPT_TOKENS: u64 = 32;
@@ -35,7 +35,7 @@
 
 /// What one stream was given.
 #[derive(Debug)]
-struct GivenAnswers {
+struct StreamFigures {
     tokens: f64,
     seconds: f64,
 }
@@ -74,17 +74,17 @@
             targets,
         });
     }
-    let place = DaemonConfig::new(HOST, "zone-0", platform.local_addr());
-    let text = place.to_toml("\n[log]\nlevel = \"off\"\n");
+    let config = DaemonConfig::new(HOST, "zone-0", platform.local_addr());
+    let text = config.to_toml("\n[log]\nlevel = \"off\"\n");
     let mut daemon = FleetDaemon::spawn(&text).await?;
     let mut declared = declarations::pipeline("model", &layouts);
     declared.push(declarations::organisation("organisation-0", 1_000, 100_000));
     operator::declare_all(daemon.operators, &declared).await?;
     let callers = daemon.callers;
-    ask(callers, 0, WARM_UP_TOKENS, Duration::ZERO).await?;
+    run_stream(callers, 0, WARM_UP_TOKENS, Duration::ZERO).await?;
     let before = ThreadSample::take();
     // Whole answers are counted, so the end of the last one ends the window.
-    let streams = (1..=STREAMS).map(|stream| ask(callers, stream, tokens, window));
+    let streams = (1..=STREAMS).map(|stream| run_stream(callers, stream, tokens, window));
     let streams = join_all(streams).await;
     let after = ThreadSample::take();
     daemon.shutdown().await;
@@ -114,15 +114,15 @@
 }
 
 /// Asks for one answer after the other, until `window` has passed.
-async fn ask(
+async fn run_stream(
     host: SocketAddr,
     stream: usize,
     tokens: u64,
     window: Duration,
-) -> Result<GivenAnswers, CallError> {
+) -> Result<StreamFigures, CallError> {
     let caller = CallerClient::open("organisation-0");
     let started = Instant::now();
-    let mut heard = 0;
+    let mut received = 0;
     for number in 0_u64.. {
         let first = (stream as u64) << 32 | number << 8;
         let body = GenerateBody {
@@ -136,17 +136,17 @@
         let request = format!("request-{stream}-{number}");
         let answer = caller.generate(host, &request, &body).await;
         match answer.is_whole() {
-            true => heard += tokens,
+            true => received += tokens,
             // Right after the start the host has no part of the capacity yet.
             false if stream == 0 => tokio::time::sleep(RETRY_PAUSE).await,
             false => return Err(format!("not answered: {:?}", answer.refused()).into()),
         }
-        if heard > 0 && started.elapsed() >= window {
+        if received > 0 && started.elapsed() >= window {
             break;
         }
     }
-    Ok(GivenAnswers {
-        tokens: heard as f64,
+    Ok(StreamFigures {
+        tokens: received as f64,
         seconds: started.elapsed().as_secs_f64(),
     })
 }
--- a/standins/src/slopes/decisions.rs
+++ b/standins/src/slopes/decisions.rs
@@ -34,7 +34,7 @@
 /// Replays as many targets, with the organisations and models of the size to
 /// come, and writes and reads a checkpoint of the state.
 pub(super) fn replay(targets: usize) -> Result<SlopeFigures, CallError> {
-    let mut declared = fleet_of(targets, MODELS);
+    let mut declared = pipeline_declarations(targets, MODELS);
     let organisations = 0..ORGANISATIONS;
     declared.extend(
         organisations
@@ -97,7 +97,7 @@
 }
 
 /// Targets divided over the stages of the models' pipelines.
-fn fleet_of(targets: usize, models: usize) -> Vec<Declaration> {
+fn pipeline_declarations(targets: usize, models: usize) -> Vec<Declaration> {
     let pipelines = (0..models).map(|model| {
         let stages: Vec<StageLayout> = (0..STAGES)
             .map(|stage| StageLayout {
@@ -167,7 +167,7 @@
 
 /// Plans routes over one pipeline with as many targets a stage.
 pub(super) fn routing(targets: usize) -> SlopeFigures {
-    let declared = fleet_of(targets * STAGES, 1);
+    let declared = pipeline_declarations(targets * STAGES, 1);
     let resources: Vec<(ResourceKey, ResourceSpec)> = declared
         .into_iter()
         .map(|declaration| (declaration.key, declaration.spec))
--- a/standins/src/slopes/fleet.rs
+++ b/standins/src/slopes/fleet.rs
@@ -21,9 +21,9 @@
 use crate::platform::{PlatformServer, PlatformSettings};
 
 /// Bound on waiting for the declarations to be in force.
-const FORCE_PATIENCE: Duration = Duration::from_secs(30);
-const PLATFORM_PATIENCE: Duration = Duration::from_secs(5);
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const APPLY_TIMEOUT: Duration = Duration::from_secs(30);
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running fleet with what was counted.
 pub(super) struct SlopeFleet {
@@ -31,14 +31,14 @@
     pub(super) counts: WireCounts,
     pub(super) daemons: Vec<FleetDaemon>,
     _engines: Vec<EngineServer>,
-    _gates: Vec<CountingProxy>,
+    _proxies: Vec<CountingProxy>,
 }
 
 impl SlopeFleet {
     /// Starts the stand-ins and the daemons, and declares everything.
     pub(super) async fn start(shape: &SlopeShape) -> Result<Self, CallError> {
         let counts = WireCounts::default();
-        let mut gates = Vec::new();
+        let mut proxies = Vec::new();
         let mut engines = Vec::new();
         let mut declared: Vec<Declaration> = (0..shape.organisations)
             .map(|number| organisation(number, 1))
@@ -50,15 +50,15 @@
             let engine = EngineServer::bind(any_port(), settings).await?;
             let mut targets = Vec::new();
             for number in (model..shape.targets).step_by(shape.models) {
-                let gate = CountingProxy::bind(engine.local_addr(), &counts).await?;
+                let proxy = CountingProxy::bind(engine.local_addr(), &counts).await?;
                 targets.push(StageTarget {
                     name: format!("engine-{number}"),
                     zone: zone_name(shape.zone_of_target(number)).as_str().into(),
-                    address: gate.local_addr,
+                    address: proxy.local_addr,
                     tokens_per_second: 1_000.0,
                     concurrency: 16,
                 });
-                gates.push(gate);
+                proxies.push(proxy);
             }
             listed.extend(targets.iter().map(|target| ListedTarget {
                 target: target.name.as_str().into(),
@@ -77,7 +77,7 @@
             counts,
             daemons: Vec::new(),
             _engines: engines,
-            _gates: gates,
+            _proxies: proxies,
         };
         fleet.start_daemons(shape, listed).await?;
         fleet.declare(&declared).await?;
@@ -92,8 +92,8 @@
             .map(|(number, declaration)| record_text(number, declaration))
             .collect();
         let timeouts = PlatformTimeouts {
-            connect: PLATFORM_PATIENCE,
-            answer: PLATFORM_PATIENCE,
+            connect: PLATFORM_TIMEOUT,
+            answer: PLATFORM_TIMEOUT,
         };
         let client = PlatformClient::open(self.platform.local_addr(), timeouts);
         let appended = client.append(DECLARATION_STREAM, records?).await?;
@@ -107,23 +107,23 @@
         targets: Vec<ListedTarget>,
     ) -> Result<(), CallError> {
         let platform = CountingProxy::bind(self.platform.local_addr(), &self.counts).await?;
-        let mut held = Vec::new();
+        let mut listeners = Vec::new();
         let mut seeds = Vec::new();
         for number in 0..shape.daemons() {
             let listener = TcpListener::bind(peer_address())?;
-            let gate = CountingProxy::bind(listener.local_addr()?, &self.counts).await?;
+            let proxy = CountingProxy::bind(listener.local_addr()?, &self.counts).await?;
             seeds.push(SeedPeer {
                 host: format!("host-{number}"),
                 zone: zone_name(shape.zone_of_host(number)),
-                address: gate.local_addr,
+                address: proxy.local_addr,
             });
-            self._gates.push(gate);
-            held.push(listener);
+            self._proxies.push(proxy);
+            listeners.push(listener);
         }
         let hosts = seeds.iter().map(listed_host).collect();
         self.platform.set_hosts(HostList { hosts, targets });
-        for (listener, seed) in held.into_iter().zip(&seeds) {
-            let place = DaemonConfig {
+        for (listener, seed) in listeners.into_iter().zip(&seeds) {
+            let config = DaemonConfig {
                 host: seed.host.clone(),
                 zone: seed.zone.clone(),
                 platform: platform.local_addr,
@@ -132,16 +132,16 @@
             };
             drop(listener);
             let advertised = format!("[listen]\nadvertised_peers = \"{}\"\n", seed.address);
-            let text = place.to_toml("\n[log]\nlevel = \"off\"\n");
+            let text = config.to_toml("\n[log]\nlevel = \"off\"\n");
             let text = text.replacen("[listen]\n", &advertised, 1);
             self.daemons.push(FleetDaemon::spawn(&text).await?);
         }
-        self._gates.push(platform);
+        self._proxies.push(platform);
         Ok(())
     }
 
     pub(super) async fn wait_until_applied(&self, version: LogOffset) -> Result<(), CallError> {
-        let deadline = Instant::now() + FORCE_PATIENCE;
+        let deadline = Instant::now() + APPLY_TIMEOUT;
         for daemon in &self.daemons {
             loop {
                 let status = operator::read::<StatusView>(daemon.operators, "/v1/status").await;
@@ -150,7 +150,7 @@
                     _ if Instant::now() > deadline => {
                         return Err(format!("not in force on {}", daemon.host).into());
                     }
-                    _ => tokio::time::sleep(LOOK_INTERVAL).await,
+                    _ => tokio::time::sleep(POLL_INTERVAL).await,
                 }
             }
         }
--- a/standins/src/slopes/report.rs
+++ b/standins/src/slopes/report.rs
@@ -54,17 +54,17 @@
             let _ = write!(
                 cells,
                 " {} ({}–{}) |",
-                short(*median),
-                short(found[0]),
-                short(found[found.len() - 1])
+                three_digits(*median),
+                three_digits(found[0]),
+                three_digits(found[found.len() - 1])
             );
         }
         let (slope, start) = straight_line(&points);
         let _ = writeln!(
             text,
             "| {figure} |{cells} {} | {} |",
-            short(slope),
-            short(start)
+            three_digits(slope),
+            three_digits(start)
         );
     }
     text
@@ -75,19 +75,19 @@
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
     let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
-    let shared = points
+    let variance: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
+    let covariance = points
         .iter()
         .map(|point| (point.0 - mean_x) * (point.1 - mean_y));
-    let slope = match spread {
+    let slope = match variance {
         0.0 => 0.0,
-        _ => shared.sum::<f64>() / spread,
+        _ => covariance.sum::<f64>() / variance,
     };
     (slope, mean_y - slope * mean_x)
 }
 
 /// Three digits that count.
-fn short(figure: f64) -> String {
+fn three_digits(figure: f64) -> String {
     let digits = match figure.abs() {
         0.0 => 0,
         size if size >= 100.0 => 0,
--- a/standins/src/slopes/shape.rs
+++ b/standins/src/slopes/shape.rs
@@ -68,7 +68,7 @@
                 &mut shape.changes
             }
             "size_to_come" => {
-                shape = Self::zone_to_come(value);
+                shape = Self::planned_size(value);
                 &mut shape.further_zones
             }
             _ => return Err(format!("no series {series}").into()),
@@ -78,7 +78,7 @@
     }
 
     /// One zone of the size to come with all its hosts, and others with one.
-    fn zone_to_come(further_zones: usize) -> Self {
+    fn planned_size(further_zones: usize) -> Self {
         Self {
             hosts: 20,
             targets: 55 * (1 + further_zones),
--- a/standins/src/trial/figures.rs
+++ b/standins/src/trial/figures.rs
@@ -28,7 +28,7 @@
         let share = |count: usize| 100.0 * count as f64 / self.offered.max(1) as f64;
         let [on_time, late] = [self.on_time, self.late].map(share);
         let [refused, cut] = [self.refused, self.cut].map(share);
-        let first = [0.5, 0.95].map(|part| quantile(&mut self.first, part).as_millis());
+        let first = [0.5, 0.95].map(|fraction| quantile(&mut self.first, fraction).as_millis());
         let pause = quantile(&mut self.pauses, 0.95).as_millis();
         format!(
             "{on_time:7.1} {late:6.1} {refused:7.1} {cut:4.1} {:8} {:7} {pause:7}",
@@ -42,9 +42,9 @@
     }
 }
 
-fn quantile(times: &mut [Duration], part: f64) -> Duration {
+fn quantile(times: &mut [Duration], fraction: f64) -> Duration {
     times.sort_unstable();
-    let index = (times.len() as f64 * part) as usize;
+    let index = (times.len() as f64 * fraction) as usize;
     let last = times.len().saturating_sub(1);
     times.get(index.min(last)).copied().unwrap_or_default()
 }
--- a/standins/src/trial/fleet.rs
+++ b/standins/src/trial/fleet.rs
@@ -20,13 +20,13 @@
 
 /// Engines with their layers, and the table of the hosts.
 pub(super) struct TrialFleet {
-    pub(super) world: PipelineSimulation,
+    pub(super) simulation: PipelineSimulation,
     pub(super) table: FleetTable,
 }
 
 impl TrialFleet {
     pub(super) fn open(
-        mut world: PipelineSimulation,
+        mut simulation: PipelineSimulation,
         zones: &[ZoneEngines],
         plan: PlanKind,
     ) -> Self {
@@ -35,19 +35,23 @@
             let kinds = zone.kinds.iter();
             let kinds = kinds.flat_map(|(kind, count)| std::iter::repeat_n(kind.as_str(), *count));
             let kinds = kinds.collect::<Vec<_>>();
-            let engines = kinds.iter().map(|kind| world.add_engine(&zone.zone, kind));
+            let engines = kinds
+                .iter()
+                .map(|kind| simulation.add_engine(&zone.zone, kind));
             let engines = engines.collect::<Vec<_>>();
-            let accelerators = kinds.iter().map(|kind| world.settings().model.kinds[*kind]);
+            let accelerators = kinds
+                .iter()
+                .map(|kind| simulation.settings().model.kinds[*kind]);
             let accelerators = accelerators.collect::<Vec<_>>();
-            let ranges = plan.ranges(&world.settings().model, &accelerators);
+            let ranges = plan.ranges(&simulation.settings().model, &accelerators);
             for ((engine, kind), layers) in engines.into_iter().zip(kinds).zip(ranges) {
                 if let Some(layers) = layers {
-                    world.preload(engine, layers);
+                    simulation.preload(engine, layers);
                 }
                 table.observe_entry(entry(engine, &zone.zone, kind, layers));
             }
         }
-        Self { world, table }
+        Self { simulation, table }
     }
 }
 
--- a/standins/src/trial/run.rs
+++ b/standins/src/trial/run.rs
@@ -15,9 +15,9 @@
 use crate::trial::{PlanKind, TrialFigures, ZoneEngines};
 
 /// Latest first event that is on time.
-const FIRST_AIM: Duration = Duration::from_millis(500);
+const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(500);
 /// Longest pause that is on time.
-const PAUSE_AIM: Duration = Duration::from_millis(200);
+const PAUSE_LIMIT: Duration = Duration::from_millis(200);
 
 /// How a path is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone)]
 pub struct TrialSettings {
     /// Figures of the engines.
-    pub world: SimulationSettings,
+    pub simulation: SimulationSettings,
     /// The engines.
     pub zones: Vec<ZoneEngines>,
     /// Which engine holds what.
@@ -64,9 +64,9 @@
 }
 
 struct CallerState {
-    offered: Duration,
-    heard: Duration,
-    longest: Duration,
+    sent_at: Duration,
+    last_event: Duration,
+    longest_pause: Duration,
     path: Vec<PathPart>,
     size: RequestSize,
     first: Option<Duration>,
@@ -76,30 +76,30 @@
     fleet: TrialFleet,
     rule: RoutingRule,
     start: Instant,
-    draws: SmallRng,
+    rng: SmallRng,
     callers: BTreeMap<String, CallerState>,
     figures: TrialFigures,
 }
 
 /// Plays a trial.
 pub fn run_trial(settings: &TrialSettings) -> TrialFigures {
-    let world = PipelineSimulation::new(settings.world.clone());
+    let simulation = PipelineSimulation::new(settings.simulation.clone());
     let mut run = TrialRun {
-        fleet: TrialFleet::open(world, &settings.zones, settings.plan),
+        fleet: TrialFleet::open(simulation, &settings.zones, settings.plan),
         rule: settings.rule,
         start: Instant::now(),
-        draws: SmallRng::seed_from_u64(settings.seed),
+        rng: SmallRng::seed_from_u64(settings.seed),
         callers: BTreeMap::new(),
         figures: TrialFigures::default(),
     };
     let mut at = Duration::ZERO;
     let mut count = 0_usize;
     while at < settings.length {
-        let pause = -(1.0 - run.draws.random::<f64>()).ln() / settings.per_s;
+        let pause = -(1.0 - run.rng.random::<f64>()).ln() / settings.per_s;
         at += Duration::from_secs_f64(pause);
         run.advance_to(at);
         let zone = &settings.zones[count % settings.zones.len()].zone;
-        run.ask(count, zone, at);
+        run.submit_request(count, zone, at);
         count += 1;
     }
     run.finish()
@@ -107,21 +107,26 @@
 
 impl TrialRun {
     fn advance_to(&mut self, now: Duration) {
-        while let Some(next) = self.fleet.world.next_time().filter(|next| *next <= now) {
-            for event in self.fleet.world.advance(next) {
+        while let Some(next) = self
+            .fleet
+            .simulation
+            .next_time()
+            .filter(|next| *next <= now)
+        {
+            for event in self.fleet.simulation.advance(next) {
                 self.observe(event, next);
             }
         }
     }
 
     fn finish(mut self) -> TrialFigures {
-        while let Some(next) = self.fleet.world.next_time() {
+        while let Some(next) = self.fleet.simulation.next_time() {
             self.advance_to(next);
         }
         self.figures
     }
 
-    fn ask(&mut self, count: usize, zone: &str, now: Duration) {
+    fn submit_request(&mut self, count: usize, zone: &str, now: Duration) {
         self.figures.offered += 1;
         let size = self.draw_size();
         let id = format!("r-{count}");
@@ -135,13 +140,13 @@
             prompt: f64::from(size.prompt),
             answer: f64::from(size.answer),
         };
-        match self.fleet.world.submit(request, now) {
+        match self.fleet.simulation.submit(request, now) {
             Ok(()) => {
-                self.count(&path, size, true);
+                self.update_load(&path, size, true);
                 let caller = CallerState {
-                    offered: now,
-                    heard: now,
-                    longest: Duration::ZERO,
+                    sent_at: now,
+                    last_event: now,
+                    longest_pause: Duration::ZERO,
                     path,
                     size,
                     first: None,
@@ -149,7 +154,7 @@
                 self.callers.insert(id, caller);
             }
             Err(SubmitError::NoCapacity(_) | SubmitError::WrongLayers(_)) => {
-                self.figures.refused += 1
+                self.figures.refused += 1;
             }
             Err(SubmitError::BadPath | SubmitError::Unknown) => self.figures.cut += 1,
         }
@@ -157,10 +162,10 @@
 
     /// Sizes spread about the usual ones, with a long tail.
     fn draw_size(&mut self) -> RequestSize {
-        let model = &self.fleet.world.settings().model;
+        let model = &self.fleet.simulation.settings().model;
         let usual = [model.usual_prompt, model.usual_answer].map(f64::from);
         let [prompt, answer] = usual.map(|mean| {
-            let drawn = -(1.0 - self.draws.random::<f64>()).ln();
+            let drawn = -(1.0 - self.rng.random::<f64>()).ln();
             (mean * drawn.clamp(0.1, 3.0)) as u32
         });
         RequestSize {
@@ -173,9 +178,9 @@
         let mut order = self.engines_of(zone);
         match self.rule {
             RoutingRule::Cost => return self.choose_by_cost(zone, size, now),
-            RoutingRule::Random => order.shuffle(&mut self.draws),
+            RoutingRule::Random => order.shuffle(&mut self.rng),
             RoutingRule::LeastOutstanding => {
-                order.shuffle(&mut self.draws);
+                order.shuffle(&mut self.rng);
                 let table = &self.fleet.table;
                 order.sort_by_key(|id| table.get(id).map_or(0, |state| state.own.requests));
             }
@@ -189,7 +194,7 @@
         size: RequestSize,
         now: Duration,
     ) -> Option<Vec<PathPart>> {
-        let model = &self.fleet.world.settings().model;
+        let model = &self.fleet.simulation.settings().model;
         // The length of the answer is known on average only.
         let expected = RequestSize {
             answer: model.usual_answer,
@@ -202,8 +207,8 @@
             avoid: &[],
         };
         let members = self.fleet.table.members(SERVICE)?;
-        let draws = &mut self.draws;
-        let path = choose_path(members, query, self.start + now, || draws.random())?;
+        let rng = &mut self.rng;
+        let path = choose_path(members, query, self.start + now, || rng.random())?;
         let parts = path.hops.iter().map(|hop| part(&hop.target, hop.layers));
         (!path.full).then(|| parts.collect())
     }
@@ -217,7 +222,7 @@
     /// Takes at each layer the first engine of `order` that holds it, to its
     /// end.
     fn first_path(&self, order: &[String]) -> Option<Vec<PathPart>> {
-        let layers = self.fleet.world.settings().model.layers;
+        let layers = self.fleet.simulation.settings().model.layers;
         let mut next = 0;
         let mut path: Vec<PathPart> = Vec::new();
         while next < layers {
@@ -246,7 +251,7 @@
         }
     }
 
-    fn count(&mut self, path: &[PathPart], size: RequestSize, starts: bool) {
+    fn update_load(&mut self, path: &[PathPart], size: RequestSize, starts: bool) {
         for part in path {
             let id = id_of(part.engine);
             let load = size.load(part.layers.width());
@@ -269,12 +274,15 @@
                 if let Some(mut caller) = self.callers.remove(&id) {
                     match caller.first {
                         None => {
-                            caller.first = Some(now - caller.offered);
+                            caller.first = Some(now - caller.sent_at);
                             self.observe_read(&caller.path, caller.size);
                         }
-                        Some(_) => caller.longest = caller.longest.max(now - caller.heard),
+                        Some(_) => {
+                            caller.longest_pause =
+                                caller.longest_pause.max(now - caller.last_event);
+                        }
                     }
-                    caller.heard = now;
+                    caller.last_event = now;
                     self.callers.insert(id.clone(), caller);
                 }
                 if last && let Some(caller) = self.drop_caller(&id) {
@@ -295,15 +303,15 @@
         if caller.first.is_none() {
             self.observe_read(&caller.path, caller.size);
         }
-        self.count(&caller.path, caller.size, false);
+        self.update_load(&caller.path, caller.size, false);
         Some(caller)
     }
 
     fn end(&mut self, caller: &CallerState) {
         let first = caller.first.unwrap_or_default();
         self.figures.first.push(first);
-        self.figures.pauses.push(caller.longest);
-        match first <= FIRST_AIM && caller.longest <= PAUSE_AIM {
+        self.figures.pauses.push(caller.longest_pause);
+        match first <= FIRST_EVENT_LIMIT && caller.longest_pause <= PAUSE_LIMIT {
             true => self.figures.on_time += 1,
             false => self.figures.late += 1,
         }
--- a/standins/tests/pipeline.rs
+++ b/standins/tests/pipeline.rs
@@ -14,13 +14,13 @@
 }
 
 /// Three engines of 40 layers: 0 holds the first half, 1 and 2 the second.
-fn world() -> PipelineSimulation {
-    let mut world = PipelineSimulation::new(SimulationSettings::default());
+fn simulation() -> PipelineSimulation {
+    let mut simulation = PipelineSimulation::new(SimulationSettings::default());
     for layers in [range(0, 40), range(40, 80), range(40, 80)] {
-        let engine = world.add_engine("z", "a100");
-        world.preload(engine, layers);
+        let engine = simulation.add_engine("z", "a100");
+        simulation.preload(engine, layers);
     }
-    world
+    simulation
 }
 
 fn path(second: usize) -> Vec<PathPart> {
@@ -37,79 +37,81 @@
     }
 }
 
-fn play(world: &mut PipelineSimulation, until: Duration) -> Vec<SimulationEvent> {
+fn run_until(simulation: &mut PipelineSimulation, until: Duration) -> Vec<SimulationEvent> {
     let mut seen = Vec::new();
-    while let Some(next) = world.next_time().filter(|next| *next <= until) {
-        seen.extend(world.advance(next));
+    while let Some(next) = simulation.next_time().filter(|next| *next <= until) {
+        seen.extend(simulation.advance(next));
     }
     seen
 }
 
 #[test]
 fn a_stream_ends_after_its_tokens() {
-    let mut world = world();
-    world
+    let mut simulation = simulation();
+    simulation
         .submit(request("r", 10.0), Duration::ZERO)
         .expect("taken");
-    let seen = play(&mut world, 10 * SECOND);
-    let made = seen.iter().map(|event| match event {
-        SimulationEvent::Event { made, last, .. } => (*made, *last),
+    let seen = run_until(&mut simulation, 10 * SECOND);
+    let generated = seen.iter().map(|event| match event {
+        SimulationEvent::Event {
+            generated, last, ..
+        } => (*generated, *last),
         other => panic!("{other:?}"),
     });
-    let made = made.collect::<Vec<_>>();
+    let generated = generated.collect::<Vec<_>>();
     assert_eq!(
-        made,
+        generated,
         [(1.0, false), (4.0, false), (7.0, false), (10.0, true)]
     );
-    assert!(world.status(0).used.abs() < 1e-6);
+    assert!(simulation.status(0).used.abs() < 1e-6);
 }
 
 #[test]
 fn a_path_must_be_held() {
-    let mut world = world();
+    let mut simulation = simulation();
     let mut wrong = request("r", 10.0);
     wrong.path[1].layers = range(30, 80);
-    let taken = world.submit(wrong, Duration::ZERO);
+    let taken = simulation.submit(wrong, Duration::ZERO);
     assert_eq!(taken, Err(SubmitError::WrongLayers(1)));
-    world.set_draining(1, true);
-    let taken = world.submit(request("r", 10.0), Duration::ZERO);
+    simulation.set_draining(1, true);
+    let taken = simulation.submit(request("r", 10.0), Duration::ZERO);
     assert_eq!(taken, Err(SubmitError::NoCapacity(1)));
 }
 
 #[test]
 fn a_full_engine_refuses() {
-    let mut world = world();
-    let taken =
-        (0..100).map(|index| world.submit(request(&format!("r{index}"), 500.0), Duration::ZERO));
+    let mut simulation = simulation();
+    let taken = (0..100)
+        .map(|index| simulation.submit(request(&format!("r{index}"), 500.0), Duration::ZERO));
     let taken = taken.filter(Result::is_ok).count();
     assert!(taken > 0 && taken < 100, "{taken}");
 }
 
 #[test]
 fn work_on_a_dead_engine_is_told_and_then_cut() {
-    let mut world = world();
-    world
+    let mut simulation = simulation();
+    simulation
         .submit(request("r", 5_000.0), Duration::ZERO)
         .expect("taken");
-    play(&mut world, SECOND);
-    world.kill(1, SECOND);
-    play(&mut world, SECOND * 2);
-    assert_eq!(world.stalled(0, SECOND * 2), [("r".to_owned(), 1)]);
-    let seen = play(&mut world, SECOND * 5);
+    run_until(&mut simulation, SECOND);
+    simulation.kill(1, SECOND);
+    run_until(&mut simulation, SECOND * 2);
+    assert_eq!(simulation.stalled(0, SECOND * 2), [("r".to_owned(), 1)]);
+    let seen = run_until(&mut simulation, SECOND * 5);
     assert_eq!(seen, [SimulationEvent::Cut { id: "r".to_owned() }]);
 }
 
 #[test]
 fn a_stalled_request_goes_on_at_another_engine() {
-    let mut world = world();
-    world
+    let mut simulation = simulation();
+    simulation
         .submit(request("r", 400.0), Duration::ZERO)
         .expect("taken");
-    let before = play(&mut world, SECOND);
-    world.kill(1, SECOND);
-    let moved = world.repath("r", path(2), SECOND + SECOND / 2);
+    let before = run_until(&mut simulation, SECOND);
+    simulation.kill(1, SECOND);
+    let moved = simulation.repath("r", path(2), SECOND + SECOND / 2);
     assert_eq!(moved, Ok(()));
-    let after = play(&mut world, SECOND * 20);
+    let after = run_until(&mut simulation, SECOND * 20);
     let lasts = after
         .iter()
         .filter(|event| matches!(event, SimulationEvent::Event { last: true, .. }));
@@ -121,22 +123,22 @@
             .any(|event| matches!(event, SimulationEvent::Cut { .. }))
     );
     assert_eq!(
-        world.repath("r", path(1), SECOND * 20),
+        simulation.repath("r", path(1), SECOND * 20),
         Err(SubmitError::Unknown)
     );
 }
 
 #[test]
 fn an_order_takes_time_and_too_much_kills() {
-    let mut world = world();
-    world.place(2, range(0, 20), Duration::ZERO);
-    assert!(world.status(2).busy);
-    play(&mut world, SECOND * 10);
-    assert_eq!(world.status(2).layers, Some(range(0, 20)));
-    assert_eq!(world.status(2).orders, 1);
-    world.place(2, range(0, 60), SECOND * 10);
-    assert_eq!(world.status(2).layers, None);
-    let taken = world.submit(
+    let mut simulation = simulation();
+    simulation.place(2, range(0, 20), Duration::ZERO);
+    assert!(simulation.status(2).busy);
+    run_until(&mut simulation, SECOND * 10);
+    assert_eq!(simulation.status(2).layers, Some(range(0, 20)));
+    assert_eq!(simulation.status(2).orders, 1);
+    simulation.place(2, range(0, 60), SECOND * 10);
+    assert_eq!(simulation.status(2).layers, None);
+    let taken = simulation.submit(
         RequestSettings {
             path: path(2),
             ..request("r", 9.0)
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -77,14 +77,14 @@
     Ok(tokens)
 }
 
-fn right_answer() -> Vec<u64> {
+fn expected_tokens() -> Vec<u64> {
     reference::generate(MODEL, VERSION, MODEL_LAYERS, &PROMPT, TOKENS)
 }
 
 #[tokio::test]
 async fn a_chain_of_engines_gives_the_reference_answer() -> TestResult {
     let engines = bind_engines().await?;
-    assert_eq!(generate(&engines).await?, right_answer());
+    assert_eq!(generate(&engines).await?, expected_tokens());
     let record = engines[1].record();
     assert_eq!(record.len(), PROMPT.len() + TOKENS - 1);
     assert!(record.iter().all(|entry| entry.layers == [4, 5, 6, 7]));
@@ -100,7 +100,7 @@
     engines[1]
         .faults()
         .update(|faults| faults.skip_layer = Some(5));
-    assert_ne!(generate(&engines).await?, right_answer());
+    assert_ne!(generate(&engines).await?, expected_tokens());
     assert!(
         engines[1]
             .record()
@@ -112,7 +112,7 @@
     engines[2]
         .faults()
         .update(|faults| faults.double_layer = Some(8));
-    assert_ne!(generate(&engines).await?, right_answer());
+    assert_ne!(generate(&engines).await?, expected_tokens());
     Ok(())
 }
 
