--- a/standins/src/batch.rs
+++ b/standins/src/batch.rs
@@ -1,4 +1,4 @@
-//! Slots of the continuous batch, with a queue by priority and arrival.
+//! Slots of a continuous batch, with a queue ordered by priority and arrival.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -8,14 +8,14 @@
 use parking_lot::Mutex;
 use tokio::sync::oneshot;
 
-/// Longest delay of timers that a busy slot makes up for.
+/// Longest timer delay that a busy slot compensates.
 const MAX_CATCH_UP: Duration = Duration::from_millis(20);
 
-/// The queue is full.
+/// Error: the queue is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct QueueFull;
 
-/// A batch of a fixed number of slots.
+/// A batch with a fixed number of slots.
 #[derive(Debug)]
 pub(crate) struct StepBatch {
     concurrency: usize,
@@ -32,14 +32,14 @@
 
 type QueueKey = (Reverse<u8>, u64);
 
-/// Numbers for the load report.
+/// Load of the batch, for the load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct BatchLoad {
     pub(crate) running: usize,
     pub(crate) waiting: usize,
 }
 
-/// A held slot; dropping it lets the next step run.
+/// An occupied slot. Dropping it hands the slot to the next waiting step.
 #[derive(Debug)]
 pub(crate) struct BatchSlot {
     batch: Arc<StepBatch>,
@@ -47,7 +47,7 @@
     is_refused: bool,
 }
 
-/// Takes a waiting step out of the queue when its caller gives up.
+/// Removes a waiting step from the queue when its caller gives up.
 struct QueueGuard<'a> {
     batch: &'a StepBatch,
     key: QueueKey,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Waits for a slot; higher priorities first, then earlier arrivals.
+    /// Waits for a slot, in order of priority, then of arrival.
     pub(crate) async fn acquire(self: &Arc<Self>, priority: u8) -> Result<BatchSlot, QueueFull> {
         let arrived_at = Instant::now();
         let (key, receiver) = {
@@ -101,8 +101,8 @@
         Ok(slot)
     }
 
-    /// Takes the next step out of the queue; with none there, the slot that
-    /// was meant for it is given up.
+    /// Removes the next step from the queue. If there is none, frees the slot that was
+    /// meant for it.
     fn next_waiting(&self) -> Option<oneshot::Sender<BatchSlot>> {
         let mut state = self.state.lock();
         let next = state.waiting.pop_first();
@@ -122,8 +122,8 @@
 }
 
 impl BatchSlot {
-    /// Books the slot for `work` and says when that work is done. The work
-    /// counts from the moment the slot was due to be free, so that late
+    /// Reserves the slot for `work` and returns the time at which that work is done. The
+    /// work counts from the time at which the slot was due to be free, so that late
     /// timers do not lower the rate of a busy engine.
     pub(crate) fn book(&mut self, work: Duration) -> Instant {
         self.free_at += work;
@@ -142,8 +142,8 @@
         while let Some(sender) = self.batch.next_waiting() {
             match sender.send(self.batch.slot(free_at)) {
                 Ok(()) => return,
-                // The waiting step has given up, so the slot goes to the next
-                // one. Were this copy released too, the batch would grow.
+                // The waiting step has given up, so the slot goes to the next one.
+                // Releasing this copy too would enlarge the batch.
                 Err(mut refused) => refused.is_refused = true,
             }
         }
--- a/standins/src/daemon_settings.rs
+++ b/standins/src/daemon_settings.rs
@@ -7,16 +7,16 @@
 use crate::caller::token_of;
 use crate::operator::OPERATOR;
 
-/// What differs between the daemons of one fleet.
+/// Settings that differ between the daemons of one fleet.
 #[derive(Debug, Clone)]
 pub struct DaemonConfig {
     /// Name of the entry host.
     pub host: String,
     /// Its availability zone.
     pub zone: String,
-    /// The platform's address.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// Address for peers; port 0 where nobody needs to know it beforehand.
+    /// Address for peers; port 0 if no other process needs to know it beforehand.
     pub peers: SocketAddr,
     /// Daemons to contact first.
     pub seeds: Vec<SeedPeer>,
@@ -34,7 +34,7 @@
 }
 
 impl DaemonConfig {
-    /// A daemon without peers.
+    /// Creates the settings of a daemon without peers.
     pub fn new(host: &str, zone: &str, platform: SocketAddr) -> Self {
         Self {
             host: host.to_owned(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The text of its settings file; `extra` adds whole sections.
+    /// Returns the text of the settings file; `extra` adds whole sections.
     pub fn to_toml(&self, extra: &str) -> String {
         let digest = TokenDigest::of_token(&token_of(OPERATOR)).to_hex();
         let mut text = format!(
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -28,7 +28,7 @@
 pub use record::{StepKind, StepRecord};
 pub use settings::{EngineFaults, EngineSettings, FencingMode};
 
-/// A running engine; dropping it stops it.
+/// A running engine. Dropping it stops the engine.
 #[derive(Debug)]
 pub struct EngineServer {
     http: HttpServer,
@@ -37,7 +37,7 @@
 }
 
 impl EngineServer {
-    /// Listens on `addr`.
+    /// Starts an engine that listens on `addr`.
     pub async fn bind(addr: SocketAddr, settings: EngineSettings) -> io::Result<Self> {
         let calls = Arc::new(EngineCalls::new(settings));
         let handler = {
@@ -63,33 +63,34 @@
         })
     }
 
-    /// Address on which the engine listens.
+    /// Returns the address on which the engine listens.
     pub fn local_addr(&self) -> SocketAddr {
         self.http.local_addr()
     }
 
-    /// Name from the settings.
+    /// Returns the name from the settings.
     pub fn name(&self) -> &str {
         &self.calls.settings.name
     }
 
-    /// Faults to switch.
+    /// Returns a handle that switches the faults.
     pub fn faults(&self) -> FaultSwitch<EngineFaults> {
         self.calls.faults.clone()
     }
 
-    /// What the engine ran and handed back, in order, up to the record's cap.
+    /// Returns the positions that the engine ran or resumed, in order, up to the limit of
+    /// the record.
     pub fn record(&self) -> Vec<StepRecord> {
         self.calls.steps.record.entries()
     }
 
-    /// Acts dead: resets every connection and refuses new ones.
+    /// Simulates a crash: resets every connection and refuses new ones.
     pub fn die(&self) {
         self.calls.faults.update(|faults| faults.dead = true);
     }
 
-    /// Comes back after [`EngineServer::die`], without any session or cache.
-    /// Wait in between until a call fails: a death that nobody saw is none.
+    /// Restarts the engine after [`EngineServer::die`], without sessions and cache. Wait
+    /// before this until a call has failed, as otherwise no client notices the crash.
     pub fn revive(&self) {
         self.calls.steps.clear_state();
         self.calls.faults.update(|faults| faults.dead = false);
--- a/standins/src/engine/calls.rs
+++ b/standins/src/engine/calls.rs
@@ -1,4 +1,4 @@
-//! The engine's calls.
+//! HTTP endpoints of the engine.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
     pub(super) faults: FaultSwitch<EngineFaults>,
     pub(super) steps: StepRunner,
     ranges: Mutex<RangeStore>,
-    /// Last answers of two different sessions, for the crossed answers.
+    /// Last responses of two different sessions, for the fault `cross_answers`.
     recent_answers: Mutex<Vec<StepAnswer>>,
 }
 
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Remembers `answer` and gives the last answer of another session.
+    /// Stores `answer` and returns the last response of another session.
     fn exchange_answer(&self, answer: &StepAnswer) -> StepAnswer {
         let mut recent = self.recent_answers.lock();
         recent.retain(|other| other.label != answer.label);
@@ -185,7 +185,8 @@
     }
 }
 
-/// An answer of a session that never was, while there is no other one.
+/// Builds a response of a session that does not exist, for use while there is no second
+/// session.
 fn foreign_answer(answer: &StepAnswer) -> StepAnswer {
     let mut foreign = answer.clone();
     foreign.label.request = format!("other-than-{}", foreign.label.request).into();
--- a/standins/src/engine/prefix_cache.rs
+++ b/standins/src/engine/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! Cache of prompt prefixes in limited memory, and the events it publishes.
+//! Cache of prompt prefixes with a limited size, and the events that it publishes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -8,10 +8,10 @@
 
 use crate::reference::fold;
 
-/// Events kept for readers; older ones are gone.
+/// Events kept for readers; older events are dropped.
 const MAX_EVENTS: usize = 8_192;
 
-/// Hash of the prompt up to the end of each whole chunk.
+/// Returns the hash of the prompt up to the end of each whole chunk.
 pub fn prefix_hashes(inputs: &[u64], chunk_inputs: usize) -> Vec<u64> {
     let mut folded = 0;
     let chunks = inputs.chunks_exact(chunk_inputs.max(1));
@@ -22,7 +22,7 @@
     chunks.map(hash_next).collect()
 }
 
-/// Least recently used prefixes go first.
+/// A cache of prompt prefixes that evicts the least recently used ones.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     limits: CacheLimits,
@@ -33,7 +33,7 @@
     events: VecDeque<TimedEvent>,
 }
 
-/// What bounds the cache and what its readers get to see.
+/// Limits of the cache and of the events that its readers receive.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CacheLimits {
     pub(super) prefixes: usize,
@@ -60,16 +60,16 @@
         }
     }
 
-    /// Number of leading inputs that need not be computed.
+    /// Returns the number of leading inputs that are cached and need not be computed.
     pub(super) fn cached_inputs(&self, inputs: &[u64]) -> usize {
         let hashes = prefix_hashes(inputs, self.limits.chunk_inputs);
         let is_cached = |hash: &&u64| self.last_use.contains_key(*hash);
         hashes.iter().take_while(is_cached).count() * self.limits.chunk_inputs.max(1)
     }
 
-    /// Remembers the prefixes of a prompt that has been computed.
+    /// Stores the prefixes of a prompt that has been computed.
     pub(super) fn insert(&mut self, inputs: &[u64], now: Instant) {
-        // Longer prefixes first, so that a shorter one outlives them.
+        // Longer prefixes are touched first, so that shorter ones are evicted after them.
         for hash in prefix_hashes(inputs, self.limits.chunk_inputs)
             .into_iter()
             .rev()
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Events from a number on that can be read by now.
+    /// Returns the events from number `from` on that are visible at `now`.
     pub(super) fn events(&self, from: u64, now: Instant) -> CacheEvents {
         let visible = self
             .events
@@ -127,7 +127,7 @@
         CacheEvents { events, next }
     }
 
-    /// Forgets every prefix; the event numbers go on.
+    /// Removes every prefix. The event numbers continue.
     pub(super) fn clear(&mut self, now: Instant) {
         let evicted = std::mem::take(&mut self.by_use);
         self.last_use.clear();
--- a/standins/src/engine/range_store.rs
+++ b/standins/src/engine/range_store.rs
@@ -1,4 +1,4 @@
-//! Ranges that an engine holds, and the orders that change them.
+//! Layer ranges that an engine holds, and the orders that change them.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 
 use super::settings::FencingMode;
 
-/// Ranges held and being loaded.
+/// Layer ranges that are loaded or being loaded.
 #[derive(Debug)]
 pub(super) struct RangeStore {
     fencing: FencingMode,
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Carries out an order, or refuses it if its fencing number is old.
+    /// Executes an order, or refuses it if its fencing number is older than the highest
+    /// one received.
     pub(super) fn order(
         &mut self,
         order: StateOrder,
@@ -82,7 +83,7 @@
             .extend(ready.into_iter().map(|loading| loading.range));
     }
 
-    /// Whether a loaded range covers the layers of `order`.
+    /// Returns whether a loaded range covers the layers of `order`.
     pub(super) fn holds(&mut self, order: &StepOrder, now: Instant) -> bool {
         self.finish_loading(now);
         self.loaded.iter().any(|range| {
--- a/standins/src/engine/record.rs
+++ b/standins/src/engine/record.rs
@@ -1,4 +1,4 @@
-//! What an engine really did, for history checks.
+//! Record of the work that an engine performed, for history checks.
 
 use jackdawwick::ids::{
     AttemptNumber, LayerIndex, ModelId, RequestId, StageIndex, TokenPosition, VersionId,
@@ -11,16 +11,16 @@
 pub enum StepKind {
     /// The layers ran.
     Ran,
-    /// The recorded output was handed back; no layer ran.
+    /// The recorded output was returned; no layer ran.
     Resumed,
 }
 
-/// One position of one step.
+/// One position of one step, as the engine processed it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepRecord {
-    /// Grows over all stand-ins of one process.
+    /// Sequence number over all stand-ins of one process.
     pub order: u64,
-    /// Request served.
+    /// Request of the step.
     pub request: RequestId,
     /// Attempt that opened the session.
     pub attempt: AttemptNumber,
@@ -30,13 +30,13 @@
     pub model: ModelId,
     /// Version that ran.
     pub version: VersionId,
-    /// Layers in the order in which they ran; none for a resumed position.
+    /// Layers in the order in which they ran; empty for a resumed position.
     pub layers: Vec<LayerIndex>,
     /// Position in the sequence.
     pub position: TokenPosition,
     /// Input given for the position.
     pub input: u64,
-    /// Output computed or handed back.
+    /// Output that was computed or returned from the record.
     pub output: u64,
     /// Whether the position was computed.
     pub kind: StepKind,
--- a/standins/src/engine/session.rs
+++ b/standins/src/engine/session.rs
@@ -1,4 +1,4 @@
-//! A session: the KV state and the outputs of the positions run so far.
+//! A session: the KV state and the outputs of the positions that have run.
 
 use std::sync::Arc;
 
@@ -11,11 +11,11 @@
 use super::settings::EngineFaults;
 use crate::reference::{EMPTY_KV_STATE, run_layer_with, token_of, weights};
 
-/// One session, used by one step at a time.
+/// One session. Only one step at a time uses it.
 #[derive(Debug)]
 pub(super) struct EngineSession {
-    /// Held for the whole of a step, so that a repeated step waits for the
-    /// first one and then finds its outputs.
+    /// Locked for the whole of a step, so that a repeated step waits for the first one
+    /// and then finds its outputs.
     pub(super) data: tokio::sync::Mutex<SessionData>,
     closed: watch::Sender<bool>,
 }
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Ends when the session has been cancelled or dropped.
+    /// Waits until the session has been cancelled or replaced.
     pub(super) async fn closed(&self) {
         let _ = self.closed.subscribe().wait_for(|closed| *closed).await;
     }
@@ -49,7 +49,7 @@
         self.sessions.lock().get(name).cloned()
     }
 
-    /// The session that `order` names, made anew if there is none.
+    /// Returns the session that `order` names, and opens it if it does not exist.
     pub(super) fn find_or_open(&self, order: &StepOrder) -> Arc<EngineSession> {
         let mut sessions = self.sessions.lock();
         let session = sessions.entry(order.label.session());
@@ -57,7 +57,7 @@
         Arc::clone(session.or_insert_with(open))
     }
 
-    /// Puts an imported session in place of any other of its name.
+    /// Stores an imported session, replacing any other of the same name.
     pub(super) fn import(&self, name: &str, export: CacheExport) {
         let session = Arc::new(EngineSession::new(SessionData::import(export)));
         let replaced = self.sessions.lock().insert(name.to_owned(), session);
@@ -94,7 +94,7 @@
     pub(super) last_answer: Option<StepAnswer>,
 }
 
-/// What one position did.
+/// Result of running one position.
 #[derive(Debug)]
 pub(super) struct PositionRun {
     pub(super) layers: Vec<LayerIndex>,
@@ -145,7 +145,7 @@
         self.outputs.len() as TokenPosition
     }
 
-    /// Whether the order is for what this session was opened with.
+    /// Returns whether the order has the model, version and layers of this session.
     pub(super) fn matches(&self, order: &StepOrder) -> bool {
         self.model == order.model
             && self.version == order.version
@@ -153,7 +153,7 @@
             && self.last_layer == order.last_layer
     }
 
-    /// Output of a position that has run.
+    /// Returns the output of a position that has run.
     pub(super) fn output(&self, position: TokenPosition) -> Option<u64> {
         self.outputs.get(position as usize).copied()
     }
--- a/standins/src/engine/settings.rs
+++ b/standins/src/engine/settings.rs
@@ -6,34 +6,34 @@
 use jackdawwick::target::wire::{EngineRole, LoadedRange};
 use serde::{Deserialize, Serialize};
 
-/// Whether an engine heeds fencing numbers.
+/// Whether an engine checks fencing numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum FencingMode {
-    /// Refuses an order with an older number than the highest seen.
+    /// Refuses an order with a number below the highest one received.
     #[default]
     Checks,
-    /// Carries out any order.
+    /// Executes every order.
     Ignores,
 }
 
-/// How an engine behaves when nothing fails.
+/// Behaviour of an engine without faults.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
     /// Name of the target.
     pub name: String,
     /// Number of layers of each model, of which this engine holds ranges.
     pub model_layers: LayerIndex,
-    /// Ranges held from the start.
+    /// Ranges that are loaded at the start.
     pub loaded: Vec<LoadedRange>,
     /// Role at the start.
     pub role: EngineRole,
-    /// Whether orders' fencing numbers are checked.
+    /// Whether the fencing numbers of orders are checked.
     pub fencing: FencingMode,
     /// Steps that run at the same time.
     pub concurrency: usize,
-    /// Steps that may wait; one more is refused.
+    /// Steps that may wait; a further one is refused.
     pub max_waiting: usize,
-    /// Time that one decode step holds its slot.
+    /// Time for which one decode step occupies its slot.
     pub step_time: Duration,
     /// Time that each prompt input outside the prefix cache adds to a prefill.
     pub prefill_time_per_token: Duration,
@@ -43,18 +43,19 @@
     pub load_lag: Duration,
     /// Prompt prefixes that the prefix cache holds.
     pub cached_prefixes: usize,
-    /// Inputs a chunk of the prefix cache.
+    /// Inputs per chunk of the prefix cache.
     pub chunk_inputs: usize,
-    /// Time after which a cache event can be read.
+    /// Delay after which a cache event becomes visible.
     pub cache_event_delay: Duration,
-    /// If set, every k-th cache event is never handed out.
+    /// If set, every k-th cache event is dropped.
     pub drop_cache_event_every: Option<u64>,
-    /// Most entries kept in the record; zero records nothing.
+    /// Maximum number of entries in the record; with zero nothing is recorded.
     pub record_cap: usize,
 }
 
 impl EngineSettings {
-    /// A fast engine that holds layers `first_layer..=last_layer`.
+    /// Creates settings of an engine that holds layers `first_layer..=last_layer` and
+    /// takes no time.
     pub fn new(
         model: &str,
         version: &str,
@@ -101,33 +102,33 @@
     }
 }
 
-/// Faults of an engine. Counters count down as the fault strikes.
+/// Faults of an engine. Counters are decremented each time the fault occurs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
     /// Connections are refused; only the handle can undo this.
     pub dead: bool,
-    /// Calls are accepted, but nothing goes on until this ends.
+    /// Calls are accepted, but make no progress until this is reset.
     pub frozen: bool,
     /// New sessions are refused.
     pub leaving: bool,
-    /// The next steps run, then the connection is closed.
+    /// The next steps run, then the connection is closed without a response.
     pub lose_answers: u32,
     /// The next steps have no effect, and the connection is closed.
     pub lose_steps: u32,
     /// The next steps are refused as overload, without effect.
     pub refuse_steps: u32,
-    /// The next steps run, but answer with another session's answer.
+    /// The next steps run, but return the response of another session.
     pub cross_answers: u32,
-    /// The next steps run, but answer with their session's previous answer.
+    /// The next steps run, but return the previous response of their session.
     pub repeat_answers: u32,
-    /// Layer that is left out, although it is in the range.
+    /// Layer that is skipped although it is in the range.
     pub skip_layer: Option<LayerIndex>,
     /// Layer that is run twice.
     pub double_layer: Option<LayerIndex>,
-    /// Multiplies the time of each step.
+    /// Factor on the time of each step.
     pub slow_factor: f64,
-    /// Delay of each answer, in milliseconds.
+    /// Delay of each response, in milliseconds.
     pub link_delay_ms: u64,
 }
 
--- a/standins/src/engine/steps.rs
+++ b/standins/src/engine/steps.rs
@@ -1,4 +1,5 @@
-//! Runs steps: resume, queue, batch, layers, record.
+//! Runs steps: resumes known positions, waits for a batch slot, runs the layers and
+//! records the work.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,7 +19,7 @@
 use crate::record_list::{RecordList, next_order, now_micros};
 use crate::refusal::refused;
 
-/// Everything that a step needs.
+/// State that steps share.
 #[derive(Debug)]
 pub(super) struct StepRunner {
     settings: Arc<EngineSettings>,
@@ -30,11 +31,11 @@
     pub(super) record: RecordList<StepRecord>,
 }
 
-/// What a step gives to its caller.
+/// Result of a step.
 #[derive(Debug)]
 pub(super) struct StepResult {
     pub(super) answer: StepAnswer,
-    /// The session's answer before this one.
+    /// The previous response of the session.
     pub(super) previous: Option<StepAnswer>,
 }
 
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Drops all sessions and the prefix cache.
+    /// Removes all sessions and the prefix cache.
     pub(super) fn clear_state(&self) {
         self.sessions.close_all();
         self.cache.lock().clear(Instant::now());
@@ -136,7 +137,7 @@
         Ok(StepResult { answer, previous })
     }
 
-    /// Holds a slot of the batch for as long as the inputs take.
+    /// Occupies a slot of the batch for the time that the inputs take.
     async fn work(
         &self,
         order: &StepOrder,
@@ -153,7 +154,7 @@
             slot
         };
         let slot = tokio::select! {
-            // In this order, so that no cancelled session goes on.
+            // The cancellation is polled first, so that no cancelled session continues.
             biased;
             () = session.closed() => return Err(unknown_position(0)),
             slot = work => slot,
--- a/standins/src/json_client.rs
+++ b/standins/src/json_client.rs
@@ -1,4 +1,4 @@
-//! A plain JSON client for tests, the demo and control calls.
+//! A simple JSON client for tests, the demo and control calls.
 
 use std::net::SocketAddr;
 
@@ -10,20 +10,20 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Why a call gave no answer; it may have taken effect.
+/// Reason why a call got no response. The call may have taken effect.
 pub type CallError = Box<dyn std::error::Error + Send + Sync>;
 
-/// An answer, read to its end.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JsonReply {
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
-    /// JSON text, or nothing.
+    /// JSON text, or empty.
     pub body: Bytes,
 }
 
 impl JsonReply {
-    /// The body as `T`.
+    /// Parses the body as `T`.
     pub fn json<T>(&self) -> Result<T, serde_json::Error>
     where
         T: DeserializeOwned,
@@ -32,7 +32,7 @@
     }
 }
 
-/// Sends one call over a connection of its own.
+/// Sends one call on a connection of its own.
 pub async fn call<T>(
     method: Method,
     addr: SocketAddr,
@@ -46,8 +46,8 @@
         .method(method)
         .uri(format!("http://{addr}{path}"))
         .body(Full::new(Bytes::from(serde_json::to_vec(body)?)))?;
-    // A pool would send a lost call again by itself, and the caller would
-    // not learn that it may have run twice.
+    // A connection pool would resend a lost call by itself, and the caller would not
+    // learn that it may have run twice.
     let client = Client::builder(TokioExecutor::new())
         .pool_max_idle_per_host(0)
         .retry_canceled_requests(false)
--- a/standins/src/load_gauge.rs
+++ b/standins/src/load_gauge.rs
@@ -1,4 +1,4 @@
-//! The load report, refreshed now and then.
+//! The load report, refreshed periodically.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -9,10 +9,10 @@
 
 use crate::batch::{BatchLoad, StepBatch};
 
-/// Shortest time between two snapshots.
+/// Shortest interval between two snapshots.
 const MIN_LAG: Duration = Duration::from_millis(1);
 
-/// Counts tokens and keeps the last snapshot of the load.
+/// Counts tokens and stores the last snapshot of the load.
 #[derive(Debug)]
 pub(crate) struct LoadGauge {
     tokens: AtomicU64,
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Counts positions that have run.
+    /// Adds to the count of positions that have run.
     pub(crate) fn count(&self, tokens: usize) {
         self.tokens.fetch_add(tokens as u64, Ordering::Relaxed);
     }
 
-    /// Takes a new snapshot of `batch` again and again.
+    /// Takes snapshots of `batch` at an interval of `lag`, without end.
     pub(crate) async fn refresh_every(&self, lag: Duration, batch: &StepBatch) {
         let mut ticks = interval(lag.max(MIN_LAG));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -66,7 +66,7 @@
         };
     }
 
-    /// The last snapshot, with its age.
+    /// Returns the last snapshot with its age.
     pub(crate) fn report(&self, now: Instant) -> LoadReport {
         let snapshot = self.snapshot.lock();
         let age = now.saturating_duration_since(snapshot.taken_at);
--- a/standins/src/reference.rs
+++ b/standins/src/reference.rs
@@ -1,7 +1,7 @@
-//! The right answer of a made-up model, computed from scratch.
+//! Reference implementation of an artificial model, computed from scratch.
 //!
-//! Every layer folds all inputs of earlier positions into its KV state, so a
-//! skipped, doubled or reordered step changes every output that follows.
+//! Every layer folds the inputs of all earlier positions into its KV state, so a skipped,
+//! doubled or reordered step changes every output that follows.
 
 use jackdawwick::ids::{LayerIndex, TokenValue};
 
@@ -12,7 +12,7 @@
 
 const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What one layer does with one input.
+/// Result of one layer for one input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LayerOutcome {
     /// KV state for the layer's next position.
@@ -21,7 +21,7 @@
     pub output: u64,
 }
 
-/// Scrambles 64 bits so that each input bit touches every output bit.
+/// Mixes 64 bits so that each input bit affects every output bit.
 pub fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(GOLDEN_GAMMA);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -29,7 +29,7 @@
     value ^ (value >> 31)
 }
 
-/// Hash of `values` that depends on their order.
+/// Returns a hash of `values` that depends on their order.
 pub fn fold<I>(seed: u64, values: I) -> u64
 where
     I: IntoIterator<Item = u64>,
@@ -39,7 +39,7 @@
         .fold(seed, |folded, value| mix(folded.rotate_left(7) ^ value))
 }
 
-/// The weights of one version of a model, as far as this model has any.
+/// Returns the number that stands for the weights of a version of a model.
 pub fn weights(model: &str, version: &str) -> u64 {
     let bytes = model.bytes().chain([0]).chain(version.bytes());
     fold(GOLDEN_GAMMA, bytes.map(u64::from))
@@ -56,7 +56,7 @@
     run_layer_with(weights(model, version), layer, kv_state, input)
 }
 
-/// Like [`run_layer`], with the [`weights`] computed once by the caller.
+/// Runs a layer like [`run_layer`], with [`weights`] that the caller has computed once.
 pub fn run_layer_with(weights: u64, layer: LayerIndex, kv_state: u64, input: u64) -> LayerOutcome {
     let layer_weights = mix(weights ^ u64::from(layer));
     let kv_state = fold(kv_state, [input, layer_weights]);
@@ -64,14 +64,14 @@
     LayerOutcome { kv_state, output }
 }
 
-/// The token that the model's last layer stands for with `output`.
+/// Returns the token for an output of the model's last layer.
 pub fn token_of(output: u64) -> TokenValue {
     output % VOCABULARY
 }
 
 /// Generates `count` tokens after `prompt`, one layer and position at a time.
 ///
-/// An empty prompt gives no tokens.
+/// An empty prompt produces no tokens.
 pub fn generate(
     model: &str,
     version: &str,
--- a/standins/src/refusal.rs
+++ b/standins/src/refusal.rs
@@ -1,11 +1,11 @@
-//! The answer by which a target refuses.
+//! Responses with which a target refuses a call.
 
 use http::StatusCode;
 use jackdawwick::target::wire::{TargetRefusal, TargetRefusalKind};
 
 use crate::http_server::CallOutcome;
 
-/// A refusal that says nothing of positions.
+/// Creates a refusal without a position.
 pub(crate) fn refused(kind: TargetRefusalKind) -> TargetRefusal {
     TargetRefusal {
         refused: kind,
@@ -13,7 +13,7 @@
     }
 }
 
-/// The answer for a refusal, with the status that belongs to its kind.
+/// Converts a refusal to a response with the status of its kind.
 #[expect(clippy::needless_pass_by_value, reason = "made for `map_err`")]
 pub(crate) fn refusal_outcome(refusal: TargetRefusal) -> CallOutcome {
     CallOutcome::json(status_of(refusal.refused), &refusal)
