--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the entry hosts, which notes what it was told and when.
+//! A caller of the entry hosts, which records the responses with their times.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -17,12 +17,12 @@
 
 use crate::json_client::CallError;
 
-/// The bearer token that the stand-ins give to an organisation or operator.
+/// Returns the bearer token that the stand-ins give to an organisation or operator.
 pub fn token_of(name: &str) -> String {
     format!("token-of-{name}")
 }
 
-/// An idempotency key: a UUID of version 7, which carries its creation time.
+/// Creates an idempotency key: a UUID of version 7, which contains its creation time.
 pub fn new_key(created: SystemTime, random: [u8; 10]) -> String {
     let since_epoch = created.duration_since(UNIX_EPOCH).unwrap_or_default();
     let millis = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
@@ -30,41 +30,41 @@
     uuid.to_string()
 }
 
-/// A caller with its own pool of connections.
+/// A caller with its own connection pool.
 #[derive(Debug, Clone)]
 pub struct CallerClient {
     client: Client<HttpConnector, Full<Bytes>>,
     token: String,
 }
 
-/// What a caller was told about one generation.
+/// Response to one generation request, as the caller received it.
 #[derive(Debug, Clone)]
 pub struct GenerationResponse {
     /// When the request was sent.
     pub sent: Instant,
-    /// HTTP status; `None` if the connection brought none.
+    /// HTTP status; `None` if the connection broke before the response head.
     pub status: Option<StatusCode>,
-    /// Events in the order heard, each with its time.
+    /// Events in the order received, each with its time.
     pub events: Vec<ReceivedEvent>,
-    /// Body of a refusal that came instead of a stream.
+    /// Body of a refusal that was received instead of a stream.
     pub refusal: Option<RefusalBody>,
     /// Whether the connection broke before the closing event.
     pub broken: bool,
-    /// When the answer, the refusal or the break came.
+    /// When the response ended, the refusal came or the connection broke.
     pub ended: Instant,
 }
 
 /// One event of a stream.
 #[derive(Debug, Clone)]
 pub struct ReceivedEvent {
-    /// When it was heard.
+    /// When it was received.
     pub at: Instant,
-    /// What it said.
+    /// The event.
     pub event: StreamEvent,
 }
 
 impl GenerationResponse {
-    /// Tokens in the order of their numbers, as heard.
+    /// Returns the tokens in the order received.
     pub fn tokens(&self) -> Vec<u64> {
         let token = |received: &ReceivedEvent| match received.event {
             StreamEvent::Token { token, .. } => Some(token),
@@ -73,7 +73,8 @@
         self.events.iter().filter_map(token).collect()
     }
 
-    /// Whether the closing event came and counts what was heard.
+    /// Returns whether the closing event was received and its count matches the tokens
+    /// received.
     pub fn is_whole(&self) -> bool {
         self.events.iter().any(|received| match received.event {
             StreamEvent::Done { count } => count == self.tokens().len() as u64,
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Time from sending to the first token.
+    /// Returns the time from sending the request to the first token.
     pub fn first_token(&self) -> Option<Duration> {
         let is_token =
             |received: &&ReceivedEvent| matches!(received.event, StreamEvent::Token { .. });
@@ -89,7 +90,7 @@
         Some(first.at - self.sent)
     }
 
-    /// The refusal, whether it came instead of a stream or ended one.
+    /// Returns the refusal, whether it came instead of a stream or ended one.
     pub fn refused(&self) -> Option<&RefusalBody> {
         let in_stream = self
             .events
@@ -102,7 +103,7 @@
     }
 }
 
-/// Answer of a plain service, as the caller saw it.
+/// Response of a plain service, as the caller received it.
 #[derive(Debug, Clone)]
 pub struct CallResponse {
     /// HTTP status.
@@ -118,12 +119,12 @@
     pub path: &'a str,
     /// JSON body.
     pub body: Bytes,
-    /// The key, for a non-idempotent call.
+    /// Idempotency key, for a non-idempotent call.
     pub key: Option<&'a str>,
 }
 
 impl CallerClient {
-    /// A caller that presents an organisation's token.
+    /// Creates a caller that presents the token of an organisation.
     pub fn open(organisation: &str) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Asks for a generation and hears it to its end.
+    /// Sends a generation request and reads the response to its end.
     pub async fn generate(
         &self,
         host: SocketAddr,
@@ -146,7 +147,8 @@
         self.generate_with_key(host, request, body, None).await
     }
 
-    /// Asks for a generation that may run at most once, under a key.
+    /// Sends a generation request that may run at most once, under an idempotency key,
+    /// and reads the response to its end.
     pub async fn generate_once(
         &self,
         host: SocketAddr,
@@ -181,7 +183,7 @@
         answer
     }
 
-    /// Sends a generation and gives back the response with its open stream.
+    /// Sends a generation request and returns the response with its open stream.
     pub async fn start_generation(
         &self,
         host: SocketAddr,
@@ -263,7 +265,7 @@
     Err("the stream ended without a closing event".into())
 }
 
-/// Marks a request as non-idempotent.
+/// Adds the headers of a non-idempotent request.
 fn add_key_headers(builder: Builder, key: &str) -> Builder {
     builder
         .header("idempotency-key", format!("\"{key}\""))
--- a/standins/src/declarations.rs
+++ b/standins/src/declarations.rs
@@ -1,4 +1,4 @@
-//! The declared resources of a small fleet.
+//! Declared resources of a small fleet.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use crate::caller::token_of;
 use crate::operator::Declaration;
 
-/// Version that the stand-ins' models are offered in.
+/// Version in which the models of the stand-ins are offered.
 pub const VERSION: &str = "v1";
 
 /// An engine of a stage.
@@ -24,9 +24,9 @@
     pub zone: ZoneId,
     /// Address.
     pub address: SocketAddr,
-    /// Tokens a second when saturated.
+    /// Tokens per second when saturated.
     pub tokens_per_second: f64,
-    /// Steps that it runs at once.
+    /// Steps that run at the same time.
     pub concurrency: u32,
 }
 
@@ -37,11 +37,11 @@
     pub first_layer: LayerIndex,
     /// Last layer.
     pub last_layer: LayerIndex,
-    /// Engines that hold it.
+    /// Engines that hold the stage.
     pub targets: Vec<StageTarget>,
 }
 
-/// The target, as declared.
+/// Creates the declaration of a target.
 pub fn target(target: &StageTarget, kind: TargetKind) -> Declaration {
     let spec = TargetSpec {
         kind,
@@ -56,7 +56,8 @@
     Declaration::new(&target.name, ResourceSpec::Target(spec))
 }
 
-/// A model with one pipeline over `stages`, and the engines.
+/// Creates the declarations of a model with one pipeline over `stages`, and of the
+/// engines.
 pub fn pipeline(model: &str, stages: &[StageLayout]) -> Vec<Declaration> {
     let engines = stages.iter().flat_map(|stage| &stage.targets);
     let mut declarations: Vec<Declaration> = engines
@@ -96,7 +97,7 @@
     }
 }
 
-/// A plain service over its targets.
+/// Creates the declarations of a plain service and of its targets.
 pub fn service(name: &str, targets: &[StageTarget], non_idempotent: &[&str]) -> Vec<Declaration> {
     let mut declarations: Vec<Declaration> = targets
         .iter()
@@ -113,7 +114,7 @@
     declarations
 }
 
-/// An organisation whose token is [`token_of`] its name.
+/// Creates the declaration of an organisation whose token is [`token_of`] its name.
 pub fn organisation(name: &str, concurrent_requests: u32, requests_per_second: u32) -> Declaration {
     let spec = OrganisationSpec {
         token_digest: TokenDigest::of_token(&token_of(name)).to_hex(),
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,7 +1,7 @@
-//! A whole fleet in one process over loopback: stand-ins and real daemons.
+//! A complete fleet in one process over loopback: stand-ins and real daemons.
 //!
-//! Each daemon runs on a tokio runtime of its own, so that it can be killed
-//! without warning and its processor time can be told apart.
+//! Each daemon runs on a tokio runtime of its own, so that it can be killed without
+//! warning and its processor time can be measured separately.
 
 mod daemon;
 mod layout;
@@ -22,36 +22,36 @@
 use crate::platform::PlatformServer;
 use crate::service::ServiceServer;
 
-/// A running fleet; dropping it stops everything without warning.
+/// A running fleet. Dropping it stops everything without a graceful shutdown.
 pub struct Fleet {
-    /// What was started.
+    /// The layout that was started.
     pub layout: FleetLayout,
     /// The platform.
     pub platform: PlatformServer,
-    /// Each zone's way to the platform.
+    /// Proxies of the zones, through which their hosts reach the platform.
     pub zone_proxies: Vec<ZoneProxy>,
-    /// Engines, stage after stage.
+    /// Engines, in the order of the stages.
     pub engines: Vec<FleetEngine>,
     /// Targets of the plain service.
     pub services: Vec<FleetService>,
-    /// The platform's host list as it was at the start.
+    /// Host list of the platform at the start.
     pub hosts: HostList,
     /// Daemons of the entry hosts.
     pub daemons: Vec<FleetDaemon>,
 }
 
-/// An engine with its place in the fleet.
+/// An engine with its position in the fleet.
 #[derive(Debug)]
 pub struct FleetEngine {
-    /// Stage that it serves.
+    /// Index of the stage that it serves.
     pub stage: usize,
-    /// The target as it is declared.
+    /// Declared target.
     pub target: StageTarget,
     /// The stand-in, with its faults and record.
     pub server: EngineServer,
 }
 
-/// A target of the plain service with its place in the fleet.
+/// A target of the plain service with its position in the fleet.
 #[derive(Debug)]
 pub struct FleetService {
     /// Name of the target.
--- a/standins/src/fleet/daemon.rs
+++ b/standins/src/fleet/daemon.rs
@@ -14,7 +14,7 @@
 /// Address of a listener that is not open.
 const UNBOUND: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A daemon of the fleet; dropping it ends its runtime.
+/// A daemon of the fleet. Dropping it ends its runtime.
 pub struct FleetDaemon {
     /// Name of the entry host.
     pub host: String,
@@ -35,13 +35,13 @@
         let (host, zone) = (options.host.name.to_string(), options.host.zone.to_string());
         let runtime = Builder::new_multi_thread()
             .worker_threads(WORKER_THREADS)
-            // By its name a thread's processor time is counted for its daemon.
+            // The thread name assigns processor time to its daemon.
             .thread_name(&host)
             .enable_all()
             .build()?;
         let started = runtime.spawn(daemon::spawn(options)).await;
-        // From here on the runtime is ended by `drop`, also after an error: a
-        // runtime must not wait for its tasks on another one's thread.
+        // From here on `drop` ends the runtime, also after an error: a runtime must not
+        // wait for its tasks on a thread of another runtime.
         let mut daemon = Self {
             host,
             zone,
@@ -57,12 +57,12 @@
         Ok(daemon)
     }
 
-    /// Whether it was neither killed nor shut down.
+    /// Returns whether the daemon was neither killed nor shut down.
     pub fn is_running(&self) -> bool {
         self.runtime.is_some()
     }
 
-    /// Ends it without warning; its connections are closed.
+    /// Stops the daemon without a graceful shutdown; its connections are closed.
     pub async fn kill(&mut self) {
         if let (Some(handle), Some(runtime)) = (self.handle.take(), &self.runtime) {
             let _ = runtime.spawn(handle.abort()).await;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Shuts it down gracefully.
+    /// Shuts the daemon down gracefully.
     pub async fn shutdown(&mut self) {
         if let (Some(handle), Some(runtime)) = (self.handle.take(), &self.runtime) {
             let _ = runtime.spawn(handle.shutdown()).await;
--- a/standins/src/fleet/layout.rs
+++ b/standins/src/fleet/layout.rs
@@ -1,4 +1,4 @@
-//! What a fleet consists of, and the two users' shapes.
+//! Layouts of fleets, among them those of two user organisations.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 /// Prompt inputs that an engine processes in the time of one decode step.
 pub const PREFILL_PER_STEP: u32 = 64;
 
-/// Step times of the engines of a stage, over and over: mixed accelerators.
+/// Step times of the engines of a stage, used in rotation: mixed accelerators.
 ///
-/// None is below 12 ms, since tokio's timers round up to whole milliseconds.
+/// None is below 12 ms, as tokio's timers round up to whole milliseconds.
 const STEP_TIMES_MS: [u64; 5] = [12, 16, 24, 32, 48];
-/// Steps that an engine runs at once.
+/// Steps that an engine runs at the same time.
 const ENGINE_CONCURRENCY: usize = 4;
-/// Engines a stage in both shapes.
+/// Engines per stage in both layouts.
 const STAGE_ENGINES: usize = 10;
-/// Layers a stage in both shapes.
+/// Layers per stage in both layouts.
 const STAGE_LAYERS: LayerIndex = 4;
-/// Stages of the pipeline in both shapes.
+/// Stages of the pipeline in both layouts.
 const STAGES: LayerIndex = 3;
 /// Units of capacity bought by each of the ten organisations.
 const CAPACITY_UNITS: [u32; 10] = [8, 8, 8, 2, 2, 2, 2, 2, 2, 2];
-/// Requests a second in one unit of capacity.
+/// Requests per second in one unit of capacity.
 const UNIT_RATE: u32 = 6;
-/// Requests at once in one unit of capacity.
+/// Concurrent requests in one unit of capacity.
 const UNIT_CONCURRENCY: u32 = 16;
 
-/// What a fleet consists of.
+/// Components of a fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetLayout {
-    /// Name of the shape.
+    /// Name of the layout.
     pub name: String,
     /// Availability zones with their entry hosts.
     pub zones: Vec<ZonePlan>,
-    /// Model served by the one pipeline.
+    /// Model that the only pipeline serves.
     pub model: String,
     /// Stages of the pipeline.
     pub stages: Vec<StagePlan>,
@@ -41,17 +41,17 @@
     pub service: ServicePlan,
     /// Organisations that buy capacity.
     pub organisations: Vec<OrganisationPlan>,
-    /// Delay of every target's answer, in milliseconds.
+    /// Delay of the responses of every target, in milliseconds.
     ///
-    /// Over loopback a target cannot tell from which zone it is called, and
-    /// the stand-ins' shortest delay is a millisecond; so each call is delayed
-    /// as if it crossed zones: half a millisecond each way.
+    /// Over loopback a target cannot determine the zone of its caller, and the shortest
+    /// delay of the stand-ins is 1 ms. So each call is delayed as if it crossed zones:
+    /// 0.5 ms each way.
     pub link_delay_ms: u64,
     /// Routing policy of all daemons.
     pub policy: String,
-    /// Seed of the daemons' randomness.
+    /// Seed of the random numbers of the daemons.
     pub seed: u64,
-    /// Whole sections added to the daemons' settings.
+    /// Sections that are appended to the settings of the daemons.
     pub extra_settings: String,
 }
 
@@ -71,7 +71,7 @@
     pub first_layer: LayerIndex,
     /// Last layer, inclusive.
     pub last_layer: LayerIndex,
-    /// Engines that hold it.
+    /// Engines that hold the stage.
     pub engines: Vec<EnginePlan>,
 }
 
@@ -82,12 +82,12 @@
     pub zone: String,
     /// Time of one decode step.
     pub step_time: Duration,
-    /// Steps that run at once.
+    /// Steps that run at the same time.
     pub concurrency: usize,
 }
 
 impl EnginePlan {
-    /// Tokens a second when saturated by decode steps.
+    /// Returns the tokens per second when decode steps saturate the engine.
     pub fn tokens_per_second(&self) -> f64 {
         self.concurrency as f64 / self.step_time.as_secs_f64()
     }
@@ -102,25 +102,25 @@
     pub zones: Vec<String>,
     /// Time of one call.
     pub call_time: Duration,
-    /// An operation that may be repeated.
+    /// An idempotent operation.
     pub plain_operation: String,
-    /// An operation that may not be repeated.
+    /// A non-idempotent operation.
     pub non_idempotent: String,
 }
 
-/// An organisation with what it bought.
+/// An organisation with its capacity.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrganisationPlan {
     /// Name.
     pub name: String,
-    /// Requests at once.
+    /// Concurrent requests.
     pub concurrent_requests: u32,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_second: u32,
 }
 
 impl FleetLayout {
-    /// The franchise office's shape.
+    /// Returns the layout of the franchise office.
     pub fn franchise() -> Self {
         let zones = ["vake", "saburtalo", "didube"];
         let service = ServicePlan {
@@ -133,7 +133,7 @@
         Self::three_zones("franchise", zones, "receipt-reader", service)
     }
 
-    /// Atlas's shape.
+    /// Returns the layout of Atlas.
     pub fn atlas() -> Self {
         let zones = ["anfa", "maarif", "sidi"];
         let service = ServicePlan {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Number of layers of the model.
+    /// Returns the number of layers of the model.
     pub fn layers(&self) -> LayerIndex {
         self.stages.last().map_or(0, |stage| stage.last_layer + 1)
     }
--- a/standins/src/fleet/operations.rs
+++ b/standins/src/fleet/operations.rs
@@ -1,4 +1,4 @@
-//! What is done to a running fleet.
+//! Operations on a running fleet.
 
 use std::time::{Duration, Instant};
 
@@ -11,14 +11,14 @@
 use crate::json_client::CallError;
 use crate::operator::{self, Declaration};
 
-/// Bound on waiting for a change to be in force.
+/// Maximum wait until every daemon has applied a change.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two looks.
+/// Interval at which the status is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Fleet {
-    /// Declares resources through the first running daemon, and gives the
-    /// offset of the last change.
+    /// Declares resources through the first running daemon, and returns the offset of the
+    /// last change.
     ///
     /// # Errors
     /// If no daemon runs or a declaration is refused.
@@ -30,7 +30,7 @@
     /// Waits until every running daemon has applied the change at `version`.
     ///
     /// # Errors
-    /// If that takes too long; the message names the daemon.
+    /// If the wait times out; the message names the daemon.
     pub async fn wait_until_applied(&self, version: LogOffset) -> Result<(), CallError> {
         let deadline = Instant::now() + APPLY_TIMEOUT;
         for daemon in self.running() {
@@ -44,19 +44,19 @@
         Ok(())
     }
 
-    /// Daemons that were neither killed nor shut down.
+    /// Returns the daemons that were neither killed nor shut down.
     pub fn running(&self) -> impl Iterator<Item = &FleetDaemon> {
         self.daemons.iter().filter(|daemon| daemon.is_running())
     }
 
-    /// The engine of this name.
+    /// Returns the engine of this name.
     pub fn engine(&self, name: &str) -> Option<&FleetEngine> {
         self.engines
             .iter()
             .find(|engine| engine.target.name == name)
     }
 
-    /// Puts a target down as leaving in the platform's list.
+    /// Marks a target as leaving in the host list of the platform.
     pub fn leave(&mut self, target: &str) {
         for listed in &mut self.hosts.targets {
             if *listed.target == *target {
@@ -66,7 +66,8 @@
         self.platform.set_hosts(self.hosts.clone());
     }
 
-    /// What the targets have run so far; the callers' part is left empty.
+    /// Returns what the targets have recorded so far; the records of the callers are left
+    /// empty.
     pub fn recorded(&self) -> RunHistory {
         let steps = self.engines.iter().map(|engine| TargetSteps {
             target: engine.target.name.as_str().into(),
--- a/standins/src/fleet/start.rs
+++ b/standins/src/fleet/start.rs
@@ -20,10 +20,12 @@
 const SERVICE_CONCURRENCY: usize = 16;
 
 impl Fleet {
-    /// Starts everything, declares it and waits until it is in force.
+    /// Starts the stand-ins and the daemons, declares all resources and waits until they
+    /// are applied.
     ///
     /// # Errors
-    /// If something cannot be started or declared, or is not in force in time.
+    /// If a component cannot be started, or a resource cannot be declared or is not
+    /// applied in time.
     pub async fn start(layout: FleetLayout) -> Result<Self, CallError> {
         let seed_peers = allocate_peers(&layout)?;
         let mut engines = Vec::new();
@@ -84,7 +86,7 @@
         proxy.map_or(self.platform.local_addr(), ZoneProxy::local_addr)
     }
 
-    /// Every declared resource of the fleet.
+    /// Returns all declarations of the fleet.
     pub fn declarations(&self) -> Vec<Declaration> {
         let layout = &self.layout;
         let stages = (0..).zip(&layout.stages);
@@ -122,32 +124,31 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Fleets that this process has started, for an address of its own to each.
+/// Number of fleets that this process has started. Each gets an address of its own.
 static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
-/// Last parts of loopback addresses to choose from, from 2 on.
+/// Number of values for the last octet of loopback addresses, from 2 on.
 const LAST_OCTETS: u32 = 250;
 
-/// A loopback address that only the peers of one fleet use: two fleets of one
+/// Returns a loopback address that only the peers of one fleet use: two fleets of one
 /// process would otherwise find the same free port.
 ///
-/// A free port of 127.0.0.1 that is found beforehand may be taken by an
-/// outgoing connection before its daemon listens; one sees "address in use" at
-/// the start, now and then. Connections go out from 127.0.0.1 alone, so on any
-/// other loopback address the port stays free.
+/// An outgoing connection may take a free port of 127.0.0.1 between its discovery and the
+/// start of the daemon, which then fails with "address in use". Connections go out from
+/// 127.0.0.1 only, so the port stays free on any other loopback address.
 fn fleet_peer_address() -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     let number = NEXT_FLEET.fetch_add(1, Ordering::Relaxed) % LAST_OCTETS;
-    // The last part keeps away from 127.0.0.1 itself.
+    // An offset of 2 avoids 127.0.0.1 itself.
     let [.., last] = (number + 2).to_be_bytes();
     SocketAddr::from(([127, high, low, last], 0))
 }
 
-/// Names the entry hosts and finds a free port for each one's peers.
+/// Names the entry hosts and finds a free port for the peers of each one.
 fn allocate_peers(layout: &FleetLayout) -> Result<Vec<SeedPeer>, CallError> {
     let hosts = layout.zones.iter().flat_map(|zone| {
         (1..=zone.entry_hosts).map(|number| (format!("{}-{number}", zone.name), zone.name.clone()))
     });
-    // All are held until the last is found, so that none is found twice.
+    // All listeners stay open until the last is bound, so that no port is found twice.
     let base_address = fleet_peer_address();
     let mut listeners = Vec::new();
     let mut seed_peers = Vec::new();
--- a/standins/src/fleet/zone_proxy.rs
+++ b/standins/src/fleet/zone_proxy.rs
@@ -1,4 +1,4 @@
-//! The way from one zone to the platform, which can be cut.
+//! A proxy between one zone and the platform, which can be cut off.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,11 +7,11 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Passes connections of one zone's entry hosts on to the platform; dropping
-/// it ends them.
+/// Forwards connections of the entry hosts of a zone to the platform. Dropping it closes
+/// them.
 #[derive(Debug)]
 pub struct ZoneProxy {
-    /// Zone whose hosts go through here.
+    /// Zone whose hosts connect through this proxy.
     pub zone: String,
     local_addr: SocketAddr,
     cut: watch::Sender<bool>,
@@ -19,7 +19,7 @@
 }
 
 impl ZoneProxy {
-    /// Opens a gate from a zone to the platform.
+    /// Starts a proxy from a zone to the platform.
     pub(super) async fn bind(zone: &str, platform: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let local_addr = listener.local_addr()?;
@@ -33,12 +33,12 @@
         })
     }
 
-    /// Address that the zone's hosts use as the platform's.
+    /// Returns the address that the hosts of the zone use for the platform.
     pub fn local_addr(&self) -> SocketAddr {
         self.local_addr
     }
 
-    /// Cuts the zone off, or joins it again.
+    /// Cuts the zone off from the platform, or reconnects it.
     pub fn set_cut(&self, cut: bool) {
         self.cut.send_replace(cut);
     }
@@ -72,11 +72,11 @@
     let Ok(mut upstream) = TcpStream::connect(platform).await else {
         return;
     };
-    // Small bodies would wait for the other side's delayed acknowledgement.
+    // Small bodies would wait for the delayed acknowledgement of the receiver.
     let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
     tokio::select! {
         _ = tokio::io::copy_bidirectional(&mut downstream, &mut upstream) => {}
-        // Ends as well when the gate is dropped.
+        // Also completes when the proxy is dropped.
         _ = cut.wait_for(|cut| *cut) => {}
     }
 }
--- a/standins/src/http_server.rs
+++ b/standins/src/http_server.rs
@@ -1,5 +1,5 @@
-//! An HTTP/1.1 server that can close a connection instead of answering, and
-//! that can act dead and come back on the same port.
+//! An HTTP/1.1 server that can close a connection instead of responding, and can simulate
+//! a crash and restart on the same port.
 
 use std::future::Future;
 use std::io;
@@ -19,7 +19,7 @@
 
 use crate::faults::FaultSwitch;
 
-/// One call, read to its end.
+/// One call with its complete body.
 #[derive(Debug)]
 pub struct ServedCall {
     /// Method of the call.
@@ -30,22 +30,22 @@
     pub query: String,
     /// Headers of the call.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl ServedCall {
-    /// Path segments as slices, for matching.
+    /// Returns the path segments as slices, for matching.
     pub fn path(&self) -> Vec<&str> {
         self.segments.iter().map(String::as_str).collect()
     }
 
-    /// A whole number from the query string.
+    /// Returns a whole number from the query string.
     pub fn query_number(&self, name: &str) -> Option<u64> {
         self.query_text(name)?.parse().ok()
     }
 
-    /// A value from the query string, still encoded.
+    /// Returns a value from the query string, still encoded.
     pub fn query_text(&self, name: &str) -> Option<&str> {
         let pairs = self.query.split('&');
         let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
@@ -53,12 +53,12 @@
         Some(value)
     }
 
-    /// Text of a header, if it is there and readable.
+    /// Returns the text of a header, if it is present and readable.
     pub fn header_text(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The body read as JSON; the outcome to send when it cannot be read.
+    /// Parses the body as JSON. The error is the outcome to send if it is malformed.
     pub fn json<T>(&self) -> Result<T, CallOutcome>
     where
         T: DeserializeOwned,
@@ -68,22 +68,22 @@
     }
 }
 
-/// What becomes of a call.
+/// Result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// An answer with a status and perhaps a JSON body.
+    /// A response with a status and an optional JSON body.
     Answer {
-        /// Status of the answer.
+        /// Status of the response.
         status: StatusCode,
-        /// JSON text, or nothing.
+        /// JSON text, or empty.
         body: Bytes,
     },
-    /// The connection is closed without an answer.
+    /// The connection is closed without a response.
     Close,
 }
 
 impl CallOutcome {
-    /// An answer with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json<T>(status: StatusCode, body: &T) -> Self
     where
         T: Serialize + ?Sized,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A 200 answer with a JSON body.
+    /// Creates a 200 response with a JSON body.
     pub fn ok<T>(body: &T) -> Self
     where
         T: Serialize + ?Sized,
@@ -105,7 +105,7 @@
         Self::json(StatusCode::OK, body)
     }
 
-    /// An answer without a body.
+    /// Creates a response without a body.
     pub fn empty(status: StatusCode) -> Self {
         Self::Answer {
             status,
@@ -114,7 +114,7 @@
     }
 }
 
-/// A running server; dropping it stops the server.
+/// A running server. Dropping it stops the server.
 #[derive(Debug)]
 pub struct HttpServer {
     local_addr: SocketAddr,
@@ -122,9 +122,8 @@
 }
 
 impl HttpServer {
-    /// Listens on `addr` and hands each call to `handler`. While `is_dead`
-    /// holds, connections are reset, new ones are refused, and calls that were
-    /// being handled go no further.
+    /// Listens on `addr` and passes each call to `handler`. While `is_dead` holds,
+    /// connections are reset, new ones are refused, and calls in progress are abandoned.
     pub async fn bind<F, H, R>(
         addr: SocketAddr,
         faults: FaultSwitch<F>,
@@ -147,7 +146,7 @@
         Ok(Self { local_addr, task })
     }
 
-    /// Address on which the server listens.
+    /// Returns the address on which the server listens.
     pub fn local_addr(&self) -> SocketAddr {
         self.local_addr
     }
@@ -195,8 +194,8 @@
     }
 }
 
-/// Handles a call to its end even if its caller hangs up, for a real target
-/// would not notice; only death ends it early.
+/// Runs a call to its end even if the caller disconnects, as a real target would not
+/// notice. Only a simulated crash ends it early.
 async fn run_detached<F, R>(
     handling: R,
     faults: FaultSwitch<F>,
@@ -216,7 +215,7 @@
     task.await.unwrap_or(CallOutcome::Close)
 }
 
-/// Serves connections; they are all closed when this future is dropped.
+/// Accepts and serves connections. Dropping this future closes all of them.
 async fn accept_all<H, R>(listener: &TcpListener, handler: &H)
 where
     H: Fn(ServedCall) -> R + Clone + Send + Sync + 'static,
@@ -241,7 +240,7 @@
     H: Fn(ServedCall) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = CallOutcome> + Send + 'static,
 {
-    // Small answers would wait for the peer's delayed acknowledgement.
+    // Small responses would wait for the peer's delayed acknowledgement.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| serve_call(request, handler.clone()));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
@@ -250,7 +249,7 @@
     }
 }
 
-/// The error that makes hyper close a connection without an answer.
+/// Error that makes hyper close a connection without a response.
 #[derive(Debug)]
 struct ClosedByFault;
 
--- a/standins/src/operator.rs
+++ b/standins/src/operator.rs
@@ -23,12 +23,12 @@
 pub struct Declaration {
     /// Kind and name.
     pub key: ResourceKey,
-    /// What to declare.
+    /// Specification to declare.
     pub spec: ResourceSpec,
 }
 
 impl Declaration {
-    /// Names a resource; its kind is that of `spec`.
+    /// Creates a declaration; the kind of the resource is that of `spec`.
     pub fn new(name: &str, spec: ResourceSpec) -> Self {
         Self {
             key: ResourceKey::new(spec.kind(), name),
@@ -37,7 +37,7 @@
     }
 }
 
-/// Sends one call as the operator.
+/// Sends one call as [`OPERATOR`].
 pub async fn operate(
     host: SocketAddr,
     method: Method,
@@ -47,7 +47,7 @@
     operate_as(OPERATOR, host, method, path, body).await
 }
 
-/// Sends one call as an operator of this name.
+/// Sends one call as the given operator.
 pub async fn operate_as(
     operator: &str,
     host: SocketAddr,
@@ -71,7 +71,7 @@
     Ok(JsonReply { status, body })
 }
 
-/// Reads something of the operators' interface.
+/// Reads a path of the operators' interface and parses the response.
 pub async fn read<T>(host: SocketAddr, path: &str) -> Result<T, CallError>
 where
     T: DeserializeOwned,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Declares a resource, based on what the operator saw.
+/// Declares a resource, based on the version that the operator last read.
 pub async fn apply(
     host: SocketAddr,
     declaration: &Declaration,
@@ -92,7 +92,7 @@
     apply_as(OPERATOR, host, declaration, based_on).await
 }
 
-/// Declares a resource as an operator of this name.
+/// Declares a resource as the given operator.
 pub async fn apply_as(
     operator: &str,
     host: SocketAddr,
@@ -114,7 +114,7 @@
     .await
 }
 
-/// Removes a resource.
+/// Deletes a resource.
 pub async fn delete(
     host: SocketAddr,
     key: &ResourceKey,
@@ -124,8 +124,8 @@
     operate(host, Method::DELETE, &path, Vec::new()).await
 }
 
-/// Declares resources one after the other, each based on what stands, and
-/// gives back the offset of the last change.
+/// Declares resources one after the other, each based on its current version, and returns
+/// the offset of the last change.
 pub async fn declare_all(
     host: SocketAddr,
     declarations: &[Declaration],
@@ -147,7 +147,7 @@
     Ok(last)
 }
 
-/// Path of a resource on the operators' listener.
+/// Returns the path of a resource on the operators' listener.
 pub fn path_of(key: &ResourceKey) -> String {
     format!("/v1/resources/{}/{}", key.kind.name(), key.name)
 }
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -24,7 +24,7 @@
 use calls::PlatformCalls;
 pub use settings::{PlatformFaults, PlatformSettings};
 
-/// A running platform; dropping it stops it.
+/// A running platform. Dropping it stops the platform.
 #[derive(Debug)]
 pub struct PlatformServer {
     http: HttpServer,
@@ -32,7 +32,7 @@
 }
 
 impl PlatformServer {
-    /// Listens on `addr`.
+    /// Starts a platform that listens on `addr`.
     pub async fn bind(addr: SocketAddr, settings: PlatformSettings) -> io::Result<Self> {
         let calls = Arc::new(PlatformCalls::new(settings));
         let handler = {
@@ -47,32 +47,32 @@
         Ok(Self { http, calls })
     }
 
-    /// Address on which the platform listens.
+    /// Returns the address on which the platform listens.
     pub fn local_addr(&self) -> SocketAddr {
         self.http.local_addr()
     }
 
-    /// Faults to switch.
+    /// Returns a handle that switches the faults.
     pub fn faults(&self) -> FaultSwitch<PlatformFaults> {
         self.calls.faults.clone()
     }
 
-    /// Every record of a stream, also expired ones.
+    /// Returns every record of a stream, including expired ones.
     pub fn record(&self, stream: &str) -> Vec<StoredRecord> {
         self.calls.store.dump(stream)
     }
 
-    /// Number of batches appended so far, in all streams.
+    /// Returns the number of batches appended so far, in all streams.
     pub fn append_count(&self) -> u64 {
         self.calls.store.append_count()
     }
 
-    /// Sets the host list, which becomes visible after the list's delay.
+    /// Sets the host list, which becomes visible after `hosts_delay`.
     pub fn set_hosts(&self, hosts: HostList) {
         self.calls.set_hosts(hosts);
     }
 
-    /// Keeps at most this many records in each stream from now on.
+    /// Limits each stream to this number of records from now on.
     pub fn set_retention(&self, records: u64) {
         self.calls.store.set_retention(records);
     }
--- a/standins/src/platform/calls.rs
+++ b/standins/src/platform/calls.rs
@@ -1,4 +1,4 @@
-//! The platform's calls.
+//! HTTP endpoints of the platform.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
     hosts: Mutex<Vec<TimedList>>,
 }
 
-/// A host list and when it becomes visible.
+/// A host list with the time at which it becomes visible.
 #[derive(Debug)]
 struct TimedList {
     visible_at: Instant,
@@ -115,7 +115,7 @@
             wait: Duration::from_millis(call.query_number("wait_ms").unwrap_or(0)),
         };
         let answer = self.store.read(stream, range).await;
-        // A fault that began during the wait also holds for waiting readers.
+        // A fault that began during the wait also affects waiting readers.
         self.faults.wait_until(|faults| !faults.hanging).await;
         match self.faults.read(|faults| faults.outage) {
             true => CallOutcome::empty(StatusCode::SERVICE_UNAVAILABLE),
--- a/standins/src/platform/log_store.rs
+++ b/standins/src/platform/log_store.rs
@@ -9,17 +9,17 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Records a read hands out when the caller gives no limit.
+/// Number of records that a read returns if the caller gives no limit.
 const DEFAULT_READ_LIMIT: u64 = 1_000;
 
-/// What a reader asks for.
+/// Parameters of a read.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReadRange {
-    /// First offset wanted.
+    /// First offset to return.
     pub(super) from: LogOffset,
-    /// Most records wanted.
+    /// Maximum number of records.
     pub(super) limit: Option<u64>,
-    /// How long to wait while there is none.
+    /// How long to wait while there is no record.
     pub(super) wait: Duration,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 struct StoreState {
     retention: u64,
-    /// Bodies from offset zero on: expired ones stay for the history checks.
+    /// Bodies from offset zero on. Expired ones are kept for the history checks.
     streams: BTreeMap<String, Vec<String>>,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Stores a batch and gives the offset of its first record.
+    /// Appends a batch and returns the offset of its first record.
     pub(super) fn append(&self, stream: &str, records: Vec<String>) -> LogOffset {
         let first_offset = {
             let mut state = self.state.lock();
@@ -62,7 +62,8 @@
         first_offset
     }
 
-    /// Reads at once, or as soon as there is something, or when the wait ends.
+    /// Returns the records as soon as there is one, or an empty result when the wait
+    /// ends.
     pub(super) async fn read(&self, stream: &str, range: ReadRange) -> ReadAnswer {
         let mut appends = self.appends.subscribe();
         let available = async {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Every record of a stream, also expired ones.
+    /// Returns every record of a stream, including expired ones.
     pub(super) fn dump(&self, stream: &str) -> Vec<StoredRecord> {
         let state = self.state.lock();
         let bodies = state.streams.get(stream).map_or(&[][..], Vec::as_slice);
--- a/standins/src/platform/settings.rs
+++ b/standins/src/platform/settings.rs
@@ -5,14 +5,14 @@
 use jackdawwick::platform::wire::HostList;
 use serde::{Deserialize, Serialize};
 
-/// How the platform behaves when nothing fails.
+/// Behaviour of the platform without faults.
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
-    /// Records kept in each stream.
+    /// Number of records kept in each stream.
     pub retention: u64,
-    /// Time after which a newly set host list can be read.
+    /// Delay after which a new host list becomes visible.
     pub hosts_delay: Duration,
-    /// Host list that can be read from the start.
+    /// Host list that is visible from the start.
     pub hosts: HostList,
 }
 
@@ -34,11 +34,11 @@
     pub dead: bool,
     /// Every call is refused with 503.
     pub outage: bool,
-    /// Calls are accepted, and answered only when this ends.
+    /// Calls are accepted, but get no response until this is reset.
     pub hanging: bool,
     /// Delay before each call takes effect, in milliseconds.
     pub delay_ms: u64,
-    /// The next appends take effect, then the connection is closed.
+    /// The next appends take effect, then the connection is closed without a response.
     pub lose_append_answers: u32,
     /// The next appends have no effect, and the connection is closed.
     pub lose_appends: u32,
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -1,7 +1,6 @@
-//! Stand-in for a plain service, some of whose calls may not be repeated.
+//! Stand-in for a plain service, some of whose operations are not idempotent.
 //!
-//! Besides `POST /v1/calls/{operation}`, `GET /v1/load` and `/v1/state` it
-//! serves:
+//! Besides `POST /v1/calls/{operation}`, `GET /v1/load` and `/v1/state` it serves:
 //!
 //! | call | body |
 //! |---|---|
@@ -22,7 +21,7 @@
 use calls::ServiceCalls;
 pub use settings::{CallRecord, DeathPoint, ServiceFaults, ServiceResponse, ServiceSettings};
 
-/// A running service; dropping it stops it.
+/// A running service. Dropping it stops the service.
 #[derive(Debug)]
 pub struct ServiceServer {
     http: HttpServer,
@@ -31,7 +30,7 @@
 }
 
 impl ServiceServer {
-    /// Listens on `addr`.
+    /// Starts a service that listens on `addr`.
     pub async fn bind(addr: SocketAddr, settings: ServiceSettings) -> io::Result<Self> {
         let calls = Arc::new(ServiceCalls::new(settings));
         let handler = {
@@ -57,28 +56,28 @@
         })
     }
 
-    /// Address on which the service listens.
+    /// Returns the address on which the service listens.
     pub fn local_addr(&self) -> SocketAddr {
         self.http.local_addr()
     }
 
-    /// Faults to switch.
+    /// Returns a handle that switches the faults.
     pub fn faults(&self) -> FaultSwitch<ServiceFaults> {
         self.calls.faults.clone()
     }
 
-    /// Calls that really ran, in order, up to the record's cap.
+    /// Returns the calls that ran, in order, up to the limit of the record.
     pub fn record(&self) -> Vec<CallRecord> {
         self.calls.record.entries()
     }
 
-    /// Acts dead: resets every connection and refuses new ones.
+    /// Simulates a crash: resets every connection and refuses new ones.
     pub fn die(&self) {
         self.calls.faults.update(|faults| faults.dead = true);
     }
 
-    /// Comes back after it died. Wait in between until a call fails: a death
-    /// that nobody saw is none.
+    /// Restarts the service after a crash. Wait before this until a call has failed, as
+    /// otherwise no client notices the crash.
     pub fn revive(&self) {
         self.calls.faults.update(|faults| faults.dead = false);
     }
--- a/standins/src/service/calls.rs
+++ b/standins/src/service/calls.rs
@@ -1,4 +1,4 @@
-//! The service's calls.
+//! HTTP endpoints of the service.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -94,7 +94,7 @@
             .map_err(|_| refusal_outcome(refused(TargetRefusalKind::Malformed)))?;
         let slot = self.batch.acquire(0).await;
         let mut slot = slot.map_err(|_| refusal_outcome(refused(TargetRefusalKind::Overloaded)))?;
-        // Whoever dies while the call waits for its slot never runs it.
+        // A service that crashes while the call waits for its slot never runs it.
         self.check_death_point(DeathPoint::Before)?;
         let ran = self.ran.fetch_add(1, Ordering::Relaxed) + 1;
         self.record_call(call, operation, body);
@@ -128,7 +128,8 @@
         }
     }
 
-    /// Dies here if a fault says so; a dead service goes no further.
+    /// Crashes the service if a fault is set for `point`. A call of a crashed service
+    /// goes no further.
     fn check_death_point(&self, point: DeathPoint) -> Result<(), CallOutcome> {
         self.faults.update_if(|faults| {
             let dies = faults.die_at == Some(point);
--- a/standins/src/service/settings.rs
+++ b/standins/src/service/settings.rs
@@ -7,20 +7,20 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// How a service behaves when nothing fails.
+/// Behaviour of a service without faults.
 #[derive(Debug, Clone)]
 pub struct ServiceSettings {
     /// Name of the target.
     pub name: String,
-    /// Time that one call takes.
+    /// Duration of one call.
     pub call_time: Duration,
     /// Calls that run at the same time.
     pub concurrency: usize,
-    /// Calls that may wait; one more is refused.
+    /// Calls that may wait; a further one is refused.
     pub max_waiting: usize,
     /// Time between two refreshes of the load report.
     pub load_lag: Duration,
-    /// Most entries kept in the record; zero records nothing.
+    /// Maximum number of entries in the record; with zero nothing is recorded.
     pub record_cap: usize,
 }
 
@@ -37,41 +37,41 @@
     }
 }
 
-/// When, with regard to its effect, a call kills the service.
+/// Point of a call, relative to its effect, at which the service crashes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DeathPoint {
-    /// Nothing has happened yet.
+    /// Before the effect.
     Before,
-    /// The effect is there, the work is not done.
+    /// After the effect, before the work is done.
     During,
-    /// The work is done, the answer is not sent.
+    /// After the work is done, before the response is sent.
     After,
 }
 
-/// Faults of a service. Counters count down as the fault strikes.
+/// Faults of a service. Counters are decremented each time the fault occurs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
     /// Connections are refused; only the handle can undo this.
     pub dead: bool,
-    /// The next call kills the service at this point.
+    /// The next call crashes the service at this point.
     pub die_at: Option<DeathPoint>,
-    /// Calls are accepted, but nothing goes on until this ends.
+    /// Calls are accepted, but make no progress until this is reset.
     pub frozen: bool,
-    /// Calls are refused as by a leaving target.
+    /// Calls are refused as by a target that is leaving.
     pub leaving: bool,
-    /// The next calls run, then the connection is closed.
+    /// The next calls run, then the connection is closed without a response.
     pub lose_answers: u32,
     /// The next calls have no effect, and the connection is closed.
     pub lose_calls: u32,
     /// The next calls are refused as overload, without effect.
     pub refuse_calls: u32,
-    /// Kind of refusal sent for `refuse_calls`.
+    /// Kind of the refusal for `refuse_calls`.
     pub refusal: TargetRefusalKind,
-    /// Multiplies the time of each call.
+    /// Factor on the duration of each call.
     pub slow_factor: f64,
-    /// Delay of each answer, in milliseconds.
+    /// Delay of each response, in milliseconds.
     pub link_delay_ms: u64,
 }
 
@@ -95,7 +95,7 @@
 /// One call that took effect.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// Grows over all stand-ins of one process.
+    /// Sequence number over all stand-ins of one process.
     pub order: u64,
     /// Request id header, if sent.
     pub request: Option<RequestId>,
@@ -109,10 +109,10 @@
     pub at_micros: u64,
 }
 
-/// What a service answers to a call.
+/// Response of a service to a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceResponse {
-    /// Number of calls that this service has run, with this one.
+    /// Number of calls that this service has run, including this one.
     pub ran: u64,
     /// Operation called.
     pub operation: String,
