--- a/standins/src/losses.rs
+++ b/standins/src/losses.rs
@@ -1,8 +1,8 @@
-//! What was lost in a run, by cause and second, from the hosts' log lines.
+//! Requests that were lost in a run, by cause and second, from the log lines of the
+//! hosts.
 //!
-//! Gathering, deciding and presenting are apart: [`DecisionLine`] is one line
-//! that counts here, [`LossTally`] says what became of each request, and its
-//! table shows it.
+//! Parsing, counting and presentation are separate: [`DecisionLine`] is a parsed line
+//! that states an outcome, and [`LossTally`] counts the outcomes and formats the table.
 
 mod line;
 mod tally;
--- a/standins/src/losses/line.rs
+++ b/standins/src/losses/line.rs
@@ -1,26 +1,26 @@
-//! One log line of an entry host, as far as it tells of a request's fate.
+//! Log lines of an entry host that state the outcome of a request.
 
 use std::time::SystemTime;
 
 use serde_json::{Map, Value};
 
-/// What a line says became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum RequestOutcome {
-    /// Answered in time.
+    /// A successful response, in time.
     Served,
-    /// Answered, and something came late.
+    /// A successful response of which a part was late.
     Late(String),
-    /// Answered with a failure.
+    /// A response with an error status.
     Failed(String),
-    /// Refused, for a reason.
+    /// A refusal, with its reason.
     Refused(String),
-    /// A stream that ended early, for a reason.
+    /// A stream that was cut, with the reason.
     Cut(String),
 }
 
 impl RequestOutcome {
-    /// The name of the row that counts it.
+    /// Returns the name of the table row that counts the outcome.
     pub fn cause(&self) -> String {
         match self {
             Self::Served => "served".to_owned(),
@@ -32,19 +32,19 @@
     }
 }
 
-/// A line that tells of a request's fate.
+/// A log line that states the outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecisionLine {
-    /// When it was written.
+    /// Time at which the line was written.
     pub at: SystemTime,
     /// The request.
     pub request: String,
-    /// What became of it.
+    /// Outcome of the request.
     pub outcome: RequestOutcome,
 }
 
-/// Reads a line; `None` if it tells of nothing that counts here. What stands
-/// before the first brace, such as a host's name, is passed over.
+/// Parses a line; returns `None` if it states no outcome. Text before the first brace,
+/// such as the name of a host, is skipped.
 pub fn parse_line(line: &str) -> Option<DecisionLine> {
     let object = line.get(line.find('{')?..)?;
     let members = serde_json::from_str::<Map<String, Value>>(object).ok()?;
--- a/standins/src/losses/tally.rs
+++ b/standins/src/losses/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of requests by what became of them, second by second.
+//! Counts of requests by outcome and second.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct CauseCount {
     all: u64,
-    /// By seconds since the first line that counts.
+    /// Counts by seconds since the first counted line.
     seconds: BTreeMap<u64, u64>,
 }
 
-/// What became of the requests of a run.
+/// Outcomes of the requests of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LossTally {
     first: Option<SystemTime>,
@@ -44,7 +44,7 @@
         *count.seconds.entry(since.as_secs()).or_default() += 1;
     }
 
-    /// Requests of one fate.
+    /// Returns the number of requests with this outcome.
     pub fn count_of(&self, outcome: &RequestOutcome) -> u64 {
         self.causes.get(outcome).map_or(0, |count| count.all)
     }
@@ -56,7 +56,7 @@
 }
 
 impl fmt::Display for LossTally {
-    /// One row a cause: all of them, then each second.
+    /// Writes one row per cause: the total, then the count of each second.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let last = self.last_second();
         write!(formatter, "{:<24} {:>7}", "cause", "all")?;
--- a/standins/src/pipeline.rs
+++ b/standins/src/pipeline.rs
@@ -1,9 +1,9 @@
-//! A model of engines that hold layer ranges and hand requests on along a
-//! path: passes, strides, reading in chunks, memory and preemption, links and
-//! pipes, stalls and orders. No network and no clock: time is an argument.
+//! A simulation of engines that hold layer ranges and forward requests along a path:
+//! passes, strides, chunked prefill, memory and preemption, links within and between
+//! zones, stalls and orders. It uses no network and no clock: time is an argument.
 //!
-//! The experiment tool ([`crate::trial`]) runs it as fast as it goes. Stand-in
-//! engines behind HTTP are to run it in real time; they do not yet.
+//! The trial tool ([`crate::trial`]) runs it as fast as possible. The stand-in engines
+//! behind HTTP do not use it.
 
 mod engine;
 mod intake;
--- a/standins/src/pipeline/engine.rs
+++ b/standins/src/pipeline/engine.rs
@@ -1,11 +1,11 @@
-//! One engine of the model.
+//! One simulated engine.
 
 use std::time::Duration;
 
 use jackdawwick::fleet::LayerRange;
 use jackdawwick::ingress::{AcceleratorKind, EngineModel};
 
-/// Index of an engine in its world.
+/// Index of an engine in its simulation.
 pub type EngineIndex = usize;
 
 #[derive(Debug, Clone)]
@@ -13,22 +13,22 @@
     pub(super) zone: String,
     pub(super) kind: AcceleratorKind,
     pub(super) layers: Option<LayerRange>,
-    /// Layers being loaded, and when they are there.
+    /// Layers that are being loaded, and the time at which loading ends.
     pub(super) loading: Option<(LayerRange, Duration)>,
     pub(super) alive: bool,
-    /// Refuses what is new.
+    /// Whether the engine refuses new requests.
     pub(super) draining: bool,
-    /// Requests ready for the next pass.
+    /// Requests that are ready for the next pass.
     pub(super) ready: Vec<String>,
-    /// Requests in the pass under way, with the tokens that each reads.
+    /// Requests in the current pass, with the tokens that each reads.
     pub(super) pass: Option<Vec<(String, f64)>>,
     /// Requests that wait for memory.
     pub(super) parked: Vec<String>,
     pub(super) used: f64,
     pub(super) orders: u64,
-    /// Factor on all times, for an engine that is slow.
+    /// Factor on the duration of passes, for a slow engine.
     pub(super) slow_factor: f64,
-    /// Grows at each death: passes under way before are void.
+    /// Incremented at each crash: passes that were in progress before are void.
     pub(super) incarnation: u64,
 }
 
--- a/standins/src/pipeline/intake.rs
+++ b/standins/src/pipeline/intake.rs
@@ -1,4 +1,4 @@
-//! Requests that come, change their path, or leave.
+//! Arrival, rerouting and cancellation of requests.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 use super::simulation::{PipelineSimulation, SubmitError};
 
 impl PipelineSimulation {
-    /// Takes a request in.
+    /// Accepts a request.
     ///
     /// # Errors
     ///
-    /// If the path is none, or an engine of it cannot take the request.
+    /// If the path is invalid, or one of its engines cannot accept the request.
     pub fn submit(&mut self, request: RequestSettings, now: Duration) -> Result<(), SubmitError> {
         self.check_path(&request.path)?;
         for part in &request.path {
@@ -64,11 +64,11 @@
         Ok(())
     }
 
-    /// Takes a running request over another path with the same first part.
+    /// Moves a running request to another path with the same first part.
     ///
     /// # Errors
     ///
-    /// If there is no such request, or a new part cannot take it.
+    /// If the request does not exist, or an engine of a new part cannot accept it.
     pub fn repath(
         &mut self,
         id: &str,
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    /// The caller has left.
+    /// Removes a request whose caller has disconnected.
     pub fn cancel(&mut self, id: &str, now: Duration) {
         self.release_where(id, |_| true);
         self.remove_from_engines(id);
--- a/standins/src/pipeline/memory.rs
+++ b/standins/src/pipeline/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of engines: who has room, and who yields.
+//! Memory of engines: admission and preemption of requests.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::simulation::PipelineSimulation;
 
 impl PipelineSimulation {
-    /// A request reaches the engine of its part.
+    /// Handles the arrival of a request at the engine of its part.
     pub(super) fn arrive(&mut self, id: &str, now: Duration) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -41,7 +41,7 @@
         self.start_pass(part.engine, now);
     }
 
-    /// No memory is left: the newest request yields, which may be this one.
+    /// Preempts the newest request, which may be this one, as no memory is left.
     pub(super) fn park(&mut self, id: &str, engine: EngineIndex) {
         let order = |id: &String| self.requests.get(id).map(|request| request.order);
         let own = order(&id.to_owned());
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Oldest first, as far as memory goes.
+    /// Resumes parked requests, oldest first, while memory lasts.
     pub(super) fn unpark(&mut self, engine: EngineIndex, now: Duration) {
         let mut parked = std::mem::take(&mut self.engines[engine].parked);
         parked.sort_by_key(|id| self.requests.get(id).map(|request| request.order));
@@ -95,7 +95,7 @@
         self.engines[engine].parked.extend(rest);
     }
 
-    /// Gives back the memory of the parts that `released` names.
+    /// Releases the memory of the parts for which `released` returns true.
     pub(super) fn release_where<F>(&mut self, id: &str, released: F)
     where
         F: Fn(&PathPart) -> bool,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes a request out of every engine's lists.
+    /// Removes a request from the lists of every engine.
     pub(super) fn remove_from_engines(&mut self, id: &str) {
         for engine in &mut self.engines {
             engine.ready.retain(|other| other != id);
--- a/standins/src/pipeline/passes.rs
+++ b/standins/src/pipeline/passes.rs
@@ -1,4 +1,4 @@
-//! Passes of engines, and what they hand on.
+//! Passes of engines, and the transfer of their results.
 
 use std::time::Duration;
 
@@ -26,7 +26,8 @@
         );
     }
 
-    /// What each request of the next pass reads, and how long the pass takes.
+    /// Returns the tokens that each request reads in the next pass, and the duration of
+    /// the pass.
     pub(super) fn plan_pass(&self, engine: EngineIndex) -> (Vec<(String, f64)>, Duration) {
         let state = &self.engines[engine];
         let model = &self.settings.model;
@@ -79,7 +80,7 @@
         self.start_pass(engine, now);
     }
 
-    /// A request's part in a pass is over.
+    /// Handles the end of a request's share of a pass.
     pub(super) fn end_request_pass(
         &mut self,
         id: &str,
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Sends what an engine made to the request's next part.
+    /// Sends the output of an engine to the next part of the request.
     pub(super) fn forward(&mut self, id: &str, from: EngineIndex, tokens: f64, now: Duration) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/standins/src/pipeline/request.rs
+++ b/standins/src/pipeline/request.rs
@@ -1,4 +1,4 @@
-//! One request on its way over a path.
+//! One request on its path.
 
 use std::time::Duration;
 
@@ -6,34 +6,34 @@
 
 use super::engine::EngineIndex;
 
-/// A part of a path.
+/// A part of a path: one engine and the layers that it runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PathPart {
     /// The engine.
     pub engine: EngineIndex,
-    /// The layers that it runs.
+    /// The layers that the engine runs.
     pub layers: LayerRange,
 }
 
-/// What a caller wants.
+/// Parameters of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestSettings {
-    /// Its id.
+    /// Request id.
     pub id: String,
     /// The path.
     pub path: Vec<PathPart>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: f64,
-    /// Tokens of the answer, those that the caller has already left out.
+    /// Number of tokens to generate, without those that the caller already has.
     pub answer: f64,
 }
 
-/// What a request does at its part of the path.
+/// Phase of a request at its part of the path.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum RequestPhase {
-    /// So many tokens are still to be read at this part.
+    /// The part reads tokens; `left` are still to be read.
     Prefill { left: f64 },
-    /// One step after the other.
+    /// The part runs one decode step after the other.
     Decode,
 }
 
@@ -44,17 +44,17 @@
     pub(super) answer: f64,
     pub(super) generated: f64,
     pub(super) phase: RequestPhase,
-    /// Index of the part where the request is, or is on the way to.
+    /// Index of the part at which the request is or to which it is being transferred.
     pub(super) hop: usize,
-    /// Parts whose engine holds memory for it, and how much.
+    /// Memory that the engine of each part holds for the request.
     pub(super) held: Vec<f64>,
-    /// Grows with each change of the path: what was under way before is void.
+    /// Changes with each change of the path: transfers that began before are void.
     pub(super) epoch: u64,
-    /// Order of arrival; the newest is preempted first.
+    /// Order of arrival; the newest request is preempted first.
     pub(super) order: u64,
-    /// Since when it waits for a dead engine.
+    /// Time since which the request waits for a dead engine.
     pub(super) stalled: Option<Duration>,
-    /// Parts that must read again what the request holds so far.
+    /// Parts that must read the context of the request again.
     pub(super) unread: Vec<bool>,
 }
 
--- a/standins/src/pipeline/settings.rs
+++ b/standins/src/pipeline/settings.rs
@@ -1,38 +1,38 @@
-//! Figures of the modelled fleet.
+//! Parameters of the simulation.
 
 use std::time::Duration;
 
 use jackdawwick::collections::FastMap;
 use jackdawwick::ingress::{AcceleratorKind, EngineModel};
 
-/// Figures that all engines share.
+/// Parameters that all engines share.
 #[derive(Debug, Clone)]
 pub struct SimulationSettings {
-    /// How the engines work.
+    /// Performance model of the engines.
     pub model: EngineModel,
-    /// Most prompt tokens read in one step.
+    /// Maximum number of prompt tokens read in one step.
     pub chunk: f64,
-    /// Time that a million pairs of a token and an earlier one add to reading,
-    /// in milliseconds.
+    /// Time that one million pairs of a token and an earlier token add to prefill, in
+    /// milliseconds.
     pub pairs_per_m_ms: f64,
-    /// Bytes handed on for a token.
+    /// Bytes transferred for each token.
     pub token_bytes: f64,
-    /// Rate of an engine's own link, in megabits a second.
+    /// Rate of the link of an engine, in megabits per second.
     pub link_mbps: f64,
-    /// Rate of the pipe that all share between two zones.
+    /// Rate of the link that all engines share between two zones, in megabits per second.
     pub zone_link_mbps: f64,
-    /// One-way delay within a zone, and between zones.
+    /// One-way delay within a zone.
     pub same_zone_delay: Duration,
     /// One-way delay between zones.
     pub cross_zone_delay: Duration,
-    /// How long work waits for an engine that is gone.
+    /// Time for which a request waits for a dead engine.
     pub stall: Duration,
-    /// Age of what a report tells.
+    /// Delay until a report shows a stalled request.
     pub report_lag: Duration,
 }
 
 impl Default for SimulationSettings {
-    /// A model of 80 layers on three kinds of accelerators.
+    /// Returns a model of 80 layers on three kinds of accelerators.
     fn default() -> Self {
         let kind = |memory_mb, pace, read_factor| AcceleratorKind {
             memory_mb,
@@ -73,12 +73,12 @@
 }
 
 impl SimulationSettings {
-    /// Time to hand `tokens` on, over one link.
+    /// Returns the time to transfer `tokens` over the link of an engine.
     pub(super) fn link_time(&self, tokens: f64) -> Duration {
         transfer(tokens * self.token_bytes, self.link_mbps)
     }
 
-    /// Time to hand `tokens` on, over the pipe between two zones.
+    /// Returns the time to transfer `tokens` over the link between two zones.
     pub(super) fn zone_link_time(&self, tokens: f64) -> Duration {
         transfer(tokens * self.token_bytes, self.zone_link_mbps)
     }
--- a/standins/src/pipeline/simulation.rs
+++ b/standins/src/pipeline/simulation.rs
@@ -1,4 +1,4 @@
-//! All engines and requests, moved on by events.
+//! The state of all engines and requests, advanced by events.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -11,53 +11,53 @@
 use super::request::SimRequest;
 use super::settings::SimulationSettings;
 
-/// What callers see of the model.
+/// Events that callers observe.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SimulationEvent {
-    /// An event of a stream: so many tokens are made now.
+    /// An event of a stream, with the number of tokens generated.
     Event {
         /// The request.
         id: String,
-        /// Tokens made so far.
+        /// Tokens generated so far.
         generated: f64,
-        /// Whether it was the last.
+        /// Whether this is the last event.
         last: bool,
     },
-    /// The request has not run; the engine is at fault.
+    /// The request was refused before its first token, as an engine is dead.
     Refused {
         /// The request.
         id: String,
         /// The engine.
         at: EngineIndex,
     },
-    /// The stream breaks off.
+    /// The stream was cut.
     Cut {
         /// The request.
         id: String,
     },
 }
 
-/// Why a request is not taken.
+/// Reason why a request is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitError {
-    /// An engine does not hold its part.
+    /// The engine does not hold the layers of its part.
     WrongLayers(EngineIndex),
-    /// An engine is dead, draining, or short of memory.
+    /// The engine is dead, draining or short of memory.
     NoCapacity(EngineIndex),
-    /// An engine appears twice, or there is none.
+    /// An engine appears twice, the path is empty, or its first part changes.
     BadPath,
-    /// No such request.
+    /// The request does not exist.
     Unknown,
 }
 
-/// What an engine tells of itself.
+/// Status that an engine reports.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineStatus {
     /// Layers held.
     pub layers: Option<LayerRange>,
-    /// An order is being carried out.
+    /// Whether an order is being executed.
     pub busy: bool,
-    /// Orders accepted.
+    /// Number of accepted orders.
     pub orders: u64,
     /// Requests in a pass or ready for one.
     pub running: usize,
@@ -65,9 +65,9 @@
     pub waiting: usize,
     /// Memory in use, in tokens times layers.
     pub used: f64,
-    /// Memory for requests in all.
+    /// Total memory for requests, in tokens times layers.
     pub total: f64,
-    /// Whether it refuses what is new.
+    /// Whether the engine refuses new requests.
     pub draining: bool,
 }
 
@@ -91,7 +91,7 @@
     },
 }
 
-/// Engines and requests.
+/// A simulation of engines and requests.
 #[derive(Debug)]
 pub struct PipelineSimulation {
     pub(super) settings: SimulationSettings,
@@ -104,7 +104,7 @@
 }
 
 impl PipelineSimulation {
-    /// A world without engines.
+    /// Creates a simulation without engines.
     pub fn new(settings: SimulationSettings) -> Self {
         Self {
             settings,
@@ -117,12 +117,12 @@
         }
     }
 
-    /// The figures of the world.
+    /// Returns the parameters of the simulation.
     pub fn settings(&self) -> &SimulationSettings {
         &self.settings
     }
 
-    /// Adds an empty engine of a kind.
+    /// Adds an engine of a kind, without layers.
     pub fn add_engine(&mut self, zone: &str, kind: &str) -> EngineIndex {
         self.engines.push(SimEngine {
             zone: zone.to_owned(),
@@ -142,7 +142,7 @@
         self.engines.len() - 1
     }
 
-    /// What an engine tells of itself.
+    /// Status that an engine reports.
     pub fn status(&self, engine: EngineIndex) -> EngineStatus {
         let state = &self.engines[engine];
         EngineStatus {
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Requests that began at an engine and wait for a dead one, as a report
-    /// tells them.
+    /// Returns the requests whose path begins at `engine` and that wait for a dead
+    /// engine, as far as reports show them.
     pub fn stalled(&self, engine: EngineIndex, now: Duration) -> Vec<(String, EngineIndex)> {
         let lag = self.settings.report_lag;
         let is_reported = |request: &&SimRequest| {
@@ -174,7 +174,8 @@
             .collect()
     }
 
-    /// Orders an engine to hold `layers`; more than it can hold kills it.
+    /// Orders an engine to hold `layers`. An order beyond the memory of the engine kills
+    /// it.
     pub fn place(&mut self, engine: EngineIndex, layers: LayerRange, now: Duration) {
         let model = &self.settings.model;
         let state = &mut self.engines[engine];
@@ -205,22 +206,22 @@
         );
     }
 
-    /// Gives an engine its layers at once, for a start.
+    /// Sets the layers of an engine without loading time.
     pub fn preload(&mut self, engine: EngineIndex, layers: LayerRange) {
         self.engines[engine].layers = Some(layers);
     }
 
-    /// Makes an engine slower.
+    /// Sets the factor on the duration of passes of an engine.
     pub fn set_slow_factor(&mut self, engine: EngineIndex, factor: f64) {
         self.engines[engine].slow_factor = factor;
     }
 
-    /// Makes an engine refuse what is new.
+    /// Sets whether an engine refuses new requests.
     pub fn set_draining(&mut self, engine: EngineIndex, draining: bool) {
         self.engines[engine].draining = draining;
     }
 
-    /// An engine dies with all that it holds.
+    /// Kills an engine; its layers and its requests are lost.
     pub fn kill(&mut self, engine: EngineIndex, now: Duration) {
         let state = &mut self.engines[engine];
         state.alive = false;
@@ -238,7 +239,7 @@
         }
     }
 
-    /// A dead engine is back, empty.
+    /// Restarts a dead engine, without layers.
     pub fn revive(&mut self, engine: EngineIndex) {
         let state = &mut self.engines[engine];
         state.alive = true;
@@ -246,12 +247,12 @@
         state.slow_factor = 1.0;
     }
 
-    /// When something happens next.
+    /// Returns the time of the next event.
     pub fn next_time(&self) -> Option<Duration> {
         self.event_queue.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Lets time pass up to `now`; gives what callers see, in order.
+    /// Advances time to `now` and returns the events that callers observe, in order.
     pub fn advance(&mut self, now: Duration) -> Vec<SimulationEvent> {
         while self.next_time().is_some_and(|at| at <= now) {
             let Some(Reverse((at, _, action))) = self.event_queue.pop() else {
--- a/standins/src/slopes.rs
+++ b/standins/src/slopes.rs
@@ -1,7 +1,7 @@
-//! What one daemon spends, measured while one thing is varied at a time.
+//! Resources that one daemon uses, measured while one parameter is varied at a time.
 //!
-//! Real daemons run before small stand-ins; every connection of theirs passes
-//! a gate that counts its bytes. From the slopes a larger size is worked out.
+//! Real daemons run in front of small stand-ins. Every connection of theirs passes a
+//! proxy that counts its bytes. The slopes are used to extrapolate to a larger size.
 
 mod control;
 mod counting_proxy;
@@ -23,19 +23,19 @@
 
 use crate::json_client::CallError;
 
-/// Figures of one run by their name with its unit.
+/// Figures of one run by name, which includes the unit.
 pub type SlopeFigures = BTreeMap<String, f64>;
 
 /// One run of one value of a series.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SlopeRun {
-    /// What was varied.
+    /// Name of the parameter that was varied.
     pub series: String,
     /// Its value in this run.
     pub value: u64,
-    /// Load average of the machine over the last minute, at the end.
+    /// Load average of the machine over the last minute, at the end of the run.
     pub load_average: f64,
-    /// What was measured.
+    /// The measured figures.
     pub figures: SlopeFigures,
 }
 
@@ -59,8 +59,8 @@
         _ => control::measure(&SlopeShape::varied(series, count)?, window).await?,
     };
     if !after_start {
-        // What an earlier run of this process has freed is used again, and
-        // its growth would come out too small.
+        // Memory that an earlier run of this process has freed is reused, so the growth
+        // would be measured too small.
         figures.retain(|name, _| !name.starts_with("memory"));
     }
     Ok(SlopeRun {
--- a/standins/src/slopes/control.rs
+++ b/standins/src/slopes/control.rs
@@ -1,4 +1,4 @@
-//! What daemons spend while no caller calls.
+//! Resources that daemons use while there are no requests.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -13,11 +13,11 @@
 use crate::json_client::CallError;
 use crate::operator;
 
-/// Time for leases to be taken and for loads to have gone round.
+/// Time in which leases are acquired and loads are exchanged.
 const WARM_UP: Duration = Duration::from_secs(4);
 const PERCENT: f64 = 100.0;
 
-/// Starts a fleet, lets it settle and measures it for `window`.
+/// Starts a fleet, waits for the warm-up and measures it for `window`.
 pub(super) async fn measure(
     shape: &SlopeShape,
     window: Duration,
@@ -42,7 +42,7 @@
     let percent = |host: &str| (after.used_since(&before, host) + peers) / seconds * PERCENT;
     let orders = lease_holder(&fleet, "orders/zone-0")?;
     let shares = lease_holder(&fleet, "zone-shares/zone-0")?;
-    // The first host is the operators' in the runs with changes.
+    // In the runs with changes the first host receives the calls of the operator.
     let ordinary = fleet.daemons[1..].iter();
     let mut ordinary: Vec<f64> = ordinary
         .filter(|daemon| daemon.zone == zone_name(0))
@@ -67,7 +67,7 @@
     for (kind, count) in &counts_after {
         let earlier = counts_before.get(kind).copied().unwrap_or_default();
         let each = seconds * daemons;
-        // What a peer sends another one receives: both spend it.
+        // Both the sending and the receiving peer spend resources on a message.
         let ends = if kind == "peers" { 2.0 } else { 1.0 };
         let messages = (count.messages - earlier.messages) as f64 * ends / each;
         let bytes = (count.bytes - earlier.bytes) as f64 * ends / each;
@@ -85,8 +85,8 @@
     Ok(figures)
 }
 
-/// Seconds from an operator's call until every daemon was seen, one after the
-/// other, to have applied the change.
+/// Returns the seconds from the call of an operator until the change was seen as applied
+/// on every daemon, polled one after the other.
 async fn time_to_apply(fleet: &SlopeFleet) -> Result<f64, CallError> {
     let started = Instant::now();
     let declared = [organisation(0, 0)];
@@ -95,7 +95,7 @@
     Ok(started.elapsed().as_secs_f64())
 }
 
-/// Host that renewed a lease last.
+/// Returns the host that renewed a lease last.
 fn lease_holder(fleet: &SlopeFleet, name: &str) -> Result<String, CallError> {
     let records = fleet.platform.record(LEASE_STREAM);
     let renewed = records.iter().rev().find_map(|record| {
@@ -106,7 +106,7 @@
     Ok(renewed.ok_or_else(|| format!("nobody holds {name}"))?)
 }
 
-/// Declares one organisation anew, again and again.
+/// Declares changes of one organisation periodically.
 async fn change(operators: SocketAddr, per_second: usize) {
     let mut ticks = interval(Duration::from_secs(1) / per_second as u32);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Skip);
--- a/standins/src/slopes/counting_proxy.rs
+++ b/standins/src/slopes/counting_proxy.rs
@@ -1,4 +1,4 @@
-//! Passing connections on and counting what goes through, by kind of message.
+//! A proxy that forwards connections and counts messages and bytes by kind of message.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -11,33 +11,33 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// Most bytes passed on at once.
+/// Maximum number of bytes forwarded at once.
 const CHUNK_BYTES: usize = 64 * 1024;
-/// Kind of all that is not HTTP.
+/// Kind of all traffic that is not HTTP.
 const PEER_KIND: &str = "peers";
 
-/// What went through for one kind of message.
+/// Traffic of one kind of message.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct WireCount {
-    /// Requests; for peers, pieces sent by the calling side.
+    /// Requests; for peers, segments that the connecting side sent.
     pub(super) messages: u64,
-    /// Bytes both ways, without TCP's own.
+    /// Bytes in both directions, without the overhead of TCP.
     pub(super) bytes: u64,
 }
 
 /// Counters by kind of message.
 pub(super) type WireCounts = Arc<Mutex<BTreeMap<String, WireCount>>>;
 
-/// A gate; dropping it ends its connections.
+/// A counting proxy. Dropping it closes its connections.
 #[derive(Debug)]
 pub(super) struct CountingProxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub(super) local_addr: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl CountingProxy {
-    /// Opens a gate to `upstream`.
+    /// Starts a proxy to `upstream`.
     pub(super) async fn bind(upstream: SocketAddr, counts: &WireCounts) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let local_addr = listener.local_addr()?;
@@ -67,7 +67,7 @@
     let Ok(upstream) = TcpStream::connect(upstream).await else {
         return;
     };
-    // Small bodies would wait for the other side's delayed acknowledgement.
+    // Small bodies would wait for the delayed acknowledgement of the receiver.
     let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
     let kind = Arc::new(Mutex::new(PEER_KIND.to_owned()));
     let (downstream_read, downstream_write) = downstream.into_split();
@@ -84,7 +84,7 @@
     let responses = copy_counted(upstream_read, downstream_write, |segment| {
         add(&counts, &kind.lock(), 0, segment.len());
     });
-    // Either side's end is the connection's.
+    // The connection ends when either side closes it.
     tokio::select! {
         () = requests => {}
         () = responses => {}
@@ -111,7 +111,7 @@
     count.bytes += bytes as u64;
 }
 
-/// Kind of an HTTP request, if this piece begins one.
+/// Returns the kind of an HTTP request, if one begins in this segment.
 fn request_kind(segment: &[u8]) -> Option<String> {
     let line = segment.split(|byte| *byte == b'\r').next()?;
     let mut words = std::str::from_utf8(line).ok()?.split(' ');
--- a/standins/src/slopes/data_path.rs
+++ b/standins/src/slopes/data_path.rs
@@ -1,4 +1,4 @@
-//! What a request and a token cost a daemon.
+//! Resources that a daemon uses for a request and for a token.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -18,14 +18,14 @@
 use crate::operator;
 use crate::platform::{PlatformServer, PlatformSettings};
 
-/// Tokens of an answer while stages are varied.
+/// Tokens of a response while stages are varied.
 pub(super) const DEFAULT_TOKENS: u64 = 480;
-/// Stages while tokens are varied.
+/// Number of stages while tokens are varied.
 pub(super) const DEFAULT_STAGES: usize = 3;
-/// Requests at once.
+/// Number of concurrent requests.
 const STREAMS: usize = 4;
 const PROMPT_TOKENS: u64 = 32;
-/// Engines of a stage.
+/// Number of engines of a stage.
 const ENGINES: usize = 2;
 const WARM_UP_TOKENS: u64 = 16;
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -33,14 +33,14 @@
 const MICROSECONDS: f64 = 1e6;
 const MILLISECONDS: f64 = 1e3;
 
-/// What one stream was given.
+/// Tokens that one stream received, and its duration.
 #[derive(Debug)]
 struct StreamFigures {
     tokens: f64,
     seconds: f64,
 }
 
-/// Drives a few streams through one daemon and engines that take no time.
+/// Runs a few streams through one daemon and engines that take no time.
 pub(super) async fn measure(
     stages: usize,
     tokens: u64,
@@ -54,7 +54,7 @@
         let mut targets = Vec::new();
         for number in 0..ENGINES {
             let settings = EngineSettings {
-                // The answers of this run are not looked at afterwards.
+                // The records of this run are not evaluated.
                 record_cap: 0,
                 ..EngineSettings::new("model", VERSION, u32::try_from(stages)?, layer, layer)
             };
@@ -83,7 +83,7 @@
     let callers = daemon.callers;
     run_stream(callers, 0, WARM_UP_TOKENS, Duration::ZERO).await?;
     let before = ThreadSample::take();
-    // Whole answers are counted, so the end of the last one ends the window.
+    // Only complete responses are counted, so the end of the last one ends the window.
     let streams = (1..=STREAMS).map(|stream| run_stream(callers, stream, tokens, window));
     let streams = join_all(streams).await;
     let after = ThreadSample::take();
@@ -113,7 +113,7 @@
     ]))
 }
 
-/// Asks for one answer after the other, until `window` has passed.
+/// Sends one generation request after the other, until `window` has passed.
 async fn run_stream(
     host: SocketAddr,
     stream: usize,
@@ -137,7 +137,7 @@
         let answer = caller.generate(host, &request, &body).await;
         match answer.is_whole() {
             true => received += tokens,
-            // Right after the start the host has no part of the capacity yet.
+            // Directly after the start the host has no share of the capacity yet.
             false if stream == 0 => tokio::time::sleep(RETRY_PAUSE).await,
             false => return Err(format!("not answered: {:?}", answer.refused()).into()),
         }
--- a/standins/src/slopes/decisions.rs
+++ b/standins/src/slopes/decisions.rs
@@ -1,4 +1,4 @@
-//! What decisions cost by themselves, without any daemon.
+//! Cost of decisions alone, without a daemon.
 
 use std::time::{Duration, Instant};
 
@@ -21,18 +21,18 @@
 use crate::json_client::CallError;
 use crate::operator::Declaration;
 
-/// Organisations and models beside the targets that are replayed.
+/// Number of organisations and models that are replayed besides the targets.
 const ORGANISATIONS: usize = 400;
 const MODELS: usize = 23;
-/// Stages of each model's pipeline.
+/// Stages of the pipeline of each model.
 const STAGES: usize = 3;
-/// Decisions that are timed together.
+/// Number of decisions that are timed together.
 const DECISIONS: usize = 20_000;
 const MICROSECONDS: f64 = 1e6;
 const MILLISECONDS: f64 = 1e3;
 
-/// Replays as many targets, with the organisations and models of the size to
-/// come, and writes and reads a checkpoint of the state.
+/// Replays the declarations of `targets` targets, with the organisations and models of
+/// the planned size, and writes and reads a checkpoint of the state.
 pub(super) fn replay(targets: usize) -> Result<SlopeFigures, CallError> {
     let mut declared = pipeline_declarations(targets, MODELS);
     let organisations = 0..ORGANISATIONS;
@@ -73,7 +73,7 @@
     Ok(figures)
 }
 
-/// The text of a first declaration as record `number` of the log.
+/// Returns the text of an initial declaration as record `number` of the log.
 pub(super) fn record_text(
     number: LogOffset,
     declaration: &Declaration,
@@ -96,7 +96,7 @@
     Ok(serde_json::to_string(&record)?)
 }
 
-/// Targets divided over the stages of the models' pipelines.
+/// Creates the declarations of pipelines over whose stages the targets are distributed.
 fn pipeline_declarations(targets: usize, models: usize) -> Vec<Declaration> {
     let pipelines = (0..models).map(|model| {
         let stages: Vec<StageLayout> = (0..STAGES)
@@ -124,7 +124,7 @@
     }
 }
 
-/// Admits and releases requests of as many organisations in turn.
+/// Admits and releases requests of `organisations` organisations in turn.
 pub(super) fn admission(organisations: usize) -> SlopeFigures {
     let now = Instant::now();
     let mut table = AdmissionTable::new(AdmissionSettings::default(), 1);
@@ -165,7 +165,7 @@
     format!("organisation-{number}").as_str().into()
 }
 
-/// Plans routes over one pipeline with as many targets a stage.
+/// Plans routes over one pipeline with `targets` targets per stage.
 pub(super) fn routing(targets: usize) -> SlopeFigures {
     let declared = pipeline_declarations(targets * STAGES, 1);
     let resources: Vec<(ResourceKey, ResourceSpec)> = declared
--- a/standins/src/slopes/fleet.rs
+++ b/standins/src/slopes/fleet.rs
@@ -1,4 +1,4 @@
-//! Starting daemons before small stand-ins, with gates in between.
+//! Starts daemons in front of small stand-ins, with counting proxies in between.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -20,12 +20,12 @@
 use crate::operator::{self, Declaration};
 use crate::platform::{PlatformServer, PlatformSettings};
 
-/// Bound on waiting for the declarations to be in force.
+/// Maximum wait until the declarations are applied.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(30);
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running fleet with what was counted.
+/// A running fleet with the counted traffic.
 pub(super) struct SlopeFleet {
     pub(super) platform: PlatformServer,
     pub(super) counts: WireCounts,
@@ -35,7 +35,7 @@
 }
 
 impl SlopeFleet {
-    /// Starts the stand-ins and the daemons, and declares everything.
+    /// Starts the stand-ins and the daemons, and declares all resources.
     pub(super) async fn start(shape: &SlopeShape) -> Result<Self, CallError> {
         let counts = WireCounts::default();
         let mut proxies = Vec::new();
@@ -84,8 +84,8 @@
         Ok(fleet)
     }
 
-    /// Appends the declarations in one batch, as one change after the other
-    /// would take long, and waits until they are in force.
+    /// Appends the declarations in one batch, as declaring them one by one would take
+    /// long, and waits until they are applied.
     async fn declare(&self, declared: &[Declaration]) -> Result<(), CallError> {
         let numbered = (0..).zip(declared);
         let records: Result<Vec<String>, CallError> = numbered
@@ -164,7 +164,8 @@
     }
 }
 
-/// An organisation; `rate` sets apart one change of it from the next.
+/// Creates the declaration of an organisation; `rate` makes consecutive changes of it
+/// differ.
 pub(super) fn organisation(number: usize, rate: u32) -> Declaration {
     declarations::organisation(&format!("organisation-{number}"), 1_000, 100_000 + rate)
 }
@@ -186,8 +187,8 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A loopback address from which no connection goes out: there a free port
-/// that is found beforehand stays free until its daemon listens.
+/// Returns a loopback address from which no connection goes out: a free port found there
+/// stays free until its daemon listens.
 fn peer_address() -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, high, low, 2], 0))
--- a/standins/src/slopes/report.rs
+++ b/standins/src/slopes/report.rs
@@ -1,12 +1,12 @@
-//! Medians, spread and straight lines.
+//! Report of medians, ranges and fitted lines.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
 use super::SlopeRun;
 
-/// A table a series: the median of each figure with its spread, and the
-/// straight line through the medians by least squares.
+/// Returns one table per series: the median and range of each figure, and a line through
+/// the medians, fitted by least squares.
 pub fn markdown_report(runs: &[SlopeRun]) -> String {
     let mut text = String::new();
     let mut series: BTreeMap<&str, Vec<&SlopeRun>> = BTreeMap::new();
@@ -70,7 +70,7 @@
     text
 }
 
-/// Slope and value at zero, by least squares.
+/// Returns the slope and the value at zero, fitted by least squares.
 fn straight_line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
@@ -86,7 +86,7 @@
     (slope, mean_y - slope * mean_x)
 }
 
-/// Three digits that count.
+/// Formats a figure with three significant digits.
 fn three_digits(figure: f64) -> String {
     let digits = match figure.abs() {
         0.0 => 0,
--- a/standins/src/slopes/shape.rs
+++ b/standins/src/slopes/shape.rs
@@ -1,8 +1,8 @@
-//! What is varied.
+//! Series of measurements and the sizes of their fleets.
 
 use crate::json_client::CallError;
 
-/// Every series with its usual values.
+/// Every series with its default values.
 pub const SERIES: [(&str, &[u64]); 13] = [
     ("hosts", &[2, 4, 8, 16, 24]),
     ("zones", &[1, 2, 4]),
@@ -19,27 +19,27 @@
     ("routing", &[4, 16, 48]),
 ];
 
-/// A fleet without callers.
+/// Size of a fleet without callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlopeShape {
     /// Entry hosts in each zone.
     pub hosts: usize,
-    /// Availability zones with as many hosts.
+    /// Availability zones with `hosts` hosts each.
     pub zones: usize,
     /// Further availability zones with one host each.
     pub further_zones: usize,
-    /// Targets in all.
+    /// Total number of targets.
     pub targets: usize,
     /// Organisations.
     pub organisations: usize,
     /// Models, each with one pipeline.
     pub models: usize,
-    /// Declared changes a second.
+    /// Declared changes per second.
     pub changes: usize,
 }
 
 impl SlopeShape {
-    /// What all series have in common.
+    /// Values that all series share.
     pub const BASE: Self = Self {
         hosts: 8,
         zones: 1,
@@ -50,10 +50,10 @@
         changes: 0,
     };
 
-    /// The base with one thing changed.
+    /// Returns the base values with one parameter changed.
     ///
     /// # Errors
-    /// If there is no such series.
+    /// If the series is unknown.
     pub fn varied(series: &str, value: usize) -> Result<Self, CallError> {
         let mut shape = Self::BASE;
         let varied = match series {
@@ -77,7 +77,8 @@
         Ok(shape)
     }
 
-    /// One zone of the size to come with all its hosts, and others with one.
+    /// Returns the planned size: one zone with all its hosts, and further zones with one
+    /// host each.
     fn planned_size(further_zones: usize) -> Self {
         Self {
             hosts: 20,
@@ -89,12 +90,12 @@
         }
     }
 
-    /// Number of daemons.
+    /// Returns the number of daemons.
     pub fn daemons(&self) -> usize {
         self.hosts * self.zones + self.further_zones
     }
 
-    /// Zone of a daemon.
+    /// Returns the zone of a daemon.
     pub fn zone_of_host(&self, number: usize) -> usize {
         let further = (number + 1).checked_sub(self.hosts * self.zones);
         match further {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Zone of a target.
+    /// Returns the zone of a target.
     pub fn zone_of_target(&self, number: usize) -> usize {
         number % (self.zones + self.further_zones)
     }
--- a/standins/src/slopes/usage.rs
+++ b/standins/src/slopes/usage.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(super) struct ThreadSample {
     at: Instant,
-    /// Seconds by thread id, with the name.
+    /// Name and processor seconds by thread id.
     threads: BTreeMap<String, (String, f64)>,
 }
 
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Seconds from `earlier` to this sample.
+    /// Returns the seconds from `earlier` to this sample.
     pub(super) fn seconds_since(&self, earlier: &Self) -> f64 {
         (self.at - earlier.at).as_secs_f64()
     }
 
-    /// Processor seconds of the threads of this name since `earlier`.
+    /// Returns the processor seconds of the threads of this name since `earlier`.
     pub(super) fn used_since(&self, earlier: &Self, name: &str) -> f64 {
         let own = self.threads.iter().filter(|(_, thread)| thread.0 == name);
         let used = own.map(|(id, thread)| {
@@ -48,13 +48,13 @@
         used.sum()
     }
 
-    /// Processor seconds of all threads for peers since `earlier`.
+    /// Returns the processor seconds of all peer threads since `earlier`.
     pub(super) fn peers_since(&self, earlier: &Self) -> f64 {
         self.used_since(earlier, PEER_THREAD)
     }
 }
 
-/// Resident memory of this process, in megabytes.
+/// Returns the resident memory of this process, in megabytes.
 pub(super) fn resident_megabytes() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/standins/src/trial.rs
+++ b/standins/src/trial.rs
@@ -1,5 +1,5 @@
-//! Plays a load against a plan of layers and a rule of routing, on the model
-//! of engines and without network, and tells what callers get.
+//! Runs a load against a layer plan and a routing rule on simulated engines, without a
+//! network, and reports what callers receive.
 
 mod figures;
 mod fleet;
--- a/standins/src/trial/figures.rs
+++ b/standins/src/trial/figures.rs
@@ -1,29 +1,29 @@
-//! What callers got in a trial.
+//! Results of a trial, as callers see them.
 
 use std::time::Duration;
 
-/// What callers got.
+/// Results of a trial.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TrialFigures {
-    /// Requests asked.
+    /// Requests that were sent.
     pub offered: usize,
-    /// Whole answers, in time.
+    /// Complete responses in time.
     pub on_time: usize,
-    /// Whole answers with a late event.
+    /// Complete responses with a late event.
     pub late: usize,
-    /// Refused.
+    /// Refused requests.
     pub refused: usize,
-    /// Broken off.
+    /// Streams that were cut.
     pub cut: usize,
     /// Times to the first event.
     pub first: Vec<Duration>,
-    /// Longest pause of each whole answer.
+    /// Longest pause of each complete response.
     pub pauses: Vec<Duration>,
 }
 
 impl TrialFigures {
-    /// A row of a table: shares in 100, first event at 50 and 95 in 100 and
-    /// longest pause at 95 in 100, in milliseconds.
+    /// Returns a table row: shares in percent, the 50th and 95th percentile of the time
+    /// to the first event, and the 95th percentile of the longest pause, in milliseconds.
     pub fn row(&mut self) -> String {
         let share = |count: usize| 100.0 * count as f64 / self.offered.max(1) as f64;
         let [on_time, late] = [self.on_time, self.late].map(share);
@@ -36,7 +36,7 @@
         )
     }
 
-    /// Whole answers in time as a share of what was asked.
+    /// Returns the complete responses in time as a share of the requests sent.
     pub fn on_time_share(&self) -> f64 {
         self.on_time as f64 / self.offered.max(1) as f64
     }
@@ -49,7 +49,7 @@
     times.get(index.min(last)).copied().unwrap_or_default()
 }
 
-/// A plot of shares as bars of text, one row a name.
+/// Plots shares as text bars, one row per name.
 pub fn plot_rows(rows: &[(String, f64)]) -> String {
     const WIDTH: f64 = 50.0;
     let line = |(name, share): &(String, f64)| {
--- a/standins/src/trial/fleet.rs
+++ b/standins/src/trial/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines of a trial, in the model and as a host sees them.
+//! Engines of a trial, in the simulation and as a host sees them.
 
 use jackdawwick::fleet::{FleetTable, LayerRange, TargetEntry};
 use jackdawwick::ids::TargetId;
@@ -6,7 +6,7 @@
 use crate::pipeline::{EngineIndex, PathPart, PipelineSimulation};
 use crate::trial::PlanKind;
 
-/// How many engines of each kind a zone has.
+/// Number of engines of each kind in a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneEngines {
     /// The zone.
@@ -18,7 +18,7 @@
 /// Service name of the engines in the tables.
 pub(super) const SERVICE: &str = "model";
 
-/// Engines with their layers, and the table of the hosts.
+/// Simulated engines with their layers, and the fleet table of the hosts.
 pub(super) struct TrialFleet {
     pub(super) simulation: PipelineSimulation,
     pub(super) table: FleetTable,
@@ -59,7 +59,7 @@
     format!("i-{engine:04}").into()
 }
 
-/// The engine that has an id of [`id_of`].
+/// Returns the engine with an id of [`id_of`].
 pub(super) fn engine_of(id: &str) -> EngineIndex {
     id.trim_start_matches("i-").parse().unwrap_or(0)
 }
--- a/standins/src/trial/plans.rs
+++ b/standins/src/trial/plans.rs
@@ -1,4 +1,4 @@
-//! Plans that are compared.
+//! Layer plans that are compared.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 use jackdawwick::ingress::{AcceleratorKind, EngineModel};
 use jackdawwick::placement::{EngineView, plan_zone};
 
-/// Which engine of a zone holds which layers.
+/// Rule that assigns layers to the engines of a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlanKind {
-    /// The project's planner.
+    /// The planner of the daemon.
     Planned,
-    /// Equal ranges, round and round.
+    /// Equal ranges, repeated over all layers.
     EqualRanges,
-    /// Whole copies over the engines in turn, widths by memory.
+    /// Complete copies over the engines in turn, with widths by memory.
     Copies,
 }
 
 impl PlanKind {
-    /// Every plan.
+    /// All plans.
     pub const ALL: [Self; 3] = [Self::Planned, Self::EqualRanges, Self::Copies];
 
-    /// Its name in tables.
+    /// Returns the name used in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Planned => "planned",
--- a/standins/src/trial/run.rs
+++ b/standins/src/trial/run.rs
@@ -14,27 +14,27 @@
 };
 use crate::trial::{PlanKind, TrialFigures, ZoneEngines};
 
-/// Latest first event that is on time.
+/// Longest time to the first event that counts as on time.
 const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(500);
-/// Longest pause that is on time.
+/// Longest pause that counts as on time.
 const PAUSE_LIMIT: Duration = Duration::from_millis(200);
 
-/// How a path is chosen.
+/// Rule that chooses a path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RoutingRule {
-    /// The project's choice by cost; refuses when an engine is full.
+    /// The routing by cost of the daemon; refuses a request if an engine is full.
     Cost,
-    /// Any path of the zone, engines in random order.
+    /// Any path of the zone, with the engines in random order.
     Random,
-    /// The engines with the fewest requests first.
+    /// Engines with the fewest requests first.
     LeastOutstanding,
 }
 
 impl RoutingRule {
-    /// Every rule.
+    /// All rules.
     pub const ALL: [Self; 3] = [Self::Cost, Self::Random, Self::LeastOutstanding];
 
-    /// Its name in tables.
+    /// Returns the name used in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Cost => "cost",
@@ -44,20 +44,20 @@
     }
 }
 
-/// What is played.
+/// Parameters of a trial.
 #[derive(Debug, Clone)]
 pub struct TrialSettings {
-    /// Figures of the engines.
+    /// Parameters of the simulated engines.
     pub simulation: SimulationSettings,
-    /// The engines.
+    /// Engines of each zone.
     pub zones: Vec<ZoneEngines>,
-    /// Which engine holds what.
+    /// Layer plan.
     pub plan: PlanKind,
-    /// How paths are chosen.
+    /// Routing rule.
     pub rule: RoutingRule,
-    /// Requests a second, over all zones alike.
+    /// Requests per second, spread evenly over all zones.
     pub per_s: f64,
-    /// Time in which requests come.
+    /// Time during which requests arrive.
     pub length: Duration,
     /// Seed of arrivals and sizes.
     pub seed: u64,
@@ -81,7 +81,7 @@
     figures: TrialFigures,
 }
 
-/// Plays a trial.
+/// Runs a trial.
 pub fn run_trial(settings: &TrialSettings) -> TrialFigures {
     let simulation = PipelineSimulation::new(settings.simulation.clone());
     let mut run = TrialRun {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Sizes spread about the usual ones, with a long tail.
+    /// Draws sizes around the usual ones, with a long tail.
     fn draw_size(&mut self) -> RequestSize {
         let model = &self.fleet.simulation.settings().model;
         let usual = [model.usual_prompt, model.usual_answer].map(f64::from);
@@ -195,7 +195,7 @@
         now: Duration,
     ) -> Option<Vec<PathPart>> {
         let model = &self.fleet.simulation.settings().model;
-        // The length of the answer is known on average only.
+        // Only the average length of the response is known in advance.
         let expected = RequestSize {
             answer: model.usual_answer,
             ..size
@@ -219,8 +219,8 @@
         own.map(|state| state.entry.id.to_string()).collect()
     }
 
-    /// Takes at each layer the first engine of `order` that holds it, to its
-    /// end.
+    /// Returns the path that takes, at each next layer, the first engine of `order` that
+    /// holds it and uses that engine up to the end of its range.
     fn first_path(&self, order: &[String]) -> Option<Vec<PathPart>> {
         let layers = self.fleet.simulation.settings().model.layers;
         let mut next = 0;
@@ -242,7 +242,7 @@
         Some(path)
     }
 
-    /// The engines have read the request.
+    /// Records that the engines of the path have read the request.
     fn observe_read(&mut self, path: &[PathPart], size: RequestSize) {
         for part in path {
             let unread = size.load(part.layers.width()).unread;
