--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -1,5 +1,5 @@
-//! Shows a fleet at work: real requests of both users' shapes, a stage that
-//! dies half-way, and what was decided and why.
+//! Demonstrates a fleet: requests of both user organisations, a target that is killed
+//! during a stream, and the recorded decisions with their reasons.
 
 #![allow(clippy::print_stdout, reason = "a demo talks to whoever runs it")]
 
@@ -20,9 +20,9 @@
 const TOKENS: u64 = 24;
 /// Stage whose target is killed.
 const KILLED_STAGE: usize = 1;
-/// Random part of the one idempotency key; a real caller draws it.
+/// Random part of the only idempotency key; a real caller draws it at random.
 const KEY_RANDOM: [u8; 10] = [7; 10];
-/// Bound on waiting for the run to get half-way.
+/// Maximum wait for the generation to be half finished.
 const HALF_WAY_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::main]
@@ -163,7 +163,7 @@
     })
 }
 
-/// Asks for a generation and kills one of its targets half-way.
+/// Requests a generation and kills one of its targets when it is half finished.
 async fn generate_and_kill(fleet: &Fleet) -> Result<GenerationHistory, CallError> {
     let request = "killed-half-way";
     let pending = request_generation(fleet, &fleet.daemons[0], request);
@@ -222,7 +222,7 @@
     }
 }
 
-/// Keeps a fleet running until it is interrupted.
+/// Keeps a fleet running until the program is interrupted.
 async fn serve() -> Result<(), CallError> {
     let mut fleet = start(FleetLayout::franchise()).await?;
     let (daemon, service) = (&fleet.daemons[0], &fleet.layout.service);
--- a/standins/src/bin/engine.rs
+++ b/standins/src/bin/engine.rs
@@ -10,7 +10,7 @@
 };
 use standins::engine::{EngineServer, EngineSettings, FencingMode};
 
-/// Layers held, both inclusive.
+/// Layers that the engine holds, both inclusive.
 #[derive(Debug, Clone, Copy)]
 struct LayerRange {
     first: LayerIndex,
--- a/standins/src/bin/load.rs
+++ b/standins/src/bin/load.rs
@@ -1,5 +1,5 @@
-//! Puts open-loop load on real daemons before stand-ins, prints and writes the
-//! figures, and fails if a promise is broken.
+//! Runs open-loop load on real daemons in front of stand-ins, prints and writes the
+//! figures, and fails if a guarantee is violated.
 
 #![allow(clippy::print_stdout, reason = "the table goes to standard output")]
 
@@ -10,7 +10,7 @@
     LoadOptions, load_command, markdown_row, markdown_table, run_load, write_report,
 };
 
-/// Broken promises that are printed.
+/// Maximum number of violations that are printed.
 const MAX_SHOWN: usize = 20;
 
 #[tokio::main]
@@ -26,7 +26,7 @@
     }
 }
 
-/// Whether every promise was kept.
+/// Runs the load and returns whether every guarantee was kept.
 async fn run(options: &LoadOptions) -> Result<bool, CallError> {
     let figures = run_load(options).await?;
     println!("{}", markdown_table(&figures));
--- a/standins/src/bin/losses.rs
+++ b/standins/src/bin/losses.rs
@@ -1,4 +1,4 @@
-//! Prints what was lost in a run, by cause and second, from the log lines of its
+//! Prints the lost requests of a run, by cause and second, from the log lines of its
 //! hosts on standard input.
 
 use std::io::{BufRead, Write, stdin, stdout};
--- a/standins/src/bin/plans.rs
+++ b/standins/src/bin/plans.rs
@@ -1,4 +1,4 @@
-//! Compares plans of layers and rules of routing on the model of engines.
+//! Compares layer plans and routing rules on simulated engines.
 
 use std::io::Write;
 use std::time::Duration;
--- a/standins/src/bin/slopes.rs
+++ b/standins/src/bin/slopes.rs
@@ -1,4 +1,4 @@
-//! Measures what a daemon spends while one thing is varied at a time.
+//! Measures the resources that a daemon uses while one parameter is varied at a time.
 
 #![allow(clippy::print_stdout, reason = "the runs go to standard output")]
 
@@ -12,9 +12,10 @@
 use standins::json_client::CallError;
 use standins::slopes::{SERIES, SlopeRun, markdown_report, run_once};
 
-/// Longest measured window, in seconds.
+/// Maximum length of the measurement window, in seconds.
 const MAX_SECONDS: u64 = 60;
-/// Bound on one run beside its window: start, declarations, warm-up, end.
+/// Maximum duration of one run besides its window: start, declarations, warm-up and
+/// shutdown.
 const RUN_OVERHEAD_TIMEOUT: Duration = Duration::from_secs(90);
 
 fn command() -> Command {
--- a/standins/src/load.rs
+++ b/standins/src/load.rs
@@ -1,8 +1,8 @@
-//! Open-loop load on a fleet, under a fault if wanted, with its figures.
+//! Open-loop load on a fleet, optionally with a fault, and its measurement.
 //!
-//! Arrivals are fixed beforehand by the seed and latencies count from the
-//! intended start, so that a system that falls behind cannot slow down its
-//! own measurement. Every history is checked against the promises.
+//! The seed determines all arrivals in advance, and latencies count from the intended
+//! start, so that a system that falls behind cannot slow down its own measurement. Every
+//! history is checked against the guarantees.
 
 mod bound;
 mod calibrate;
--- a/standins/src/load/bound.rs
+++ b/standins/src/load/bound.rs
@@ -1,19 +1,19 @@
-//! What the hardware allows for the mix offered.
+//! Hardware bound for the offered mix.
 
 use super::TrafficMix;
 use crate::fleet::{EnginePlan, FleetLayout, PREFILL_PER_STEP};
 
-/// The bound set by the stage with the least capacity.
+/// The bound that the stage with the least capacity sets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HardwareBound {
-    /// Whole answers a second.
+    /// Complete responses per second.
     pub requests_per_second: f64,
-    /// Tokens given to callers a second.
+    /// Tokens delivered to callers per second.
     pub tokens_per_second: f64,
 }
 
 impl HardwareBound {
-    /// Sums the engines' declared rates up, stage by stage.
+    /// Computes the bound from the declared rates of the engines, added up by stage.
     pub fn new(layout: &FleetLayout, mix: &TrafficMix) -> Self {
         let stage_rates = layout.stages.iter().map(|stage| {
             let engines = stage.engines.iter();
@@ -27,8 +27,8 @@
     }
 }
 
-/// Requests a second that one engine can carry; the prompt gives the first
-/// token, each further one takes a step.
+/// Returns the requests per second that one engine can serve. The prompt produces the
+/// first token, and each further token takes one step.
 fn engine_rate(engine: &EnginePlan, mix: &TrafficMix) -> f64 {
     let prefill_steps = mix.prompt_tokens as f64 / f64::from(PREFILL_PER_STEP);
     let decode_steps = mix.max_tokens as f64 - 1.0;
--- a/standins/src/load/calibrate.rs
+++ b/standins/src/load/calibrate.rs
@@ -1,4 +1,4 @@
-//! How close a stand-in engine comes to its declared rate by itself.
+//! Measures how close a stand-in engine alone comes to its declared rate.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,23 +12,23 @@
 use crate::fleet::{EnginePlan, FleetLayout};
 use crate::json_client::CallError;
 
-/// Time over which the engine is kept busy.
+/// Time for which the engine is kept busy.
 const LENGTH: Duration = Duration::from_secs(1);
-/// Sessions for each slot, so that none is ever idle.
+/// Sessions per slot, so that no slot is ever idle.
 const SESSIONS_PER_SLOT: usize = 2;
 
-/// Measures the saturated rate of an engine as the layout's first, as a share
+/// Measures the saturated rate of an engine like the first one of the layout, as a share
 /// of its declared rate.
 ///
 /// # Errors
-/// If the engine cannot be started or refuses.
+/// If the engine cannot be started.
 pub(super) async fn saturation(layout: &FleetLayout) -> Result<f64, CallError> {
     let stage = layout.stages.first().ok_or("no stage")?;
     let plan = stage.engines.first().ok_or("no engine")?;
     let settings = EngineSettings {
         concurrency: plan.concurrency,
         step_time: plan.step_time,
-        // A session's first step has a prompt of one input.
+        // The first step of a session has a prompt of one input.
         prefill_time_per_token: plan.step_time,
         ..EngineSettings::new(
             &layout.model,
@@ -45,12 +45,12 @@
     let sessions = (0..plan.concurrency * SESSIONS_PER_SLOT)
         .map(|session| keep_busy(&client, engine.local_addr(), layout, session, until));
     let steps: usize = join_all(sessions).await.into_iter().sum();
-    // The steps that run when the time is over count, and so does their time.
+    // Steps that are running when the time ends are counted, and so is their time.
     let rate = steps as f64 / start.elapsed().as_secs_f64();
     Ok(rate / EnginePlan::tokens_per_second(plan))
 }
 
-/// Steps one session until the time is over; gives the number of steps.
+/// Runs steps of one session until `until` and returns their number.
 async fn keep_busy(
     client: &TargetClient,
     engine: SocketAddr,
--- a/standins/src/load/driver.rs
+++ b/standins/src/load/driver.rs
@@ -1,4 +1,4 @@
-//! Sends the planned requests when they are due and hears the answers.
+//! Sends the planned requests at their times and collects the responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,17 +16,17 @@
 use crate::declarations::VERSION;
 use crate::fleet::Fleet;
 
-/// Times that a caller sends one request, over lost connections.
+/// Maximum number of times that a caller sends one request after lost connections.
 const MAX_SENDS: usize = 4;
 /// Time after the deadline at which a caller gives up.
 const CALLER_GRACE: Duration = Duration::from_secs(10);
 
-/// What every caller needs.
+/// State that all callers share.
 #[derive(Debug)]
 pub(super) struct LoadDriver {
-    /// Entry hosts, also dead ones: the balancer notices late.
+    /// Entry hosts, including dead ones: the load balancer notices a failure late.
     hosts: Vec<SocketAddr>,
-    /// One caller for each organisation.
+    /// One caller per organisation.
     callers: Vec<CallerClient>,
     organisations: Vec<String>,
     model: String,
@@ -41,7 +41,7 @@
     Call(CallOutcome),
 }
 
-/// What came of one way on which a call was sent.
+/// Result of one call, over all its sends.
 struct SentCall {
     reply: Option<CallResponse>,
     lost_sends: usize,
@@ -71,8 +71,8 @@
         })
     }
 
-    /// Sends every request at its time after `start`, whether or not earlier
-    /// ones were answered, and waits for the last answer.
+    /// Sends every request at its time after `start`, regardless of earlier responses,
+    /// and waits for the last response.
     pub(super) async fn drive(
         self: Arc<Self>,
         planned: Vec<PlannedRequest>,
@@ -115,8 +115,8 @@
         self.hosts[(first + sends) % self.hosts.len()]
     }
 
-    /// Asks for a generation; after a lost connection the caller goes on at
-    /// the next host with what it holds.
+    /// Requests a generation. After a lost connection the caller resumes at the next host
+    /// with the tokens received so far.
     async fn generate(
         &self,
         planned: &PlannedRequest,
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Calls the service, at the next host after a lost connection.
+    /// Calls the service, and retries at the next host after a lost connection.
     async fn call_with_failover(
         &self,
         planned: &PlannedRequest,
@@ -231,7 +231,7 @@
     }
 }
 
-/// What a caller shows another host to go on from there.
+/// Returns the token with which a caller resumes at another host.
 fn resume_token(history: &GenerationHistory) -> Option<ResumeToken> {
     let mut events = history.answers.iter().flat_map(|answer| &answer.events);
     let version = events.find_map(|received| match &received.event {
--- a/standins/src/load/fault.rs
+++ b/standins/src/load/fault.rs
@@ -1,4 +1,4 @@
-//! The fault in the middle of a run.
+//! Injects the fault in the middle of a run.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -9,32 +9,33 @@
 
 /// Stage whose target fails.
 const FAILING_STAGE: usize = 1;
-/// Delay of answers over the slow link, in milliseconds.
+/// Delay of responses over the slow link, in milliseconds.
 const SLOW_LINK_MS: u64 = 100;
-/// Index of the entry host that dies: not the last, so that others follow it.
+/// Index of the entry host that is killed. It is not the last one, so that a failover
+/// reaches the hosts after it.
 const FAILING_HOST: usize = 1;
 
-/// When a fault begins and, if it does, ends.
+/// Time at which a fault begins and, if it is transient, ends.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FaultWindow {
     pub(super) begin: Instant,
     pub(super) end: Instant,
 }
 
-/// What failed, and when.
+/// The fault that was injected, with its time.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct InjectedFault {
-    /// When.
+    /// Time of the fault.
     pub(super) at: Instant,
-    /// When, in microseconds since the Unix epoch.
+    /// Time of the fault, in microseconds since the Unix epoch.
     pub(super) at_micros: u64,
-    /// The target that died, if one did.
+    /// The target that was killed, if any.
     pub(super) target: Option<String>,
-    /// Index of the entry host that died, if one did.
+    /// Index of the entry host that was killed, if any.
     pub(super) host: Option<usize>,
 }
 
-/// Waits for the window, lets the fault strike and ends it.
+/// Waits for the window, injects the fault and ends it if it is transient.
 pub(super) async fn inject_fault(
     fleet: &mut Fleet,
     fault: LoadFault,
@@ -69,7 +70,7 @@
     Some(injected)
 }
 
-/// Begins or ends a fault that passes.
+/// Begins or ends a transient fault.
 fn set_transient_fault(fleet: &Fleet, fault: LoadFault, is_on: bool) {
     match fault {
         LoadFault::SlowLink => {
@@ -93,7 +94,7 @@
     }
 }
 
-/// The fastest engine of the failing stage: the one whose loss hurts most.
+/// Returns the fastest engine of the failing stage, whose loss costs the most capacity.
 fn fastest_engine(fleet: &Fleet) -> Option<&FleetEngine> {
     let stage = fleet.engines.iter();
     stage
--- a/standins/src/load/figures.rs
+++ b/standins/src/load/figures.rs
@@ -1,13 +1,13 @@
-//! The figures of one run, as they are written down.
+//! Figures of one run, as the report contains them.
 
 use std::collections::BTreeMap;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Largest value kept, in microseconds: ten minutes.
+/// Largest recorded value, in microseconds: 10 min.
 const MAX_MICROS: u64 = 600_000_000;
-/// Significant digits kept.
+/// Significant digits of recorded values.
 const DIGITS: u8 = 3;
 
 /// Quantiles of times, in milliseconds.
@@ -26,7 +26,7 @@
 }
 
 impl Quantiles {
-    /// Quantiles of `times`.
+    /// Computes the quantiles of `times`.
     pub fn of<I>(times: I) -> Self
     where
         I: IntoIterator<Item = std::time::Duration>,
@@ -51,117 +51,118 @@
     }
 }
 
-/// How generations of the steady part ended.
+/// Outcomes of the generations in the measurement window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize)]
 pub struct RequestCounts {
-    /// Asked for.
+    /// Requested.
     pub offered: u64,
-    /// Answered whole within the deadline.
+    /// Completed within the deadline.
     pub in_time: u64,
-    /// Answered whole, but late.
+    /// Completed after the deadline.
     pub late: u64,
     /// Refused before the first token.
     pub refused: u64,
-    /// Cut short after a token.
+    /// Cut after a token.
     pub cut: u64,
-    /// Without any final answer.
+    /// Without a final response.
     pub unanswered: u64,
 }
 
-/// How one organisation fared in the steady part.
+/// Figures of one organisation in the measurement window.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct OrganisationFigures {
     /// Name.
     pub name: String,
-    /// Generations asked for a second.
+    /// Requested generations per second.
     pub offered_per_second: f64,
-    /// Part of them answered whole within the deadline.
+    /// Share of them that completed within the deadline.
     pub in_time_part: f64,
     /// Time from the intended start to the first token.
     pub first_token: Quantiles,
 }
 
-/// How long it took to recover from a death.
+/// Recovery from the death of a target or host.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RecoveryFigures {
-    /// Requests that were on the target or host that died.
+    /// Requests that were on the target or host that was killed.
     pub requests: u64,
-    /// Of these, those answered whole.
+    /// Those of them that completed.
     pub whole: u64,
-    /// From the death to the next token that needed a repair.
+    /// Time from the death to the next token that needed a repair.
     pub next_token: Quantiles,
-    /// The best possible repair, median over the requests, in milliseconds:
-    /// processing the positions so far on a replacement of mean speed, and half
-    /// of the usual time between tokens. For a host's death: the latter alone.
+    /// The best possible repair, median over the requests, in milliseconds: processing
+    /// the positions so far on a replacement of mean speed, and half of the usual time
+    /// between tokens. After the death of a host: the latter alone.
     pub best_possible_ms: f64,
-    /// Median of each request's time over its best possible one.
+    /// Median of the ratio of each request's time to its best possible time.
     pub ratio_p50: f64,
-    /// 95th percentile of the same.
+    /// 95th percentile of the same ratio.
     pub ratio_p95: f64,
 }
 
-/// What the daemons used in the steady part.
+/// Resources that the daemons used in the measurement window.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
 pub struct UsageFigures {
-    /// Cores kept busy by a daemon's own threads for requests, mean.
+    /// Mean number of cores that the request threads of a daemon used.
     pub cores_per_daemon: f64,
-    /// Cores kept busy by a daemon's thread for peers, mean.
+    /// Mean number of cores that the peer thread of a daemon used.
     pub peer_cores_per_daemon: f64,
-    /// Cores kept busy by the process: daemons, stand-ins and callers.
+    /// Number of cores that the process used: daemons, stand-ins and callers.
     pub process_cores: f64,
-    /// Memory of the process at the end, in megabytes, with all records.
+    /// Memory of the process at the end, in megabytes, including all records.
     pub process_megabytes: f64,
-    /// Bytes a second sent for control by a daemon, mean.
+    /// Mean number of control bytes that a daemon sent per second.
     pub control_sent_per_daemon: f64,
-    /// Bytes a second received for control by a daemon, mean.
+    /// Mean number of control bytes that a daemon received per second.
     pub control_received_per_daemon: f64,
 }
 
-/// Everything measured in one run.
+/// All figures of one run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct LoadFigures {
-    /// Whose fleet and requests.
+    /// Name of the shape.
     pub shape: String,
     /// Routing policy.
     pub policy: String,
-    /// What failed.
+    /// Name of the fault.
     pub fault: String,
     /// Offered generations as a multiple of the hardware bound.
     pub rate_factor: f64,
-    /// Multiplier of the first organisation's arrivals.
+    /// Factor on the arrivals of the first organisation.
     pub large_factor: f64,
-    /// Seconds over which requests arrived.
+    /// Seconds during which requests arrived.
     pub seconds: f64,
     /// Seed.
     pub seed: u64,
-    /// Saturated rate of a stand-in engine as a share of its declared one.
+    /// Saturated rate of a stand-in engine as a share of its declared rate.
     pub engine_saturation: f64,
-    /// Whole answers a second that the hardware allows.
+    /// Complete responses per second that the hardware allows.
     pub bound_requests_per_second: f64,
-    /// Tokens a second that the hardware allows.
+    /// Tokens per second that the hardware allows.
     pub bound_tokens_per_second: f64,
-    /// Tokens a second heard in the steady part, as a share of the bound.
+    /// Tokens received per second in the measurement window, as a share of the bound.
     pub throughput_of_bound: f64,
-    /// Answers in time a second in the steady part, as a share of the bound.
+    /// Responses in time per second in the measurement window, as a share of the bound.
     pub goodput_of_bound: f64,
-    /// How generations of the steady part ended.
+    /// Outcomes of the generations in the measurement window.
     pub counts: RequestCounts,
-    /// From the intended start to the first token.
+    /// Time from the intended start to the first token.
     pub first_token: Quantiles,
-    /// Between two tokens.
+    /// Time between two tokens.
     pub between_tokens: Quantiles,
-    /// From the intended start to the whole answer.
+    /// Time from the intended start to the end of a complete response.
     pub whole_answer: Quantiles,
-    /// From the intended start to a refusal before any token.
+    /// Time from the intended start to a refusal before any token.
     pub refusal: Quantiles,
-    /// From the intended start of a plain service's call to its answer.
+    /// Time from the intended start of a call of the plain service to its response.
     pub service_call: Quantiles,
-    /// Calls of the plain service that were refused, each way counted.
+    /// Refused calls of the plain service; a call that is sent to two hosts counts for
+    /// each.
     pub calls_refused: u64,
     /// Requests with an idempotency key.
     pub keyed_calls: u64,
-    /// Of these, those that were answered by the service on any way; with few,
-    /// it proves little that no key ran twice.
+    /// Those of them that the service answered through any host. If they are few, they
+    /// prove little about keys never running twice.
     pub keyed_answered: u64,
     /// Requests with an idempotency key that were sent to two hosts.
     pub doubled_calls: u64,
@@ -169,17 +170,18 @@
     pub refusals: BTreeMap<String, u64>,
     /// Retries by reason, as counted by the daemons over the whole run.
     pub retries: BTreeMap<String, u64>,
-    /// Each organisation.
+    /// Figures of each organisation.
     pub organisations: Vec<OrganisationFigures>,
-    /// Jain's index over the parts answered in time: 1 if all fare alike.
+    /// Jain's index over the shares completed in time: 1 if all organisations get the
+    /// same share.
     pub fairness: f64,
-    /// Recovery from a stage's or a host's death.
+    /// Recovery from the death of a target or host.
     pub recovery: Option<RecoveryFigures>,
-    /// From the fault until the tokens of a second reached 90% of what they
-    /// were before it, in milliseconds.
+    /// Time from the fault until the tokens per second reached 90% of their rate before
+    /// it, in milliseconds.
     pub throughput_back_ms: Option<f64>,
-    /// What the daemons used.
+    /// Resources that the daemons used.
     pub usage: UsageFigures,
-    /// Promises broken in the history.
+    /// Guarantees that the history violates.
     pub broken: Vec<String>,
 }
--- a/standins/src/load/measure.rs
+++ b/standins/src/load/measure.rs
@@ -1,4 +1,4 @@
-//! From outcomes to figures.
+//! Computes figures from outcomes.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use super::{HardwareBound, TrafficMix};
 use crate::fleet::FleetLayout;
 
-/// The part of a run that counts, and what it is measured against.
+/// The measurement window of a run, with the bound that its figures refer to.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SteadyWindow {
     pub(super) begin: Instant,
@@ -16,7 +16,7 @@
     pub(super) bound: HardwareBound,
 }
 
-/// How one generation ended.
+/// Outcome of one generation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum GenerationEnd {
     InTime,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Generations whose intended start lies in the steady part.
+    /// Returns the generations whose intended start lies in the window.
     pub(super) fn arrived<'a>(
         &self,
         generations: &'a [GenerationOutcome],
@@ -58,15 +58,15 @@
         arrived.collect()
     }
 
-    /// Tokens a second heard, as a share of the bound.
+    /// Returns the tokens received per second, as a share of the bound.
     pub(super) fn throughput(&self, tokens: &[Instant]) -> f64 {
         let received = tokens.iter().filter(|at| self.holds(**at)).count();
         received as f64 / self.seconds() / self.bound.tokens_per_second
     }
 
-    /// Answers in time a second, as a share of the bound. Like the tokens of
-    /// the throughput, answers count when they are heard: were those counted
-    /// that arrived, a queue that shrinks would seem to be lost capacity.
+    /// Returns the responses in time per second, as a share of the bound. Like the tokens
+    /// of the throughput, responses count when they are received: if they were counted by
+    /// arrival of the request, a shrinking queue would look like lost capacity.
     pub(super) fn goodput(&self, generations: &[GenerationOutcome]) -> f64 {
         let in_time = generations.iter().filter(|outcome| {
             let ended_here = outcome.ended().is_some_and(|ended| self.holds(ended));
@@ -90,7 +90,7 @@
         }
     }
 
-    /// From the intended start to a refusal before any token.
+    /// Returns the times from the intended start to a refusal before any token.
     pub(super) fn refusal_times(&self, arrived: &[&GenerationOutcome]) -> Quantiles {
         let refused = arrived
             .iter()
@@ -120,14 +120,14 @@
         figures.collect()
     }
 
-    /// Times of calls that began in the steady part.
+    /// Returns the times of calls whose intended start lies in the window.
     pub(super) fn call_times(&self, calls: &[CallOutcome]) -> Quantiles {
         let arrived = calls.iter().filter(|call| self.holds(call.intended));
         Quantiles::of(arrived.map(|call| call.ended - call.intended))
     }
 }
 
-/// Every token heard, in the order of time.
+/// Returns the times of all tokens received, in order.
 pub(super) fn all_tokens(generations: &[GenerationOutcome]) -> Vec<Instant> {
     let tokens = generations.iter().flat_map(GenerationOutcome::token_times);
     let mut tokens: Vec<Instant> = tokens.collect();
@@ -135,14 +135,14 @@
     tokens
 }
 
-/// From the intended start to the first token.
+/// Returns the times from the intended start to the first token.
 pub(super) fn first_tokens(generations: &[&GenerationOutcome]) -> Quantiles {
     let first =
         |outcome: &&GenerationOutcome| Some(*outcome.token_times().first()? - outcome.intended);
     Quantiles::of(generations.iter().filter_map(first))
 }
 
-/// Between two tokens of one answer.
+/// Returns the times between two tokens of one response.
 pub(super) fn token_gaps(generations: &[&GenerationOutcome]) -> Quantiles {
     let gaps = generations.iter().flat_map(|outcome| {
         let times = outcome.token_times();
@@ -152,14 +152,14 @@
     Quantiles::of(gaps)
 }
 
-/// From the intended start to the whole answer.
+/// Returns the times from the intended start to the end of a complete response.
 pub(super) fn whole_answers(generations: &[&GenerationOutcome]) -> Quantiles {
     let whole = generations.iter().filter(|outcome| outcome.is_whole());
     Quantiles::of(whole.filter_map(|outcome| Some(outcome.ended()? - outcome.intended)))
 }
 
-/// Jain's index of the parts answered in time: 1 if all fare alike, 1/n if
-/// one gets everything.
+/// Returns Jain's index of the shares completed in time: 1 if all are equal, 1/n if one
+/// organisation gets everything.
 pub(super) fn fairness(organisations: &[OrganisationFigures]) -> f64 {
     let parts = || {
         organisations
--- a/standins/src/load/options.rs
+++ b/standins/src/load/options.rs
@@ -1,4 +1,4 @@
-//! What to run: shape, policy, rate, length, seed and fault.
+//! Options of a run: shape, policy, rate, length, seed and fault.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 
 use crate::fleet::FleetLayout;
 
-/// Longest run, in seconds.
+/// Maximum length of a run, in seconds.
 const MAX_SECONDS: u64 = 300;
 
-/// Whose fleet and requests.
+/// Fleet and requests of a user organisation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadShape {
-    /// The franchise office: many short answers.
+    /// The franchise office: many short responses.
     Franchise,
-    /// Atlas: fewer, longer answers.
+    /// Atlas: fewer, longer responses.
     Atlas,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl LoadShape {
-    /// The name used in tables.
+    /// Returns the name used in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::Franchise => "franchise",
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The fleet of this shape.
+    /// Returns the fleet of this shape.
     pub fn layout(self) -> FleetLayout {
         match self {
             Self::Franchise => FleetLayout::franchise(),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The requests of this shape.
+    /// Returns the requests of this shape.
     pub fn mix(self) -> TrafficMix {
         match self {
             Self::Franchise => TrafficMix {
@@ -66,21 +66,21 @@
     }
 }
 
-/// What the offered requests are like.
+/// Properties of the offered requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TrafficMix {
-    /// Tokens of a prompt; no two prompts share a prefix, so that the bound
-    /// does not depend on the prefix caches.
+    /// Tokens of a prompt. No two prompts share a prefix, so that the bound does not
+    /// depend on the prefix caches.
     pub prompt_tokens: u64,
-    /// Tokens of an answer.
+    /// Tokens of a response.
     pub max_tokens: u64,
-    /// Time within which an answer is wanted.
+    /// Deadline of a request.
     pub deadline: Duration,
-    /// Calls of the plain service for each generation.
+    /// Calls of the plain service per generation.
     pub calls_per_generation: f64,
-    /// Part of these calls that may not be repeated.
+    /// Share of these calls that is not idempotent.
     pub keyed_fraction: f64,
-    /// Part of the keyed calls that is sent to two hosts at once.
+    /// Share of the keyed calls that is sent to two hosts at the same time.
     pub doubled_fraction: f64,
 }
 
@@ -95,16 +95,16 @@
     };
 }
 
-/// What fails in the middle of a run.
+/// Fault in the middle of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadFault {
     /// Nothing.
     None,
-    /// The fastest engine of the middle stage dies for good.
+    /// The fastest engine of the middle stage is killed.
     StageKill,
-    /// The link to the fastest engine of the middle stage slows down for a time.
+    /// The link to the fastest engine of the middle stage is slow for a time.
     SlowLink,
-    /// An entry host dies for good.
+    /// An entry host is killed.
     HostKill,
     /// The platform refuses every call for a time.
     PlatformOutage,
@@ -130,7 +130,7 @@
 }
 
 impl LoadFault {
-    /// The name used in tables.
+    /// Returns the name used in tables.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -143,29 +143,29 @@
     }
 }
 
-/// One run.
+/// Options of one run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadOptions {
-    /// Whose fleet and requests.
+    /// Fleet and requests of a user organisation.
     pub shape: LoadShape,
     /// Routing policy, as in the daemons' settings.
     pub policy: String,
     /// Offered generations as a multiple of the hardware bound.
     pub rate_factor: f64,
-    /// Multiplies the arrivals of the first, large organisation.
+    /// Factor on the arrivals of the first, large organisation.
     pub large_factor: f64,
-    /// Time over which requests arrive.
+    /// Time during which requests arrive.
     pub length: Duration,
     /// Seed of arrivals and daemons.
     pub seed: u64,
-    /// What fails.
+    /// Fault to inject.
     pub fault: LoadFault,
     /// Directory for the report.
     pub out: Option<PathBuf>,
 }
 
 impl LoadOptions {
-    /// Reads the command line.
+    /// Reads the options from the command line.
     pub fn from_matches(matches: &ArgMatches) -> Self {
         let factor = |name: &str| matches.get_one::<f64>(name).copied().unwrap_or(1.0);
         let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or(1);
@@ -185,7 +185,7 @@
     }
 }
 
-/// The program's arguments.
+/// Returns the command-line arguments of the program.
 pub fn load_command() -> Command {
     Command::new("load")
         .about("Puts open-loop load on real daemons before stand-ins and measures")
--- a/standins/src/load/outcome.rs
+++ b/standins/src/load/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of each request.
+//! Outcomes of requests.
 
 use std::time::Instant;
 
@@ -6,31 +6,31 @@
 
 use crate::check::{CallHistory, GenerationHistory};
 
-/// A generation that was asked for.
+/// Outcome of a generation request.
 #[derive(Debug)]
 pub(super) struct GenerationOutcome {
     /// Intended start.
     pub(super) intended: Instant,
     /// Index of the organisation.
     pub(super) organisation: usize,
-    /// Index of the entry host asked first.
+    /// Index of the entry host to which the request was sent first.
     pub(super) host: usize,
-    /// What the caller heard.
+    /// History of the caller.
     pub(super) history: GenerationHistory,
 }
 
 impl GenerationOutcome {
-    /// When the last answer ended.
+    /// Returns the time at which the last response ended.
     pub(super) fn ended(&self) -> Option<Instant> {
         self.history.answers.last().map(|answer| answer.ended)
     }
 
-    /// Whether the answer is whole.
+    /// Returns whether the response is complete.
     pub(super) fn is_whole(&self) -> bool {
         self.history.closing_count().is_some()
     }
 
-    /// When each token was heard, in order.
+    /// Returns the time at which each token was received, in order.
     pub(super) fn token_times(&self) -> Vec<Instant> {
         let answers = self.history.answers.iter();
         let events = answers.flat_map(|answer| &answer.events);
@@ -41,14 +41,14 @@
     }
 }
 
-/// A call of the plain service.
+/// Outcome of a call of the plain service.
 #[derive(Debug)]
 pub(super) struct CallOutcome {
     /// Intended start.
     pub(super) intended: Instant,
-    /// When the last answer came.
+    /// Time of the last response.
     pub(super) ended: Instant,
-    /// What the caller heard.
+    /// History of the caller.
     pub(super) history: CallHistory,
 }
 
--- a/standins/src/load/recovery.rs
+++ b/standins/src/load/recovery.rs
@@ -1,4 +1,4 @@
-//! How long requests and the whole fleet took to recover.
+//! Recovery time of requests and of the whole fleet.
 
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,12 @@
 
 /// Length of the intervals in which tokens are counted.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// Step between two such intervals.
+/// Step between the starts of two such intervals.
 const INTERVAL_STEP: Duration = Duration::from_millis(100);
-/// Part of the earlier rate at which the fleet counts as recovered.
+/// Share of the earlier rate at which the fleet counts as recovered.
 const RECOVERED_FRACTION: f64 = 0.9;
 
-/// What recovery is judged by.
+/// Input of the recovery figures.
 pub(super) struct RecoveryInput<'a> {
     pub(super) layout: &'a FleetLayout,
     pub(super) injected: &'a InjectedFault,
@@ -26,22 +26,22 @@
 }
 
 impl RecoveryInput<'_> {
-    /// Time to the next token if nothing had died: a death falls anywhere
-    /// between two tokens, so half of the usual time on average.
+    /// Returns the expected time to the next token without a death: a death falls
+    /// anywhere between two tokens, so half of the usual time on average.
     fn usual_wait(&self) -> Duration {
         self.usual_gap / 2
     }
 }
 
-/// One request that was on what died.
+/// A request that was on the target or host that was killed.
 struct RepairedRequest {
-    /// From the death to the next token that needed a repair.
+    /// Time from the death to the next token that needed a repair.
     time: Option<Duration>,
     best_possible: Duration,
     is_whole: bool,
 }
 
-/// Recovery of the requests that were on the target or host that died.
+/// Returns the recovery of the requests that were on the target or host that was killed.
 pub(super) fn recovery(input: &RecoveryInput<'_>) -> Option<RecoveryFigures> {
     let repaired: Vec<RepairedRequest> = match (&input.injected.target, input.injected.host) {
         (Some(target), _) => repaired_on_target(input, target),
@@ -70,8 +70,8 @@
     sorted.get(index).copied().unwrap_or_default()
 }
 
-/// Requests whose last position before the death ran on the target. Their
-/// next position is the first that cannot come without a repair.
+/// Returns the requests whose last position before the death ran on the target. Their
+/// next position is the first one that needs a repair.
 fn repaired_on_target(input: &RecoveryInput<'_>, target: &str) -> Vec<RepairedRequest> {
     let mut engines = input.recorded.steps.iter();
     let Some(engine) = engines.find(|engine| *engine.target == *target) else {
@@ -103,7 +103,7 @@
     repaired.collect()
 }
 
-/// Requests that were streamed by the host.
+/// Returns the requests that the host was streaming.
 fn repaired_on_host(input: &RecoveryInput<'_>, host: usize) -> Vec<RepairedRequest> {
     let in_flight = input
         .generations
@@ -130,7 +130,7 @@
     began && outcome.ended().is_some_and(|ended| ended > at)
 }
 
-/// Time to process so many positions on an engine of mean speed.
+/// Returns the time to process `positions` positions on an engine of mean speed.
 fn replay_time(layout: &FleetLayout, positions: u64) -> Duration {
     let engines = || layout.stages.iter().flat_map(|stage| &stage.engines);
     let sum: Duration = engines().map(|engine| engine.step_time).sum();
@@ -138,7 +138,7 @@
     mean / PREFILL_PER_STEP * positions as u32
 }
 
-/// When, after a fault, the rate of tokens was back at its earlier level.
+/// Returns the time after a fault at which the token rate was back at its earlier level.
 pub(super) fn throughput_back(
     tokens: &[Instant],
     steady_begin: Instant,
@@ -152,7 +152,7 @@
     let before = count(steady_begin, fault) / (fault - steady_begin).as_secs_f64();
     let normal = before * INTERVAL.as_secs_f64() * RECOVERED_FRACTION;
     let mut from = fault;
-    // The last dip counts: only from here on does no interval fall below.
+    // The last drop counts: after it no interval falls below the limit.
     let mut recovered_at = fault;
     while from + INTERVAL <= end {
         if count(from, from + INTERVAL) < normal {
--- a/standins/src/load/report.rs
+++ b/standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The figures as a table and as files.
+//! Output of the figures as a table and as files.
 
 use std::fmt::Display;
 use std::fs;
@@ -7,7 +7,7 @@
 
 use super::figures::{LoadFigures, Quantiles};
 
-/// One line of the table.
+/// One row of the table.
 struct ReportLine {
     name: &'static str,
     value: String,
@@ -21,7 +21,7 @@
     ReportLine { name, value }
 }
 
-/// The figures as a Markdown table with a line a figure.
+/// Returns the figures as a Markdown table with one row per figure.
 pub fn markdown_table(figures: &LoadFigures) -> String {
     let mut table = "| figure | value |\n|---|---|\n".to_owned();
     for line in lines(figures) {
@@ -41,7 +41,7 @@
     table
 }
 
-/// The main figures as a row, for tables of several runs.
+/// Returns the main figures as one row, for tables of several runs.
 pub fn markdown_row(figures: &LoadFigures) -> String {
     let recovery = figures.recovery.as_ref().map_or_else(
         || "-".to_owned(),
--- a/standins/src/load/run.rs
+++ b/standins/src/load/run.rs
@@ -1,4 +1,4 @@
-//! One run from the start of the fleet to its figures.
+//! One run, from the start of the fleet to the figures.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -15,19 +15,19 @@
 use crate::fleet::Fleet;
 use crate::json_client::CallError;
 
-/// Part of the run that is left out at its beginning.
+/// Share of the run that is excluded at its beginning.
 const WARM_UP_FRACTION: f64 = 0.2;
-/// When the fault begins, as a part of the run.
+/// Start of the fault, as a share of the run.
 const FAULT_BEGIN_FRACTION: f64 = 0.5;
-/// When a fault that passes ends, as a part of the run.
+/// End of a transient fault, as a share of the run.
 const FAULT_END_FRACTION: f64 = 0.75;
-/// Time from the start of the fleet to the first arrival, for the daemons to
-/// have heard of each other and of the targets' load.
+/// Time from the start of the fleet to the first arrival, in which the daemons exchange
+/// heartbeats and target loads.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// Grace for leaving targets; no run of this tool has any.
+/// Grace period for leaving targets; no run of this tool has any.
 const LEAVE_GRACE: Duration = Duration::from_secs(5);
 
-/// What a run leaves to be measured.
+/// Data from which a run is measured.
 struct LoadRun {
     outcomes: LoadOutcomes,
     injected: Option<InjectedFault>,
@@ -36,7 +36,7 @@
     after: UsageSample,
 }
 
-/// Starts the shape's fleet, runs the load and measures it.
+/// Starts the fleet of the shape, runs the load and computes the figures.
 ///
 /// # Errors
 /// If the fleet cannot be started.
@@ -48,8 +48,8 @@
     let mut fleet = Fleet::start(layout).await?;
     tokio::time::sleep(SETTLE_TIME).await;
     let run = drive(&mut fleet, options).await;
-    // All daemons are down before the records are read, so that a step that
-    // runs too late cannot be missed.
+    // All daemons are shut down before the records are read, so that a step that runs too
+    // late is not missed.
     for daemon in &mut fleet.daemons {
         daemon.shutdown().await;
     }
@@ -188,7 +188,7 @@
     }
 }
 
-/// Counts of a metric by its label `reason`, without those that are zero.
+/// Returns the counts of a metric by its label `reason`, without zeros.
 fn by_reason(sample: &UsageSample, metric: &str) -> BTreeMap<String, u64> {
     let prefix = format!("{metric}{{reason=\"");
     let counters = sample.counters.iter().filter(|(_, value)| **value > 0.0);
--- a/standins/src/load/schedule.rs
+++ b/standins/src/load/schedule.rs
@@ -1,4 +1,4 @@
-//! Arrivals, fixed beforehand.
+//! Planned arrivals of a run.
 
 use std::time::Duration;
 
@@ -8,45 +8,45 @@
 use super::{HardwareBound, LoadOptions, TrafficMix};
 use crate::fleet::FleetLayout;
 
-/// Values from which prompts are drawn.
+/// Number of token values from which prompts are drawn.
 const PROMPT_VALUES: u64 = 50_000;
 
-/// One request to send.
+/// A request to send.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlannedRequest {
-    /// Intended start, from the beginning of the run.
+    /// Intended start, relative to the beginning of the run.
     pub at: Duration,
     /// Request id.
     pub request: String,
     /// Index of the organisation.
     pub organisation: usize,
-    /// Index of the entry host that the balancer picks.
+    /// Index of the entry host that the load balancer chooses.
     pub host: usize,
-    /// What is asked for.
+    /// Kind of request.
     pub kind: PlannedKind,
 }
 
-/// What a request asks for.
+/// Kind of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PlannedKind {
-    /// Tokens after a prompt.
+    /// A generation.
     Generate {
         /// The prompt.
         prompt: Vec<u64>,
     },
-    /// A call that may be repeated.
+    /// An idempotent call.
     Plain,
-    /// A call that may not be repeated.
+    /// A non-idempotent call.
     Keyed {
-        /// Random part of its key.
+        /// Random part of its idempotency key.
         random: [u8; 10],
-        /// Whether it is sent to two hosts at once.
+        /// Whether it is sent to two hosts at the same time.
         doubled: bool,
     },
 }
 
-/// Plans the arrivals of a run: independent, at a constant mean rate, with
-/// organisations in proportion to what they bought.
+/// Plans the arrivals of a run: independent, at a constant mean rate, with organisations
+/// in proportion to their capacity.
 pub fn plan_arrivals(
     options: &LoadOptions,
     layout: &FleetLayout,
--- a/standins/src/load/usage.rs
+++ b/standins/src/load/usage.rs
@@ -1,4 +1,4 @@
-//! Processor time, memory and control bytes of the daemons.
+//! Processor time, memory and control traffic of the daemons.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,9 +9,9 @@
 use crate::fleet::Fleet;
 use crate::operator;
 
-/// Clock ticks a second in `/proc`, as Linux fixes them for user space.
+/// Clock ticks per second in `/proc`, as Linux fixes them for user space.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Longest name of a thread that the kernel keeps.
+/// Maximum length of a thread name in the kernel.
 const THREAD_NAME_LENGTH: usize = 15;
 /// Name of the threads that serve and call peers.
 const PEER_THREAD: &str = "peers";
@@ -20,20 +20,20 @@
 #[derive(Debug)]
 pub(super) struct UsageSample {
     at: Instant,
-    /// Seconds of processor time by name of thread.
+    /// Processor seconds by thread name.
     threads: BTreeMap<String, f64>,
-    /// Each running daemon's counters, summed up.
+    /// Sums of the counters of all running daemons.
     pub(super) counters: BTreeMap<String, f64>,
 }
 
-/// What was used between two samples.
+/// Resources used between two samples.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct UsageDelta {
-    /// Cores kept busy by the threads of all daemons but those for peers.
+    /// Cores that the threads of all daemons used, without peer threads.
     pub(super) daemon_cores: f64,
-    /// Cores kept busy by all threads for peers.
+    /// Cores that all peer threads used.
     pub(super) peer_cores: f64,
-    /// Cores kept busy by the whole process.
+    /// Cores that the whole process used.
     pub(super) process_cores: f64,
     /// Seconds between the samples.
     pub(super) seconds: f64,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Processor time used since `earlier`.
+    /// Returns the processor time used since `earlier`.
     pub(super) fn since(&self, earlier: &Self, fleet: &Fleet) -> UsageDelta {
         let seconds = (self.at - earlier.at).as_secs_f64();
         let used = |name: &str| {
@@ -76,14 +76,14 @@
         }
     }
 
-    /// How much a counter grew since `earlier`.
+    /// Returns the increase of a counter since `earlier`.
     pub(super) fn growth(&self, earlier: &Self, name: &str) -> f64 {
         let at = |sample: &Self| sample.counters.get(name).copied().unwrap_or_default();
         (at(self) - at(earlier)).max(0.0)
     }
 }
 
-/// Adds up the lines `NAME{LABELS} VALUE` of one daemon's metrics.
+/// Adds the values of the lines `NAME{LABELS} VALUE` of the metrics of one daemon.
 fn add_counters(counters: &mut BTreeMap<String, f64>, text: &str) {
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     for line in lines {
@@ -107,9 +107,9 @@
     times
 }
 
-/// User and system time of a line of `/proc/.../stat`.
+/// Returns the user and system time in a line of `/proc/.../stat`, in seconds.
 fn processor_seconds(stat: &str) -> f64 {
-    // The name in parentheses may hold spaces; the fields after it do not.
+    // The name in parentheses can contain spaces; the fields after it cannot.
     let Some((_, fields)) = stat.rsplit_once(')') else {
         return 0.0;
     };
@@ -118,7 +118,7 @@
     ticks / TICKS_PER_SECOND
 }
 
-/// Memory of the whole process, in megabytes.
+/// Returns the resident memory of the process, in megabytes.
 pub(super) fn resident_megabytes() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! An engine's batch, cache, orders and faults do what their names say.
+//! Tests of the engine stand-in: batch, prefix cache, orders and faults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     call(Method::GET, engine.local_addr(), path, &()).await
 }
 
-/// Polls until the published load is as given.
+/// Polls until the load report has these values.
 async fn wait_for_load(engine: &EngineServer, running: u32, waiting: u32) -> TestResult {
     let poll = async {
         loop {
@@ -97,7 +97,7 @@
         wait_for_load(&engine, 1, 2).await?;
         let fourth = step(&engine, &order("fourth", 0, &[1])).await?;
         assert_eq!(refusal(&fourth)?, TargetRefusalKind::Overloaded);
-        // Whatever starts from here on takes no time.
+        // Steps that start from now on take no time.
         engine.faults().update(|faults| faults.slow_factor = 0.0);
         let path = format!("/v1/sessions/{}", holder.label.session());
         call(Method::DELETE, engine.local_addr(), &path, &()).await
@@ -112,9 +112,8 @@
     Ok(())
 }
 
-// Symptom: a caller gets another request's tokens, or its own once more.
-// Sequence: two sessions take turns while answers are crossed and repeated.
-// Cause: a faulty engine; the label and the position of the answer tell.
+// Guards against undetected mix-ups of responses: an engine that returns the response of
+// another session, or the previous one, must return its label and position too.
 #[tokio::test]
 async fn crossed_and_repeated_answers_carry_the_wrong_place() -> TestResult {
     let engine = bind(settings()).await?;
@@ -163,9 +162,9 @@
     Ok(())
 }
 
-// Symptom: a range is unloaded by somebody who no longer holds the lease.
-// Sequence: an order under number 7, then a late one under number 6.
-// Cause: the engine ignores fencing; one that checks it refuses with 412.
+// Guards against an order by a host that no longer holds the lease: an engine that checks
+// fencing refuses a late order, here number 6 after 7, with status 412; one that ignores
+// it unloads the range.
 #[tokio::test]
 async fn only_an_engine_that_checks_fencing_refuses_an_old_order() -> TestResult {
     for fencing in [FencingMode::Checks, FencingMode::Ignores] {
@@ -224,9 +223,8 @@
     Ok(())
 }
 
-// Symptom: steps time out, and their answers turn up long afterwards.
-// Sequence: an engine stops, a step arrives, the engine goes on.
-// Cause: a frozen process keeps what has arrived and carries it out later.
+// Guards against a simulated freeze that drops work: a frozen engine keeps the steps that
+// have arrived and runs them once it resumes, even if their callers have given up.
 #[tokio::test]
 async fn a_frozen_engine_answers_only_after_the_thaw() -> TestResult {
     let engine = bind(settings()).await?;
@@ -236,7 +234,7 @@
     assert!(frozen.is_err());
     assert!(engine.record().is_empty());
     engine.faults().update(|faults| faults.frozen = false);
-    // The step whose caller has given up runs now.
+    // The step runs now although its caller has given up.
     let has_run = async {
         while engine.record().is_empty() {
             tokio::task::yield_now().await;
--- a/standins/tests/load_plan.rs
+++ b/standins/tests/load_plan.rs
@@ -1,4 +1,4 @@
-//! The load tool's plan: the bound and the arrivals.
+//! Tests of the load tool's hardware bound and planned arrivals.
 
 use std::time::Duration;
 
@@ -23,7 +23,8 @@
     layout.stages[1].engines.truncate(1);
     layout.stages[1].engines[0].step_time = Duration::from_millis(10);
     layout.stages[1].engines[0].concurrency = 4;
-    // 400 steps a second; a request takes half a step of prompt and 15 more.
+    // The engine runs 400 steps per second; a request takes half a step for the prompt
+    // and 15 more.
     let bound = HardwareBound::new(&layout, &mix);
     assert!((bound.requests_per_second - 400.0 / 15.5).abs() < 1e-9);
     assert!((bound.tokens_per_second - 16.0 * 400.0 / 15.5).abs() < 1e-9);
--- a/standins/tests/losses.rs
+++ b/standins/tests/losses.rs
@@ -1,4 +1,4 @@
-//! What became of requests, read from log lines.
+//! Tests of request outcomes that are parsed from log lines.
 
 use standins::losses::{LossTally, RequestOutcome, parse_line};
 
--- a/standins/tests/pipeline.rs
+++ b/standins/tests/pipeline.rs
@@ -1,4 +1,5 @@
-//! The model of engines: what callers see when engines are slow, full or dead.
+//! Tests of the pipeline simulation: what callers see when engines are slow, full or
+//! dead.
 
 use std::time::Duration;
 
--- a/standins/tests/slopes.rs
+++ b/standins/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! The tool that measures what a daemon spends.
+//! Tests of the tool that measures the resources of a daemon.
 
 use std::time::Duration;
 
@@ -32,15 +32,15 @@
     assert_eq!(line, Some(expected));
 }
 
-/// What is known beforehand must come out: each target is polled by two hosts
-/// at most once a second, each host reads the list at most once a second, and
-/// the sum of the bytes is that of its parts.
+/// Compares the figures with known values: two hosts poll each target at most once per
+/// second, each host reads the host list at most once per second, and the total of the
+/// bytes is the sum over the kinds.
 #[tokio::test(flavor = "multi_thread")]
 async fn messages_are_counted_by_their_kind() -> Result<(), CallError> {
     let figures = run_once("targets", 8, WINDOW, true).await?.figures;
     let of = |name: &str| figures.get(name).copied().unwrap_or_default();
-    // On a busy machine polls may be few, but never more than one round above
-    // those of the window.
+    // On a busy machine there may be few polls, but never more than one round above those
+    // of the window.
     let polls = of("messages/s a daemon: GET load");
     assert!(polls > 0.0 && polls <= 2.7, "{polls} polls a second");
     let lists = of("messages/s a daemon: GET hosts");
@@ -56,16 +56,16 @@
     Ok(())
 }
 
-/// Symptom: at 390 hosts and 1,100 targets each daemon receives tens of
-/// kilobytes a second of a list that hardly ever changes. Sequence: every
-/// daemon reads the whole list once a second. Cause: the pause between two
-/// reads did not depend on the list's length.
+/// Guards against a read interval that does not depend on the length of the host list:
+/// with 390 hosts and 1,100 targets, each daemon would receive tens of kilobytes per
+/// second of a list that rarely changes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_long_host_list_is_read_less_often() -> Result<(), CallError> {
     let figures = run_once("targets", 400, WINDOW, true).await?.figures;
     let lists = figures.get("messages/s a daemon: GET hosts");
     let lists = lists.copied().unwrap_or_default();
-    // 408 entries make pauses of 2 to 6 s, so at most two reads in the window.
+    // With 408 entries the interval is 2 to 6 s, so the window contains at most two
+    // reads.
     assert!(lists <= 0.7, "{lists} lists a second");
     Ok(())
 }
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins tell the truth: what they answer and record is what they did.
+//! Tests that the stand-ins return and record what they did.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -58,7 +58,7 @@
     Ok(engines)
 }
 
-/// Drives the chain of engines as a router without faults would.
+/// Runs a generation over the chain of engines like a router without faults.
 async fn generate(engines: &[EngineServer]) -> Result<Vec<u64>, CallError> {
     let mut tokens = Vec::new();
     let mut position = 0;
@@ -91,9 +91,8 @@
     Ok(())
 }
 
-// Symptom: a caller gets tokens that the model would not give.
-// Sequence: one stage leaves out a layer of its range, or runs one twice.
-// Cause: a faulty engine; a checker that compares with the reference sees it.
+// Guards against wrong tokens that go unnoticed: a stage that skips a layer or runs one
+// twice must change the response, so that a comparison with the reference detects it.
 #[tokio::test]
 async fn faulty_layers_change_the_answer() -> TestResult {
     let engines = bind_engines().await?;
@@ -116,9 +115,8 @@
     Ok(())
 }
 
-// Symptom: a position runs twice and every later token is wrong.
-// Sequence: a step runs, its answer is lost, and the step is sent again, twice
-// at once. Cause: an engine that does not look up what the session has run.
+// Guards against positions that run twice: a step whose response is lost is sent again,
+// here two times at once, and the engine must return the recorded outputs.
 #[tokio::test]
 async fn a_repeated_step_is_handed_back_and_one_ahead_is_refused() -> TestResult {
     let engines = bind_engines().await?;
@@ -127,7 +125,7 @@
     let prefill = order(0, 0, &PROMPT);
     assert!(step(engine.local_addr(), &prefill).await.is_err());
 
-    // Two at once: neither may run the positions again.
+    // Neither of the two may run the positions again.
     let (first, second) = tokio::join!(
         step(engine.local_addr(), &prefill),
         step(engine.local_addr(), &prefill)
@@ -146,9 +144,8 @@
     Ok(())
 }
 
-// Symptom: a step goes on after a restart as if the KV cache had survived.
-// Sequence: a prefill, death, restart, the next decode step.
-// Cause: sessions that outlive the process which held them.
+// Guards against sessions that survive a crash: after a prefill, a crash and a restart,
+// the next decode step must be refused, as the KV cache is lost.
 #[tokio::test]
 async fn a_dead_engine_refuses_connections_and_comes_back_empty() -> TestResult {
     let engines = bind_engines().await?;
@@ -177,9 +174,8 @@
     Ok(())
 }
 
-// Symptom: a writer takes an append for failed, and its record shows up later.
-// Sequence: one append loses its answer, one is lost whole, two go well.
-// Cause: the connection breaks after the effect, or before it.
+// Guards against a stand-in that confuses two faults: an append whose response is lost
+// has taken effect and shows up later; an append that is lost itself has not.
 #[tokio::test]
 async fn an_append_whose_answer_is_lost_takes_effect() -> TestResult {
     let platform = PlatformServer::bind(any_port(), PlatformSettings::default()).await?;
@@ -207,9 +203,8 @@
     Ok(())
 }
 
-// Symptom: a call that failed for its caller has run, or the reverse.
-// Sequence: one call loses its answer, one is refused, one goes well.
-// Cause: the connection breaks after the effect.
+// Guards against records that differ from the calls that ran: a call whose response is
+// lost has run, a refused one has not.
 #[tokio::test]
 async fn a_service_records_each_call_that_ran() -> TestResult {
     let service = ServiceServer::bind(any_port(), ServiceSettings::default()).await?;
