--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -108,8 +108,8 @@
 ) -> GenerationHistory {
     let body = body(fleet);
     let caller = CallerClient::open(ORGANISATION);
-    let answer = caller.generate(daemon.callers, request, &body).await;
-    println!("{}: {request}: {}", daemon.host, summary(&answer));
+    let response = caller.generate(daemon.callers, request, &body).await;
+    println!("{}: {request}: {}", daemon.host, summary(&response));
     GenerationHistory {
         request: request.into(),
         organisation: ORGANISATION.into(),
@@ -118,18 +118,18 @@
         layers: fleet.layout.layers(),
         prompt: body.prompt,
         max_tokens: body.max_tokens,
-        answers: vec![answer],
+        answers: vec![response],
     }
 }
 
-fn summary(answer: &GenerationResponse) -> String {
-    let first = answer.first_token().unwrap_or_default();
-    match answer.refused() {
+fn summary(response: &GenerationResponse) -> String {
+    let first = response.first_token().unwrap_or_default();
+    match response.refused() {
         Some(refusal) => format!("refused: {refusal:?}"),
         None => format!(
             "{} tokens, first after {first:.1?}, last after {:.1?}",
-            answer.tokens().len(),
-            answer.ended - answer.sent
+            response.tokens().len(),
+            response.ended - response.sent
         ),
     }
 }
--- a/standins/src/bin/slopes.rs
+++ b/standins/src/bin/slopes.rs
@@ -79,11 +79,15 @@
         .copied()
         .collect();
     let mut runs = Vec::new();
-    for (series, usual) in SERIES {
+    for (series, default_values) in SERIES {
         if chosen.is_some_and(|chosen| chosen != series) {
             continue;
         }
-        let values = if given.is_empty() { usual } else { &given };
+        let values = if given.is_empty() {
+            default_values
+        } else {
+            &given
+        };
         for _ in 0..number("runs") {
             for value in values {
                 let once = run_once(series, *value, window, runs.is_empty());
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -166,7 +166,7 @@
         body: &GenerateBody,
         key: Option<&str>,
     ) -> GenerationResponse {
-        let mut answer = GenerationResponse {
+        let mut collected = GenerationResponse {
             sent: Instant::now(),
             status: None,
             events: Vec::new(),
@@ -175,12 +175,12 @@
             ended: Instant::now(),
         };
         let received = match self.send_generation(host, request, body, key).await {
-            Ok(response) => read_response(response, &mut answer).await,
+            Ok(response) => read_response(response, &mut collected).await,
             Err(error) => Err(error),
         };
-        answer.broken = received.is_err();
-        answer.ended = Instant::now();
-        answer
+        collected.broken = received.is_err();
+        collected.ended = Instant::now();
+        collected
     }
 
     /// Sends a generation request and returns the response with its open stream.
@@ -244,12 +244,12 @@
 
 async fn read_response(
     response: Response<Incoming>,
-    answer: &mut GenerationResponse,
+    collected: &mut GenerationResponse,
 ) -> Result<(), CallError> {
-    answer.status = Some(response.status());
+    collected.status = Some(response.status());
     if response.status() != StatusCode::OK {
         let body = response.into_body().collect().await?.to_bytes();
-        answer.refusal = Some(serde_json::from_slice(&body)?);
+        collected.refusal = Some(serde_json::from_slice(&body)?);
         return Ok(());
     }
     let mut events = BodyDataStream::new(response.into_body()).eventsource();
@@ -257,7 +257,7 @@
         let event: StreamEvent = serde_json::from_str(&event?.data)?;
         let is_last = matches!(event, StreamEvent::Done { .. } | StreamEvent::Error(_));
         let at = Instant::now();
-        answer.events.push(ReceivedEvent { at, event });
+        collected.events.push(ReceivedEvent { at, event });
         if is_last {
             return Ok(());
         }
--- a/standins/src/engine/calls.rs
+++ b/standins/src/engine/calls.rs
@@ -24,7 +24,7 @@
     pub(super) steps: StepRunner,
     ranges: Mutex<RangeStore>,
     /// Last responses of two different sessions, for the fault `cross_answers`.
-    recent_answers: Mutex<Vec<StepAnswer>>,
+    recent_responses: Mutex<Vec<StepAnswer>>,
 }
 
 impl EngineCalls {
@@ -42,7 +42,7 @@
             settings,
             faults,
             ranges: Mutex::new(ranges),
-            recent_answers: Mutex::default(),
+            recent_responses: Mutex::default(),
         }
     }
 
@@ -141,7 +141,7 @@
         }
         self.admit(&order).map_err(refusal_outcome)?;
         let result = self.steps.run(&order).await.map_err(refusal_outcome)?;
-        let crossed = self.exchange_answer(&result.answer);
+        let crossed = self.exchange_response(&result.response);
         if self.faults.take_one(|faults| &mut faults.lose_answers) {
             return Err(CallOutcome::Close);
         }
@@ -152,7 +152,7 @@
             Some(previous) if self.faults.take_one(|faults| &mut faults.repeat_answers) => {
                 Ok(CallOutcome::ok(&previous))
             }
-            _ => Ok(CallOutcome::ok(&result.answer)),
+            _ => Ok(CallOutcome::ok(&result.response)),
         }
     }
 
@@ -169,15 +169,15 @@
         }
     }
 
-    /// Stores `answer` and returns the last response of another session.
-    fn exchange_answer(&self, answer: &StepAnswer) -> StepAnswer {
-        let mut recent = self.recent_answers.lock();
-        recent.retain(|other| other.label != answer.label);
+    /// Stores `response` and returns the last response of another session.
+    fn exchange_response(&self, response: &StepAnswer) -> StepAnswer {
+        let mut recent = self.recent_responses.lock();
+        recent.retain(|other| other.label != response.label);
         let crossed = recent
             .last()
             .cloned()
-            .unwrap_or_else(|| foreign_answer(answer));
-        recent.push(answer.clone());
+            .unwrap_or_else(|| foreign_response(response));
+        recent.push(response.clone());
         if recent.len() > 2 {
             recent.remove(0);
         }
@@ -187,8 +187,8 @@
 
 /// Builds a response of a session that does not exist, for use while there is no second
 /// session.
-fn foreign_answer(answer: &StepAnswer) -> StepAnswer {
-    let mut foreign = answer.clone();
+fn foreign_response(response: &StepAnswer) -> StepAnswer {
+    let mut foreign = response.clone();
     foreign.label.request = format!("other-than-{}", foreign.label.request).into();
     foreign.outputs.iter_mut().for_each(|output| *output ^= 1);
     foreign
--- a/standins/src/engine/session.rs
+++ b/standins/src/engine/session.rs
@@ -91,7 +91,7 @@
     weights: u64,
     kv_states: Vec<u64>,
     outputs: Vec<u64>,
-    pub(super) last_answer: Option<StepAnswer>,
+    pub(super) last_response: Option<StepAnswer>,
 }
 
 /// Result of running one position.
@@ -112,7 +112,7 @@
             weights: weights(&order.model, &order.version),
             kv_states: vec![EMPTY_KV_STATE; layers as usize],
             outputs: Vec::new(),
-            last_answer: None,
+            last_response: None,
         }
     }
 
@@ -125,7 +125,7 @@
             last_layer: export.last_layer,
             kv_states: export.layers,
             outputs: export.outputs,
-            last_answer: None,
+            last_response: None,
         }
     }
 
--- a/standins/src/engine/steps.rs
+++ b/standins/src/engine/steps.rs
@@ -34,7 +34,7 @@
 /// Result of a step.
 #[derive(Debug)]
 pub(super) struct StepResult {
-    pub(super) answer: StepAnswer,
+    pub(super) response: StepAnswer,
     /// The previous response of the session.
     pub(super) previous: Option<StepAnswer>,
 }
@@ -128,13 +128,13 @@
             outputs.push(run.output);
         }
         self.gauge.count(new_inputs.len());
-        let answer = StepAnswer {
+        let response = StepAnswer {
             label: order.label.clone(),
             position: order.position,
             outputs,
         };
-        let previous = data.last_answer.replace(answer.clone());
-        Ok(StepResult { answer, previous })
+        let previous = data.last_response.replace(response.clone());
+        Ok(StepResult { response, previous })
     }
 
     /// Occupies a slot of the batch for the time that the inputs take.
--- a/standins/src/load/driver.rs
+++ b/standins/src/load/driver.rs
@@ -143,12 +143,12 @@
         for sends in 0..MAX_SENDS {
             let host = self.host(planned.host, sends);
             let body = self.body(&outcome.history, intended);
-            let answer = caller.generate(host, &planned.request, &body);
-            let Ok(answer) = timeout(max_wait, answer).await else {
+            let response = caller.generate(host, &planned.request, &body);
+            let Ok(response) = timeout(max_wait, response).await else {
                 break;
             };
-            let is_lost = answer.broken;
-            outcome.history.answers.push(answer);
+            let is_lost = response.broken;
+            outcome.history.answers.push(response);
             if !is_lost {
                 break;
             }
@@ -233,7 +233,7 @@
 
 /// Returns the token with which a caller resumes at another host.
 fn resume_token(history: &GenerationHistory) -> Option<ResumeToken> {
-    let mut events = history.answers.iter().flat_map(|answer| &answer.events);
+    let mut events = history.answers.iter().flat_map(|response| &response.events);
     let version = events.find_map(|received| match &received.event {
         StreamEvent::Started { version, .. } => Some(version.clone()),
         _ => None,
--- a/standins/src/load/fault.rs
+++ b/standins/src/load/fault.rs
@@ -74,8 +74,8 @@
 fn set_transient_fault(fleet: &Fleet, fault: LoadFault, is_on: bool) {
     match fault {
         LoadFault::SlowLink => {
-            let usual = fleet.layout.link_delay_ms;
-            let delay = if is_on { SLOW_LINK_MS } else { usual };
+            let normal_delay = fleet.layout.link_delay_ms;
+            let delay = if is_on { SLOW_LINK_MS } else { normal_delay };
             if let Some(engine) = fastest_engine(fleet) {
                 let faults = engine.server.faults();
                 faults.update(|faults| faults.link_delay_ms = delay);
--- a/standins/src/load/outcome.rs
+++ b/standins/src/load/outcome.rs
@@ -22,7 +22,7 @@
 impl GenerationOutcome {
     /// Returns the time at which the last response ended.
     pub(super) fn ended(&self) -> Option<Instant> {
-        self.history.answers.last().map(|answer| answer.ended)
+        self.history.answers.last().map(|response| response.ended)
     }
 
     /// Returns whether the response is complete.
@@ -33,7 +33,7 @@
     /// Returns the time at which each token was received, in order.
     pub(super) fn token_times(&self) -> Vec<Instant> {
         let answers = self.history.answers.iter();
-        let events = answers.flat_map(|answer| &answer.events);
+        let events = answers.flat_map(|response| &response.events);
         events
             .filter(|received| matches!(received.event, StreamEvent::Token { .. }))
             .map(|received| received.at)
--- a/standins/src/load/recovery.rs
+++ b/standins/src/load/recovery.rs
@@ -126,7 +126,7 @@
         .history
         .answers
         .first()
-        .is_some_and(|answer| answer.sent < at);
+        .is_some_and(|response| response.sent < at);
     began && outcome.ended().is_some_and(|ended| ended > at)
 }
 
--- a/standins/src/load/report.rs
+++ b/standins/src/load/report.rs
@@ -29,13 +29,13 @@
     }
     table.push_str("\n| organisation | offered/s | in time | first token p95, ms |\n");
     table.push_str("|---|---|---|---|\n");
-    for one in &figures.organisations {
+    for organisation in &figures.organisations {
         table.push_str(&format!(
             "| {} | {:.1} | {} | {:.0} |\n",
-            one.name,
-            one.offered_per_second,
-            percent(one.in_time_part),
-            one.first_token.p95_ms
+            organisation.name,
+            organisation.offered_per_second,
+            percent(organisation.in_time_part),
+            organisation.first_token.p95_ms
         ));
     }
     table
--- a/standins/src/pipeline/memory.rs
+++ b/standins/src/pipeline/memory.rs
@@ -44,15 +44,17 @@
     /// Preempts the newest request, which may be this one, as no memory is left.
     pub(super) fn park(&mut self, id: &str, engine: EngineIndex) {
         let order = |id: &String| self.requests.get(id).map(|request| request.order);
-        let own = order(&id.to_owned());
+        let own_order = order(&id.to_owned());
         let ready = self.engines[engine].ready.iter();
         let newest = ready
-            .filter(|other| order(other) > own)
-            .max_by_key(|other| order(other));
+            .filter(|queued| order(queued) > own_order)
+            .max_by_key(|queued| order(queued));
         let newest = newest.cloned();
         self.engines[engine].parked.push(id.to_owned());
         if let Some(newest) = newest {
-            self.engines[engine].ready.retain(|other| *other != newest);
+            self.engines[engine]
+                .ready
+                .retain(|queued| *queued != newest);
             self.engines[engine].parked.push(newest.clone());
             self.release_memory(&newest, engine);
         } else {
@@ -114,10 +116,10 @@
     /// Removes a request from the lists of every engine.
     pub(super) fn remove_from_engines(&mut self, id: &str) {
         for engine in &mut self.engines {
-            engine.ready.retain(|other| other != id);
-            engine.parked.retain(|other| other != id);
+            engine.ready.retain(|queued| queued != id);
+            engine.parked.retain(|queued| queued != id);
             if let Some(pass) = &mut engine.pass {
-                pass.retain(|(other, _)| other != id);
+                pass.retain(|(queued, _)| queued != id);
             }
         }
     }
--- a/standins/src/platform/calls.rs
+++ b/standins/src/platform/calls.rs
@@ -114,12 +114,12 @@
             limit: call.query_number("limit"),
             wait: Duration::from_millis(call.query_number("wait_ms").unwrap_or(0)),
         };
-        let answer = self.store.read(stream, range).await;
+        let result = self.store.read(stream, range).await;
         // A fault that began during the wait also affects waiting readers.
         self.faults.wait_until(|faults| !faults.hanging).await;
         match self.faults.read(|faults| faults.outage) {
             true => CallOutcome::empty(StatusCode::SERVICE_UNAVAILABLE),
-            false => CallOutcome::ok(&answer),
+            false => CallOutcome::ok(&result),
         }
     }
 }
--- a/standins/src/platform/log_store.rs
+++ b/standins/src/platform/log_store.rs
@@ -69,14 +69,14 @@
         let available = async {
             loop {
                 appends.borrow_and_update();
-                let answer = self.read_now(stream, range);
-                if !answer.records.is_empty() || appends.changed().await.is_err() {
-                    return answer;
+                let result = self.read_now(stream, range);
+                if !result.records.is_empty() || appends.changed().await.is_err() {
+                    return result;
                 }
             }
         };
         match timeout(range.wait, available).await {
-            Ok(answer) => answer,
+            Ok(result) => result,
             Err(_) => self.read_now(stream, range),
         }
     }
--- a/standins/src/slopes/data_path.rs
+++ b/standins/src/slopes/data_path.rs
@@ -134,12 +134,12 @@
             resume: None,
         };
         let request = format!("request-{stream}-{number}");
-        let answer = caller.generate(host, &request, &body).await;
-        match answer.is_whole() {
+        let response = caller.generate(host, &request, &body).await;
+        match response.is_whole() {
             true => received += tokens,
             // Directly after the start the host has no share of the capacity yet.
             false if stream == 0 => tokio::time::sleep(RETRY_PAUSE).await,
-            false => return Err(format!("not answered: {:?}", answer.refused()).into()),
+            false => return Err(format!("not answered: {:?}", response.refused()).into()),
         }
         if received > 0 && started.elapsed() >= window {
             break;
--- a/standins/src/trial/run.rs
+++ b/standins/src/trial/run.rs
@@ -215,8 +215,8 @@
 
     fn engines_of(&self, zone: &str) -> Vec<String> {
         let states = self.fleet.table.targets();
-        let own = states.filter(|state| *state.entry.zone == *zone);
-        own.map(|state| state.entry.id.to_string()).collect()
+        let engines = states.filter(|state| *state.entry.zone == *zone);
+        engines.map(|state| state.entry.id.to_string()).collect()
     }
 
     /// Returns the path that takes, at each next layer, the first engine of `order` that
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn higher_priorities_go_first_and_a_full_queue_refuses() -> TestResult {
+async fn higher_priorities_run_first_and_a_full_queue_refuses() -> TestResult {
     let engine = bind(EngineSettings {
         concurrency: 1,
         max_waiting: 2,
@@ -115,7 +115,7 @@
 // Guards against undetected mix-ups of responses: an engine that returns the response of
 // another session, or the previous one, must return its label and position too.
 #[tokio::test]
-async fn crossed_and_repeated_answers_carry_the_wrong_place() -> TestResult {
+async fn crossed_and_repeated_responses_have_the_wrong_label_or_position() -> TestResult {
     let engine = bind(settings()).await?;
     step(&engine, &order("a", 0, &[1, 2])).await?;
     step(&engine, &order("b", 0, &[3])).await?;
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn an_imported_cache_goes_on_where_it_was_exported() -> TestResult {
+async fn an_imported_cache_resumes_at_the_exported_position() -> TestResult {
     let (old, new) = (bind(settings()).await?, bind(settings()).await?);
     let prompt = [5, 6, 7];
     let right = reference::generate(MODEL, VERSION, LAYERS, &prompt, 2);
@@ -143,15 +143,15 @@
     let path = format!("/v1/sessions/{}/cache", order("a", 0, &[]).label.session());
     let export: CacheExport = get(&old, &path).await?.json()?;
     call(Method::PUT, new.local_addr(), &path, &export).await?;
-    let answer: StepAnswer = step(&new, &order("a", 3, &right[..1])).await?.json()?;
-    assert_eq!(answer.outputs, right[1..]);
+    let response: StepAnswer = step(&new, &order("a", 3, &right[..1])).await?.json()?;
+    assert_eq!(response.outputs, right[1..]);
     let resumed: StepAnswer = step(&new, &order("a", 0, &prompt)).await?.json()?;
     assert_eq!(resumed.outputs[2], right[0]);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_leaving_engine_goes_on_with_old_sessions_only() -> TestResult {
+async fn a_leaving_engine_serves_existing_sessions_only() -> TestResult {
     let engine = bind(settings()).await?;
     step(&engine, &order("old", 0, &[1])).await?;
     engine.faults().update(|faults| faults.leaving = true);
@@ -201,7 +201,7 @@
 }
 
 #[tokio::test]
-async fn cache_events_come_with_gaps() -> TestResult {
+async fn dropped_cache_events_leave_gaps() -> TestResult {
     let engine = bind(EngineSettings {
         cached_prefixes: 2,
         chunk_inputs: 2,
@@ -226,7 +226,7 @@
 // Guards against a simulated freeze that drops work: a frozen engine keeps the steps that
 // have arrived and runs them once it resumes, even if their callers have given up.
 #[tokio::test]
-async fn a_frozen_engine_answers_only_after_the_thaw() -> TestResult {
+async fn a_frozen_engine_responds_only_after_it_resumes() -> TestResult {
     let engine = bind(settings()).await?;
     engine.faults().update(|faults| faults.frozen = true);
     let order = order("a", 0, &[1]);
@@ -241,8 +241,8 @@
         }
     };
     timeout(DEADLINE, has_run).await?;
-    let answer = timeout(DEADLINE, step(&engine, &order)).await??;
-    assert_eq!(answer.status, StatusCode::OK);
+    let response = timeout(DEADLINE, step(&engine, &order)).await??;
+    assert_eq!(response.status, StatusCode::OK);
     assert_eq!(engine.record()[1].kind, StepKind::Resumed);
     Ok(())
 }
--- a/standins/tests/pipeline.rs
+++ b/standins/tests/pipeline.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_path_must_be_held() {
+fn a_path_is_refused_unless_its_engines_hold_it_and_accept_requests() {
     let mut simulation = simulation();
     let mut wrong = request("r", 10.0);
     wrong.path[1].layers = range(30, 80);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn work_on_a_dead_engine_is_told_and_then_cut() {
+fn a_request_at_a_dead_engine_is_reported_and_then_cut() {
     let mut simulation = simulation();
     simulation
         .submit(request("r", 5_000.0), Duration::ZERO)
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_stalled_request_goes_on_at_another_engine() {
+fn a_stalled_request_resumes_at_another_engine() {
     let mut simulation = simulation();
     simulation
         .submit(request("r", 400.0), Duration::ZERO)
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn an_order_takes_time_and_too_much_kills() {
+fn an_order_takes_time_and_an_oversized_order_kills_the_engine() {
     let mut simulation = simulation();
     simulation.place(2, range(0, 20), Duration::ZERO);
     assert!(simulation.status(2).busy);
--- a/standins/tests/slopes.rs
+++ b/standins/tests/slopes.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_line_goes_through_the_medians() {
+fn the_line_is_fitted_through_the_medians() {
     let runs = [
         run(2, 7.0),
         run(2, 900.0),
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -66,8 +66,8 @@
     while tokens.len() < TOKENS {
         let mut values = inputs.clone();
         for (stage, engine) in engines.iter().enumerate() {
-            let answer = step(engine.local_addr(), &order(stage, position, &values)).await?;
-            values = answer.json::<StepAnswer>()?.outputs;
+            let response = step(engine.local_addr(), &order(stage, position, &values)).await?;
+            values = response.json::<StepAnswer>()?.outputs;
         }
         position += inputs.len() as u64;
         let token = values.last().copied().ok_or("no output")?;
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn a_chain_of_engines_gives_the_reference_answer() -> TestResult {
+async fn a_chain_of_engines_returns_the_reference_response() -> TestResult {
     let engines = bind_engines().await?;
     assert_eq!(generate(&engines).await?, expected_tokens());
     let record = engines[1].record();
@@ -94,7 +94,7 @@
 // Guards against wrong tokens that go unnoticed: a stage that skips a layer or runs one
 // twice must change the response, so that a comparison with the reference detects it.
 #[tokio::test]
-async fn faulty_layers_change_the_answer() -> TestResult {
+async fn faulty_layers_change_the_response() -> TestResult {
     let engines = bind_engines().await?;
     engines[1]
         .faults()
@@ -118,7 +118,7 @@
 // Guards against positions that run twice: a step whose response is lost is sent again,
 // here two times at once, and the engine must return the recorded outputs.
 #[tokio::test]
-async fn a_repeated_step_is_handed_back_and_one_ahead_is_refused() -> TestResult {
+async fn a_repeated_step_is_resumed_and_a_step_ahead_is_refused() -> TestResult {
     let engines = bind_engines().await?;
     let engine = &engines[0];
     engine.faults().update(|faults| faults.lose_answers = 1);
@@ -161,23 +161,23 @@
     timeout(DEADLINE, is_refused).await?;
     engine.revive();
     let next = order(0, PROMPT.len() as u64, &[1]);
-    let first_answer = async {
+    let first_response = async {
         loop {
             match step(engine.local_addr(), &next).await {
-                Ok(answer) => return answer,
+                Ok(response) => return response,
                 Err(_) => tokio::task::yield_now().await,
             }
         }
     };
-    let answer = timeout(DEADLINE, first_answer).await?;
-    assert_eq!(answer.status, StatusCode::CONFLICT);
+    let response = timeout(DEADLINE, first_response).await?;
+    assert_eq!(response.status, StatusCode::CONFLICT);
     Ok(())
 }
 
 // Guards against a stand-in that confuses two faults: an append whose response is lost
 // has taken effect and shows up later; an append that is lost itself has not.
 #[tokio::test]
-async fn an_append_whose_answer_is_lost_takes_effect() -> TestResult {
+async fn an_append_whose_response_is_lost_takes_effect() -> TestResult {
     let platform = PlatformServer::bind(any_port(), PlatformSettings::default()).await?;
     let addr = platform.local_addr();
     let path = "/v1/streams/claims/records";
@@ -215,8 +215,8 @@
     service.faults().update(|faults| faults.refuse_calls = 1);
     let refused = call(Method::POST, addr, path, &"b").await?;
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
-    let answer: ServiceResponse = call(Method::POST, addr, path, &"c").await?.json()?;
-    assert_eq!(answer.ran, 2);
+    let response: ServiceResponse = call(Method::POST, addr, path, &"c").await?.json()?;
+    assert_eq!(response.ran, 2);
     let bodies: Vec<_> = service
         .record()
         .into_iter()
