--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -28,7 +28,7 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let matches = Command::new("demo")
-        .about("Starts stand-ins and daemons over loopback and shows them at work")
+        .about("Starts stand-ins and daemons over loopback and demonstrates them")
         .arg(
             Arg::new("serve")
                 .long("serve")
@@ -53,7 +53,7 @@
     for layout in [FleetLayout::franchise(), FleetLayout::atlas()] {
         show(layout).await?;
     }
-    println!("Every answer was whole and agrees with what the targets recorded.");
+    println!("Every response was complete and agrees with the records of the targets.");
     Ok(())
 }
 
@@ -152,7 +152,7 @@
         daemon.host, reply.status, reply.body
     );
     if !reply.status.is_success() {
-        return Err("the service's call was refused".into());
+        return Err("the call of the service was refused".into());
     }
     Ok(CallHistory {
         request: "settle-1".into(),
@@ -168,7 +168,10 @@
     let request = "killed-half-way";
     let pending = request_generation(fleet, &fleet.daemons[0], request);
     let (history, killed) = tokio::join!(pending, kill_half_way(fleet, request));
-    println!("(the target {} was killed half-way)", killed?);
+    println!(
+        "(the target {} was killed when the generation was half finished)",
+        killed?
+    );
     Ok(history)
 }
 
@@ -188,13 +191,16 @@
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    Err("the run did not get half-way".into())
+    Err("the generation was not half finished in time".into())
 }
 
 async fn explain(daemon: &FleetDaemon, request: &str) -> Result<(), CallError> {
     let path = format!("/v1/explain/{request}");
     let view: ExplainView = operator::read(daemon.operators, &path).await?;
-    println!("what {} decided about {request}, and why:", daemon.host);
+    println!(
+        "decisions of {} about {request}, with their reasons:",
+        daemon.host
+    );
     for entry in view.entries {
         println!("  {}", entry.text);
     }
@@ -216,9 +222,9 @@
         .iter()
         .find(|generation| generation.closing_count().is_none());
     match refused {
-        Some(generation) => Err(format!("{} was not answered", generation.request).into()),
+        Some(generation) => Err(format!("{} did not complete", generation.request).into()),
         None if broken.is_empty() => Ok(()),
-        None => Err(format!("{} promises were broken", broken.len()).into()),
+        None => Err(format!("{} guarantees were violated", broken.len()).into()),
     }
 }
 
--- a/standins/src/bin/engine.rs
+++ b/standins/src/bin/engine.rs
@@ -26,7 +26,7 @@
     let (first, last) = (parse(first)?, parse(last)?);
     match first <= last {
         true => Ok(LayerRange { first, last }),
-        false => Err("first layer is above the last".to_owned()),
+        false => Err("the first layer is above the last".to_owned()),
     }
 }
 
@@ -35,7 +35,7 @@
         .arg(
             Arg::new("layers")
                 .long("layers")
-                .help("Layers held, as FIRST-LAST; nothing is loaded without it")
+                .help("Layers to hold, as FIRST-LAST; by default none are loaded")
                 .value_parser(parse_layers),
         )
         .arg(Arg::new("model").long("model").default_value("model"))
@@ -74,13 +74,13 @@
         .arg(number_arg("load-time-ms", "0").help("Time to load the ranges of an order"))
         .arg(number_arg("load-lag-ms", "100").help("Time between refreshes of the load report"))
         .arg(number_arg("cached-prefixes", "256").help("Prefixes that the prefix cache holds"))
-        .arg(number_arg("chunk-inputs", "16").help("Inputs a chunk of the prefix cache"))
-        .arg(number_arg("cache-event-delay-ms", "0").help("Lag of the cache events"))
+        .arg(number_arg("chunk-inputs", "16").help("Inputs per chunk of the prefix cache"))
+        .arg(number_arg("cache-event-delay-ms", "0").help("Delay of the cache events"))
         .arg(
             number_arg("drop-cache-event-every", "0")
                 .help("Every k-th cache event is dropped; 0 drops none"),
         )
-        .arg(number_arg("record-cap", "1000000").help("Most entries recorded"))
+        .arg(number_arg("record-cap", "1000000").help("Maximum number of recorded entries"))
 }
 
 fn settings(matches: &ArgMatches) -> EngineSettings {
--- a/standins/src/bin/losses.rs
+++ b/standins/src/bin/losses.rs
@@ -9,7 +9,7 @@
 
 fn main() -> ExitCode {
     let command = Command::new("losses")
-        .about("Counts requests by what became of them; reads log lines from standard input");
+        .about("Counts requests by outcome; reads log lines from standard input");
     command.get_matches();
     let lines = stdin().lock().lines().map_while(Result::ok);
     let tally = LossTally::of(lines.filter_map(|line| parse_line(&line)));
--- a/standins/src/bin/plans.rs
+++ b/standins/src/bin/plans.rs
@@ -10,7 +10,7 @@
 
 fn main() -> std::io::Result<()> {
     let matches = Command::new("plans")
-        .about("Compares plans of layers and rules of routing on the model of engines")
+        .about("Compares layer plans and routing rules on simulated engines")
         .arg(number_arg("seconds", "40"))
         .arg(number_arg("seed", "1"))
         .arg(
@@ -31,7 +31,7 @@
                 .action(clap::ArgAction::Append)
                 .value_parser(value_parser!(f64))
                 .default_values(["60", "90", "130"])
-                .help("Requests a second over all zones; once for each trial"),
+                .help("Requests per second over all zones; once for each trial"),
         )
         .get_matches();
     let zones = matches.get_many::<String>("zone").unwrap_or_default();
--- a/standins/src/bin/platform.rs
+++ b/standins/src/bin/platform.rs
@@ -9,7 +9,7 @@
 async fn main() -> io::Result<()> {
     let command = base_command("platform", "Stand-in for the platform's log and host list")
         .arg(number_arg("retention", "100000").help("Records kept in each stream"))
-        .arg(number_arg("hosts-delay-ms", "0").help("Lag of the host list"));
+        .arg(number_arg("hosts-delay-ms", "0").help("Delay of the host list"));
     let matches = command.get_matches();
     let settings = PlatformSettings {
         retention: number(&matches, "retention"),
--- a/standins/src/bin/slopes.rs
+++ b/standins/src/bin/slopes.rs
@@ -21,19 +21,19 @@
 fn command() -> Command {
     let series: Vec<&str> = SERIES.iter().map(|(name, _)| *name).collect();
     Command::new("slopes")
-        .about("Measures what a daemon spends while one thing is varied at a time")
+        .about("Measures the resources that a daemon uses while one parameter is varied at a time")
         .after_help(
-            "Memory is measured in the first run of a process only: call once for each value \
-             to have it.",
+            "Memory is measured only in the first run of a process: start one process per value \
+             to measure it.",
         )
         .args([
             Arg::new("series")
                 .value_parser(series)
-                .help("What to vary; without it, every series"),
+                .help("Series to run; by default all of them"),
             Arg::new("values")
                 .num_args(0..)
                 .value_parser(value_parser!(u64).range(0..=2_000))
-                .help("Its values; without them, the usual ones"),
+                .help("Values of the series; by default a fixed list"),
             Arg::new("runs")
                 .long("runs")
                 .default_value("3")
@@ -49,7 +49,7 @@
             Arg::new("report")
                 .long("report")
                 .value_parser(value_parser!(PathBuf))
-                .help("Prints the tables of such a file instead"),
+                .help("File whose runs are printed as tables; nothing is measured"),
         ])
 }
 
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -5,7 +5,7 @@
 //! | call | body |
 //! |---|---|
 //! | `GET`, `PUT /control/faults` | [`EngineFaults`] |
-//! | `GET /control/record` | answers a list of [`StepRecord`] |
+//! | `GET /control/record` | returns a list of [`StepRecord`] |
 
 mod calls;
 mod prefix_cache;
--- a/standins/src/fleet/operations.rs
+++ b/standins/src/fleet/operations.rs
@@ -23,7 +23,7 @@
     /// # Errors
     /// If no daemon runs or a declaration is refused.
     pub async fn declare(&self, declarations: &[Declaration]) -> Result<LogOffset, CallError> {
-        let daemon = self.running().next().ok_or("no daemon runs")?;
+        let daemon = self.running().next().ok_or("no daemon is running")?;
         operator::declare_all(daemon.operators, declarations).await
     }
 
@@ -36,7 +36,7 @@
         for daemon in self.running() {
             while !has_applied(daemon, version).await {
                 if Instant::now() > deadline {
-                    return Err(format!("not in force on {}", daemon.host).into());
+                    return Err(format!("change not applied on {}", daemon.host).into());
                 }
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
--- a/standins/src/http_server.rs
+++ b/standins/src/http_server.rs
@@ -182,7 +182,7 @@
             None => match TcpListener::bind(addr).await {
                 Ok(listener) => listener,
                 Err(error) => {
-                    log::error!("cannot listen on {addr} again: {error}");
+                    log::error!("cannot listen on {addr} after a restart: {error}");
                     return;
                 }
             },
--- a/standins/src/load/calibrate.rs
+++ b/standins/src/load/calibrate.rs
@@ -23,8 +23,11 @@
 /// # Errors
 /// If the engine cannot be started.
 pub(super) async fn saturation(layout: &FleetLayout) -> Result<f64, CallError> {
-    let stage = layout.stages.first().ok_or("no stage")?;
-    let plan = stage.engines.first().ok_or("no engine")?;
+    let stage = layout.stages.first().ok_or("the layout has no stage")?;
+    let plan = stage
+        .engines
+        .first()
+        .ok_or("the first stage has no engine")?;
     let settings = EngineSettings {
         concurrency: plan.concurrency,
         step_time: plan.step_time,
--- a/standins/src/load/driver.rs
+++ b/standins/src/load/driver.rs
@@ -89,7 +89,7 @@
             match ended {
                 Ok(RequestOutcome::Generation(outcome)) => outcomes.generations.push(outcome),
                 Ok(RequestOutcome::Call(outcome)) => outcomes.calls.push(outcome),
-                Err(error) => log::error!("a caller failed: {error}"),
+                Err(error) => log::error!("caller task failed: {error}"),
             }
         }
         outcomes
--- a/standins/src/load/options.rs
+++ b/standins/src/load/options.rs
@@ -188,7 +188,7 @@
 /// Returns the command-line arguments of the program.
 pub fn load_command() -> Command {
     Command::new("load")
-        .about("Puts open-loop load on real daemons before stand-ins and measures")
+        .about("Runs open-loop load on real daemons in front of stand-ins and measures it")
         .arg(
             Arg::new("shape")
                 .long("shape")
--- a/standins/src/pipeline/simulation.rs
+++ b/standins/src/pipeline/simulation.rs
@@ -142,7 +142,7 @@
         self.engines.len() - 1
     }
 
-    /// Status that an engine reports.
+    /// Returns the status that an engine reports.
     pub fn status(&self, engine: EngineIndex) -> EngineStatus {
         let state = &self.engines[engine];
         EngineStatus {
@@ -221,7 +221,7 @@
         self.engines[engine].draining = draining;
     }
 
-    /// Kills an engine; its layers and its requests are lost.
+    /// Kills an engine. Its layers are lost and its requests stall.
     pub fn kill(&mut self, engine: EngineIndex, now: Duration) {
         let state = &mut self.engines[engine];
         state.alive = false;
--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -7,7 +7,7 @@
 //! | `GET`, `PUT /control/faults` | [`PlatformFaults`] |
 //! | `PUT /control/hosts` | `HostList`, visible after the list's delay |
 //! | `PUT /control/retention` | number of records to keep in each stream |
-//! | `GET /control/streams/{stream}` | answers every record, also expired ones |
+//! | `GET /control/streams/{stream}` | returns every record, including expired ones |
 
 mod calls;
 mod log_store;
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -5,7 +5,7 @@
 //! | call | body |
 //! |---|---|
 //! | `GET`, `PUT /control/faults` | [`ServiceFaults`] |
-//! | `GET /control/record` | answers a list of [`CallRecord`] |
+//! | `GET /control/record` | returns a list of [`CallRecord`] |
 
 mod calls;
 mod settings;
--- a/standins/src/slopes/control.rs
+++ b/standins/src/slopes/control.rs
@@ -103,7 +103,7 @@
         let renews = matches!(record.body.entry, LeaseEntry::Renew { .. });
         (renews && &*record.body.name == name).then(|| record.writer.to_string())
     });
-    Ok(renewed.ok_or_else(|| format!("nobody holds {name}"))?)
+    Ok(renewed.ok_or_else(|| format!("no host holds the lease {name}"))?)
 }
 
 /// Declares changes of one organisation periodically.
@@ -114,7 +114,7 @@
         ticks.tick().await;
         let declared = operator::declare_all(operators, &[organisation(0, round)]).await;
         if let Err(error) = declared {
-            log::warn!("not declared: {error}");
+            log::warn!("cannot declare the organisation: {error}");
         }
     }
 }
--- a/standins/src/slopes/data_path.rs
+++ b/standins/src/slopes/data_path.rs
@@ -139,7 +139,7 @@
             true => received += tokens,
             // Directly after the start the host has no share of the capacity yet.
             false if stream == 0 => tokio::time::sleep(RETRY_PAUSE).await,
-            false => return Err(format!("not answered: {:?}", response.refused()).into()),
+            false => return Err(format!("generation failed: {:?}", response.refused()).into()),
         }
         if received > 0 && started.elapsed() >= window {
             break;
--- a/standins/src/slopes/fleet.rs
+++ b/standins/src/slopes/fleet.rs
@@ -148,7 +148,7 @@
                 match status {
                     Ok(status) if status.ready && status.applied > version => break,
                     _ if Instant::now() > deadline => {
-                        return Err(format!("not in force on {}", daemon.host).into());
+                        return Err(format!("change not applied on {}", daemon.host).into());
                     }
                     _ => tokio::time::sleep(POLL_INTERVAL).await,
                 }
--- a/standins/src/slopes/shape.rs
+++ b/standins/src/slopes/shape.rs
@@ -71,7 +71,7 @@
                 shape = Self::planned_size(value);
                 &mut shape.further_zones
             }
-            _ => return Err(format!("no series {series}").into()),
+            _ => return Err(format!("unknown series {series}").into()),
         };
         *varied = value;
         Ok(shape)
