--- a/standins/src/fleet/start.rs
+++ b/standins/src/fleet/start.rs
@@ -1,4 +1,4 @@
-//! Starting a fleet.
+//! Starts a fleet.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -124,7 +124,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Number of fleets that this process has started. Each gets an address of its own.
+/// Index of the next fleet of this process. Each fleet gets an address of its own.
 static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
 /// Number of values for the last octet of loopback addresses, from 2 on.
 const LAST_OCTETS: u32 = 250;
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,9 +1,9 @@
 //! Stand-ins for the platform, the engines and the services, for tests and measurements.
 //!
-//! Each speaks the wire protocol of its role over HTTP/1.1, records the work that it
-//! performed, and can be made to fail in a given way through a Rust handle or `PUT
-//! /control/faults`. [`mod@reference`] computes the expected response independently. None
-//! of this is shipped.
+//! Each speaks the wire protocol of its role over HTTP/1.1 and records the work that it
+//! performed. Faults are injected through a Rust handle or by `PUT /control/faults`.
+//! [`mod@reference`] computes the expected response independently. None of this is
+//! shipped.
 
 mod batch;
 pub mod caller;
--- a/standins/src/load/measure.rs
+++ b/standins/src/load/measure.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Returns the times from the intended start to a refusal before any token.
+    /// Returns the quantiles of the times from the intended start to a refusal before any
+    /// token.
     pub(super) fn refusal_times(&self, arrived: &[&GenerationOutcome]) -> Quantiles {
         let refused = arrived
             .iter()
@@ -120,7 +121,8 @@
         figures.collect()
     }
 
-    /// Returns the times of calls whose intended start lies in the window.
+    /// Returns the quantiles of the times of calls whose intended start lies in the
+    /// window.
     pub(super) fn call_times(&self, calls: &[CallOutcome]) -> Quantiles {
         let arrived = calls.iter().filter(|call| self.holds(call.intended));
         Quantiles::of(arrived.map(|call| call.ended - call.intended))
@@ -135,14 +137,14 @@
     tokens
 }
 
-/// Returns the times from the intended start to the first token.
+/// Returns the quantiles of the times from the intended start to the first token.
 pub(super) fn first_tokens(generations: &[&GenerationOutcome]) -> Quantiles {
     let first =
         |outcome: &&GenerationOutcome| Some(*outcome.token_times().first()? - outcome.intended);
     Quantiles::of(generations.iter().filter_map(first))
 }
 
-/// Returns the times between two tokens of one response.
+/// Returns the quantiles of the times between two tokens of one response.
 pub(super) fn token_gaps(generations: &[&GenerationOutcome]) -> Quantiles {
     let gaps = generations.iter().flat_map(|outcome| {
         let times = outcome.token_times();
@@ -152,7 +154,8 @@
     Quantiles::of(gaps)
 }
 
-/// Returns the times from the intended start to the end of a complete response.
+/// Returns the quantiles of the times from the intended start to the end of a complete
+/// response.
 pub(super) fn whole_answers(generations: &[&GenerationOutcome]) -> Quantiles {
     let whole = generations.iter().filter(|outcome| outcome.is_whole());
     Quantiles::of(whole.filter_map(|outcome| Some(outcome.ended()? - outcome.intended)))
