--- a/standins/src/fleet/operations.rs
+++ b/standins/src/fleet/operations.rs
@@ -57,7 +57,7 @@
     }
 
     /// Marks a target as leaving in the host list of the platform.
-    pub fn leave(&mut self, target: &str) {
+    pub fn mark_leaving(&mut self, target: &str) {
         for listed in &mut self.hosts.targets {
             if *listed.target == *target {
                 listed.phase = ListedPhase::Leaving;
--- a/standins/src/http_server.rs
+++ b/standins/src/http_server.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
     /// A response with a status and an optional JSON body.
-    Answer {
+    Respond {
         /// Status of the response.
         status: StatusCode,
         /// JSON text, or empty.
@@ -89,7 +89,7 @@
         T: Serialize + ?Sized,
     {
         match serde_json::to_vec(body) {
-            Ok(text) => Self::Answer {
+            Ok(text) => Self::Respond {
                 status,
                 body: text.into(),
             },
@@ -107,7 +107,7 @@
 
     /// Creates a response without a body.
     pub fn empty(status: StatusCode) -> Self {
-        Self::Answer {
+        Self::Respond {
             status,
             body: Bytes::new(),
         }
@@ -280,7 +280,7 @@
         body,
     };
     match handler(call).await {
-        CallOutcome::Answer { status, body } => json_response(status, body),
+        CallOutcome::Respond { status, body } => json_response(status, body),
         CallOutcome::Close => Err(ClosedByFault),
     }
 }
--- a/standins/src/load/measure.rs
+++ b/standins/src/load/measure.rs
@@ -156,7 +156,7 @@
 
 /// Returns the quantiles of the times from the intended start to the end of a complete
 /// response.
-pub(super) fn whole_answers(generations: &[&GenerationOutcome]) -> Quantiles {
+pub(super) fn complete_responses(generations: &[&GenerationOutcome]) -> Quantiles {
     let whole = generations.iter().filter(|outcome| outcome.is_whole());
     Quantiles::of(whole.filter_map(|outcome| Some(outcome.ended()? - outcome.intended)))
 }
--- a/standins/src/load/run.rs
+++ b/standins/src/load/run.rs
@@ -151,7 +151,7 @@
         counts,
         first_token: measure::first_tokens(&arrived),
         between_tokens,
-        whole_answer: measure::whole_answers(&arrived),
+        whole_answer: measure::complete_responses(&arrived),
         refusal: steady.refusal_times(&arrived),
         service_call: steady.call_times(&run.outcomes.calls),
         calls_refused: calls
--- a/standins/src/soak/log_service.rs
+++ b/standins/src/soak/log_service.rs
@@ -175,7 +175,7 @@
             return CallOutcome::empty(StatusCode::GONE);
         };
         if found || tokio::time::timeout_at(until, news).await.is_err() {
-            return CallOutcome::Answer {
+            return CallOutcome::Respond {
                 status: StatusCode::OK,
                 body,
             };
--- a/standins/tests/leaving.rs
+++ b/standins/tests/leaving.rs
@@ -302,9 +302,9 @@
     for gate in fleet.zone_proxies.iter().filter(|gate| gate.zone == "vake") {
         gate.set_cut(true);
     }
-    fleet.leave(ENGINE);
+    fleet.mark_leaving(ENGINE);
     let name = fleet.services[service].name.clone();
-    fleet.leave(&name);
+    fleet.mark_leaving(&name);
     check_leave(&fleet, load, service).await?;
     fleet.shutdown().await;
     Ok(())
