--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -1,5 +1,5 @@
-//! Shows a fleet at work: real requests of both users' shapes, a stage that
-//! dies half-way, and what was decided and why.
+//! Demonstrates a fleet: requests of both user organisations, a target that is killed
+//! during a stream, and the recorded decisions with their reasons.
 
 #![allow(clippy::print_stdout, reason = "a demo talks to whoever runs it")]
 
@@ -8,7 +8,7 @@
 
 use clap::{Arg, ArgAction, Command};
 use jackdawwick::api::wire::{ExplainView, GenerateBody};
-use standins::caller::{CallerClient, HeardAnswer, OutgoingCall, new_key, token_of};
+use standins::caller::{CallerClient, GenerationResponse, OutgoingCall, new_key, token_of};
 use standins::check::{CallHistory, GenerationHistory, RunHistory, check_all};
 use standins::declarations::VERSION;
 use standins::fleet::{Fleet, FleetDaemon, FleetLayout};
@@ -20,15 +20,15 @@
 const TOKENS: u64 = 24;
 /// Stage whose target is killed.
 const KILLED_STAGE: usize = 1;
-/// Random part of the one idempotency key; a real caller draws it.
+/// Random part of the only idempotency key; a real caller draws it at random.
 const KEY_RANDOM: [u8; 10] = [7; 10];
-/// Bound on waiting for the run to get half-way.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum wait for the generation to be half finished.
+const HALF_WAY_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::main]
 async fn main() -> ExitCode {
     let matches = Command::new("demo")
-        .about("Starts stand-ins and daemons over loopback and shows them at work")
+        .about("Starts stand-ins and daemons over loopback and demonstrates them")
         .arg(
             Arg::new("serve")
                 .long("serve")
@@ -53,7 +53,7 @@
     for layout in [FleetLayout::franchise(), FleetLayout::atlas()] {
         show(layout).await?;
     }
-    println!("Every answer was whole and agrees with what the targets recorded.");
+    println!("Every response was complete and agrees with the records of the targets.");
     Ok(())
 }
 
@@ -64,10 +64,10 @@
         let request = format!("read-{number}");
         history
             .generations
-            .push(ask(&fleet, daemon, &request).await);
+            .push(request_generation(&fleet, daemon, &request).await);
     }
     history.service_calls.push(call_service(&fleet).await?);
-    let killed = ask_and_kill(&fleet).await?;
+    let killed = generate_and_kill(&fleet).await?;
     explain(&fleet.daemons[0], &killed.request).await?;
     history.generations.push(killed);
     check(&fleet, history)?;
@@ -101,11 +101,15 @@
     }
 }
 
-async fn ask(fleet: &Fleet, daemon: &FleetDaemon, request: &str) -> GenerationHistory {
+async fn request_generation(
+    fleet: &Fleet,
+    daemon: &FleetDaemon,
+    request: &str,
+) -> GenerationHistory {
     let body = body(fleet);
     let caller = CallerClient::open(ORGANISATION);
-    let answer = caller.generate(daemon.callers, request, &body).await;
-    println!("{}: {request}: {}", daemon.host, summary(&answer));
+    let response = caller.generate(daemon.callers, request, &body).await;
+    println!("{}: {request}: {}", daemon.host, summary(&response));
     GenerationHistory {
         request: request.into(),
         organisation: ORGANISATION.into(),
@@ -114,18 +118,18 @@
         layers: fleet.layout.layers(),
         prompt: body.prompt,
         max_tokens: body.max_tokens,
-        answers: vec![answer],
+        answers: vec![response],
     }
 }
 
-fn summary(answer: &HeardAnswer) -> String {
-    let first = answer.first_token().unwrap_or_default();
-    match answer.refused() {
+fn summary(response: &GenerationResponse) -> String {
+    let first = response.first_token().unwrap_or_default();
+    match response.refused() {
         Some(refusal) => format!("refused: {refusal:?}"),
         None => format!(
             "{} tokens, first after {first:.1?}, last after {:.1?}",
-            answer.tokens().len(),
-            answer.ended - answer.sent
+            response.tokens().len(),
+            response.ended - response.sent
         ),
     }
 }
@@ -148,7 +152,7 @@
         daemon.host, reply.status, reply.body
     );
     if !reply.status.is_success() {
-        return Err("the service's call was refused".into());
+        return Err("the call of the service was refused".into());
     }
     Ok(CallHistory {
         request: "settle-1".into(),
@@ -159,19 +163,22 @@
     })
 }
 
-/// Asks for a generation and kills one of its targets half-way.
-async fn ask_and_kill(fleet: &Fleet) -> Result<GenerationHistory, CallError> {
+/// Requests a generation and kills one of its targets when it is half finished.
+async fn generate_and_kill(fleet: &Fleet) -> Result<GenerationHistory, CallError> {
     let request = "killed-half-way";
-    let asked = ask(fleet, &fleet.daemons[0], request);
-    let (history, killed) = tokio::join!(asked, kill_half_way(fleet, request));
-    println!("(the target {} was killed half-way)", killed?);
+    let pending = request_generation(fleet, &fleet.daemons[0], request);
+    let (history, killed) = tokio::join!(pending, kill_half_way(fleet, request));
+    println!(
+        "(the target {} was killed when the generation was half finished)",
+        killed?
+    );
     Ok(history)
 }
 
 async fn kill_half_way(fleet: &Fleet, request: &str) -> Result<String, CallError> {
     let half_way = PROMPT_TOKENS + TOKENS / 2;
     let run = format!("{request}~");
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + HALF_WAY_TIMEOUT;
     while Instant::now() < deadline {
         let stage = fleet.engines.iter();
         for engine in stage.filter(|engine| engine.stage == KILLED_STAGE) {
@@ -184,23 +191,26 @@
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    Err("the run did not get half-way".into())
+    Err("the generation was not half finished in time".into())
 }
 
 async fn explain(daemon: &FleetDaemon, request: &str) -> Result<(), CallError> {
     let path = format!("/v1/explain/{request}");
     let view: ExplainView = operator::read(daemon.operators, &path).await?;
-    println!("what {} decided about {request}, and why:", daemon.host);
+    println!(
+        "decisions of {} about {request}, with their reasons:",
+        daemon.host
+    );
     for entry in view.entries {
         println!("  {}", entry.text);
     }
     Ok(())
 }
 
-fn check(fleet: &Fleet, heard: RunHistory) -> Result<(), CallError> {
+fn check(fleet: &Fleet, observed: RunHistory) -> Result<(), CallError> {
     let history = RunHistory {
-        generations: heard.generations,
-        service_calls: heard.service_calls,
+        generations: observed.generations,
+        service_calls: observed.service_calls,
         ..fleet.recorded()
     };
     let broken = check_all(&history, Duration::ZERO);
@@ -212,13 +222,13 @@
         .iter()
         .find(|generation| generation.closing_count().is_none());
     match refused {
-        Some(generation) => Err(format!("{} was not answered", generation.request).into()),
+        Some(generation) => Err(format!("{} did not complete", generation.request).into()),
         None if broken.is_empty() => Ok(()),
-        None => Err(format!("{} promises were broken", broken.len()).into()),
+        None => Err(format!("{} guarantees were violated", broken.len()).into()),
     }
 }
 
-/// Keeps a fleet running until it is interrupted.
+/// Keeps a fleet running until the program is interrupted.
 async fn serve() -> Result<(), CallError> {
     let mut fleet = start(FleetLayout::franchise()).await?;
     let (daemon, service) = (&fleet.daemons[0], &fleet.layout.service);
--- a/standins/src/bin/plans.rs
+++ b/standins/src/bin/plans.rs
@@ -1,16 +1,16 @@
-//! Compares plans of layers and rules of routing on the model of engines.
+//! Compares layer plans and routing rules on simulated engines.
 
 use std::io::Write;
 use std::time::Duration;
 
 use clap::{Arg, Command, value_parser};
 use standins::command_line::{number, number_arg};
-use standins::pipeline::WorldSettings;
+use standins::pipeline::SimulationSettings;
 use standins::trial::{PlanKind, RoutingRule, TrialSettings, ZoneEngines, plot_rows, run_trial};
 
 fn main() -> std::io::Result<()> {
     let matches = Command::new("plans")
-        .about("Compares plans of layers and rules of routing on the model of engines")
+        .about("Compares layer plans and routing rules on simulated engines")
         .arg(number_arg("seconds", "40"))
         .arg(number_arg("seed", "1"))
         .arg(
@@ -31,7 +31,7 @@
                 .action(clap::ArgAction::Append)
                 .value_parser(value_parser!(f64))
                 .default_values(["60", "90", "130"])
-                .help("Requests a second over all zones; once for each trial"),
+                .help("Requests per second over all zones; once for each trial"),
         )
         .get_matches();
     let zones = matches.get_many::<String>("zone").unwrap_or_default();
@@ -50,7 +50,7 @@
         for plan in PlanKind::ALL {
             for rule in RoutingRule::ALL {
                 let mut figures = run_trial(&TrialSettings {
-                    world: WorldSettings::default(),
+                    simulation: SimulationSettings::default(),
                     zones: zones.clone(),
                     plan,
                     rule,
--- a/standins/src/bin/slopes.rs
+++ b/standins/src/bin/slopes.rs
@@ -1,4 +1,4 @@
-//! Measures what a daemon spends while one thing is varied at a time.
+//! Measures the resources that a daemon uses while one parameter is varied at a time.
 
 #![allow(clippy::print_stdout, reason = "the runs go to standard output")]
 
@@ -12,27 +12,28 @@
 use standins::json_client::CallError;
 use standins::slopes::{SERIES, SlopeRun, markdown_report, run_once};
 
-/// Longest measured window, in seconds.
+/// Maximum length of the measurement window, in seconds.
 const MAX_SECONDS: u64 = 60;
-/// Bound on one run beside its window: start, declarations, warm-up, end.
-const RUN_PATIENCE: Duration = Duration::from_secs(90);
+/// Maximum duration of one run besides its window: start, declarations, warm-up and
+/// shutdown.
+const RUN_OVERHEAD_TIMEOUT: Duration = Duration::from_secs(90);
 
 fn command() -> Command {
     let series: Vec<&str> = SERIES.iter().map(|(name, _)| *name).collect();
     Command::new("slopes")
-        .about("Measures what a daemon spends while one thing is varied at a time")
+        .about("Measures the resources that a daemon uses while one parameter is varied at a time")
         .after_help(
-            "Memory is measured in the first run of a process only: call once for each value \
-             to have it.",
+            "Memory is measured only in the first run of a process: start one process per value \
+             to measure it.",
         )
         .args([
             Arg::new("series")
                 .value_parser(series)
-                .help("What to vary; without it, every series"),
+                .help("Series to run; by default all of them"),
             Arg::new("values")
                 .num_args(0..)
                 .value_parser(value_parser!(u64).range(0..=2_000))
-                .help("Its values; without them, the usual ones"),
+                .help("Values of the series; by default a fixed list"),
             Arg::new("runs")
                 .long("runs")
                 .default_value("3")
@@ -48,7 +49,7 @@
             Arg::new("report")
                 .long("report")
                 .value_parser(value_parser!(PathBuf))
-                .help("Prints the tables of such a file instead"),
+                .help("File whose runs are printed as tables; nothing is measured"),
         ])
 }
 
@@ -78,15 +79,19 @@
         .copied()
         .collect();
     let mut runs = Vec::new();
-    for (series, usual) in SERIES {
+    for (series, default_values) in SERIES {
         if chosen.is_some_and(|chosen| chosen != series) {
             continue;
         }
-        let values = if given.is_empty() { usual } else { &given };
+        let values = if given.is_empty() {
+            default_values
+        } else {
+            &given
+        };
         for _ in 0..number("runs") {
             for value in values {
                 let once = run_once(series, *value, window, runs.is_empty());
-                let run = tokio::time::timeout(window + RUN_PATIENCE, once).await??;
+                let run = tokio::time::timeout(window + RUN_OVERHEAD_TIMEOUT, once).await??;
                 let line = serde_json::to_string(&run)?;
                 println!("{line}");
                 if let Some(path) = matches.get_one::<PathBuf>("out") {
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the entry hosts, which notes what it was told and when.
+//! A caller of the entry hosts, which records the responses with their times.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -17,12 +17,12 @@
 
 use crate::json_client::CallError;
 
-/// The bearer token that the stand-ins give to an organisation or operator.
+/// Returns the bearer token that the stand-ins give to an organisation or operator.
 pub fn token_of(name: &str) -> String {
     format!("token-of-{name}")
 }
 
-/// An idempotency key: a UUID of version 7, which carries its creation time.
+/// Creates an idempotency key: a UUID of version 7, which contains its creation time.
 pub fn new_key(created: SystemTime, random: [u8; 10]) -> String {
     let since_epoch = created.duration_since(UNIX_EPOCH).unwrap_or_default();
     let millis = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
@@ -30,77 +30,82 @@
     uuid.to_string()
 }
 
-/// A caller with its own pool of connections.
+/// A caller with its own connection pool.
 #[derive(Debug, Clone)]
 pub struct CallerClient {
     client: Client<HttpConnector, Full<Bytes>>,
     token: String,
 }
 
-/// What a caller was told about one generation.
+/// Response to one generation request, as the caller received it.
 #[derive(Debug, Clone)]
-pub struct HeardAnswer {
+pub struct GenerationResponse {
     /// When the request was sent.
     pub sent: Instant,
-    /// HTTP status; `None` if the connection brought none.
+    /// HTTP status; `None` if the connection broke before the response head.
     pub status: Option<StatusCode>,
-    /// Events in the order heard, each with its time.
-    pub events: Vec<HeardEvent>,
-    /// Body of a refusal that came instead of a stream.
+    /// Events in the order received, each with its time.
+    pub events: Vec<ReceivedEvent>,
+    /// Body of a refusal that was received instead of a stream.
     pub refusal: Option<RefusalBody>,
     /// Whether the connection broke before the closing event.
     pub broken: bool,
-    /// When the answer, the refusal or the break came.
+    /// When the response ended, the refusal came or the connection broke.
     pub ended: Instant,
 }
 
 /// One event of a stream.
 #[derive(Debug, Clone)]
-pub struct HeardEvent {
-    /// When it was heard.
+pub struct ReceivedEvent {
+    /// When it was received.
     pub at: Instant,
-    /// What it said.
+    /// The event.
     pub event: StreamEvent,
 }
 
-impl HeardAnswer {
-    /// Tokens in the order of their numbers, as heard.
+impl GenerationResponse {
+    /// Returns the tokens in the order received.
     pub fn tokens(&self) -> Vec<u64> {
-        let token = |heard: &HeardEvent| match heard.event {
+        let token = |received: &ReceivedEvent| match received.event {
             StreamEvent::Token { token, .. } => Some(token),
             _ => None,
         };
         self.events.iter().filter_map(token).collect()
     }
 
-    /// Whether the closing event came and counts what was heard.
+    /// Returns whether the closing event was received and its count matches the tokens
+    /// received.
     pub fn is_whole(&self) -> bool {
-        self.events.iter().any(|heard| match heard.event {
+        self.events.iter().any(|received| match received.event {
             StreamEvent::Done { count } => count == self.tokens().len() as u64,
             _ => false,
         })
     }
 
-    /// Time from sending to the first token.
+    /// Returns the time from sending the request to the first token.
     pub fn first_token(&self) -> Option<Duration> {
-        let is_token = |heard: &&HeardEvent| matches!(heard.event, StreamEvent::Token { .. });
+        let is_token =
+            |received: &&ReceivedEvent| matches!(received.event, StreamEvent::Token { .. });
         let first = self.events.iter().find(is_token)?;
         Some(first.at - self.sent)
     }
 
-    /// The refusal, whether it came instead of a stream or ended one.
+    /// Returns the refusal, whether it came instead of a stream or ended one.
     pub fn refused(&self) -> Option<&RefusalBody> {
-        let in_stream = self.events.iter().find_map(|heard| match &heard.event {
-            StreamEvent::Error(body) => Some(body),
-            _ => None,
-        });
+        let in_stream = self
+            .events
+            .iter()
+            .find_map(|received| match &received.event {
+                StreamEvent::Error(body) => Some(body),
+                _ => None,
+            });
         self.refusal.as_ref().or(in_stream)
     }
 }
 
-/// Answer of a plain service, as the caller saw it.
+/// Response of a plain service, as the caller received it.
 #[derive(Debug, Clone)]
-pub struct HeardReply {
+pub struct CallResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// Body.
@@ -114,12 +119,12 @@
     pub path: &'a str,
     /// JSON body.
     pub body: Bytes,
-    /// The key, for a non-idempotent call.
+    /// Idempotency key, for a non-idempotent call.
     pub key: Option<&'a str>,
 }
 
 impl CallerClient {
-    /// A caller that presents an organisation's token.
+    /// Creates a caller that presents the token of an organisation.
     pub fn open(organisation: &str) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -132,35 +137,36 @@
         }
     }
 
-    /// Asks for a generation and hears it to its end.
+    /// Sends a generation request and reads the response to its end.
     pub async fn generate(
         &self,
         host: SocketAddr,
         request: &str,
         body: &GenerateBody,
-    ) -> HeardAnswer {
-        self.generate_under(host, request, body, None).await
+    ) -> GenerationResponse {
+        self.generate_with_key(host, request, body, None).await
     }
 
-    /// Asks for a generation that may run at most once, under a key.
+    /// Sends a generation request that may run at most once, under an idempotency key,
+    /// and reads the response to its end.
     pub async fn generate_once(
         &self,
         host: SocketAddr,
         request: &str,
         body: &GenerateBody,
         key: &str,
-    ) -> HeardAnswer {
-        self.generate_under(host, request, body, Some(key)).await
+    ) -> GenerationResponse {
+        self.generate_with_key(host, request, body, Some(key)).await
     }
 
-    async fn generate_under(
+    async fn generate_with_key(
         &self,
         host: SocketAddr,
         request: &str,
         body: &GenerateBody,
         key: Option<&str>,
-    ) -> HeardAnswer {
-        let mut answer = HeardAnswer {
+    ) -> GenerationResponse {
+        let mut collected = GenerationResponse {
             sent: Instant::now(),
             status: None,
             events: Vec::new(),
@@ -168,16 +174,16 @@
             broken: false,
             ended: Instant::now(),
         };
-        let heard = match self.send_generation(host, request, body, key).await {
-            Ok(response) => hear(response, &mut answer).await,
+        let received = match self.send_generation(host, request, body, key).await {
+            Ok(response) => read_response(response, &mut collected).await,
             Err(error) => Err(error),
         };
-        answer.broken = heard.is_err();
-        answer.ended = Instant::now();
-        answer
+        collected.broken = received.is_err();
+        collected.ended = Instant::now();
+        collected
     }
 
-    /// Sends a generation and gives back the response with its open stream.
+    /// Sends a generation request and returns the response with its open stream.
     pub async fn start_generation(
         &self,
         host: SocketAddr,
@@ -198,7 +204,7 @@
             .request(Method::POST, host, "/v1/generate")
             .header("x-request-id", request);
         if let Some(key) = key {
-            builder = mark(builder, key);
+            builder = add_key_headers(builder, key);
         }
         let request = builder.body(Full::new(Bytes::from(serde_json::to_vec(body)?)))?;
         Ok(self.client.request(request).await?)
@@ -210,13 +216,13 @@
         host: SocketAddr,
         request: &str,
         call: OutgoingCall<'_>,
-    ) -> Result<HeardReply, CallError> {
+    ) -> Result<CallResponse, CallError> {
         let path = format!("/v1/services/{}", call.path);
         let mut builder = self
             .request(Method::POST, host, &path)
             .header("x-request-id", request);
         if let Some(key) = call.key {
-            builder = mark(builder, key);
+            builder = add_key_headers(builder, key);
         }
         let response = self
             .client
@@ -224,7 +230,7 @@
             .await?;
         let status = response.status();
         let body = response.into_body().collect().await?.to_bytes();
-        Ok(HeardReply { status, body })
+        Ok(CallResponse { status, body })
     }
 
     fn request(&self, method: Method, host: SocketAddr, path: &str) -> Builder {
@@ -236,11 +242,14 @@
     }
 }
 
-async fn hear(response: Response<Incoming>, answer: &mut HeardAnswer) -> Result<(), CallError> {
-    answer.status = Some(response.status());
+async fn read_response(
+    response: Response<Incoming>,
+    collected: &mut GenerationResponse,
+) -> Result<(), CallError> {
+    collected.status = Some(response.status());
     if response.status() != StatusCode::OK {
         let body = response.into_body().collect().await?.to_bytes();
-        answer.refusal = Some(serde_json::from_slice(&body)?);
+        collected.refusal = Some(serde_json::from_slice(&body)?);
         return Ok(());
     }
     let mut events = BodyDataStream::new(response.into_body()).eventsource();
@@ -248,7 +257,7 @@
         let event: StreamEvent = serde_json::from_str(&event?.data)?;
         let is_last = matches!(event, StreamEvent::Done { .. } | StreamEvent::Error(_));
         let at = Instant::now();
-        answer.events.push(HeardEvent { at, event });
+        collected.events.push(ReceivedEvent { at, event });
         if is_last {
             return Ok(());
         }
@@ -256,8 +265,8 @@
     Err("the stream ended without a closing event".into())
 }
 
-/// Marks a request as non-idempotent.
-fn mark(builder: Builder, key: &str) -> Builder {
+/// Adds the headers of a non-idempotent request.
+fn add_key_headers(builder: Builder, key: &str) -> Builder {
     builder
         .header("idempotency-key", format!("\"{key}\""))
         .header("x-non-idempotent", "true")
--- a/standins/src/engine/range_store.rs
+++ b/standins/src/engine/range_store.rs
@@ -1,4 +1,4 @@
-//! Ranges that an engine holds, and the orders that change them.
+//! Layer ranges that an engine holds, and the orders that change them.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 
 use super::settings::FencingMode;
 
-/// Ranges held and being loaded.
+/// Layer ranges that are loaded or being loaded.
 #[derive(Debug)]
 pub(super) struct RangeStore {
     fencing: FencingMode,
@@ -43,13 +43,14 @@
         }
     }
 
-    /// Carries out an order, or refuses it if its fencing number is old.
+    /// Executes an order, or refuses it if its fencing number is older than the highest
+    /// one received.
     pub(super) fn order(
         &mut self,
         order: StateOrder,
         now: Instant,
     ) -> Result<(), TargetRefusalKind> {
-        self.settle(now);
+        self.finish_loading(now);
         if self.fencing == FencingMode::Checks {
             let is_old = |highest| order.fencing < highest;
             if self.highest_fencing.is_some_and(is_old) {
@@ -68,11 +69,11 @@
                 self.loading.push(LoadingRange { range, ready_at });
             }
         }
-        self.settle(now);
+        self.finish_loading(now);
         Ok(())
     }
 
-    fn settle(&mut self, now: Instant) {
+    fn finish_loading(&mut self, now: Instant) {
         let (ready, loading) = std::mem::take(&mut self.loading)
             .into_iter()
             .partition(|loading| loading.ready_at <= now);
@@ -82,9 +83,9 @@
             .extend(ready.into_iter().map(|loading| loading.range));
     }
 
-    /// Whether a loaded range covers the layers of `order`.
+    /// Returns whether a loaded range covers the layers of `order`.
     pub(super) fn holds(&mut self, order: &StepRequest, now: Instant) -> bool {
-        self.settle(now);
+        self.finish_loading(now);
         self.loaded.iter().any(|range| {
             range.model == order.model
                 && range.version == order.version
@@ -95,7 +96,7 @@
     }
 
     pub(super) fn state(&mut self, leaving: bool, now: Instant) -> TargetState {
-        self.settle(now);
+        self.finish_loading(now);
         let loading = self.loading.iter().map(|loading| loading.range.clone());
         TargetState {
             loaded: self.loaded.clone(),
--- a/standins/src/engine/session.rs
+++ b/standins/src/engine/session.rs
@@ -1,4 +1,4 @@
-//! A session: the KV state and the outputs of the positions run so far.
+//! A session: the KV state and the outputs of the positions that have run.
 
 use std::sync::Arc;
 
@@ -11,11 +11,11 @@
 use super::settings::EngineFaults;
 use crate::reference::{EMPTY_KV_STATE, run_layer_with, token_of, weights};
 
-/// One session, used by one step at a time.
+/// One session. Only one step at a time uses it.
 #[derive(Debug)]
 pub(super) struct EngineSession {
-    /// Held for the whole of a step, so that a repeated step waits for the
-    /// first one and then finds its outputs.
+    /// Locked for the whole of a step, so that a repeated step waits for the first one
+    /// and then finds its outputs.
     pub(super) data: tokio::sync::Mutex<SessionData>,
     closed: watch::Sender<bool>,
 }
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Ends when the session has been cancelled or dropped.
+    /// Waits until the session has been cancelled or replaced.
     pub(super) async fn closed(&self) {
         let _ = self.closed.subscribe().wait_for(|closed| *closed).await;
     }
@@ -49,7 +49,7 @@
         self.sessions.lock().get(name).cloned()
     }
 
-    /// The session that `order` names, made anew if there is none.
+    /// Returns the session that `order` names, and opens it if it does not exist.
     pub(super) fn find_or_open(&self, order: &StepRequest) -> Arc<EngineSession> {
         let mut sessions = self.sessions.lock();
         let session = sessions.entry(order.label.session());
@@ -57,7 +57,7 @@
         Arc::clone(session.or_insert_with(open))
     }
 
-    /// Puts an imported session in place of any other of its name.
+    /// Stores an imported session, replacing any other of the same name.
     pub(super) fn import(&self, name: &str, export: CacheExport) {
         let session = Arc::new(EngineSession::new(SessionData::import(export)));
         let replaced = self.sessions.lock().insert(name.to_owned(), session);
@@ -91,10 +91,10 @@
     weights: u64,
     kv_states: Vec<u64>,
     outputs: Vec<u64>,
-    pub(super) last_answer: Option<StepResponse>,
+    pub(super) last_response: Option<StepResponse>,
 }
 
-/// What one position did.
+/// Result of running one position.
 #[derive(Debug)]
 pub(super) struct PositionRun {
     pub(super) layers: Vec<LayerIndex>,
@@ -112,7 +112,7 @@
             weights: weights(&order.model, &order.version),
             kv_states: vec![EMPTY_KV_STATE; layers as usize],
             outputs: Vec::new(),
-            last_answer: None,
+            last_response: None,
         }
     }
 
@@ -125,7 +125,7 @@
             last_layer: export.last_layer,
             kv_states: export.layers,
             outputs: export.outputs,
-            last_answer: None,
+            last_response: None,
         }
     }
 
@@ -145,7 +145,7 @@
         self.outputs.len() as TokenPosition
     }
 
-    /// Whether the order is for what this session was opened with.
+    /// Returns whether the order has the model, version and layers of this session.
     pub(super) fn matches(&self, order: &StepRequest) -> bool {
         self.model == order.model
             && self.version == order.version
@@ -153,7 +153,7 @@
             && self.last_layer == order.last_layer
     }
 
-    /// Output of a position that has run.
+    /// Returns the output of a position that has run.
     pub(super) fn output(&self, position: TokenPosition) -> Option<u64> {
         self.outputs.get(position as usize).copied()
     }
@@ -168,7 +168,7 @@
         let mut layers = Vec::with_capacity(self.kv_states.len());
         let mut value = input;
         for (kv_state, layer) in self.kv_states.iter_mut().zip(self.first_layer..) {
-            for _ in 0..runs_of(layer, faults) {
+            for _ in 0..run_count(layer, faults) {
                 let outcome = run_layer_with(self.weights, layer, *kv_state, value);
                 *kv_state = outcome.kv_state;
                 value = outcome.output;
@@ -182,7 +182,7 @@
     }
 }
 
-fn runs_of(layer: LayerIndex, faults: &EngineFaults) -> usize {
+fn run_count(layer: LayerIndex, faults: &EngineFaults) -> usize {
     match layer {
         layer if faults.skip_layer == Some(layer) => 0,
         layer if faults.double_layer == Some(layer) => 2,
--- a/standins/src/engine/steps.rs
+++ b/standins/src/engine/steps.rs
@@ -1,4 +1,5 @@
-//! Runs steps: resume, queue, batch, layers, record.
+//! Runs steps: resumes known positions, waits for a batch slot, runs the layers and
+//! records the work.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -18,7 +19,7 @@
 use crate::record_list::{RecordList, next_order, now_micros};
 use crate::refusal::refused;
 
-/// Everything that a step needs.
+/// State that steps share.
 #[derive(Debug)]
 pub(super) struct StepRunner {
     settings: Arc<EngineSettings>,
@@ -30,11 +31,11 @@
     pub(super) record: RecordList<StepRecord>,
 }
 
-/// What a step gives to its caller.
+/// Result of a step.
 #[derive(Debug)]
 pub(super) struct StepResult {
-    pub(super) answer: StepResponse,
-    /// The session's answer before this one.
+    pub(super) response: StepResponse,
+    /// The previous response of the session.
     pub(super) previous: Option<StepResponse>,
 }
 
@@ -57,8 +58,8 @@
         }
     }
 
-    /// Drops all sessions and the prefix cache.
-    pub(super) fn forget_all(&self) {
+    /// Removes all sessions and the prefix cache.
+    pub(super) fn clear_state(&self) {
         self.sessions.close_all();
         self.cache.lock().clear(Instant::now());
     }
@@ -111,12 +112,12 @@
             let output = data
                 .output(position)
                 .ok_or_else(|| unknown_position(next))?;
-            self.note(order, position, input, output, &[], StepKind::Resumed);
+            self.record_step(order, position, input, output, &[], StepKind::Resumed);
             outputs.push(output);
         }
         for (&input, position) in new_inputs.iter().zip(next..) {
             let run = data.run_next(input, self.settings.model_layers, &faults);
-            self.note(
+            self.record_step(
                 order,
                 position,
                 input,
@@ -127,16 +128,16 @@
             outputs.push(run.output);
         }
         self.gauge.count(new_inputs.len());
-        let answer = StepResponse {
+        let response = StepResponse {
             label: order.label.clone(),
             position: order.position,
             outputs,
         };
-        let previous = data.last_answer.replace(answer.clone());
-        Ok(StepResult { answer, previous })
+        let previous = data.last_response.replace(response.clone());
+        Ok(StepResult { response, previous })
     }
 
-    /// Holds a slot of the batch for as long as the inputs take.
+    /// Occupies a slot of the batch for the time that the inputs take.
     async fn work(
         &self,
         order: &StepRequest,
@@ -153,7 +154,7 @@
             slot
         };
         let slot = tokio::select! {
-            // In this order, so that no cancelled session goes on.
+            // The cancellation is polled first, so that no cancelled session continues.
             biased;
             () = session.closed() => return Err(unknown_position(0)),
             slot = work => slot,
@@ -184,7 +185,7 @@
         }
     }
 
-    fn note(
+    fn record_step(
         &self,
         order: &StepRequest,
         position: TokenPosition,
--- a/standins/src/fleet/operations.rs
+++ b/standins/src/fleet/operations.rs
@@ -1,4 +1,4 @@
-//! What is done to a running fleet.
+//! Operations on a running fleet.
 
 use std::time::{Duration, Instant};
 
@@ -11,53 +11,53 @@
 use crate::json_client::CallError;
 use crate::operator::{self, Declaration};
 
-/// Bound on waiting for a change to be in force.
-const FORCE_PATIENCE: Duration = Duration::from_secs(20);
-/// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum wait until every daemon has applied a change.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval at which the status is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Fleet {
-    /// Declares resources through the first running daemon, and gives the
-    /// offset of the last change.
+    /// Declares resources through the first running daemon, and returns the offset of the
+    /// last change.
     ///
     /// # Errors
     /// If no daemon runs or a declaration is refused.
     pub async fn declare(&self, declarations: &[Declaration]) -> Result<LogOffset, CallError> {
-        let daemon = self.running().next().ok_or("no daemon runs")?;
+        let daemon = self.running().next().ok_or("no daemon is running")?;
         operator::declare_all(daemon.operators, declarations).await
     }
 
     /// Waits until every running daemon has applied the change at `version`.
     ///
     /// # Errors
-    /// If that takes too long; the message names the daemon.
-    pub async fn wait_in_force(&self, version: LogOffset) -> Result<(), CallError> {
-        let deadline = Instant::now() + FORCE_PATIENCE;
+    /// If the wait times out; the message names the daemon.
+    pub async fn wait_until_applied(&self, version: LogOffset) -> Result<(), CallError> {
+        let deadline = Instant::now() + APPLY_TIMEOUT;
         for daemon in self.running() {
-            while !is_in_force(daemon, version).await {
+            while !has_applied(daemon, version).await {
                 if Instant::now() > deadline {
-                    return Err(format!("not in force on {}", daemon.host).into());
+                    return Err(format!("change not applied on {}", daemon.host).into());
                 }
-                tokio::time::sleep(LOOK_INTERVAL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Daemons that were neither killed nor shut down.
+    /// Returns the daemons that were neither killed nor shut down.
     pub fn running(&self) -> impl Iterator<Item = &FleetDaemon> {
         self.daemons.iter().filter(|daemon| daemon.is_running())
     }
 
-    /// The engine of this name.
+    /// Returns the engine of this name.
     pub fn engine(&self, name: &str) -> Option<&FleetEngine> {
         self.engines
             .iter()
             .find(|engine| engine.target.name == name)
     }
 
-    /// Puts a target down as leaving in the platform's list.
-    pub fn leave(&mut self, target: &str) {
+    /// Marks a target as leaving in the host list of the platform.
+    pub fn mark_leaving(&mut self, target: &str) {
         for listed in &mut self.hosts.targets {
             if *listed.target == *target {
                 listed.phase = ListedPhase::Leaving;
@@ -66,7 +66,8 @@
         self.platform.set_hosts(self.hosts.clone());
     }
 
-    /// What the targets have run so far; the callers' part is left empty.
+    /// Returns what the targets have recorded so far; the records of the callers are left
+    /// empty.
     pub fn recorded(&self) -> RunHistory {
         let steps = self.engines.iter().map(|engine| TargetSteps {
             target: engine.target.name.as_str().into(),
@@ -75,7 +76,9 @@
         let services = self.services.iter();
         RunHistory {
             steps: steps.collect(),
-            calls: services.flat_map(|one| one.server.record()).collect(),
+            calls: services
+                .flat_map(|service| service.server.record())
+                .collect(),
             ..RunHistory::default()
         }
     }
@@ -95,7 +98,7 @@
     }
 }
 
-async fn is_in_force(daemon: &FleetDaemon, version: LogOffset) -> bool {
+async fn has_applied(daemon: &FleetDaemon, version: LogOffset) -> bool {
     let status = operator::read::<StatusView>(daemon.operators, "/v1/status").await;
     status.is_ok_and(|status| status.ready && status.applied > version)
 }
--- a/standins/src/fleet/start.rs
+++ b/standins/src/fleet/start.rs
@@ -1,4 +1,4 @@
-//! Starting a fleet.
+//! Starts a fleet.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -7,8 +7,8 @@
 
 use super::daemon::FleetDaemon;
 use super::layout::{FleetLayout, PREFILL_PER_STEP, StagePlan};
-use super::{Fleet, FleetEngine, FleetService, ZoneGate};
-use crate::daemon_settings::{DaemonPlace, SeedPlace};
+use super::{Fleet, FleetEngine, FleetService, ZoneProxy};
+use crate::daemon_settings::{DaemonConfig, SeedPeer};
 use crate::declarations::{self, StageLayout, StageTarget, VERSION};
 use crate::engine::{EngineServer, EngineSettings};
 use crate::json_client::CallError;
@@ -20,50 +20,52 @@
 const SERVICE_CONCURRENCY: usize = 16;
 
 impl Fleet {
-    /// Starts everything, declares it and waits until it is in force.
+    /// Starts the stand-ins and the daemons, declares all resources and waits until they
+    /// are applied.
     ///
     /// # Errors
-    /// If something cannot be started or declared, or is not in force in time.
+    /// If a component cannot be started, or a resource cannot be declared or is not
+    /// applied in time.
     pub async fn start(layout: FleetLayout) -> Result<Self, CallError> {
-        let places = peer_places(&layout)?;
+        let seed_peers = allocate_peers(&layout)?;
         let mut engines = Vec::new();
         for (index, stage) in layout.stages.iter().enumerate() {
             engines.extend(start_stage(&layout, index, stage).await?);
         }
         let services = start_services(&layout).await?;
-        let hosts = host_list(&places, &engines, &services);
+        let hosts = host_list(&seed_peers, &engines, &services);
         let settings = PlatformSettings {
             hosts: hosts.clone(),
             ..PlatformSettings::default()
         };
         let platform = PlatformServer::bind(any_port(), settings).await?;
-        let mut gates = Vec::new();
+        let mut zone_proxies = Vec::new();
         for zone in &layout.zones {
-            gates.push(ZoneGate::bind(&zone.name, platform.local_addr()).await?);
+            zone_proxies.push(ZoneProxy::bind(&zone.name, platform.local_addr()).await?);
         }
         let mut fleet = Self {
             layout,
             platform,
-            gates,
+            zone_proxies,
             engines,
             services,
             hosts,
             daemons: Vec::new(),
         };
-        fleet.start_daemons(&places).await?;
+        fleet.start_daemons(&seed_peers).await?;
         let version = fleet.declare(&fleet.declarations()).await?;
-        fleet.wait_in_force(version).await?;
+        fleet.wait_until_applied(version).await?;
         Ok(fleet)
     }
 
-    async fn start_daemons(&mut self, places: &[SeedPlace]) -> Result<(), CallError> {
-        for (seed, place) in (self.layout.seed..).zip(places) {
-            let settings = DaemonPlace {
-                host: place.host.clone(),
-                zone: place.zone.clone(),
-                platform: self.platform_for(&place.zone),
-                peers: place.address,
-                seeds: places.to_vec(),
+    async fn start_daemons(&mut self, seed_peers: &[SeedPeer]) -> Result<(), CallError> {
+        for (seed, peer) in (self.layout.seed..).zip(seed_peers) {
+            let settings = DaemonConfig {
+                host: peer.host.clone(),
+                zone: peer.zone.clone(),
+                platform: self.platform_for(&peer.zone),
+                peers: peer.address,
+                seeds: seed_peers.to_vec(),
             };
             let extra = format!(
                 "\n[routing]\npolicy = \"{}\"\n\n[log]\nlevel = \"off\"\n{}",
@@ -80,11 +82,11 @@
     }
 
     fn platform_for(&self, zone: &str) -> SocketAddr {
-        let gate = self.gates.iter().find(|gate| gate.zone == zone);
-        gate.map_or(self.platform.local_addr(), ZoneGate::local_addr)
+        let proxy = self.zone_proxies.iter().find(|proxy| proxy.zone == zone);
+        proxy.map_or(self.platform.local_addr(), ZoneProxy::local_addr)
     }
 
-    /// Every declared resource of the fleet.
+    /// Returns all declarations of the fleet.
     pub fn declarations(&self) -> Vec<Declaration> {
         let layout = &self.layout;
         let stages = (0..).zip(&layout.stages);
@@ -122,53 +124,56 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Fleets that this process has started, for an address of its own to each.
-static FLEETS: AtomicU32 = AtomicU32::new(0);
-/// Last parts of loopback addresses to choose from, from 2 on.
-const LAST_PARTS: u32 = 250;
+/// Index of the next fleet of this process. Each fleet gets an address of its own.
+static NEXT_FLEET: AtomicU32 = AtomicU32::new(0);
+/// Number of values for the last octet of loopback addresses, from 2 on.
+const LAST_OCTETS: u32 = 250;
 
-/// A loopback address that only the peers of one fleet use: two fleets of one
+/// Returns a loopback address that only the peers of one fleet use: two fleets of one
 /// process would otherwise find the same free port.
 ///
-/// A free port of 127.0.0.1 that is found beforehand may be taken by an
-/// outgoing connection before its daemon listens; one sees "address in use" at
-/// the start, now and then. Connections go out from 127.0.0.1 alone, so on any
-/// other loopback address the port stays free.
-fn peer_address() -> SocketAddr {
+/// An outgoing connection may take a free port of 127.0.0.1 between its discovery and the
+/// start of the daemon, which then fails with "address in use". Connections go out from
+/// 127.0.0.1 only, so the port stays free on any other loopback address.
+fn fleet_peer_address() -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let number = FLEETS.fetch_add(1, Ordering::Relaxed) % LAST_PARTS;
-    // The last part keeps away from 127.0.0.1 itself.
+    let number = NEXT_FLEET.fetch_add(1, Ordering::Relaxed) % LAST_OCTETS;
+    // An offset of 2 avoids 127.0.0.1 itself.
     let [.., last] = (number + 2).to_be_bytes();
     SocketAddr::from(([127, high, low, last], 0))
 }
 
-/// Names the entry hosts and finds a free port for each one's peers.
-fn peer_places(layout: &FleetLayout) -> Result<Vec<SeedPlace>, CallError> {
+/// Names the entry hosts and finds a free port for the peers of each one.
+fn allocate_peers(layout: &FleetLayout) -> Result<Vec<SeedPeer>, CallError> {
     let hosts = layout.zones.iter().flat_map(|zone| {
         (1..=zone.entry_hosts).map(|number| (format!("{}-{number}", zone.name), zone.name.clone()))
     });
-    // All are held until the last is found, so that none is found twice.
-    let own = peer_address();
-    let mut held = Vec::new();
-    let mut places = Vec::new();
+    // All listeners stay open until the last is bound, so that no port is found twice.
+    let base_address = fleet_peer_address();
+    let mut listeners = Vec::new();
+    let mut seed_peers = Vec::new();
     for (host, zone) in hosts {
-        let listener = TcpListener::bind(own)?;
+        let listener = TcpListener::bind(base_address)?;
         let address = listener.local_addr()?;
-        held.push(listener);
-        places.push(SeedPlace {
+        listeners.push(listener);
+        seed_peers.push(SeedPeer {
             host,
             zone,
             address,
         });
     }
-    Ok(places)
+    Ok(seed_peers)
 }
 
-fn host_list(places: &[SeedPlace], engines: &[FleetEngine], services: &[FleetService]) -> HostList {
-    let host = |place: &SeedPlace| ListedHost {
-        host: place.host.as_str().into(),
-        zone: place.zone.as_str().into(),
-        peer_address: place.address.to_string(),
+fn host_list(
+    seed_peers: &[SeedPeer],
+    engines: &[FleetEngine],
+    services: &[FleetService],
+) -> HostList {
+    let host = |peer: &SeedPeer| ListedHost {
+        host: peer.host.as_str().into(),
+        zone: peer.zone.as_str().into(),
+        peer_address: peer.address.to_string(),
         phase: ListedPhase::Live,
     };
     let names = engines
@@ -176,7 +181,7 @@
         .map(|engine| &engine.target.name)
         .chain(services.iter().map(|service| &service.name));
     HostList {
-        hosts: places.iter().map(host).collect(),
+        hosts: seed_peers.iter().map(host).collect(),
         targets: names
             .map(|name| ListedTarget {
                 target: name.as_str().into(),
--- a/standins/src/load/driver.rs
+++ b/standins/src/load/driver.rs
@@ -1,4 +1,4 @@
-//! Sends the planned requests when they are due and hears the answers.
+//! Sends the planned requests at their times and collects the responses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,22 +11,22 @@
 
 use super::outcome::{CallOutcome, GenerationOutcome, LoadOutcomes};
 use super::{PlannedKind, PlannedRequest, TrafficMix};
-use crate::caller::{CallerClient, HeardReply, OutgoingCall, new_key};
+use crate::caller::{CallResponse, CallerClient, OutgoingCall, new_key};
 use crate::check::{CallHistory, GenerationHistory};
 use crate::declarations::VERSION;
 use crate::fleet::Fleet;
 
-/// Times that a caller sends one request, over lost connections.
+/// Maximum number of times that a caller sends one request after lost connections.
 const MAX_SENDS: usize = 4;
 /// Time after the deadline at which a caller gives up.
-const CALLER_PATIENCE: Duration = Duration::from_secs(10);
+const CALLER_GRACE: Duration = Duration::from_secs(10);
 
-/// What every caller needs.
+/// State that all callers share.
 #[derive(Debug)]
 pub(super) struct LoadDriver {
-    /// Entry hosts, also dead ones: the balancer notices late.
+    /// Entry hosts, including dead ones: the load balancer notices a failure late.
     hosts: Vec<SocketAddr>,
-    /// One caller for each organisation.
+    /// One caller per organisation.
     callers: Vec<CallerClient>,
     organisations: Vec<String>,
     model: String,
@@ -41,9 +41,9 @@
     Call(CallOutcome),
 }
 
-/// What came of one way on which a call was sent.
+/// Result of one call, over all its sends.
 struct SentCall {
-    reply: Option<HeardReply>,
+    reply: Option<CallResponse>,
     lost_sends: usize,
 }
 
@@ -51,7 +51,10 @@
     pub(super) fn new(fleet: &Fleet, mix: TrafficMix) -> Arc<Self> {
         let layout = &fleet.layout;
         let service = &layout.service;
-        let names = layout.organisations.iter().map(|one| one.name.clone());
+        let names = layout
+            .organisations
+            .iter()
+            .map(|organisation| organisation.name.clone());
         let organisations: Vec<String> = names.collect();
         Arc::new(Self {
             hosts: fleet.daemons.iter().map(|daemon| daemon.callers).collect(),
@@ -68,8 +71,8 @@
         })
     }
 
-    /// Sends every request at its time after `start`, whether or not earlier
-    /// ones were answered, and waits for the last answer.
+    /// Sends every request at its time after `start`, regardless of earlier responses,
+    /// and waits for the last response.
     pub(super) async fn drive(
         self: Arc<Self>,
         planned: Vec<PlannedRequest>,
@@ -86,7 +89,7 @@
             match ended {
                 Ok(RequestOutcome::Generation(outcome)) => outcomes.generations.push(outcome),
                 Ok(RequestOutcome::Call(outcome)) => outcomes.calls.push(outcome),
-                Err(error) => log::error!("a caller failed: {error}"),
+                Err(error) => log::error!("caller task failed: {error}"),
             }
         }
         outcomes
@@ -112,8 +115,8 @@
         self.hosts[(first + sends) % self.hosts.len()]
     }
 
-    /// Asks for a generation; after a lost connection the caller goes on at
-    /// the next host with what it holds.
+    /// Requests a generation. After a lost connection the caller resumes at the next host
+    /// with the tokens received so far.
     async fn generate(
         &self,
         planned: &PlannedRequest,
@@ -136,16 +139,16 @@
             },
         };
         let caller = &self.callers[planned.organisation];
-        let patience = self.mix.deadline + CALLER_PATIENCE;
+        let max_wait = self.mix.deadline + CALLER_GRACE;
         for sends in 0..MAX_SENDS {
             let host = self.host(planned.host, sends);
             let body = self.body(&outcome.history, intended);
-            let answer = caller.generate(host, &planned.request, &body);
-            let Ok(answer) = timeout(patience, answer).await else {
+            let response = caller.generate(host, &planned.request, &body);
+            let Ok(response) = timeout(max_wait, response).await else {
                 break;
             };
-            let is_lost = answer.broken;
-            outcome.history.answers.push(answer);
+            let is_lost = response.broken;
+            outcome.history.answers.push(response);
             if !is_lost {
                 break;
             }
@@ -172,7 +175,7 @@
         doubled: bool,
         intended: Instant,
     ) -> CallOutcome {
-        let send = |host| self.call_until_answered(planned, key.as_deref(), host);
+        let send = |host| self.call_with_failover(planned, key.as_deref(), host);
         let sent = match doubled {
             true => {
                 let (first, second) = tokio::join!(send(planned.host), send(planned.host + 1));
@@ -193,8 +196,8 @@
         }
     }
 
-    /// Calls the service, at the next host after a lost connection.
-    async fn call_until_answered(
+    /// Calls the service, and retries at the next host after a lost connection.
+    async fn call_with_failover(
         &self,
         planned: &PlannedRequest,
         key: Option<&str>,
@@ -205,7 +208,7 @@
             None => &self.plain_path,
         };
         let caller = &self.callers[planned.organisation];
-        let patience = self.mix.deadline + CALLER_PATIENCE;
+        let max_wait = self.mix.deadline + CALLER_GRACE;
         for lost_sends in 0..MAX_SENDS {
             let call = OutgoingCall {
                 path,
@@ -214,7 +217,7 @@
             };
             let host = self.host(first_host, lost_sends);
             let reply = caller.call_service(host, &planned.request, call);
-            let reply = match timeout(patience, reply).await {
+            let reply = match timeout(max_wait, reply).await {
                 Ok(Ok(reply)) => Some(reply),
                 Ok(Err(_)) => continue,
                 Err(_) => None,
@@ -228,10 +231,10 @@
     }
 }
 
-/// What a caller shows another host to go on from there.
+/// Returns the token with which a caller resumes at another host.
 fn resume_token(history: &GenerationHistory) -> Option<ResumeToken> {
-    let mut events = history.answers.iter().flat_map(|answer| &answer.events);
-    let version = events.find_map(|heard| match &heard.event {
+    let mut events = history.answers.iter().flat_map(|response| &response.events);
+    let version = events.find_map(|received| match &received.event {
         StreamEvent::Started { version, .. } => Some(version.clone()),
         _ => None,
     })?;
--- a/standins/src/load/fault.rs
+++ b/standins/src/load/fault.rs
@@ -1,4 +1,4 @@
-//! The fault in the middle of a run.
+//! Injects the fault in the middle of a run.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -9,42 +9,43 @@
 
 /// Stage whose target fails.
 const FAILING_STAGE: usize = 1;
-/// Delay of answers over the slow link, in milliseconds.
+/// Delay of responses over the slow link, in milliseconds.
 const SLOW_LINK_MS: u64 = 100;
-/// Index of the entry host that dies: not the last, so that others follow it.
+/// Index of the entry host that is killed. It is not the last one, so that a failover
+/// reaches the hosts after it.
 const FAILING_HOST: usize = 1;
 
-/// When a fault begins and, if it does, ends.
+/// Time at which a fault begins and, if it is transient, ends.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FaultWindow {
     pub(super) begin: Instant,
     pub(super) end: Instant,
 }
 
-/// What failed, and when.
+/// The fault that was injected, with its time.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct FaultMark {
-    /// When.
+pub(super) struct InjectedFault {
+    /// Time of the fault.
     pub(super) at: Instant,
-    /// When, in microseconds since the Unix epoch.
+    /// Time of the fault, in microseconds since the Unix epoch.
     pub(super) at_micros: u64,
-    /// The target that died, if one did.
+    /// The target that was killed, if any.
     pub(super) target: Option<String>,
-    /// Index of the entry host that died, if one did.
+    /// Index of the entry host that was killed, if any.
     pub(super) host: Option<usize>,
 }
 
-/// Waits for the window, lets the fault strike and ends it.
-pub(super) async fn strike(
+/// Waits for the window, injects the fault and ends it if it is transient.
+pub(super) async fn inject_fault(
     fleet: &mut Fleet,
     fault: LoadFault,
     window: FaultWindow,
-) -> Option<FaultMark> {
+) -> Option<InjectedFault> {
     if fault == LoadFault::None {
         return None;
     }
     sleep_until(window.begin.into()).await;
-    let mut mark = FaultMark {
+    let mut injected = InjectedFault {
         at: Instant::now(),
         at_micros: now_micros(),
         target: None,
@@ -52,30 +53,30 @@
     };
     match fault {
         LoadFault::StageKill => {
-            let engine = fastest(fleet)?;
+            let engine = fastest_engine(fleet)?;
             engine.server.die();
-            mark.target = Some(engine.target.name.clone());
+            injected.target = Some(engine.target.name.clone());
         }
         LoadFault::HostKill => {
             fleet.daemons.get_mut(FAILING_HOST)?.kill().await;
-            mark.host = Some(FAILING_HOST);
+            injected.host = Some(FAILING_HOST);
         }
-        passing => {
-            set_passing(fleet, passing, true);
+        transient => {
+            set_transient_fault(fleet, transient, true);
             sleep_until(window.end.into()).await;
-            set_passing(fleet, passing, false);
+            set_transient_fault(fleet, transient, false);
         }
     }
-    Some(mark)
+    Some(injected)
 }
 
-/// Begins or ends a fault that passes.
-fn set_passing(fleet: &Fleet, fault: LoadFault, is_on: bool) {
+/// Begins or ends a transient fault.
+fn set_transient_fault(fleet: &Fleet, fault: LoadFault, is_on: bool) {
     match fault {
         LoadFault::SlowLink => {
-            let usual = fleet.layout.link_delay_ms;
-            let delay = if is_on { SLOW_LINK_MS } else { usual };
-            if let Some(engine) = fastest(fleet) {
+            let normal_delay = fleet.layout.link_delay_ms;
+            let delay = if is_on { SLOW_LINK_MS } else { normal_delay };
+            if let Some(engine) = fastest_engine(fleet) {
                 let faults = engine.server.faults();
                 faults.update(|faults| faults.link_delay_ms = delay);
             }
@@ -85,22 +86,22 @@
             faults.update(|faults| faults.outage = is_on);
         }
         LoadFault::ZoneCut => {
-            if let Some(gate) = fleet.gates.first() {
-                gate.set_cut(is_on);
+            if let Some(proxy) = fleet.zone_proxies.first() {
+                proxy.set_cut(is_on);
             }
         }
         LoadFault::None | LoadFault::StageKill | LoadFault::HostKill => {}
     }
 }
 
-/// The fastest engine of the failing stage: the one whose loss hurts most.
-fn fastest(fleet: &Fleet) -> Option<&FleetEngine> {
+/// Returns the fastest engine of the failing stage, whose loss costs the most capacity.
+fn fastest_engine(fleet: &Fleet) -> Option<&FleetEngine> {
     let stage = fleet.engines.iter();
     stage
         .filter(|engine| engine.stage == FAILING_STAGE)
-        .max_by(|one, other| {
-            let (one, other) = (&one.target, &other.target);
-            one.tokens_per_second.total_cmp(&other.tokens_per_second)
+        .max_by(|left, right| {
+            let (left, right) = (&left.target, &right.target);
+            left.tokens_per_second.total_cmp(&right.tokens_per_second)
         })
 }
 
--- a/standins/src/load/recovery.rs
+++ b/standins/src/load/recovery.rs
@@ -1,8 +1,8 @@
-//! How long requests and the whole fleet took to recover.
+//! Recovery time of requests and of the whole fleet.
 
 use std::time::{Duration, Instant};
 
-use super::fault::FaultMark;
+use super::fault::InjectedFault;
 use super::figures::{Quantiles, RecoveryFigures};
 use super::outcome::GenerationOutcome;
 use crate::check::RunHistory;
@@ -10,15 +10,15 @@
 
 /// Length of the intervals in which tokens are counted.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// Step between two such intervals.
+/// Step between the starts of two such intervals.
 const INTERVAL_STEP: Duration = Duration::from_millis(100);
-/// Part of the earlier rate at which the fleet counts as recovered.
-const NORMAL_PART: f64 = 0.9;
+/// Share of the earlier rate at which the fleet counts as recovered.
+const RECOVERED_FRACTION: f64 = 0.9;
 
-/// What recovery is judged by.
+/// Input of the recovery figures.
 pub(super) struct RecoveryInput<'a> {
     pub(super) layout: &'a FleetLayout,
-    pub(super) mark: &'a FaultMark,
+    pub(super) injected: &'a InjectedFault,
     pub(super) recorded: &'a RunHistory,
     pub(super) generations: &'a [GenerationOutcome],
     /// Median time between tokens.
@@ -26,26 +26,26 @@
 }
 
 impl RecoveryInput<'_> {
-    /// Time to the next token if nothing had died: a death falls anywhere
-    /// between two tokens, so half of the usual time on average.
+    /// Returns the expected time to the next token without a death: a death falls
+    /// anywhere between two tokens, so half of the usual time on average.
     fn usual_wait(&self) -> Duration {
         self.usual_gap / 2
     }
 }
 
-/// One request that was on what died.
+/// A request that was on the target or host that was killed.
 struct RepairedRequest {
-    /// From the death to the next token that needed a repair.
+    /// Time from the death to the next token that needed a repair.
     time: Option<Duration>,
     best_possible: Duration,
     is_whole: bool,
 }
 
-/// Recovery of the requests that were on the target or host that died.
+/// Returns the recovery of the requests that were on the target or host that was killed.
 pub(super) fn recovery(input: &RecoveryInput<'_>) -> Option<RecoveryFigures> {
-    let repaired: Vec<RepairedRequest> = match (&input.mark.target, input.mark.host) {
-        (Some(target), _) => on_target(input, target),
-        (None, Some(host)) => on_host(input, host),
+    let repaired: Vec<RepairedRequest> = match (&input.injected.target, input.injected.host) {
+        (Some(target), _) => repaired_on_target(input, target),
+        (None, Some(host)) => repaired_on_host(input, host),
         (None, None) => return None,
     };
     let times = || repaired.iter().filter_map(|request| request.time);
@@ -60,19 +60,19 @@
         whole: repaired.iter().filter(|request| request.is_whole).count() as u64,
         next_token: Quantiles::of(times()),
         best_possible_ms: best.p50_ms,
-        ratio_p50: at_part(&ratios, 0.5),
-        ratio_p95: at_part(&ratios, 0.95),
+        ratio_p50: quantile(&ratios, 0.5),
+        ratio_p95: quantile(&ratios, 0.95),
     })
 }
 
-fn at_part(sorted: &[f64], part: f64) -> f64 {
+fn quantile(sorted: &[f64], part: f64) -> f64 {
     let index = (sorted.len().saturating_sub(1) as f64 * part).round() as usize;
     sorted.get(index).copied().unwrap_or_default()
 }
 
-/// Requests whose last position before the death ran on the target. Their
-/// next position is the first that cannot come without a repair.
-fn on_target(input: &RecoveryInput<'_>, target: &str) -> Vec<RepairedRequest> {
+/// Returns the requests whose last position before the death ran on the target. Their
+/// next position is the first one that needs a repair.
+fn repaired_on_target(input: &RecoveryInput<'_>, target: &str) -> Vec<RepairedRequest> {
     let mut engines = input.recorded.steps.iter();
     let Some(engine) = engines.find(|engine| *engine.target == *target) else {
         return Vec::new();
@@ -80,7 +80,7 @@
     let in_flight = input
         .generations
         .iter()
-        .filter(|outcome| was_in_flight(outcome, input.mark.at));
+        .filter(|outcome| was_in_flight(outcome, input.injected.at));
     let repaired = in_flight.filter_map(|outcome| {
         let run = format!("{}~", outcome.history.request);
         let own = engine
@@ -93,9 +93,9 @@
         if number >= outcome.history.max_tokens {
             return None;
         }
-        let heard = outcome.token_times().get(number as usize).copied();
+        let received = outcome.token_times().get(number as usize).copied();
         Some(RepairedRequest {
-            time: heard.map(|heard| heard.saturating_duration_since(input.mark.at)),
+            time: received.map(|received| received.saturating_duration_since(input.injected.at)),
             best_possible: input.usual_wait() + replay_time(input.layout, last + 1),
             is_whole: outcome.is_whole(),
         })
@@ -103,17 +103,17 @@
     repaired.collect()
 }
 
-/// Requests that were streamed by the host.
-fn on_host(input: &RecoveryInput<'_>, host: usize) -> Vec<RepairedRequest> {
+/// Returns the requests that the host was streaming.
+fn repaired_on_host(input: &RecoveryInput<'_>, host: usize) -> Vec<RepairedRequest> {
     let in_flight = input
         .generations
         .iter()
-        .filter(|outcome| outcome.host == host && was_in_flight(outcome, input.mark.at));
+        .filter(|outcome| outcome.host == host && was_in_flight(outcome, input.injected.at));
     let repaired = in_flight.map(|outcome| {
         let times = outcome.token_times();
-        let mut after = times.into_iter().filter(|at| *at > input.mark.at);
+        let mut after = times.into_iter().filter(|at| *at > input.injected.at);
         RepairedRequest {
-            time: after.next().map(|at| at - input.mark.at),
+            time: after.next().map(|at| at - input.injected.at),
             best_possible: input.usual_wait(),
             is_whole: outcome.is_whole(),
         }
@@ -126,11 +126,11 @@
         .history
         .answers
         .first()
-        .is_some_and(|answer| answer.sent < at);
+        .is_some_and(|response| response.sent < at);
     began && outcome.ended().is_some_and(|ended| ended > at)
 }
 
-/// Time to process so many positions on an engine of mean speed.
+/// Returns the time to process `positions` positions on an engine of mean speed.
 fn replay_time(layout: &FleetLayout, positions: u64) -> Duration {
     let engines = || layout.stages.iter().flat_map(|stage| &stage.engines);
     let sum: Duration = engines().map(|engine| engine.step_time).sum();
@@ -138,7 +138,7 @@
     mean / PREFILL_PER_STEP * positions as u32
 }
 
-/// When, after a fault, the rate of tokens was back at its earlier level.
+/// Returns the time after a fault at which the token rate was back at its earlier level.
 pub(super) fn throughput_back(
     tokens: &[Instant],
     steady_begin: Instant,
@@ -150,15 +150,15 @@
         inside.count() as f64
     };
     let before = count(steady_begin, fault) / (fault - steady_begin).as_secs_f64();
-    let normal = before * INTERVAL.as_secs_f64() * NORMAL_PART;
+    let normal = before * INTERVAL.as_secs_f64() * RECOVERED_FRACTION;
     let mut from = fault;
-    // The last dip counts: only from here on does no interval fall below.
-    let mut back = fault;
+    // The last drop counts: after it no interval falls below the limit.
+    let mut recovered_at = fault;
     while from + INTERVAL <= end {
         if count(from, from + INTERVAL) < normal {
-            back = from + INTERVAL_STEP;
+            recovered_at = from + INTERVAL_STEP;
         }
         from += INTERVAL_STEP;
     }
-    (back + INTERVAL <= end).then(|| back - fault)
+    (recovered_at + INTERVAL <= end).then(|| recovered_at - fault)
 }
--- a/standins/src/losses/line.rs
+++ b/standins/src/losses/line.rs
@@ -1,26 +1,26 @@
-//! One log line of an entry host, as far as it tells of a request's fate.
+//! Log lines of an entry host that state the outcome of a request.
 
 use std::time::SystemTime;
 
 use serde_json::{Map, Value};
 
-/// What a line says became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum RequestFate {
-    /// Answered in time.
+pub enum RequestOutcome {
+    /// A successful response, in time.
     Served,
-    /// Answered, and something came late.
+    /// A successful response of which a part was late.
     Late(String),
-    /// Answered with a failure.
+    /// A response with an error status.
     Failed(String),
-    /// Refused, for a reason.
+    /// A refusal, with its reason.
     Refused(String),
-    /// A stream that ended early, for a reason.
+    /// A stream that was cut, with the reason.
     Cut(String),
 }
 
-impl RequestFate {
-    /// The name of the row that counts it.
+impl RequestOutcome {
+    /// Returns the name of the table row that counts the outcome.
     pub fn cause(&self) -> String {
         match self {
             Self::Served => "served".to_owned(),
@@ -32,41 +32,41 @@
     }
 }
 
-/// A line that tells of a request's fate.
+/// A log line that states the outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecisionLine {
-    /// When it was written.
+    /// Time at which the line was written.
     pub at: SystemTime,
     /// The request.
     pub request: String,
-    /// What became of it.
-    pub fate: RequestFate,
+    /// Outcome of the request.
+    pub outcome: RequestOutcome,
 }
 
-/// Reads a line; `None` if it tells of nothing that counts here. What stands
-/// before the first brace, such as a host's name, is passed over.
+/// Parses a line; returns `None` if it states no outcome. Text before the first brace,
+/// such as the name of a host, is skipped.
 pub fn parse_line(line: &str) -> Option<DecisionLine> {
     let object = line.get(line.find('{')?..)?;
     let members = serde_json::from_str::<Map<String, Value>>(object).ok()?;
     let text = |key: &str| members.get(key).and_then(Value::as_str);
     let reason = || text("reason").unwrap_or("none").to_owned();
-    let fate = match text("message")? {
-        "answered" => answered(text("status")?, text("late").unwrap_or("no")),
-        "refused" => RequestFate::Refused(reason()),
-        "stream cut" => RequestFate::Cut(reason()),
+    let outcome = match text("message")? {
+        "answered" => answered_outcome(text("status")?, text("late").unwrap_or("no")),
+        "refused" => RequestOutcome::Refused(reason()),
+        "stream cut" => RequestOutcome::Cut(reason()),
         _ => return None,
     };
     Some(DecisionLine {
         at: humantime::parse_rfc3339(text("time")?).ok()?,
         request: text("request")?.to_owned(),
-        fate,
+        outcome,
     })
 }
 
-fn answered(status: &str, late: &str) -> RequestFate {
+fn answered_outcome(status: &str, late: &str) -> RequestOutcome {
     match late {
-        _ if !status.starts_with('2') => RequestFate::Failed(status.to_owned()),
-        "no" => RequestFate::Served,
-        what => RequestFate::Late(what.to_owned()),
+        _ if !status.starts_with('2') => RequestOutcome::Failed(status.to_owned()),
+        "no" => RequestOutcome::Served,
+        what => RequestOutcome::Late(what.to_owned()),
     }
 }
--- a/standins/src/losses/tally.rs
+++ b/standins/src/losses/tally.rs
@@ -1,24 +1,24 @@
-//! Counts of requests by what became of them, second by second.
+//! Counts of requests by outcome and second.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::SystemTime;
 
-use super::line::{DecisionLine, RequestFate};
+use super::line::{DecisionLine, RequestOutcome};
 
 /// Counts of one cause.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 struct CauseCount {
     all: u64,
-    /// By seconds since the first line that counts.
+    /// Counts by seconds since the first counted line.
     seconds: BTreeMap<u64, u64>,
 }
 
-/// What became of the requests of a run.
+/// Outcomes of the requests of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LossTally {
     first: Option<SystemTime>,
-    causes: BTreeMap<RequestFate, CauseCount>,
+    causes: BTreeMap<RequestOutcome, CauseCount>,
 }
 
 impl LossTally {
@@ -39,14 +39,14 @@
     fn count(&mut self, line: DecisionLine) {
         let first = *self.first.get_or_insert(line.at);
         let since = line.at.duration_since(first).unwrap_or_default();
-        let count = self.causes.entry(line.fate).or_default();
+        let count = self.causes.entry(line.outcome).or_default();
         count.all += 1;
         *count.seconds.entry(since.as_secs()).or_default() += 1;
     }
 
-    /// Requests of one fate.
-    pub fn count_of(&self, fate: &RequestFate) -> u64 {
-        self.causes.get(fate).map_or(0, |count| count.all)
+    /// Returns the number of requests with this outcome.
+    pub fn count_of(&self, outcome: &RequestOutcome) -> u64 {
+        self.causes.get(outcome).map_or(0, |count| count.all)
     }
 
     fn last_second(&self) -> u64 {
@@ -56,7 +56,7 @@
 }
 
 impl fmt::Display for LossTally {
-    /// One row a cause: all of them, then each second.
+    /// Writes one row per cause: the total, then the count of each second.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let last = self.last_second();
         write!(formatter, "{:<24} {:>7}", "cause", "all")?;
@@ -64,8 +64,8 @@
             write!(formatter, " {second:>4}")?;
         }
         writeln!(formatter)?;
-        for (fate, count) in &self.causes {
-            write!(formatter, "{:<24} {:>7}", fate.cause(), count.all)?;
+        for (outcome, count) in &self.causes {
+            write!(formatter, "{:<24} {:>7}", outcome.cause(), count.all)?;
             for second in 0..=last {
                 match count.seconds.get(&second) {
                     Some(requests) => write!(formatter, " {requests:>4}")?,
--- a/standins/src/pipeline/intake.rs
+++ b/standins/src/pipeline/intake.rs
@@ -1,23 +1,23 @@
-//! Requests that come, change their path, or leave.
+//! Arrival, rerouting and cancellation of requests.
 
 use std::time::Duration;
 
 use super::request::{PathPart, RequestPhase, RequestSettings, SimRequest};
-use super::world::{PipelineWorld, SubmitError};
+use super::simulation::{PipelineSimulation, SubmitError};
 
-impl PipelineWorld {
-    /// Takes a request in.
+impl PipelineSimulation {
+    /// Accepts a request.
     ///
     /// # Errors
     ///
-    /// If the path is none, or an engine of it cannot take the request.
+    /// If the path is invalid, or one of its engines cannot accept the request.
     pub fn submit(&mut self, request: RequestSettings, now: Duration) -> Result<(), SubmitError> {
         self.check_path(&request.path)?;
         for part in &request.path {
             let need = request.prompt * f64::from(part.layers.width());
             let state = &self.engines[part.engine];
-            if state.used + need > state.room(&self.settings.model) {
-                return Err(SubmitError::NoRoom(part.engine));
+            if state.used + need > state.capacity(&self.settings.model) {
+                return Err(SubmitError::NoCapacity(part.engine));
             }
         }
         self.sequence += 1;
@@ -29,8 +29,8 @@
                 path: request.path,
                 prompt: request.prompt,
                 answer: request.answer,
-                made: 0.0,
-                phase: RequestPhase::Reading {
+                generated: 0.0,
+                phase: RequestPhase::Prefill {
                     left: request.prompt,
                 },
                 hop: 0,
@@ -55,7 +55,7 @@
         for part in path {
             let state = &self.engines[part.engine];
             if !state.alive || state.draining {
-                return Err(SubmitError::NoRoom(part.engine));
+                return Err(SubmitError::NoCapacity(part.engine));
             }
             if !state.holds(part.layers) {
                 return Err(SubmitError::WrongLayers(part.engine));
@@ -64,11 +64,11 @@
         Ok(())
     }
 
-    /// Takes a running request over another path with the same first part.
+    /// Moves a running request to another path with the same first part.
     ///
     /// # Errors
     ///
-    /// If there is no such request, or a new part cannot take it.
+    /// If the request does not exist, or an engine of a new part cannot accept it.
     pub fn repath(
         &mut self,
         id: &str,
@@ -92,8 +92,8 @@
         for part in &fresh {
             let state = &self.engines[part.engine];
             let need = context * f64::from(part.layers.width());
-            if state.used + need > state.room(&self.settings.model) {
-                return Err(SubmitError::NoRoom(part.engine));
+            if state.used + need > state.capacity(&self.settings.model) {
+                return Err(SubmitError::NoCapacity(part.engine));
             }
         }
         self.release_where(id, |part| !path.contains(part));
@@ -118,20 +118,20 @@
         request.stalled = None;
         request.hop = 0;
         request.phase = match request.is_begun() {
-            true => RequestPhase::Writing,
-            false => RequestPhase::Reading {
+            true => RequestPhase::Decode,
+            false => RequestPhase::Prefill {
                 left: request.prompt,
             },
         };
-        self.forget(id);
+        self.remove_from_engines(id);
         self.arrive(id, now);
         Ok(())
     }
 
-    /// The caller has left.
+    /// Removes a request whose caller has disconnected.
     pub fn cancel(&mut self, id: &str, now: Duration) {
         self.release_where(id, |_| true);
-        self.forget(id);
+        self.remove_from_engines(id);
         if self.requests.remove(id).is_some() {
             self.unpark_all(now);
         }
--- a/standins/src/pipeline/memory.rs
+++ b/standins/src/pipeline/memory.rs
@@ -1,13 +1,13 @@
-//! Memory of engines: who has room, and who yields.
+//! Memory of engines: admission and preemption of requests.
 
 use std::time::Duration;
 
 use super::engine::EngineIndex;
 use super::request::{PathPart, RequestPhase};
-use super::world::PipelineWorld;
+use super::simulation::PipelineSimulation;
 
-impl PipelineWorld {
-    /// A request reaches the engine of its part.
+impl PipelineSimulation {
+    /// Handles the arrival of a request at the engine of its part.
     pub(super) fn arrive(&mut self, id: &str, now: Duration) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -20,14 +20,14 @@
         }
         let mut need = request.context();
         if request.unread[hop] {
-            request.phase = RequestPhase::Reading { left: need };
-        } else if matches!(request.phase, RequestPhase::Writing) {
+            request.phase = RequestPhase::Prefill { left: need };
+        } else if matches!(request.phase, RequestPhase::Decode) {
             need += f64::from(self.settings.model.stride);
         }
         let need = need * f64::from(part.layers.width());
         let more = need - request.held[hop];
         if self.engines[part.engine].used + more
-            > self.engines[part.engine].room(&self.settings.model)
+            > self.engines[part.engine].capacity(&self.settings.model)
         {
             self.park(id, part.engine);
             return;
@@ -41,26 +41,28 @@
         self.start_pass(part.engine, now);
     }
 
-    /// No memory is left: the newest request yields, which may be this one.
+    /// Preempts the newest request, which may be this one, as no memory is left.
     pub(super) fn park(&mut self, id: &str, engine: EngineIndex) {
         let order = |id: &String| self.requests.get(id).map(|request| request.order);
-        let own = order(&id.to_owned());
+        let own_order = order(&id.to_owned());
         let ready = self.engines[engine].ready.iter();
         let newest = ready
-            .filter(|other| order(other) > own)
-            .max_by_key(|other| order(other));
+            .filter(|queued| order(queued) > own_order)
+            .max_by_key(|queued| order(queued));
         let newest = newest.cloned();
         self.engines[engine].parked.push(id.to_owned());
         if let Some(newest) = newest {
-            self.engines[engine].ready.retain(|other| *other != newest);
+            self.engines[engine]
+                .ready
+                .retain(|queued| *queued != newest);
             self.engines[engine].parked.push(newest.clone());
-            self.yield_memory(&newest, engine);
+            self.release_memory(&newest, engine);
         } else {
-            self.yield_memory(id, engine);
+            self.release_memory(id, engine);
         }
     }
 
-    pub(super) fn yield_memory(&mut self, id: &str, engine: EngineIndex) {
+    pub(super) fn release_memory(&mut self, id: &str, engine: EngineIndex) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Oldest first, as far as memory goes.
+    /// Resumes parked requests, oldest first, while memory lasts.
     pub(super) fn unpark(&mut self, engine: EngineIndex, now: Duration) {
         let mut parked = std::mem::take(&mut self.engines[engine].parked);
         parked.sort_by_key(|id| self.requests.get(id).map(|request| request.order));
@@ -86,7 +88,7 @@
             };
             let need = request.context() * f64::from(request.part().layers.width());
             let state = &self.engines[engine];
-            if rest.is_empty() && state.used + need <= state.room(&self.settings.model) {
+            if rest.is_empty() && state.used + need <= state.capacity(&self.settings.model) {
                 self.arrive(&id, now);
             } else {
                 rest.push(id);
@@ -95,8 +97,8 @@
         self.engines[engine].parked.extend(rest);
     }
 
-    /// Gives back the memory of the parts that `gone` names.
-    pub(super) fn release_where<F>(&mut self, id: &str, gone: F)
+    /// Releases the memory of the parts for which `released` returns true.
+    pub(super) fn release_where<F>(&mut self, id: &str, released: F)
     where
         F: Fn(&PathPart) -> bool,
     {
@@ -105,19 +107,19 @@
         };
         for (part, held) in request.path.iter().zip(&mut request.held) {
             let engine = &mut self.engines[part.engine];
-            if gone(part) {
+            if released(part) {
                 engine.used = (engine.used - std::mem::take(held)).max(0.0);
             }
         }
     }
 
-    /// Takes a request out of every engine's lists.
-    pub(super) fn forget(&mut self, id: &str) {
+    /// Removes a request from the lists of every engine.
+    pub(super) fn remove_from_engines(&mut self, id: &str) {
         for engine in &mut self.engines {
-            engine.ready.retain(|other| other != id);
-            engine.parked.retain(|other| other != id);
+            engine.ready.retain(|queued| queued != id);
+            engine.parked.retain(|queued| queued != id);
             if let Some(pass) = &mut engine.pass {
-                pass.retain(|(other, _)| other != id);
+                pass.retain(|(queued, _)| queued != id);
             }
         }
     }
--- a/standins/src/pipeline/settings.rs
+++ b/standins/src/pipeline/settings.rs
@@ -1,38 +1,38 @@
-//! Figures of the modelled fleet.
+//! Parameters of the simulation.
 
 use std::time::Duration;
 
 use jackdawwick::collections::FastMap;
 use jackdawwick::ingress::{AcceleratorKind, EngineModel};
 
-/// Figures that all engines share.
+/// Parameters that all engines share.
 #[derive(Debug, Clone)]
-pub struct WorldSettings {
-    /// How the engines work.
+pub struct SimulationSettings {
+    /// Performance model of the engines.
     pub model: EngineModel,
-    /// Most prompt tokens read in one step.
+    /// Maximum number of prompt tokens read in one step.
     pub chunk: f64,
-    /// Time that a million pairs of a token and an earlier one add to reading,
-    /// in milliseconds.
+    /// Time that one million pairs of a token and an earlier token add to prefill, in
+    /// milliseconds.
     pub pairs_per_m_ms: f64,
-    /// Bytes handed on for a token.
+    /// Bytes transferred for each token.
     pub token_bytes: f64,
-    /// Rate of an engine's own link, in megabits a second.
+    /// Rate of the link of an engine, in megabits per second.
     pub link_mbps: f64,
-    /// Rate of the pipe that all share between two zones.
-    pub pipe_mbps: f64,
-    /// One-way delay within a zone, and between zones.
-    pub near_delay: Duration,
+    /// Rate of the link that all engines share between two zones, in megabits per second.
+    pub zone_link_mbps: f64,
+    /// One-way delay within a zone.
+    pub same_zone_delay: Duration,
     /// One-way delay between zones.
-    pub far_delay: Duration,
-    /// How long work waits for an engine that is gone.
+    pub cross_zone_delay: Duration,
+    /// Time for which a request waits for a dead engine.
     pub stall: Duration,
-    /// Age of what a report tells.
+    /// Delay until a report shows a stalled request.
     pub report_lag: Duration,
 }
 
-impl Default for WorldSettings {
-    /// A model of 80 layers on three kinds of accelerators.
+impl Default for SimulationSettings {
+    /// Returns a model of 80 layers on three kinds of accelerators.
     fn default() -> Self {
         let kind = |memory_mb, pace, read_factor| AcceleratorKind {
             memory_mb,
@@ -63,24 +63,24 @@
             pairs_per_m_ms: 0.309,
             token_bytes: 45_900.0,
             link_mbps: 400_000.0,
-            pipe_mbps: 18_000.0,
-            near_delay: Duration::from_micros(200),
-            far_delay: Duration::from_micros(500),
+            zone_link_mbps: 18_000.0,
+            same_zone_delay: Duration::from_micros(200),
+            cross_zone_delay: Duration::from_micros(500),
             stall: Duration::from_secs(2),
             report_lag: Duration::from_millis(200),
         }
     }
 }
 
-impl WorldSettings {
-    /// Time to hand `tokens` on, over one link.
+impl SimulationSettings {
+    /// Returns the time to transfer `tokens` over the link of an engine.
     pub(super) fn link_time(&self, tokens: f64) -> Duration {
         transfer(tokens * self.token_bytes, self.link_mbps)
     }
 
-    /// Time to hand `tokens` on, over the pipe between two zones.
-    pub(super) fn pipe_time(&self, tokens: f64) -> Duration {
-        transfer(tokens * self.token_bytes, self.pipe_mbps)
+    /// Returns the time to transfer `tokens` over the link between two zones.
+    pub(super) fn zone_link_time(&self, tokens: f64) -> Duration {
+        transfer(tokens * self.token_bytes, self.zone_link_mbps)
     }
 }
 
--- a/standins/src/pipeline/world.rs
+++ b/standins/src/pipeline/simulation.rs
@@ -1,4 +1,4 @@
-//! All engines and requests, moved on by events.
+//! The state of all engines and requests, advanced by events.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -9,55 +9,55 @@
 
 use super::engine::{EngineIndex, SimEngine};
 use super::request::SimRequest;
-use super::settings::WorldSettings;
+use super::settings::SimulationSettings;
 
-/// What callers see of the model.
+/// Events that callers observe.
 #[derive(Debug, Clone, PartialEq)]
-pub enum WorldEvent {
-    /// An event of a stream: so many tokens are made now.
+pub enum SimulationEvent {
+    /// An event of a stream, with the number of tokens generated.
     Event {
         /// The request.
         id: String,
-        /// Tokens made so far.
-        made: f64,
-        /// Whether it was the last.
+        /// Tokens generated so far.
+        generated: f64,
+        /// Whether this is the last event.
         last: bool,
     },
-    /// The request has not run; the engine is at fault.
+    /// The request was refused before its first token, as an engine is dead.
     Refused {
         /// The request.
         id: String,
         /// The engine.
         at: EngineIndex,
     },
-    /// The stream breaks off.
+    /// The stream was cut.
     Cut {
         /// The request.
         id: String,
     },
 }
 
-/// Why a request is not taken.
+/// Reason why a request is not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitError {
-    /// An engine does not hold its part.
+    /// The engine does not hold the layers of its part.
     WrongLayers(EngineIndex),
-    /// An engine is dead, draining, or short of memory.
-    NoRoom(EngineIndex),
-    /// An engine appears twice, or there is none.
+    /// The engine is dead, draining or short of memory.
+    NoCapacity(EngineIndex),
+    /// An engine appears twice, the path is empty, or its first part changes.
     BadPath,
-    /// No such request.
+    /// The request does not exist.
     Unknown,
 }
 
-/// What an engine tells of itself.
+/// Status that an engine reports.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineStatus {
     /// Layers held.
     pub layers: Option<LayerRange>,
-    /// An order is being carried out.
+    /// Whether an order is being executed.
     pub busy: bool,
-    /// Orders accepted.
+    /// Number of accepted orders.
     pub orders: u64,
     /// Requests in a pass or ready for one.
     pub running: usize,
@@ -65,52 +65,64 @@
     pub waiting: usize,
     /// Memory in use, in tokens times layers.
     pub used: f64,
-    /// Memory for requests in all.
+    /// Total memory for requests, in tokens times layers.
     pub total: f64,
-    /// Whether it refuses what is new.
+    /// Whether the engine refuses new requests.
     pub draining: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Action {
-    Arrive { id: String, epoch: u64 },
-    EndPass { engine: EngineIndex, life: u64 },
-    EndLoad { engine: EngineIndex, life: u64 },
-    EndStall { id: String, epoch: u64 },
+    Arrive {
+        id: String,
+        epoch: u64,
+    },
+    EndPass {
+        engine: EngineIndex,
+        incarnation: u64,
+    },
+    EndLoad {
+        engine: EngineIndex,
+        incarnation: u64,
+    },
+    EndStall {
+        id: String,
+        epoch: u64,
+    },
 }
 
-/// Engines and requests.
+/// A simulation of engines and requests.
 #[derive(Debug)]
-pub struct PipelineWorld {
-    pub(super) settings: WorldSettings,
+pub struct PipelineSimulation {
+    pub(super) settings: SimulationSettings,
     pub(super) engines: Vec<SimEngine>,
     pub(super) requests: BTreeMap<String, SimRequest>,
-    pub(super) agenda: BinaryHeap<Reverse<(Duration, u64, Action)>>,
-    pub(super) pipes: FastMap<(String, String), Duration>,
-    pub(super) events: Vec<WorldEvent>,
+    pub(super) event_queue: BinaryHeap<Reverse<(Duration, u64, Action)>>,
+    pub(super) zone_links: FastMap<(String, String), Duration>,
+    pub(super) events: Vec<SimulationEvent>,
     pub(super) sequence: u64,
 }
 
-impl PipelineWorld {
-    /// A world without engines.
-    pub fn new(settings: WorldSettings) -> Self {
+impl PipelineSimulation {
+    /// Creates a simulation without engines.
+    pub fn new(settings: SimulationSettings) -> Self {
         Self {
             settings,
             engines: Vec::new(),
             requests: BTreeMap::new(),
-            agenda: BinaryHeap::new(),
-            pipes: FastMap::default(),
+            event_queue: BinaryHeap::new(),
+            zone_links: FastMap::default(),
             events: Vec::new(),
             sequence: 0,
         }
     }
 
-    /// The figures of the world.
-    pub fn settings(&self) -> &WorldSettings {
+    /// Returns the parameters of the simulation.
+    pub fn settings(&self) -> &SimulationSettings {
         &self.settings
     }
 
-    /// Adds an empty engine of a kind.
+    /// Adds an engine of a kind, without layers.
     pub fn add_engine(&mut self, zone: &str, kind: &str) -> EngineIndex {
         self.engines.push(SimEngine {
             zone: zone.to_owned(),
@@ -124,13 +136,13 @@
             parked: Vec::new(),
             used: 0.0,
             orders: 0,
-            slowness: 1.0,
-            life: 0,
+            slow_factor: 1.0,
+            incarnation: 0,
         });
         self.engines.len() - 1
     }
 
-    /// What an engine tells of itself.
+    /// Returns the status that an engine reports.
     pub fn status(&self, engine: EngineIndex) -> EngineStatus {
         let state = &self.engines[engine];
         EngineStatus {
@@ -140,26 +152,30 @@
             running: state.ready.len() + state.pass.as_ref().map_or(0, Vec::len),
             waiting: state.parked.len(),
             used: state.used,
-            total: state.room(&self.settings.model),
+            total: state.capacity(&self.settings.model),
             draining: state.draining,
         }
     }
 
-    /// Requests that began at an engine and wait for a dead one, as a report
-    /// tells them.
+    /// Returns the requests whose path begins at `engine` and that wait for a dead
+    /// engine, as far as reports show them.
     pub fn stalled(&self, engine: EngineIndex, now: Duration) -> Vec<(String, EngineIndex)> {
         let lag = self.settings.report_lag;
-        let told = |request: &&SimRequest| {
+        let is_reported = |request: &&SimRequest| {
             request.path[0].engine == engine
                 && request.stalled.is_some_and(|since| now >= since + lag)
         };
-        let requests = self.requests.iter().filter(|(_, request)| told(request));
+        let requests = self
+            .requests
+            .iter()
+            .filter(|(_, request)| is_reported(request));
         requests
             .map(|(id, request)| (id.clone(), request.part().engine))
             .collect()
     }
 
-    /// Orders an engine to hold `layers`; more than it can hold kills it.
+    /// Orders an engine to hold `layers`. An order beyond the memory of the engine kills
+    /// it.
     pub fn place(&mut self, engine: EngineIndex, layers: LayerRange, now: Duration) {
         let model = &self.settings.model;
         let state = &mut self.engines[engine];
@@ -180,36 +196,42 @@
         let share = f64::from(layers.width() - kept) / f64::from(model.layers);
         let done = now + Duration::from_secs_f64(model.load_s * share);
         state.loading = Some((layers, done));
-        let life = state.life;
-        self.schedule(done, Action::EndLoad { engine, life });
+        let incarnation = state.incarnation;
+        self.schedule(
+            done,
+            Action::EndLoad {
+                engine,
+                incarnation,
+            },
+        );
     }
 
-    /// Gives an engine its layers at once, for a start.
+    /// Sets the layers of an engine without loading time.
     pub fn preload(&mut self, engine: EngineIndex, layers: LayerRange) {
         self.engines[engine].layers = Some(layers);
     }
 
-    /// Makes an engine slower.
-    pub fn set_slowness(&mut self, engine: EngineIndex, factor: f64) {
-        self.engines[engine].slowness = factor;
+    /// Sets the factor on the duration of passes of an engine.
+    pub fn set_slow_factor(&mut self, engine: EngineIndex, factor: f64) {
+        self.engines[engine].slow_factor = factor;
     }
 
-    /// Makes an engine refuse what is new.
+    /// Sets whether an engine refuses new requests.
     pub fn set_draining(&mut self, engine: EngineIndex, draining: bool) {
         self.engines[engine].draining = draining;
     }
 
-    /// An engine dies with all that it holds.
+    /// Kills an engine. Its layers are lost and its requests stall.
     pub fn kill(&mut self, engine: EngineIndex, now: Duration) {
         let state = &mut self.engines[engine];
         state.alive = false;
-        state.life += 1;
+        state.incarnation += 1;
         state.layers = None;
         state.loading = None;
         state.orders = 0;
         state.used = 0.0;
-        let passed = state.pass.take().unwrap_or_default();
-        let mut waiting = passed.into_iter().map(|(id, _)| id).collect::<Vec<_>>();
+        let in_pass = state.pass.take().unwrap_or_default();
+        let mut waiting = in_pass.into_iter().map(|(id, _)| id).collect::<Vec<_>>();
         waiting.append(&mut state.ready);
         waiting.append(&mut state.parked);
         for id in waiting {
@@ -217,31 +239,37 @@
         }
     }
 
-    /// A dead engine is back, empty.
+    /// Restarts a dead engine, without layers.
     pub fn revive(&mut self, engine: EngineIndex) {
         let state = &mut self.engines[engine];
         state.alive = true;
         state.draining = false;
-        state.slowness = 1.0;
+        state.slow_factor = 1.0;
     }
 
-    /// When something happens next.
+    /// Returns the time of the next event.
     pub fn next_time(&self) -> Option<Duration> {
-        self.agenda.peek().map(|Reverse((at, ..))| *at)
+        self.event_queue.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Lets time pass up to `now`; gives what callers see, in order.
-    pub fn advance(&mut self, now: Duration) -> Vec<WorldEvent> {
+    /// Advances time to `now` and returns the events that callers observe, in order.
+    pub fn advance(&mut self, now: Duration) -> Vec<SimulationEvent> {
         while self.next_time().is_some_and(|at| at <= now) {
-            let Some(Reverse((at, _, action))) = self.agenda.pop() else {
+            let Some(Reverse((at, _, action))) = self.event_queue.pop() else {
                 break;
             };
             match action {
                 Action::Arrive { id, epoch } if self.is_current(&id, epoch) => self.arrive(&id, at),
-                Action::EndPass { engine, life } if self.engines[engine].life == life => {
+                Action::EndPass {
+                    engine,
+                    incarnation,
+                } if self.engines[engine].incarnation == incarnation => {
                     self.end_pass(engine, at);
                 }
-                Action::EndLoad { engine, life } if self.engines[engine].life == life => {
+                Action::EndLoad {
+                    engine,
+                    incarnation,
+                } if self.engines[engine].incarnation == incarnation => {
                     self.end_load(engine, at);
                 }
                 Action::EndStall { id, epoch } if self.is_current(&id, epoch) => {
@@ -261,7 +289,7 @@
 
     pub(super) fn schedule(&mut self, at: Duration, action: Action) {
         self.sequence += 1;
-        self.agenda.push(Reverse((at, self.sequence, action)));
+        self.event_queue.push(Reverse((at, self.sequence, action)));
     }
 
     pub(super) fn end_load(&mut self, engine: EngineIndex, now: Duration) {
@@ -298,8 +326,8 @@
             return;
         }
         let event = match request.is_begun() {
-            true => WorldEvent::Cut { id: id.to_owned() },
-            false => WorldEvent::Refused {
+            true => SimulationEvent::Cut { id: id.to_owned() },
+            false => SimulationEvent::Refused {
                 id: id.to_owned(),
                 at: request.part().engine,
             },
--- a/standins/src/service/calls.rs
+++ b/standins/src/service/calls.rs
@@ -1,4 +1,4 @@
-//! The service's calls.
+//! HTTP endpoints of the service.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 use serde_json::Value;
 use tokio::time::{sleep, sleep_until};
 
-use super::settings::{CallRecord, DeathPoint, ServiceAnswer, ServiceFaults, ServiceSettings};
+use super::settings::{CallRecord, DeathPoint, ServiceFaults, ServiceResponse, ServiceSettings};
 use crate::batch::StepBatch;
 use crate::faults::FaultSwitch;
 use crate::http_server::{CallOutcome, ServedCall};
@@ -94,21 +94,21 @@
             .map_err(|_| refusal_outcome(refused(TargetRefusalKind::Malformed)))?;
         let slot = self.batch.acquire(0).await;
         let mut slot = slot.map_err(|_| refusal_outcome(refused(TargetRefusalKind::Overloaded)))?;
-        // Whoever dies while the call waits for its slot never runs it.
-        self.pass(DeathPoint::Before)?;
+        // A service that crashes while the call waits for its slot never runs it.
+        self.check_death_point(DeathPoint::Before)?;
         let ran = self.ran.fetch_add(1, Ordering::Relaxed) + 1;
-        self.note(call, operation, body);
-        self.pass(DeathPoint::During)?;
+        self.record_call(call, operation, body);
+        self.check_death_point(DeathPoint::During)?;
         let slow_factor = self.faults.read(|faults| faults.slow_factor).max(0.0);
         let done_at = slot.book(self.settings.call_time.mul_f64(slow_factor));
         sleep_until(done_at.into()).await;
         drop(slot);
         self.gauge.count(1);
-        self.pass(DeathPoint::After)?;
+        self.check_death_point(DeathPoint::After)?;
         if self.faults.take_one(|faults| &mut faults.lose_answers) {
             return Err(CallOutcome::Close);
         }
-        Ok(CallOutcome::ok(&ServiceAnswer {
+        Ok(CallOutcome::ok(&ServiceResponse {
             ran,
             operation: operation.to_owned(),
         }))
@@ -128,8 +128,9 @@
         }
     }
 
-    /// Dies here if a fault says so; a dead service goes no further.
-    fn pass(&self, point: DeathPoint) -> Result<(), CallOutcome> {
+    /// Crashes the service if a fault is set for `point`. A call of a crashed service
+    /// goes no further.
+    fn check_death_point(&self, point: DeathPoint) -> Result<(), CallOutcome> {
         self.faults.update_if(|faults| {
             let dies = faults.die_at == Some(point);
             if dies {
@@ -144,7 +145,7 @@
         }
     }
 
-    fn note(&self, call: &ServedCall, operation: &str, body: Value) {
+    fn record_call(&self, call: &ServedCall, operation: &str, body: Value) {
         self.record.push(|| CallRecord {
             order: next_order(),
             request: call.header_text(REQUEST_ID_HEADER).map(Into::into),
--- a/standins/src/slopes/data_path.rs
+++ b/standins/src/slopes/data_path.rs
@@ -1,4 +1,4 @@
-//! What a request and a token cost a daemon.
+//! Resources that a daemon uses for a request and for a token.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 use super::fleet::any_port;
 use super::usage::ThreadSample;
 use crate::caller::CallerClient;
-use crate::daemon_settings::DaemonPlace;
+use crate::daemon_settings::DaemonConfig;
 use crate::declarations::{self, StageLayout, StageTarget, VERSION};
 use crate::engine::{EngineServer, EngineSettings};
 use crate::fleet::FleetDaemon;
@@ -18,14 +18,14 @@
 use crate::operator;
 use crate::platform::{PlatformServer, PlatformSettings};
 
-/// Tokens of an answer while stages are varied.
-pub(super) const USUAL_TOKENS: u64 = 480;
-/// Stages while tokens are varied.
-pub(super) const USUAL_STAGES: usize = 3;
-/// Requests at once.
+/// Tokens of a response while stages are varied.
+pub(super) const DEFAULT_TOKENS: u64 = 480;
+/// Number of stages while tokens are varied.
+pub(super) const DEFAULT_STAGES: usize = 3;
+/// Number of concurrent requests.
 const STREAMS: usize = 4;
 const PROMPT_TOKENS: u64 = 32;
-/// Engines of a stage.
+/// Number of engines of a stage.
 const ENGINES: usize = 2;
 const WARM_UP_TOKENS: u64 = 16;
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -33,14 +33,14 @@
 const MICROSECONDS: f64 = 1e6;
 const MILLISECONDS: f64 = 1e3;
 
-/// What one stream was given.
+/// Tokens that one stream received, and its duration.
 #[derive(Debug)]
-struct GivenAnswers {
+struct StreamFigures {
     tokens: f64,
     seconds: f64,
 }
 
-/// Drives a few streams through one daemon and engines that take no time.
+/// Runs a few streams through one daemon and engines that take no time.
 pub(super) async fn measure(
     stages: usize,
     tokens: u64,
@@ -54,7 +54,7 @@
         let mut targets = Vec::new();
         for number in 0..ENGINES {
             let settings = EngineSettings {
-                // The answers of this run are not looked at afterwards.
+                // The records of this run are not evaluated.
                 record_cap: 0,
                 ..EngineSettings::new("model", VERSION, u32::try_from(stages)?, layer, layer)
             };
@@ -74,17 +74,17 @@
             targets,
         });
     }
-    let place = DaemonPlace::new(HOST, "zone-0", platform.local_addr());
-    let text = place.to_toml("\n[log]\nlevel = \"off\"\n");
+    let config = DaemonConfig::new(HOST, "zone-0", platform.local_addr());
+    let text = config.to_toml("\n[log]\nlevel = \"off\"\n");
     let mut daemon = FleetDaemon::spawn(&text).await?;
     let mut declared = declarations::pipeline("model", &layouts);
     declared.push(declarations::organisation("organisation-0", 1_000, 100_000));
     operator::declare_all(daemon.operators, &declared).await?;
     let callers = daemon.callers;
-    ask(callers, 0, WARM_UP_TOKENS, Duration::ZERO).await?;
+    run_stream(callers, 0, WARM_UP_TOKENS, Duration::ZERO).await?;
     let before = ThreadSample::take();
-    // Whole answers are counted, so the end of the last one ends the window.
-    let streams = (1..=STREAMS).map(|stream| ask(callers, stream, tokens, window));
+    // Only complete responses are counted, so the end of the last one ends the window.
+    let streams = (1..=STREAMS).map(|stream| run_stream(callers, stream, tokens, window));
     let streams = join_all(streams).await;
     let after = ThreadSample::take();
     daemon.shutdown().await;
@@ -113,16 +113,16 @@
     ]))
 }
 
-/// Asks for one answer after the other, until `window` has passed.
-async fn ask(
+/// Sends one generation request after the other, until `window` has passed.
+async fn run_stream(
     host: SocketAddr,
     stream: usize,
     tokens: u64,
     window: Duration,
-) -> Result<GivenAnswers, CallError> {
+) -> Result<StreamFigures, CallError> {
     let caller = CallerClient::open("organisation-0");
     let started = Instant::now();
-    let mut heard = 0;
+    let mut received = 0;
     for number in 0_u64.. {
         let first = (stream as u64) << 32 | number << 8;
         let body = GenerateBody {
@@ -134,19 +134,19 @@
             resume: None,
         };
         let request = format!("request-{stream}-{number}");
-        let answer = caller.generate(host, &request, &body).await;
-        match answer.is_whole() {
-            true => heard += tokens,
-            // Right after the start the host has no part of the capacity yet.
+        let response = caller.generate(host, &request, &body).await;
+        match response.is_whole() {
+            true => received += tokens,
+            // Directly after the start the host has no share of the capacity yet.
             false if stream == 0 => tokio::time::sleep(RETRY_PAUSE).await,
-            false => return Err(format!("not answered: {:?}", answer.refused()).into()),
+            false => return Err(format!("generation failed: {:?}", response.refused()).into()),
         }
-        if heard > 0 && started.elapsed() >= window {
+        if received > 0 && started.elapsed() >= window {
             break;
         }
     }
-    Ok(GivenAnswers {
-        tokens: heard as f64,
+    Ok(StreamFigures {
+        tokens: received as f64,
         seconds: started.elapsed().as_secs_f64(),
     })
 }
--- a/standins/src/slopes/fleet.rs
+++ b/standins/src/slopes/fleet.rs
@@ -1,4 +1,4 @@
-//! Starting daemons before small stand-ins, with gates in between.
+//! Starts daemons in front of small stand-ins, with counting proxies in between.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
@@ -10,9 +10,9 @@
 use jackdawwick::records::DECLARATION_STREAM;
 
 use super::SlopeShape;
-use super::counting_gate::{CountingGate, WireCounts};
-use super::pure::record_text;
-use crate::daemon_settings::{DaemonPlace, SeedPlace};
+use super::counting_proxy::{CountingProxy, WireCounts};
+use super::decisions::record_text;
+use crate::daemon_settings::{DaemonConfig, SeedPeer};
 use crate::declarations::{self, StageLayout, StageTarget, VERSION};
 use crate::engine::{EngineServer, EngineSettings};
 use crate::fleet::FleetDaemon;
@@ -20,25 +20,25 @@
 use crate::operator::{self, Declaration};
 use crate::platform::{PlatformServer, PlatformSettings};
 
-/// Bound on waiting for the declarations to be in force.
-const FORCE_PATIENCE: Duration = Duration::from_secs(30);
-const PLATFORM_PATIENCE: Duration = Duration::from_secs(5);
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum wait until the declarations are applied.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(30);
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running fleet with what was counted.
+/// A running fleet with the counted traffic.
 pub(super) struct SlopeFleet {
     pub(super) platform: PlatformServer,
     pub(super) counts: WireCounts,
     pub(super) daemons: Vec<FleetDaemon>,
     _engines: Vec<EngineServer>,
-    _gates: Vec<CountingGate>,
+    _proxies: Vec<CountingProxy>,
 }
 
 impl SlopeFleet {
-    /// Starts the stand-ins and the daemons, and declares everything.
+    /// Starts the stand-ins and the daemons, and declares all resources.
     pub(super) async fn start(shape: &SlopeShape) -> Result<Self, CallError> {
         let counts = WireCounts::default();
-        let mut gates = Vec::new();
+        let mut proxies = Vec::new();
         let mut engines = Vec::new();
         let mut declared: Vec<Declaration> = (0..shape.organisations)
             .map(|number| organisation(number, 1))
@@ -50,15 +50,15 @@
             let engine = EngineServer::bind(any_port(), settings).await?;
             let mut targets = Vec::new();
             for number in (model..shape.targets).step_by(shape.models) {
-                let gate = CountingGate::bind(engine.local_addr(), &counts).await?;
+                let proxy = CountingProxy::bind(engine.local_addr(), &counts).await?;
                 targets.push(StageTarget {
                     name: format!("engine-{number}"),
                     zone: zone_name(shape.zone_of_target(number)).as_str().into(),
-                    address: gate.local_addr,
+                    address: proxy.local_addr,
                     tokens_per_second: 1_000.0,
                     concurrency: 16,
                 });
-                gates.push(gate);
+                proxies.push(proxy);
             }
             listed.extend(targets.iter().map(|target| ListedTarget {
                 target: target.name.as_str().into(),
@@ -77,28 +77,28 @@
             counts,
             daemons: Vec::new(),
             _engines: engines,
-            _gates: gates,
+            _proxies: proxies,
         };
         fleet.start_daemons(shape, listed).await?;
         fleet.declare(&declared).await?;
         Ok(fleet)
     }
 
-    /// Appends the declarations in one batch, as one change after the other
-    /// would take long, and waits until they are in force.
+    /// Appends the declarations in one batch, as declaring them one by one would take
+    /// long, and waits until they are applied.
     async fn declare(&self, declared: &[Declaration]) -> Result<(), CallError> {
         let numbered = (0..).zip(declared);
         let records: Result<Vec<String>, CallError> = numbered
             .map(|(number, declaration)| record_text(number, declaration))
             .collect();
         let timeouts = PlatformTimeouts {
-            connect: PLATFORM_PATIENCE,
-            response: PLATFORM_PATIENCE,
+            connect: PLATFORM_TIMEOUT,
+            response: PLATFORM_TIMEOUT,
         };
         let client = PlatformClient::open(self.platform.local_addr(), timeouts);
         let appended = client.append(DECLARATION_STREAM, records?).await?;
         let last = appended.first_offset + declared.len() as LogOffset - 1;
-        self.wait_in_force(last).await
+        self.wait_until_applied(last).await
     }
 
     async fn start_daemons(
@@ -106,24 +106,24 @@
         shape: &SlopeShape,
         targets: Vec<ListedTarget>,
     ) -> Result<(), CallError> {
-        let platform = CountingGate::bind(self.platform.local_addr(), &self.counts).await?;
-        let mut held = Vec::new();
+        let platform = CountingProxy::bind(self.platform.local_addr(), &self.counts).await?;
+        let mut listeners = Vec::new();
         let mut seeds = Vec::new();
         for number in 0..shape.daemons() {
             let listener = TcpListener::bind(peer_address())?;
-            let gate = CountingGate::bind(listener.local_addr()?, &self.counts).await?;
-            seeds.push(SeedPlace {
+            let proxy = CountingProxy::bind(listener.local_addr()?, &self.counts).await?;
+            seeds.push(SeedPeer {
                 host: format!("host-{number}"),
                 zone: zone_name(shape.zone_of_host(number)),
-                address: gate.local_addr,
+                address: proxy.local_addr,
             });
-            self._gates.push(gate);
-            held.push(listener);
+            self._proxies.push(proxy);
+            listeners.push(listener);
         }
         let hosts = seeds.iter().map(listed_host).collect();
         self.platform.set_hosts(HostList { hosts, targets });
-        for (listener, seed) in held.into_iter().zip(&seeds) {
-            let place = DaemonPlace {
+        for (listener, seed) in listeners.into_iter().zip(&seeds) {
+            let config = DaemonConfig {
                 host: seed.host.clone(),
                 zone: seed.zone.clone(),
                 platform: platform.local_addr,
@@ -132,25 +132,25 @@
             };
             drop(listener);
             let advertised = format!("[listen]\nadvertised_peers = \"{}\"\n", seed.address);
-            let text = place.to_toml("\n[log]\nlevel = \"off\"\n");
+            let text = config.to_toml("\n[log]\nlevel = \"off\"\n");
             let text = text.replacen("[listen]\n", &advertised, 1);
             self.daemons.push(FleetDaemon::spawn(&text).await?);
         }
-        self._gates.push(platform);
+        self._proxies.push(platform);
         Ok(())
     }
 
-    pub(super) async fn wait_in_force(&self, version: LogOffset) -> Result<(), CallError> {
-        let deadline = Instant::now() + FORCE_PATIENCE;
+    pub(super) async fn wait_until_applied(&self, version: LogOffset) -> Result<(), CallError> {
+        let deadline = Instant::now() + APPLY_TIMEOUT;
         for daemon in &self.daemons {
             loop {
                 let status = operator::read::<StatusView>(daemon.operators, "/v1/status").await;
                 match status {
                     Ok(status) if status.ready && status.applied > version => break,
                     _ if Instant::now() > deadline => {
-                        return Err(format!("not in force on {}", daemon.host).into());
+                        return Err(format!("change not applied on {}", daemon.host).into());
                     }
-                    _ => tokio::time::sleep(LOOK_INTERVAL).await,
+                    _ => tokio::time::sleep(POLL_INTERVAL).await,
                 }
             }
         }
@@ -164,7 +164,8 @@
     }
 }
 
-/// An organisation; `rate` sets apart one change of it from the next.
+/// Creates the declaration of an organisation; `rate` makes consecutive changes of it
+/// differ.
 pub(super) fn organisation(number: usize, rate: u32) -> Declaration {
     declarations::organisation(&format!("organisation-{number}"), 1_000, 100_000 + rate)
 }
@@ -173,7 +174,7 @@
     format!("zone-{number}")
 }
 
-fn listed_host(seed: &SeedPlace) -> ListedHost {
+fn listed_host(seed: &SeedPeer) -> ListedHost {
     ListedHost {
         host: seed.host.as_str().into(),
         zone: seed.zone.as_str().into(),
@@ -186,8 +187,8 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A loopback address from which no connection goes out: there a free port
-/// that is found beforehand stays free until its daemon listens.
+/// Returns a loopback address from which no connection goes out: a free port found there
+/// stays free until its daemon listens.
 fn peer_address() -> SocketAddr {
     let [.., high, low] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, high, low, 2], 0))
--- a/standins/src/slopes/report.rs
+++ b/standins/src/slopes/report.rs
@@ -1,12 +1,12 @@
-//! Medians, spread and straight lines.
+//! Report of medians, ranges and fitted lines.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
 use super::SlopeRun;
 
-/// A table a series: the median of each figure with its spread, and the
-/// straight line through the medians by least squares.
+/// Returns one table per series: the median and range of each figure, and a line through
+/// the medians, fitted by least squares.
 pub fn markdown_report(runs: &[SlopeRun]) -> String {
     let mut text = String::new();
     let mut series: BTreeMap<&str, Vec<&SlopeRun>> = BTreeMap::new();
@@ -54,40 +54,40 @@
             let _ = write!(
                 cells,
                 " {} ({}–{}) |",
-                short(*median),
-                short(found[0]),
-                short(found[found.len() - 1])
+                three_digits(*median),
+                three_digits(found[0]),
+                three_digits(found[found.len() - 1])
             );
         }
         let (slope, start) = straight_line(&points);
         let _ = writeln!(
             text,
             "| {figure} |{cells} {} | {} |",
-            short(slope),
-            short(start)
+            three_digits(slope),
+            three_digits(start)
         );
     }
     text
 }
 
-/// Slope and value at zero, by least squares.
+/// Returns the slope and the value at zero, fitted by least squares.
 fn straight_line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
     let mean_y = points.iter().map(|point| point.1).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
-    let shared = points
+    let variance: f64 = points.iter().map(|point| (point.0 - mean_x).powi(2)).sum();
+    let covariance = points
         .iter()
         .map(|point| (point.0 - mean_x) * (point.1 - mean_y));
-    let slope = match spread {
+    let slope = match variance {
         0.0 => 0.0,
-        _ => shared.sum::<f64>() / spread,
+        _ => covariance.sum::<f64>() / variance,
     };
     (slope, mean_y - slope * mean_x)
 }
 
-/// Three digits that count.
-fn short(figure: f64) -> String {
+/// Formats a figure with three significant digits.
+fn three_digits(figure: f64) -> String {
     let digits = match figure.abs() {
         0.0 => 0,
         size if size >= 100.0 => 0,
--- a/standins/src/trial/fleet.rs
+++ b/standins/src/trial/fleet.rs
@@ -1,12 +1,12 @@
-//! The engines of a trial, in the model and as a host sees them.
+//! Engines of a trial, in the simulation and as a host sees them.
 
 use jackdawwick::fleet::{FleetTable, LayerRange, TargetEntry};
 use jackdawwick::ids::TargetId;
 
-use crate::pipeline::{EngineIndex, PathPart, PipelineWorld};
+use crate::pipeline::{EngineIndex, PathPart, PipelineSimulation};
 use crate::trial::PlanKind;
 
-/// How many engines of each kind a zone has.
+/// Number of engines of each kind in a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneEngines {
     /// The zone.
@@ -18,32 +18,40 @@
 /// Service name of the engines in the tables.
 pub(super) const SERVICE: &str = "model";
 
-/// Engines with their layers, and the table of the hosts.
+/// Simulated engines with their layers, and the fleet table of the hosts.
 pub(super) struct TrialFleet {
-    pub(super) world: PipelineWorld,
+    pub(super) simulation: PipelineSimulation,
     pub(super) table: FleetTable,
 }
 
 impl TrialFleet {
-    pub(super) fn open(mut world: PipelineWorld, zones: &[ZoneEngines], plan: PlanKind) -> Self {
+    pub(super) fn open(
+        mut simulation: PipelineSimulation,
+        zones: &[ZoneEngines],
+        plan: PlanKind,
+    ) -> Self {
         let mut table = FleetTable::default();
         for zone in zones {
             let kinds = zone.kinds.iter();
             let kinds = kinds.flat_map(|(kind, count)| std::iter::repeat_n(kind.as_str(), *count));
             let kinds = kinds.collect::<Vec<_>>();
-            let engines = kinds.iter().map(|kind| world.add_engine(&zone.zone, kind));
+            let engines = kinds
+                .iter()
+                .map(|kind| simulation.add_engine(&zone.zone, kind));
             let engines = engines.collect::<Vec<_>>();
-            let accelerators = kinds.iter().map(|kind| world.settings().model.kinds[*kind]);
+            let accelerators = kinds
+                .iter()
+                .map(|kind| simulation.settings().model.kinds[*kind]);
             let accelerators = accelerators.collect::<Vec<_>>();
-            let ranges = plan.ranges(&world.settings().model, &accelerators);
+            let ranges = plan.ranges(&simulation.settings().model, &accelerators);
             for ((engine, kind), layers) in engines.into_iter().zip(kinds).zip(ranges) {
                 if let Some(layers) = layers {
-                    world.preload(engine, layers);
+                    simulation.preload(engine, layers);
                 }
                 table.observe_entry(entry(engine, &zone.zone, kind, layers));
             }
         }
-        Self { world, table }
+        Self { simulation, table }
     }
 }
 
@@ -51,7 +59,7 @@
     format!("i-{engine:04}").into()
 }
 
-/// The engine that has an id of [`id_of`].
+/// Returns the engine with an id of [`id_of`].
 pub(super) fn engine_of(id: &str) -> EngineIndex {
     id.trim_start_matches("i-").parse().unwrap_or(0)
 }
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! An engine's batch, cache, orders and faults do what their names say.
+//! Tests of the engine stand-in: batch, prefix cache, orders and faults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -53,7 +53,7 @@
     call(Method::GET, engine.local_addr(), path, &()).await
 }
 
-/// Polls until the published load is as given.
+/// Polls until the load report has these values.
 async fn wait_for_load(engine: &EngineServer, running: u32, waiting: u32) -> TestResult {
     let poll = async {
         loop {
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn higher_priorities_go_first_and_a_full_queue_refuses() -> TestResult {
+async fn higher_priorities_run_first_and_a_full_queue_refuses() -> TestResult {
     let engine = bind(EngineSettings {
         concurrency: 1,
         max_waiting: 2,
@@ -97,7 +97,7 @@
         wait_for_load(&engine, 1, 2).await?;
         let fourth = step(&engine, &order("fourth", 0, &[1])).await?;
         assert_eq!(refusal(&fourth)?, TargetRefusalKind::Overloaded);
-        // Whatever starts from here on takes no time.
+        // Steps that start from now on take no time.
         engine.faults().update(|faults| faults.slow_factor = 0.0);
         let path = format!("/v1/sessions/{}", holder.label.session());
         call(Method::DELETE, engine.local_addr(), &path, &()).await
@@ -112,11 +112,10 @@
     Ok(())
 }
 
-// Symptom: a caller gets another request's tokens, or its own once more.
-// Sequence: two sessions take turns while answers are crossed and repeated.
-// Cause: a faulty engine; the label and the position of the answer tell.
+// Guards against undetected mix-ups of responses: an engine that returns the response of
+// another session, or the previous one, must return its label and position too.
 #[tokio::test]
-async fn crossed_and_repeated_answers_carry_the_wrong_place() -> TestResult {
+async fn crossed_and_repeated_responses_have_the_wrong_label_or_position() -> TestResult {
     let engine = bind(settings()).await?;
     step(&engine, &order("a", 0, &[1, 2])).await?;
     step(&engine, &order("b", 0, &[3])).await?;
@@ -136,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn an_imported_cache_goes_on_where_it_was_exported() -> TestResult {
+async fn an_imported_cache_resumes_at_the_exported_position() -> TestResult {
     let (old, new) = (bind(settings()).await?, bind(settings()).await?);
     let prompt = [5, 6, 7];
     let right = reference::generate(MODEL, VERSION, LAYERS, &prompt, 2);
@@ -144,15 +143,15 @@
     let path = format!("/v1/sessions/{}/cache", order("a", 0, &[]).label.session());
     let export: CacheExport = get(&old, &path).await?.json()?;
     call(Method::PUT, new.local_addr(), &path, &export).await?;
-    let answer: StepResponse = step(&new, &order("a", 3, &right[..1])).await?.json()?;
-    assert_eq!(answer.outputs, right[1..]);
+    let response: StepResponse = step(&new, &order("a", 3, &right[..1])).await?.json()?;
+    assert_eq!(response.outputs, right[1..]);
     let resumed: StepResponse = step(&new, &order("a", 0, &prompt)).await?.json()?;
     assert_eq!(resumed.outputs[2], right[0]);
     Ok(())
 }
 
 #[tokio::test]
-async fn a_leaving_engine_goes_on_with_old_sessions_only() -> TestResult {
+async fn a_leaving_engine_serves_existing_sessions_only() -> TestResult {
     let engine = bind(settings()).await?;
     step(&engine, &order("old", 0, &[1])).await?;
     engine.faults().update(|faults| faults.leaving = true);
@@ -163,9 +162,9 @@
     Ok(())
 }
 
-// Symptom: a range is unloaded by somebody who no longer holds the lease.
-// Sequence: an order under number 7, then a late one under number 6.
-// Cause: the engine ignores fencing; one that checks it refuses with 412.
+// Guards against an order by a host that no longer holds the lease: an engine that checks
+// fencing refuses a late order, here number 6 after 7, with status 412; one that ignores
+// it unloads the range.
 #[tokio::test]
 async fn only_an_engine_that_checks_fencing_refuses_an_old_order() -> TestResult {
     for fencing in [FencingMode::Checks, FencingMode::Ignores] {
@@ -202,7 +201,7 @@
 }
 
 #[tokio::test]
-async fn cache_events_come_with_gaps() -> TestResult {
+async fn dropped_cache_events_leave_gaps() -> TestResult {
     let engine = bind(EngineSettings {
         cached_prefixes: 2,
         chunk_inputs: 2,
@@ -224,11 +223,10 @@
     Ok(())
 }
 
-// Symptom: steps time out, and their answers turn up long afterwards.
-// Sequence: an engine stops, a step arrives, the engine goes on.
-// Cause: a frozen process keeps what has arrived and carries it out later.
+// Guards against a simulated freeze that drops work: a frozen engine keeps the steps that
+// have arrived and runs them once it resumes, even if their callers have given up.
 #[tokio::test]
-async fn a_frozen_engine_answers_only_after_the_thaw() -> TestResult {
+async fn a_frozen_engine_responds_only_after_it_resumes() -> TestResult {
     let engine = bind(settings()).await?;
     engine.faults().update(|faults| faults.frozen = true);
     let order = order("a", 0, &[1]);
@@ -236,15 +234,15 @@
     assert!(frozen.is_err());
     assert!(engine.record().is_empty());
     engine.faults().update(|faults| faults.frozen = false);
-    // The step whose caller has given up runs now.
+    // The step runs now although its caller has given up.
     let has_run = async {
         while engine.record().is_empty() {
             tokio::task::yield_now().await;
         }
     };
     timeout(DEADLINE, has_run).await?;
-    let answer = timeout(DEADLINE, step(&engine, &order)).await??;
-    assert_eq!(answer.status, StatusCode::OK);
+    let response = timeout(DEADLINE, step(&engine, &order)).await??;
+    assert_eq!(response.status, StatusCode::OK);
     assert_eq!(engine.record()[1].kind, StepKind::Resumed);
     Ok(())
 }
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins tell the truth: what they answer and record is what they did.
+//! Tests that the stand-ins return and record what they did.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use standins::json_client::{CallError, JsonReply, call};
 use standins::platform::{PlatformServer, PlatformSettings};
 use standins::reference;
-use standins::service::{ServiceAnswer, ServiceServer, ServiceSettings};
+use standins::service::{ServiceResponse, ServiceServer, ServiceSettings};
 use tokio::time::timeout;
 
 const MODEL: &str = "reader";
@@ -58,7 +58,7 @@
     Ok(engines)
 }
 
-/// Drives the chain of engines as a router without faults would.
+/// Runs a generation over the chain of engines like a router without faults.
 async fn generate(engines: &[EngineServer]) -> Result<Vec<u64>, CallError> {
     let mut tokens = Vec::new();
     let mut position = 0;
@@ -66,8 +66,8 @@
     while tokens.len() < TOKENS {
         let mut values = inputs.clone();
         for (stage, engine) in engines.iter().enumerate() {
-            let answer = step(engine.local_addr(), &order(stage, position, &values)).await?;
-            values = answer.json::<StepResponse>()?.outputs;
+            let response = step(engine.local_addr(), &order(stage, position, &values)).await?;
+            values = response.json::<StepResponse>()?.outputs;
         }
         position += inputs.len() as u64;
         let token = values.last().copied().ok_or("no output")?;
@@ -77,30 +77,29 @@
     Ok(tokens)
 }
 
-fn right_answer() -> Vec<u64> {
+fn expected_tokens() -> Vec<u64> {
     reference::generate(MODEL, VERSION, MODEL_LAYERS, &PROMPT, TOKENS)
 }
 
 #[tokio::test]
-async fn a_chain_of_engines_gives_the_reference_answer() -> TestResult {
+async fn a_chain_of_engines_returns_the_reference_response() -> TestResult {
     let engines = bind_engines().await?;
-    assert_eq!(generate(&engines).await?, right_answer());
+    assert_eq!(generate(&engines).await?, expected_tokens());
     let record = engines[1].record();
     assert_eq!(record.len(), PROMPT.len() + TOKENS - 1);
     assert!(record.iter().all(|entry| entry.layers == [4, 5, 6, 7]));
     Ok(())
 }
 
-// Symptom: a caller gets tokens that the model would not give.
-// Sequence: one stage leaves out a layer of its range, or runs one twice.
-// Cause: a faulty engine; a checker that compares with the reference sees it.
+// Guards against wrong tokens that go unnoticed: a stage that skips a layer or runs one
+// twice must change the response, so that a comparison with the reference detects it.
 #[tokio::test]
-async fn faulty_layers_change_the_answer() -> TestResult {
+async fn faulty_layers_change_the_response() -> TestResult {
     let engines = bind_engines().await?;
     engines[1]
         .faults()
         .update(|faults| faults.skip_layer = Some(5));
-    assert_ne!(generate(&engines).await?, right_answer());
+    assert_ne!(generate(&engines).await?, expected_tokens());
     assert!(
         engines[1]
             .record()
@@ -112,22 +111,21 @@
     engines[2]
         .faults()
         .update(|faults| faults.double_layer = Some(8));
-    assert_ne!(generate(&engines).await?, right_answer());
+    assert_ne!(generate(&engines).await?, expected_tokens());
     Ok(())
 }
 
-// Symptom: a position runs twice and every later token is wrong.
-// Sequence: a step runs, its answer is lost, and the step is sent again, twice
-// at once. Cause: an engine that does not look up what the session has run.
+// Guards against positions that run twice: a step whose response is lost is sent again,
+// here two times at once, and the engine must return the recorded outputs.
 #[tokio::test]
-async fn a_repeated_step_is_handed_back_and_one_ahead_is_refused() -> TestResult {
+async fn a_repeated_step_is_resumed_and_a_step_ahead_is_refused() -> TestResult {
     let engines = bind_engines().await?;
     let engine = &engines[0];
     engine.faults().update(|faults| faults.lose_answers = 1);
     let prefill = order(0, 0, &PROMPT);
     assert!(step(engine.local_addr(), &prefill).await.is_err());
 
-    // Two at once: neither may run the positions again.
+    // Neither of the two may run the positions again.
     let (first, second) = tokio::join!(
         step(engine.local_addr(), &prefill),
         step(engine.local_addr(), &prefill)
@@ -149,9 +147,8 @@
     Ok(())
 }
 
-// Symptom: a step goes on after a restart as if the KV cache had survived.
-// Sequence: a prefill, death, restart, the next decode step.
-// Cause: sessions that outlive the process which held them.
+// Guards against sessions that survive a crash: after a prefill, a crash and a restart,
+// the next decode step must be refused, as the KV cache is lost.
 #[tokio::test]
 async fn a_dead_engine_refuses_connections_and_comes_back_empty() -> TestResult {
     let engines = bind_engines().await?;
@@ -167,24 +164,23 @@
     timeout(DEADLINE, is_refused).await?;
     engine.revive();
     let next = order(0, PROMPT.len() as u64, &[1]);
-    let first_answer = async {
+    let first_response = async {
         loop {
             match step(engine.local_addr(), &next).await {
-                Ok(answer) => return answer,
+                Ok(response) => return response,
                 Err(_) => tokio::task::yield_now().await,
             }
         }
     };
-    let answer = timeout(DEADLINE, first_answer).await?;
-    assert_eq!(answer.status, StatusCode::CONFLICT);
+    let response = timeout(DEADLINE, first_response).await?;
+    assert_eq!(response.status, StatusCode::CONFLICT);
     Ok(())
 }
 
-// Symptom: a writer takes an append for failed, and its record shows up later.
-// Sequence: one append loses its answer, one is lost whole, two go well.
-// Cause: the connection breaks after the effect, or before it.
+// Guards against a stand-in that confuses two faults: an append whose response is lost
+// has taken effect and shows up later; an append that is lost itself has not.
 #[tokio::test]
-async fn an_append_whose_answer_is_lost_takes_effect() -> TestResult {
+async fn an_append_whose_response_is_lost_takes_effect() -> TestResult {
     let platform = PlatformServer::bind(any_port(), PlatformSettings::default()).await?;
     let addr = platform.local_addr();
     let path = "/v1/streams/claims/records";
@@ -210,9 +206,8 @@
     Ok(())
 }
 
-// Symptom: a call that failed for its caller has run, or the reverse.
-// Sequence: one call loses its answer, one is refused, one goes well.
-// Cause: the connection breaks after the effect.
+// Guards against records that differ from the calls that ran: a call whose response is
+// lost has run, a refused one has not.
 #[tokio::test]
 async fn a_service_records_each_call_that_ran() -> TestResult {
     let service = ServiceServer::bind(any_port(), ServiceSettings::default()).await?;
@@ -223,8 +218,8 @@
     service.faults().update(|faults| faults.refuse_calls = 1);
     let refused = call(Method::POST, addr, path, &"b").await?;
     assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
-    let answer: ServiceAnswer = call(Method::POST, addr, path, &"c").await?.json()?;
-    assert_eq!(answer.ran, 2);
+    let response: ServiceResponse = call(Method::POST, addr, path, &"c").await?.json()?;
+    assert_eq!(response.ran, 2);
     let bodies: Vec<_> = service
         .record()
         .into_iter()
