--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -62,9 +62,9 @@
             timed: !matches.get_flag("untimed"),
         }))?;
         writeln!(std::io::stdout(), "{}", line(seed, &report))?;
-        match report.broken.is_empty() {
+        match report.violations.is_empty() {
             true => std::fs::remove_dir_all(&folder)?,
-            false => keep(&folder, &report, &mut failed, seed)?,
+            false => save_history(&folder, &report, &mut failed, seed)?,
         }
     }
     writeln!(std::io::stdout(), "seeds that broke a promise: {failed:?}")?;
@@ -83,13 +83,13 @@
         report.history.calls.len(),
         answered(200..300),
         answered(300..600),
-        report.count(|ended| ended == CallOutcome::Cut),
-        report.count(|ended| ended == CallOutcome::Abandoned),
-        report.broken,
+        report.count(|ended| ended == CallOutcome::Interrupted),
+        report.count(|ended| ended == CallOutcome::TimedOut),
+        report.violations,
     )
 }
 
-fn keep(
+fn save_history(
     folder: &Path,
     report: &SoakReport,
     failed: &mut Vec<u64>,
--- a/standins/src/check/keys.rs
+++ b/standins/src/check/keys.rs
@@ -5,10 +5,10 @@
 use jackdawwick::collections::FastMap;
 
 use super::history::caller_request;
-use super::{BrokenPromise, CheckedPromise, RunHistory};
+use super::{Guarantee, RunHistory, Violation};
 
 /// Checks that no key of an organisation was carried out twice.
-pub fn check_at_most_once(history: &RunHistory) -> Vec<BrokenPromise> {
+pub fn check_at_most_once(history: &RunHistory) -> Vec<Violation> {
     let keyed = history.service_calls.iter().filter_map(|call| {
         let key = call.key.as_deref()?;
         Some((&*call.request, (&*call.organisation, key)))
@@ -21,12 +21,12 @@
             *runs.entry(*key).or_default() += 1;
         }
     }
-    let doubled = runs.into_iter().filter(|(_, count)| *count > 1);
-    doubled
+    let repeated = runs.into_iter().filter(|(_, count)| *count > 1);
+    repeated
         .map(|((organisation, key), count)| {
             let subject = format!("{organisation}, key {key}");
             let detail = format!("ran {count} times");
-            BrokenPromise::new(CheckedPromise::AtMostOnce, &subject, detail)
+            Violation::new(Guarantee::AtMostOnce, &subject, detail)
         })
         .collect()
 }
--- a/standins/src/check/layers.rs
+++ b/standins/src/check/layers.rs
@@ -13,22 +13,22 @@
 use jackdawwick::ids::{LayerIndex, RequestId, TokenPosition};
 
 use super::history::steps_by_request;
-use super::{BrokenPromise, CheckedPromise, GenerationHistory, RunHistory};
+use super::{GenerationHistory, Guarantee, RunHistory, Violation};
 use crate::engine::{StepKind, StepRecord};
 
 /// Checks the layers of every delivered token.
-pub fn check_layers(history: &RunHistory) -> Vec<BrokenPromise> {
+pub fn check_layers(history: &RunHistory) -> Vec<Violation> {
     let steps = steps_by_request(history);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for generation in &history.generations {
         let records = steps.get(&*generation.request);
         let records: Vec<&StepRecord> = records.into_iter().flatten().copied().collect();
         if let Err(detail) = check_generation(generation, &records) {
-            let promise = CheckedPromise::LayersOnce;
-            broken.push(BrokenPromise::new(promise, &generation.request, detail));
+            let guarantee = Guarantee::LayersOnce;
+            violations.push(Violation::new(guarantee, &generation.request, detail));
         }
     }
-    broken
+    violations
 }
 
 fn check_generation(generation: &GenerationHistory, records: &[&StepRecord]) -> Result<(), String> {
@@ -38,23 +38,23 @@
         .copied()
         .collect();
     check_sessions(&computed)?;
-    let mut at_position: FastMap<TokenPosition, Vec<&StepRecord>> = FastMap::default();
+    let mut by_position: FastMap<TokenPosition, Vec<&StepRecord>> = FastMap::default();
     for record in computed {
-        at_position.entry(record.position).or_default().push(record);
+        by_position.entry(record.position).or_default().push(record);
     }
     let tokens = generation.numbered_tokens();
     let prompt = generation.prompt.len() as u64;
     for (number, token) in &tokens {
         let position = prompt + number - 1;
-        let steps = at_position.get(&position).map_or(&[][..], Vec::as_slice);
+        let steps = by_position.get(&position).map_or(&[][..], Vec::as_slice);
         let ends = steps.iter().filter(|step| step.output == *token);
         check_chain(steps, ends, generation.layers)
             .map_err(|problem| format!("token {number}: {problem}"))?;
     }
     // The KV state that the first token rests on comes from the whole prompt.
-    let rests_on = if tokens.is_empty() { 0 } else { prompt - 1 };
-    for position in 0..rests_on {
-        let steps = at_position.get(&position).map_or(&[][..], Vec::as_slice);
+    let prefix = if tokens.is_empty() { 0 } else { prompt - 1 };
+    for position in 0..prefix {
+        let steps = by_position.get(&position).map_or(&[][..], Vec::as_slice);
         check_chain(steps, steps.iter(), generation.layers)
             .map_err(|problem| format!("prompt position {position}: {problem}"))?;
     }
@@ -107,10 +107,10 @@
         return step.stage == 0;
     }
     steps.iter().any(|before| {
-        let leads_here = before.request == step.request
+        let precedes = before.request == step.request
             && before.stage + 1 == step.stage
             && before.output == step.input
             && before.order < step.order;
-        leads_here && is_chain(steps, before, first)
+        precedes && is_chain(steps, before, first)
     })
 }
--- a/standins/src/check/leaving.rs
+++ b/standins/src/check/leaving.rs
@@ -4,33 +4,33 @@
 
 use jackdawwick::collections::FastSet;
 
-use super::{BrokenPromise, CheckedPromise, RunHistory, TargetLeave, TargetSteps};
+use super::{Guarantee, RunHistory, TargetLeave, TargetSteps, Violation};
 
 /// Checks that no session began on a leaving target later than `grace` after
 /// it was put down as leaving.
-pub fn check_leaving(history: &RunHistory, grace: Duration) -> Vec<BrokenPromise> {
-    let mut broken = Vec::new();
+pub fn check_leaving(history: &RunHistory, grace: Duration) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for leave in &history.leaves {
         let engines = history.steps.iter();
         for engine in engines.filter(|engine| engine.target == leave.target) {
-            broken.extend(late_sessions(engine, leave, grace));
+            violations.extend(late_sessions(engine, leave, grace));
         }
     }
-    broken
+    violations
 }
 
-fn late_sessions(engine: &TargetSteps, leave: &TargetLeave, grace: Duration) -> Vec<BrokenPromise> {
+fn late_sessions(engine: &TargetSteps, leave: &TargetLeave, grace: Duration) -> Vec<Violation> {
     let latest = leave.at_micros + grace.as_micros() as u64;
     let mut known = FastSet::default();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for record in &engine.records {
         let is_new = known.insert((&record.request, record.attempt, record.stage));
         if is_new && record.at_micros > latest {
             let late = Duration::from_micros(record.at_micros - leave.at_micros);
             let detail = format!("{} began there {late:.1?} later", record.request);
-            let promise = CheckedPromise::NoNewWork;
-            broken.push(BrokenPromise::new(promise, &engine.target, detail));
+            let guarantee = Guarantee::NoNewWork;
+            violations.push(Violation::new(guarantee, &engine.target, detail));
         }
     }
-    broken
+    violations
 }
--- a/standins/src/check/limits.rs
+++ b/standins/src/check/limits.rs
@@ -6,14 +6,14 @@
 /// Any span of this length counts.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time from the first naming of a limit until it has to be kept.
-const KEPT_AFTER: Duration = Duration::from_secs(3);
+const ENFORCED_AFTER: Duration = Duration::from_secs(3);
 /// What may come beyond the limit: a part of it, and requests besides.
 const EXCESS_FACTOR: f64 = 1.5;
 const EXCESS_REQUESTS: f64 = 5.0;
 
 /// A limit, from its first naming to its end.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct NamedLimit {
+pub struct AdvertisedLimit {
     /// Requests a second.
     pub per_second: f64,
     /// When the target first named it.
@@ -24,7 +24,7 @@
 
 /// More requests in a window than a limit allows.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct LimitBreach {
+pub struct LimitViolation {
     /// End of the window.
     pub at: Instant,
     /// Requests that came in it.
@@ -33,7 +33,7 @@
     pub allowed: f64,
 }
 
-impl NamedLimit {
+impl AdvertisedLimit {
     /// Requests that it allows in any window.
     pub fn allowed(&self) -> f64 {
         EXCESS_FACTOR * self.per_second * WINDOW.as_secs_f64() + EXCESS_REQUESTS
@@ -51,11 +51,11 @@
     /// The worst breach by requests that came at these moments, in order of time.
     /// Windows that end while the limit has to be kept count, also what came in
     /// them before the limit was named.
-    pub fn worst_breach(&self, arrivals: &[Instant]) -> Option<LimitBreach> {
+    pub fn worst_violation(&self, arrivals: &[Instant]) -> Option<LimitViolation> {
         let windows = self.windows(arrivals);
-        let broken = windows.filter(|(_, arrived)| *arrived as f64 > self.allowed());
-        let (at, arrived) = broken.max_by_key(|(_, arrived)| *arrived)?;
-        Some(LimitBreach {
+        let violations = windows.filter(|(_, arrived)| *arrived as f64 > self.allowed());
+        let (at, arrived) = violations.max_by_key(|(_, arrived)| *arrived)?;
+        Some(LimitViolation {
             at,
             arrived,
             allowed: self.allowed(),
@@ -64,7 +64,7 @@
 
     /// The windows that end with each request, and what came in them.
     fn windows(&self, arrivals: &[Instant]) -> impl Iterator<Item = (Instant, usize)> {
-        let judged = self.from + KEPT_AFTER..=self.until;
+        let judged = self.from + ENFORCED_AFTER..=self.until;
         let ends = arrivals.iter().copied().enumerate();
         let ends = ends.filter(move |(_, at)| judged.contains(at));
         ends.map(|(newest, at)| {
--- a/standins/src/check/refusals.rs
+++ b/standins/src/check/refusals.rs
@@ -4,7 +4,7 @@
 use jackdawwick::verdict::RunVerdict;
 
 use super::history::{caller_request, steps_by_request};
-use super::{BrokenPromise, CallHistory, CheckedPromise, RunHistory};
+use super::{CallHistory, Guarantee, RunHistory, Violation};
 
 /// Checks that no target ran anything of a request whose verdict is `NotRun`.
 ///
@@ -12,7 +12,7 @@
 /// answer says so: the others may rightly have run. A caller that sends a call
 /// without a key again after a lost answer hears about the last time alone, so
 /// such calls are not judged; with a key they are.
-pub fn check_not_run(history: &RunHistory) -> Vec<BrokenPromise> {
+pub fn check_not_run(history: &RunHistory) -> Vec<Violation> {
     let steps = steps_by_request(history);
     let calls = history
         .calls
@@ -27,15 +27,15 @@
     let ran = generations.filter_map(|generation| {
         let ran = steps.get(&*generation.request)?;
         let detail = format!("told that it did not run, but {} steps did", ran.len());
-        let promise = CheckedPromise::NotRun;
-        Some(BrokenPromise::new(promise, &generation.request, detail))
+        let guarantee = Guarantee::NotRun;
+        Some(Violation::new(guarantee, &generation.request, detail))
     });
     let refused_calls = history.service_calls.iter().filter(|call| is_not_run(call));
     let ran_calls = refused_calls
         .filter(|call| called.contains(&*call.request))
         .map(|call| {
             let detail = "told that it did not run, but it did";
-            BrokenPromise::new(CheckedPromise::NotRun, &call.request, detail)
+            Violation::new(Guarantee::NotRun, &call.request, detail)
         });
     ran.chain(ran_calls).collect()
 }
--- a/standins/src/check/answers.rs
+++ b/standins/src/check/responses.rs
@@ -2,31 +2,31 @@
 
 use jackdawwick::api::wire::StreamEvent;
 
-use super::{BrokenPromise, CheckedPromise, GenerationHistory, RunHistory};
+use super::{GenerationHistory, Guarantee, RunHistory, Violation};
 use crate::caller::HeardAnswer;
 use crate::reference;
 
 /// Checks that tokens are numbered without gaps, are the right ones for the
 /// request, and that the closing event counts them.
-pub fn check_whole_answers(history: &RunHistory) -> Vec<BrokenPromise> {
+pub fn check_complete_responses(history: &RunHistory) -> Vec<Violation> {
     let problems = history.generations.iter().filter_map(|generation| {
         let detail = check_tokens(generation).err()?;
-        let promise = CheckedPromise::WholeAnswer;
-        Some(BrokenPromise::new(promise, &generation.request, detail))
+        let guarantee = Guarantee::CompleteResponse;
+        Some(Violation::new(guarantee, &generation.request, detail))
     });
     problems.collect()
 }
 
 fn check_tokens(generation: &GenerationHistory) -> Result<(), String> {
-    let heard = generation.numbered_tokens();
+    let received = generation.numbered_tokens();
     let right = reference::generate(
         &generation.model,
         &generation.version,
         generation.layers,
         &generation.prompt,
-        heard.len(),
+        received.len(),
     );
-    for ((number, token), (expected, right)) in heard.iter().zip((0..).zip(right)) {
+    for ((number, token), (expected, right)) in received.iter().zip((0..).zip(right)) {
         if *number != expected {
             return Err(format!("token {number} came in place of token {expected}"));
         }
@@ -34,7 +34,7 @@
             return Err(format!("token {number} is {token} in place of {right}"));
         }
     }
-    let count = heard.len() as u64;
+    let count = received.len() as u64;
     match generation.closing_count() {
         Some(closing) if closing != count => {
             Err(format!("{count} tokens were heard and {closing} counted"))
@@ -49,8 +49,8 @@
 
 /// Checks that each request got exactly one final answer: only its last
 /// answer is closed, by its count or a refusal.
-pub fn check_answered_once(history: &RunHistory) -> Vec<BrokenPromise> {
-    let promise = CheckedPromise::AnsweredOnce;
+pub fn check_single_response(history: &RunHistory) -> Vec<Violation> {
+    let guarantee = Guarantee::SingleResponse;
     let generations = history.generations.iter().filter_map(|generation| {
         let finals = generation.answers.iter().filter(|answer| is_final(answer));
         let is_last_final = generation.answers.last().is_some_and(is_final);
@@ -58,7 +58,7 @@
             1 if is_last_final => return None,
             count => format!("{count} final answers"),
         };
-        Some(BrokenPromise::new(promise, &generation.request, problem))
+        Some(Violation::new(guarantee, &generation.request, problem))
     });
     let calls = history.service_calls.iter().filter_map(|call| {
         let unanswered = call.replies.iter().filter(|reply| reply.is_none());
@@ -66,15 +66,15 @@
             0 if !call.replies.is_empty() => return None,
             count => format!("{count} of {} calls unanswered", call.replies.len()),
         };
-        Some(BrokenPromise::new(promise, &call.request, problem))
+        Some(Violation::new(guarantee, &call.request, problem))
     });
     generations.chain(calls).collect()
 }
 
 fn is_final(answer: &HeardAnswer) -> bool {
-    let has_closing = answer.events.iter().any(|heard| {
+    let has_closing = answer.events.iter().any(|received| {
         matches!(
-            heard.event,
+            received.event,
             StreamEvent::Done { .. } | StreamEvent::Error(_)
         )
     });
--- a/standins/src/soak.rs
+++ b/standins/src/soak.rs
@@ -6,9 +6,8 @@
 //! and callers that keep their connections open until the host is gone. Links
 //! of the hosts to the log, of callers to hosts and of hosts to targets pass
 //! through a [`FaultLink`]; processes are stopped, paused, killed and started
-//! again. [`broken_promises`] then judges the history.
+//! again. [`find_violations`] then judges the history.
 
-mod answers;
 mod callers;
 mod check;
 mod configuration;
@@ -25,18 +24,21 @@
 mod plan;
 mod poison;
 mod probe;
+mod responses;
 mod run;
 mod target;
 
-pub use check::{BrokenPromise, broken_promises};
-pub use departure::{DepartureReport, play_departure_during_cut, play_departure_unread};
+pub use check::{Violation, find_violations};
+pub use departure::{
+    DepartureReport, run_departure_during_log_outage, run_departure_with_host_cut_off,
+};
 pub use engines::TargetFault;
 pub use history::{
     CallKind, CallOutcome, CallRecord, Disturbance, DisturbanceScope, ProbeRecord, RunRecord,
     SoakHistory, TargetDeparture, TargetLimit,
 };
-pub use limit::{LimitReport, play_limit};
+pub use limit::{LimitReport, run_rate_limit};
 pub use link::{FaultLink, LinkFault};
 pub use plan::{FaultAction, PlannedFault, draw_faults};
-pub use poison::{PoisonReport, play_poison};
+pub use poison::{PoisonReport, run_poison_request};
 pub use run::{SoakReport, SoakSettings, run_soak};
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -16,17 +16,17 @@
 use rand::{RngExt, SeedableRng};
 use tokio::net::TcpStream;
 
-use super::answers::{plain_body, stream_body};
 use super::configuration::{API_KEY, CALLED_HOST};
 use super::history::{CallKind, CallOutcome, CallRecord, SoakHistory};
+use super::responses::{plain_body, stream_body};
 
 /// How long a connection may take.
-const CONNECT_LIMIT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a caller waits for a plain answer, and for a stream.
 const PLAIN_DEADLINE: Duration = Duration::from_secs(4);
 const STREAM_DEADLINE: Duration = Duration::from_secs(8);
 /// Pause after a connection that could not be opened or broke.
-const BROKEN_PAUSE: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
 /// An entry host as its callers reach it.
 #[derive(Debug)]
@@ -38,14 +38,14 @@
 
 /// What all callers share.
 #[derive(Debug)]
-pub(super) struct CallerDesk {
+pub(super) struct CallerContext {
     pub(super) fronts: Vec<HostFront>,
     pub(super) history: Mutex<SoakHistory>,
     pub(super) stopped: AtomicBool,
     next_id: AtomicU64,
 }
 
-impl CallerDesk {
+impl CallerContext {
     pub(super) fn new(fronts: Vec<SocketAddr>) -> Self {
         let fronts = fronts.into_iter().map(|address| HostFront {
             address,
@@ -59,7 +59,7 @@
         }
     }
 
-    pub(super) fn draw_id(&self) -> String {
+    pub(super) fn allocate_id(&self) -> String {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         format!("call-{number:08}")
     }
@@ -74,7 +74,7 @@
     }
 
     /// A host in rotation; any if none is.
-    fn draw_host(&self, random: &mut StdRng) -> usize {
+    fn pick_host(&self, random: &mut StdRng) -> usize {
         let ready = |index: &usize| self.fronts[*index].ready.load(Ordering::Relaxed);
         let hosts = (0..self.fronts.len()).filter(ready).collect::<Vec<_>>();
         match hosts.as_slice() {
@@ -89,11 +89,11 @@
 
 /// Opens a connection; `None` if there is none in time.
 pub(super) async fn connect(address: SocketAddr) -> Option<CallerConnection> {
-    let connected = tokio::time::timeout(CONNECT_LIMIT, TcpStream::connect(address)).await;
+    let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
-    let shaken = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-    let (sender, connection) = shaken.ok()?;
+    let connected_http = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
+    let (sender, connection) = connected_http.ok()?;
     tokio::spawn(async move {
         if let Err(error) = connection.await {
             log::debug!("a caller's connection ended: {error}");
@@ -103,28 +103,28 @@
 }
 
 /// Calls until told to stop.
-pub(super) async fn keep_calling(desk: Arc<CallerDesk>, seed: u64) {
+pub(super) async fn call_until_stopped(context: Arc<CallerContext>, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
-    while !desk.is_stopped() {
-        let host = desk.draw_host(&mut random);
+    while !context.is_stopped() {
+        let host = context.pick_host(&mut random);
         let calls = random.random_range(1..40);
-        if let Some(connection) = connect(desk.fronts[host].address).await {
-            call_in_turn(&desk, connection, host, calls, &mut random).await;
+        if let Some(connection) = connect(context.fronts[host].address).await {
+            call_repeatedly(&context, connection, host, calls, &mut random).await;
         }
-        tokio::time::sleep(BROKEN_PAUSE).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
 /// Uses a connection until it is closed or `calls` are made.
-async fn call_in_turn(
-    desk: &CallerDesk,
+async fn call_repeatedly(
+    context: &CallerContext,
     mut connection: CallerConnection,
     host: usize,
     calls: u32,
     random: &mut StdRng,
 ) {
     for _ in 0..calls {
-        if desk.is_stopped() {
+        if context.is_stopped() {
             return;
         }
         let kind = match random.random_range(0..10) {
@@ -132,10 +132,10 @@
             4..7 => CallKind::NonIdempotent,
             _ => CallKind::Stream,
         };
-        let record = call(desk, &mut connection, host, kind).await;
-        let goes_on = matches!(record.outcome, CallOutcome::Answered { .. });
-        desk.history.lock().calls.push(record);
-        if !goes_on || connection.is_closed() {
+        let record = call(context, &mut connection, host, kind).await;
+        let continues = matches!(record.outcome, CallOutcome::Answered { .. });
+        context.history.lock().calls.push(record);
+        if !continues || connection.is_closed() {
             return;
         }
         let pause = Duration::from_millis(random.random_range(5..40));
@@ -145,12 +145,12 @@
 
 /// Makes one call of a kind.
 pub(super) async fn call(
-    desk: &CallerDesk,
+    context: &CallerContext,
     connection: &mut CallerConnection,
     host: usize,
     kind: CallKind,
 ) -> CallRecord {
-    let id = desk.draw_id();
+    let id = context.allocate_id();
     let (method, path, deadline) = match kind {
         CallKind::Idempotent => (Method::GET, "/read/one", PLAIN_DEADLINE),
         CallKind::NonIdempotent => (Method::POST, "/charge/one", PLAIN_DEADLINE),
@@ -160,9 +160,9 @@
     let sent = Instant::now();
     let answered = tokio::time::timeout(deadline, exchange(connection, request)).await;
     let outcome = match answered {
-        Err(_) => CallOutcome::Abandoned,
-        Ok(None) => CallOutcome::Cut,
-        Ok(Some(answer)) => judge(&id, kind, &answer),
+        Err(_) => CallOutcome::TimedOut,
+        Ok(None) => CallOutcome::Interrupted,
+        Ok(Some(answer)) => classify_response(&id, kind, &answer),
     };
     CallRecord {
         id,
@@ -176,21 +176,21 @@
 
 /// A complete answer.
 #[derive(Debug)]
-pub(super) struct WholeAnswer {
+pub(super) struct CompleteResponse {
     pub(super) status: u16,
     id: Option<String>,
     sealed: bool,
     body: Bytes,
 }
 
-impl WholeAnswer {
+impl CompleteResponse {
     /// Whether the body holds a word.
-    pub(super) fn says(&self, word: &str) -> bool {
+    pub(super) fn body_contains(&self, word: &str) -> bool {
         String::from_utf8_lossy(&self.body).contains(word)
     }
 }
 
-fn judge(id: &str, kind: CallKind, answer: &WholeAnswer) -> CallOutcome {
+fn classify_response(id: &str, kind: CallKind, answer: &CompleteResponse) -> CallOutcome {
     let expected = match kind {
         CallKind::Stream => stream_body(id),
         CallKind::Idempotent | CallKind::NonIdempotent => plain_body(id),
@@ -199,7 +199,7 @@
     CallOutcome::Answered {
         status: answer.status,
         sealed: answer.sealed,
-        own: own_body && answer.id.as_deref() == Some(id),
+        matching: own_body && answer.id.as_deref() == Some(id),
     }
 }
 
@@ -229,13 +229,13 @@
 pub(super) async fn exchange(
     connection: &mut CallerConnection,
     request: Option<Request<Full<Bytes>>>,
-) -> Option<WholeAnswer> {
+) -> Option<CompleteResponse> {
     connection.ready().await.ok()?;
     let response = connection.send_request(request?).await.ok()?;
     let (head, body) = response.into_parts();
     let body = body.collect().await.ok()?.to_bytes();
     let id = head.headers.get(names::ATTEMPT_ID);
-    Some(WholeAnswer {
+    Some(CompleteResponse {
         status: head.status.as_u16(),
         id: id.and_then(|id| id.to_str().ok()).map(str::to_owned),
         sealed: head.headers.contains_key(names::SERVER_SEAL),
--- a/standins/src/soak/configuration.rs
+++ b/standins/src/soak/configuration.rs
@@ -86,10 +86,10 @@
     seeds: &[SocketAddr],
 ) -> String {
     // Each host's metrics have an address of their own.
-    let questions = format!("127.0.1.{}:0", index + 1);
+    let readiness = format!("127.0.1.{}:0", index + 1);
     let body = json!({
         "node": name, "zone": zone, "seeds": seeds, "heartbeat_ms": HEARTBEAT_MS,
-        "listen": {"front": "127.0.0.1:0", "control": "127.0.0.1:0", "ready": questions},
+        "listen": {"front": "127.0.0.1:0", "control": "127.0.0.1:0", "ready": readiness},
         "provider": {"address": log},
         "limits": {"memory_mb": 260},
         "bounds": {
--- a/standins/src/soak/departure.rs
+++ b/standins/src/soak/departure.rs
@@ -6,27 +6,27 @@
 
 use tokio::task::JoinHandle;
 
-use super::callers::{CallerDesk, call, connect};
+use super::callers::{CallerContext, call, connect};
 use super::configuration::HEARTBEAT_MS;
 use super::history::{CallKind, CallOutcome, CallRecord};
 use super::link::LinkFault;
-use super::run::{LOOK_PAUSE, SoakRun, SoakSettings};
+use super::run::{POLL_INTERVAL, SoakRun, SoakSettings};
 
 /// Time within which a leaving target gets nothing new, from the moment at which the
 /// host could know.
 const DRAIN_BOUND: Duration = Duration::from_secs(2);
 /// How long hosts are without the log: entries lapse after three heartbeats.
-const CUT_TIME: Duration = Duration::from_millis(10 * HEARTBEAT_MS);
+const OUTAGE_TIME: Duration = Duration::from_millis(10 * HEARTBEAT_MS);
 /// How long entries that lapsed stay away after the log is back.
-const RETURN_TIME: Duration = Duration::from_millis(1500);
+const EXPIRED_TIME: Duration = Duration::from_millis(1500);
 /// How long callers go on after the bound.
-const WATCHED_TIME: Duration = Duration::from_secs(3);
+const OBSERVATION_TIME: Duration = Duration::from_secs(3);
 /// Callers at a host at once: more than its zone has plain targets, so that those of the
 /// other zone are used too.
 const CALLERS: usize = 8;
 /// Plain targets by their place: zones are taken in turn.
-const OWN_TARGETS: [usize; 2] = [0, 2];
-const FAR_TARGET: usize = 1;
+const LOCAL_TARGETS: [usize; 2] = [0, 2];
+const REMOTE_TARGET: usize = 1;
 
 /// What callers of a host and its targets saw.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -36,21 +36,21 @@
     /// Requests that reached it before.
     pub runs_before: usize,
     /// Requests that reached sound targets whose entries lapsed, before they were back.
-    pub runs_on_lapsed: usize,
+    pub runs_on_expired: usize,
     /// Calls that were not answered by a target.
     pub unanswered: usize,
 }
 
 /// Calls a host without a pause until told to stop.
-async fn call_host(desk: Arc<CallerDesk>, host: usize) -> Vec<CallRecord> {
+async fn call_host(context: Arc<CallerContext>, host: usize) -> Vec<CallRecord> {
     let mut records = Vec::new();
-    while !desk.is_stopped() {
-        let Some(mut connection) = connect(desk.fronts[host].address).await else {
-            tokio::time::sleep(LOOK_PAUSE).await;
+    while !context.is_stopped() {
+        let Some(mut connection) = connect(context.fronts[host].address).await else {
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         };
-        while !desk.is_stopped() && !connection.is_closed() {
-            let record = call(&desk, &mut connection, host, CallKind::Idempotent).await;
+        while !context.is_stopped() && !connection.is_closed() {
+            let record = call(&context, &mut connection, host, CallKind::Idempotent).await;
             records.push(record);
         }
     }
@@ -63,16 +63,18 @@
 /// # Errors
 ///
 /// If processes or sockets cannot be set up.
-pub async fn play_departure_unread(settings: SoakSettings) -> io::Result<DepartureReport> {
+pub async fn run_departure_with_host_cut_off(
+    settings: SoakSettings,
+) -> io::Result<DepartureReport> {
     let run = open(settings).await?;
     let callers = spawn_callers(&run, 0);
-    run.hosts[0].host.log.set(LinkFault::Silent);
-    tokio::time::sleep(CUT_TIME).await;
+    run.hosts[0].host.log.set(LinkFault::Blackhole);
+    tokio::time::sleep(OUTAGE_TIME).await;
     let left = Instant::now();
-    run.targets[OWN_TARGETS[1]].leave();
-    tokio::time::sleep(DRAIN_BOUND + WATCHED_TIME).await;
+    run.targets[LOCAL_TARGETS[1]].leave_silently();
+    tokio::time::sleep(DRAIN_BOUND + OBSERVATION_TIME).await;
     let records = stop_callers(&run, callers).await?;
-    Ok(report(&run, &records, OWN_TARGETS[1], left, left..left))
+    Ok(report(&run, &records, LOCAL_TARGETS[1], left, left..left))
 }
 
 /// All hosts of a zone lose the log, and the entries of its targets lapse; a target of
@@ -82,31 +84,33 @@
 /// # Errors
 ///
 /// If processes or sockets cannot be set up.
-pub async fn play_departure_during_cut(settings: SoakSettings) -> io::Result<DepartureReport> {
+pub async fn run_departure_during_log_outage(
+    settings: SoakSettings,
+) -> io::Result<DepartureReport> {
     let mut run = open(settings).await?;
     let callers = spawn_callers(&run, 0);
     let is_cut = |index: &usize| index.is_multiple_of(2);
     let cut = (0..run.hosts.len()).filter(is_cut).collect::<Vec<_>>();
     for host in &cut {
-        run.hosts[*host].host.log.set(LinkFault::Silent);
+        run.hosts[*host].host.log.set(LinkFault::Blackhole);
     }
-    tokio::time::sleep(CUT_TIME).await;
-    run.targets[FAR_TARGET].leave();
-    for target in OWN_TARGETS {
-        run.targets[target].leave();
+    tokio::time::sleep(OUTAGE_TIME).await;
+    run.targets[REMOTE_TARGET].leave_silently();
+    for target in LOCAL_TARGETS {
+        run.targets[target].leave_silently();
     }
     let back = Instant::now();
     for host in &cut {
         run.hosts[*host].host.log.set(LinkFault::None);
     }
-    tokio::time::sleep(RETURN_TIME).await;
+    tokio::time::sleep(EXPIRED_TIME).await;
     let returned = Instant::now();
-    for target in OWN_TARGETS {
+    for target in LOCAL_TARGETS {
         run.targets[target].return_to_log();
     }
-    tokio::time::sleep(DRAIN_BOUND + WATCHED_TIME).await;
+    tokio::time::sleep(DRAIN_BOUND + OBSERVATION_TIME).await;
     let records = stop_callers(&run, callers).await?;
-    Ok(report(&run, &records, FAR_TARGET, back, back..returned))
+    Ok(report(&run, &records, REMOTE_TARGET, back, back..returned))
 }
 
 async fn open(settings: SoakSettings) -> io::Result<SoakRun> {
@@ -118,7 +122,7 @@
 }
 
 fn spawn_callers(run: &SoakRun, host: usize) -> Vec<JoinHandle<Vec<CallRecord>>> {
-    let spawn = |_| tokio::spawn(call_host(run.desk.clone(), host));
+    let spawn = |_| tokio::spawn(call_host(run.context.clone(), host));
     (0..CALLERS).map(spawn).collect()
 }
 
@@ -126,7 +130,7 @@
     run: &SoakRun,
     callers: Vec<JoinHandle<Vec<CallRecord>>>,
 ) -> io::Result<Vec<CallRecord>> {
-    run.desk.stop();
+    run.context.stop();
     let mut records = Vec::new();
     for caller in callers {
         records.extend(caller.await.map_err(io::Error::other)?);
@@ -139,21 +143,21 @@
     records: &[CallRecord],
     target: usize,
     known: Instant,
-    lapsed: std::ops::Range<Instant>,
+    expired: std::ops::Range<Instant>,
 ) -> DepartureReport {
-    let runs = run.world.runs.lock();
+    let runs = run.registry.runs.lock();
     let on_left = runs
         .iter()
         .filter(|ran| ran.target == run.targets[target].id);
     let (late, before) = on_left.partition::<Vec<_>, _>(|ran| ran.at > known + DRAIN_BOUND);
-    let own = OWN_TARGETS.map(|target| &run.targets[target].id);
-    let on_lapsed = runs.iter().filter(|ran| own.contains(&&ran.target));
+    let own = LOCAL_TARGETS.map(|target| &run.targets[target].id);
+    let on_expired = runs.iter().filter(|ran| own.contains(&&ran.target));
     let is_answered = |outcome| matches!(outcome, CallOutcome::Answered { status: 200, .. });
     let unanswered = records.iter().filter(|record| !is_answered(record.outcome));
     DepartureReport {
         late_runs: late.len(),
         runs_before: before.len(),
-        runs_on_lapsed: on_lapsed.filter(|ran| lapsed.contains(&ran.at)).count(),
+        runs_on_expired: on_expired.filter(|ran| expired.contains(&ran.at)).count(),
         unanswered: unanswered.count(),
     }
 }
--- a/standins/src/soak/engines.rs
+++ b/standins/src/soak/engines.rs
@@ -19,11 +19,11 @@
     #[default]
     None,
     /// Runs it and closes the connection in place of an answer.
-    LosesAnswers,
+    DropsResponse,
     /// Answers with the id of another request.
-    AnswersOthers,
+    WrongRequestId,
     /// Breaks off in the middle of the body.
-    BreaksOff,
+    TruncatesBody,
     /// Says that it has not run it.
     Refuses,
     /// Answers 500 at once.
@@ -51,7 +51,7 @@
 
 /// The targets by their addresses, and what they ran.
 #[derive(Debug, Default)]
-pub(super) struct TargetWorld {
+pub(super) struct TargetRegistry {
     pub(super) states: Mutex<HashMap<SocketAddr, TargetState>>,
     /// Streams that run, by the call's id and the first engine.
     paths: Mutex<HashMap<(String, SocketAddr), RunningPath>>,
@@ -89,7 +89,7 @@
 }
 
 /// Whether the parts are every layer once, in order.
-pub(super) fn is_whole(path: &[PathPart]) -> bool {
+pub(super) fn covers_all_layers(path: &[PathPart]) -> bool {
     let mut next = 0;
     for part in path {
         if part.from != next || part.to <= part.from {
@@ -100,7 +100,7 @@
     next == LAYERS
 }
 
-impl TargetWorld {
+impl TargetRegistry {
     pub(super) fn state(&self, address: SocketAddr) -> TargetState {
         let states = self.states.lock();
         states.get(&address).cloned().unwrap_or_default()
@@ -116,8 +116,8 @@
     }
 
     /// The first engine of a path that cannot take its part.
-    pub(super) fn unable(&self, path: &[PathPart]) -> Option<SocketAddr> {
-        let able = |part: &&PathPart| {
+    pub(super) fn unavailable(&self, path: &[PathPart]) -> Option<SocketAddr> {
+        let is_available = |part: &&PathPart| {
             let state = self.state(part.address);
             let held = state
                 .layers
@@ -125,12 +125,12 @@
             state.reachable && !state.draining && held
         };
         path.iter()
-            .find(|part| !able(part))
+            .find(|part| !is_available(part))
             .map(|part| part.address)
     }
 
     /// A stream begins; gives its number.
-    pub(super) fn begin(&self, id: &str, parts: Vec<PathPart>) -> u64 {
+    pub(super) fn begin_stream(&self, id: &str, parts: Vec<PathPart>) -> u64 {
         let number = self.runs.lock().len() as u64;
         if let Some(first) = parts.first() {
             let key = (id.to_owned(), first.address);
@@ -140,7 +140,7 @@
     }
 
     /// A stream is over.
-    pub(super) fn end(&self, id: &str, number: u64) {
+    pub(super) fn end_stream(&self, id: &str, number: u64) {
         let mut paths = self.paths.lock();
         paths.retain(|(other, _), path| other != id || path.number != number);
     }
@@ -192,37 +192,37 @@
 }
 
 /// Carries an order out; gives the status and the body of the answer.
-pub(super) fn take_order(
-    world: &Arc<TargetWorld>,
+pub(super) fn execute_order(
+    registry: &Arc<TargetRegistry>,
     address: SocketAddr,
     body: &[u8],
 ) -> (u16, serde_json::Value) {
     match serde_json::from_slice::<OrderBody>(body) {
         Ok(OrderBody::Place { from, to, expected }) => {
-            let state = world.state(address);
+            let state = registry.state(address);
             match expected {
                 Some(expected) if expected != state.orders => (409, json!({})),
                 _ if state.busy => (409, json!({})),
                 _ => {
-                    tokio::spawn(load_layers(world.clone(), address, (from, to)));
+                    tokio::spawn(load_layers(registry.clone(), address, (from, to)));
                     (202, json!({}))
                 }
             }
         }
-        Ok(OrderBody::Repath { id, path }) => move_stream(world, address, &id, &path),
+        Ok(OrderBody::Repath { id, path }) => reroute_stream(registry, address, &id, &path),
         Err(error) => (400, json!({"error": error.to_string()})),
     }
 }
 
-async fn load_layers(world: Arc<TargetWorld>, address: SocketAddr, layers: (u32, u32)) {
+async fn load_layers(registry: Arc<TargetRegistry>, address: SocketAddr, layers: (u32, u32)) {
     const LOAD_TIME: Duration = Duration::from_millis(150);
-    let id = world.state(address).id;
-    world.update(address, |state| {
+    let id = registry.state(address).id;
+    registry.update(address, |state| {
         state.orders += 1;
         state.busy = true;
     });
     tokio::time::sleep(LOAD_TIME).await;
-    world.update(address, |state| {
+    registry.update(address, |state| {
         // A restart meanwhile leaves the engine empty.
         if state.id == id {
             state.layers = Some(layers);
@@ -231,19 +231,19 @@
     });
 }
 
-fn move_stream(
-    world: &TargetWorld,
+fn reroute_stream(
+    registry: &TargetRegistry,
     address: SocketAddr,
     id: &str,
     path: &str,
 ) -> (u16, serde_json::Value) {
-    let Some(path) = parse_path(path).filter(|path| is_whole(path)) else {
+    let Some(path) = parse_path(path).filter(|path| covers_all_layers(path)) else {
         return (400, json!({}));
     };
-    if let Some(unable) = world.unable(&path) {
-        return (409, json!({"address": unable}));
+    if let Some(unavailable) = registry.unavailable(&path) {
+        return (409, json!({"address": unavailable}));
     }
-    match world.paths.lock().get_mut(&(id.to_owned(), address)) {
+    match registry.paths.lock().get_mut(&(id.to_owned(), address)) {
         Some(running) => {
             running.parts = path;
             (202, json!({}))
--- a/standins/src/soak/event_stream.rs
+++ b/standins/src/soak/event_stream.rs
@@ -9,58 +9,58 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
 
-use super::answers::{event_count, event_text};
 use super::configuration::STALL_MS;
-use super::engines::{PathPart, TargetWorld};
+use super::engines::{PathPart, TargetRegistry};
+use super::responses::{event_count, event_text};
 use super::target::TargetBody;
 
 /// Pause between two events of a stream.
-const EVENT_PAUSE: Duration = Duration::from_millis(20);
+const EVENT_INTERVAL: Duration = Duration::from_millis(20);
 /// Pause between two looks at a path that stalls.
-const STALL_LOOK: Duration = Duration::from_millis(20);
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A stream under way.
 struct EventStream {
-    world: Arc<TargetWorld>,
+    registry: Arc<TargetRegistry>,
     id: String,
     number: u64,
     next: u64,
-    course: StreamCourse,
+    behavior: StreamBehavior,
 }
 
 /// How a stream goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum StreamCourse {
-    Sound,
+pub(super) enum StreamBehavior {
+    Complete,
     /// Breaks off in the middle of its next fifth event.
-    BreaksSoon,
-    Broken,
+    TruncatesSoon,
+    Truncated,
 }
 
 impl Drop for EventStream {
     fn drop(&mut self) {
-        self.world.end(&self.id, self.number);
+        self.registry.end_stream(&self.id, self.number);
     }
 }
 
 pub(super) fn stream_events(
-    world: Arc<TargetWorld>,
+    registry: Arc<TargetRegistry>,
     id: String,
     path: Vec<PathPart>,
     last_event: u64,
-    course: StreamCourse,
+    behavior: StreamBehavior,
 ) -> TargetBody {
-    let number = world.begin(&id, path);
+    let number = registry.begin_stream(&id, path);
     let events = EventStream {
-        world,
+        registry,
         id,
         number,
         next: last_event + 1,
-        course,
+        behavior,
     };
     let frames = stream::unfold(Some(events), |events| async move {
         let mut events = events?;
-        match events.produce().await {
+        match events.next_event().await {
             Ok(Some(text)) => Some((Ok(Frame::data(text)), Some(events))),
             Ok(None) => None,
             Err(error) => Some((Err(error), None)),
@@ -70,18 +70,18 @@
 }
 
 impl EventStream {
-    async fn produce(&mut self) -> io::Result<Option<Bytes>> {
-        if self.course == StreamCourse::Broken {
+    async fn next_event(&mut self) -> io::Result<Option<Bytes>> {
+        if self.behavior == StreamBehavior::Truncated {
             return Err(io::Error::other("breaks off"));
         }
         if self.next > event_count(&self.id) {
             return Ok(None);
         }
-        tokio::time::sleep(EVENT_PAUSE).await;
+        tokio::time::sleep(EVENT_INTERVAL).await;
         self.wait_for_path().await?;
         let text = event_text(&self.id, self.next);
-        if self.course == StreamCourse::BreaksSoon && self.next.is_multiple_of(5) {
-            self.course = StreamCourse::Broken;
+        if self.behavior == StreamBehavior::TruncatesSoon && self.next.is_multiple_of(5) {
+            self.behavior = StreamBehavior::Truncated;
             let half = text.len() / 2;
             return Ok(Some(Bytes::from(text).slice(..half)));
         }
@@ -93,11 +93,11 @@
     /// after a while.
     async fn wait_for_path(&self) -> io::Result<()> {
         let until = Instant::now() + Duration::from_millis(STALL_MS);
-        while self.world.stalled_at(&self.id, self.number).is_some() {
+        while self.registry.stalled_at(&self.id, self.number).is_some() {
             if Instant::now() >= until {
                 return Err(io::Error::other("stalled"));
             }
-            tokio::time::sleep(STALL_LOOK).await;
+            tokio::time::sleep(STALL_POLL_INTERVAL).await;
         }
         Ok(())
     }
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -12,20 +12,20 @@
 use super::log_service::LogFaults;
 use super::plan::{FaultAction, PlannedFault};
 use super::probe::Published;
-use super::run::{HostDown, LOOK_PAUSE, STOP_SLACK, SoakRun};
-use crate::check::NamedLimit;
+use super::run::{HostDown, POLL_INTERVAL, STOP_SLACK, SoakRun};
+use crate::check::AdvertisedLimit;
 
 /// How long a target serves on after it said that it leaves.
-const LEAVING_TIME: Duration = Duration::from_secs(4);
+const DRAIN_TIME: Duration = Duration::from_secs(4);
 /// How long a target names a limit at least: it has to be kept after 3 s.
-const LIMIT_TIME: Duration = Duration::from_secs(5);
+const MIN_LIMIT_TIME: Duration = Duration::from_secs(5);
 /// What a fault still touches after its end.
-const AFTERMATH: Duration = Duration::from_millis(300);
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// Something that ends a fault.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum FaultEnd {
-    Wake(usize),
+    Resume(usize),
     HealFront(usize),
     HealLog(usize),
     HealSeed(usize),
@@ -33,119 +33,121 @@
     HealTarget(usize),
     LiftLimit(usize),
     Replace(usize),
-    Left,
+    Departed,
     StopNext(usize),
 }
 
 impl SoakRun {
-    pub(super) async fn make_faults(&mut self, faults: Vec<PlannedFault>) -> io::Result<()> {
+    pub(super) async fn inject_faults(&mut self, faults: Vec<PlannedFault>) -> io::Result<()> {
         let started = Instant::now();
         let mut faults = faults.into_iter().peekable();
         while started.elapsed() < self.settings.length {
             let passed = started.elapsed();
             while let Some(fault) = faults.next_if(|fault| fault.at <= passed) {
-                self.begin(fault.action, fault.lasts).await?;
+                self.inject(fault.action, fault.duration).await?;
             }
-            self.end_poisoned();
-            self.end_due(Instant::now()).await?;
-            self.tend_hosts(Instant::now()).await?;
-            tokio::time::sleep(LOOK_PAUSE).await;
+            self.stop_crashed_engines();
+            self.end_due_faults(Instant::now()).await?;
+            self.supervise_hosts(Instant::now()).await?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
     /// Notes what is touched, and when it will be over.
-    fn disturb(&mut self, scope: DisturbanceScope, planned: bool, lasts: Duration) {
+    fn record_disturbance(&mut self, scope: DisturbanceScope, planned: bool, duration: Duration) {
         let now = Instant::now();
         self.disturbances.push(Disturbance {
             scope,
             planned,
             from: now,
-            until: now + lasts + AFTERMATH,
+            until: now + duration + SETTLE_TIME,
         });
     }
 
-    pub(super) fn end_after(&mut self, lasts: Duration, end: FaultEnd) {
-        self.ends.push((Instant::now() + lasts, end));
+    pub(super) fn end_after(&mut self, duration: Duration, end: FaultEnd) {
+        self.scheduled_ends.push((Instant::now() + duration, end));
     }
 
-    async fn begin(&mut self, action: FaultAction, lasts: Duration) -> io::Result<()> {
-        log::info!("{action:?} for {lasts:?}");
+    async fn inject(&mut self, action: FaultAction, duration: Duration) -> io::Result<()> {
+        log::info!("{action:?} for {duration:?}");
         let stop_time = Duration::from_secs(GRACE_S) + STOP_SLACK;
         match action {
             FaultAction::Kill(host) => {
-                self.disturb(DisturbanceScope::Host(host), false, lasts + STOP_SLACK);
-                self.take_down(host, true, lasts);
+                self.record_disturbance(DisturbanceScope::Host(host), false, duration + STOP_SLACK);
+                self.take_down(host, true, duration);
             }
             FaultAction::Stop(host) => {
-                self.disturb(DisturbanceScope::Host(host), true, stop_time);
+                self.record_disturbance(DisturbanceScope::Host(host), true, stop_time);
                 self.take_down(host, false, Duration::ZERO);
             }
-            FaultAction::StopEach => self.stop_next(0),
+            FaultAction::RollingRestart => self.stop_next(0),
             FaultAction::Pause(host) => {
-                self.disturb(DisturbanceScope::Host(host), false, lasts);
+                self.record_disturbance(DisturbanceScope::Host(host), false, duration);
                 self.hosts[host].host.signal(Signal::SIGSTOP);
                 self.hosts[host].paused = true;
-                self.end_after(lasts, FaultEnd::Wake(host));
+                self.end_after(duration, FaultEnd::Resume(host));
             }
             FaultAction::Hangup(host) => self.hosts[host].host.signal(Signal::SIGHUP),
             FaultAction::FrontLink(host, fault) => {
-                self.disturb(DisturbanceScope::Host(host), false, lasts);
+                self.record_disturbance(DisturbanceScope::Host(host), false, duration);
                 self.hosts[host].host.front.set(fault);
-                self.end_after(lasts, FaultEnd::HealFront(host));
+                self.end_after(duration, FaultEnd::HealFront(host));
             }
             FaultAction::LogLink(host, fault) => {
-                self.disturb(DisturbanceScope::Host(host), false, lasts);
+                self.record_disturbance(DisturbanceScope::Host(host), false, duration);
                 self.hosts[host].host.log.set(fault);
-                self.end_after(lasts, FaultEnd::HealLog(host));
+                self.end_after(duration, FaultEnd::HealLog(host));
             }
             FaultAction::SeedLink(host, fault) => {
-                self.disturb(DisturbanceScope::Host(host), false, lasts);
+                self.record_disturbance(DisturbanceScope::Host(host), false, duration);
                 self.hosts[host].host.seed.set(fault);
-                self.end_after(lasts, FaultEnd::HealSeed(host));
+                self.end_after(duration, FaultEnd::HealSeed(host));
             }
-            FaultAction::LogDead | FaultAction::LogBusy | FaultAction::LogSlow => {
-                self.disturb(DisturbanceScope::Log, false, lasts);
+            FaultAction::LogOffline | FaultAction::LogBusy | FaultAction::LogSlow => {
+                self.record_disturbance(DisturbanceScope::Log, false, duration);
                 self.log_faults.set(LogFaults {
-                    dead: action == FaultAction::LogDead,
+                    offline: action == FaultAction::LogOffline,
                     busy: action == FaultAction::LogBusy,
                     delay: match action {
                         FaultAction::LogSlow => Duration::from_millis(250),
                         _ => Duration::ZERO,
                     },
                 });
-                self.end_after(lasts, FaultEnd::HealService);
+                self.end_after(duration, FaultEnd::HealService);
             }
-            FaultAction::LogForgets => {
-                self.disturb(DisturbanceScope::Log, false, Duration::ZERO);
-                self.topics.forget_history();
+            FaultAction::LogTruncation => {
+                self.record_disturbance(DisturbanceScope::Log, false, Duration::ZERO);
+                self.topics.truncate_history();
             }
             FaultAction::TargetLink(target, fault) => {
-                self.disturb(DisturbanceScope::Target, false, lasts);
+                self.record_disturbance(DisturbanceScope::Target, false, duration);
                 let reachable = matches!(fault, LinkFault::None | LinkFault::Delay(_));
                 self.targets[target].link.set(fault);
                 self.targets[target].update(|state| state.reachable = reachable);
-                self.end_after(lasts, FaultEnd::HealTarget(target));
+                self.end_after(duration, FaultEnd::HealTarget(target));
             }
-            FaultAction::TargetSpoils(target, spoiled) => {
-                self.disturb(DisturbanceScope::Target, false, lasts);
-                self.targets[target].update(|state| state.fault = spoiled);
-                self.end_after(lasts, FaultEnd::HealTarget(target));
+            FaultAction::TargetMisbehaves(target, target_fault) => {
+                self.record_disturbance(DisturbanceScope::Target, false, duration);
+                self.targets[target].update(|state| state.fault = target_fault);
+                self.end_after(duration, FaultEnd::HealTarget(target));
             }
             FaultAction::TargetCrash(target) => {
-                let lasts = lasts.max(Duration::from_millis(3 * HEARTBEAT_MS));
-                self.disturb(DisturbanceScope::Target, false, lasts);
+                let duration = duration.max(Duration::from_millis(3 * HEARTBEAT_MS));
+                self.record_disturbance(DisturbanceScope::Target, false, duration);
                 self.targets[target].crash();
-                self.end_after(lasts, FaultEnd::Replace(target));
+                self.end_after(duration, FaultEnd::Replace(target));
             }
             FaultAction::TargetLeaves(target) => self.leave(target).await?,
-            FaultAction::TargetLimits(target, per_second) => self.limit(target, per_second, lasts),
+            FaultAction::TargetLimits(target, per_second) => {
+                self.start_limiting(target, per_second, duration);
+            }
             FaultAction::Publish => self.publish(),
         }
         Ok(())
     }
 
-    pub(super) fn take_down(&mut self, index: usize, killed: bool, lasts: Duration) {
+    pub(super) fn take_down(&mut self, index: usize, killed: bool, duration: Duration) {
         let run = &mut self.hosts[index];
         if run.down.is_some_and(|down| down.killed) {
             return;
@@ -158,7 +160,7 @@
         let now = Instant::now();
         run.down = Some(HostDown {
             since: now,
-            start_at: now + lasts,
+            start_at: now + duration,
             killed,
         });
     }
@@ -166,7 +168,7 @@
     fn stop_next(&mut self, host: usize) {
         const PAUSE: Duration = Duration::from_secs(1);
         let stop_time = Duration::from_secs(GRACE_S) + STOP_SLACK;
-        self.disturb(DisturbanceScope::Host(host), true, stop_time);
+        self.record_disturbance(DisturbanceScope::Host(host), true, stop_time);
         self.take_down(host, false, Duration::ZERO);
         if host + 1 < self.hosts.len() {
             self.end_after(PAUSE, FaultEnd::StopNext(host + 1));
@@ -174,38 +176,38 @@
     }
 
     async fn leave(&mut self, index: usize) -> io::Result<()> {
-        let new = self.new_target(self.targets[index].place.clone()).await?;
+        let new = self.new_target(self.targets[index].spec.clone()).await?;
         let old = std::mem::replace(&mut self.targets[index], new);
         old.drain();
         let departure = TargetDeparture {
             target: old.id.clone(),
             at: Instant::now(),
         };
-        self.desk.history.lock().departures.push(departure);
+        self.context.history.lock().departures.push(departure);
         self.leaving.push(old);
-        self.end_after(LEAVING_TIME, FaultEnd::Left);
+        self.end_after(DRAIN_TIME, FaultEnd::Departed);
         Ok(())
     }
 
     /// A target names a limit for a while, unless it names one already.
-    fn limit(&mut self, index: usize, per_second: u32, lasts: Duration) {
+    fn start_limiting(&mut self, index: usize, per_second: u32, duration: Duration) {
         let target = &self.targets[index];
-        if self.world.state(target.link.address).limit.is_some() {
+        if self.registry.state(target.link.address).limit.is_some() {
             return;
         }
         target.update(|state| state.limit = Some(per_second.to_string()));
         let from = Instant::now();
-        let lasts = lasts + LIMIT_TIME;
-        let limit = NamedLimit {
+        let duration = duration + MIN_LIMIT_TIME;
+        let limit = AdvertisedLimit {
             per_second: per_second.into(),
             from,
-            until: from + lasts,
+            until: from + duration,
         };
-        self.desk.history.lock().limits.push(TargetLimit {
+        self.context.history.lock().limits.push(TargetLimit {
             target: target.id.clone(),
             limit,
         });
-        self.end_after(lasts, FaultEnd::LiftLimit(index));
+        self.end_after(duration, FaultEnd::LiftLimit(index));
     }
 
     fn publish(&mut self) {
@@ -216,8 +218,8 @@
         self.published.send_replace(Published { version, at });
     }
 
-    pub(super) async fn end_due(&mut self, now: Instant) -> io::Result<()> {
-        let due = self.ends.extract_if(.., |(at, _)| *at <= now);
+    pub(super) async fn end_due_faults(&mut self, now: Instant) -> io::Result<()> {
+        let due = self.scheduled_ends.extract_if(.., |(at, _)| *at <= now);
         let due = due.map(|(_, end)| end).collect::<Vec<_>>();
         for end in due {
             self.end(end).await?;
@@ -227,7 +229,7 @@
 
     pub(super) async fn end(&mut self, end: FaultEnd) -> io::Result<()> {
         match end {
-            FaultEnd::Wake(host) => {
+            FaultEnd::Resume(host) => {
                 self.hosts[host].host.signal(Signal::SIGCONT);
                 self.hosts[host].paused = false;
             }
@@ -238,10 +240,10 @@
             FaultEnd::HealTarget(target) => self.heal_target(target),
             FaultEnd::LiftLimit(target) => self.targets[target].update(|state| state.limit = None),
             FaultEnd::Replace(target) => self.replace(target).await?,
-            FaultEnd::Left => {
+            FaultEnd::Departed => {
                 if !self.leaving.is_empty() {
                     let left = self.leaving.remove(0);
-                    left.lapse();
+                    left.remove_from_log();
                     left.crash();
                 }
             }
@@ -259,9 +261,9 @@
     }
 
     async fn replace(&mut self, target: usize) -> io::Result<()> {
-        self.targets[target].lapse();
-        let place = self.targets[target].place.clone();
-        self.targets[target] = self.new_target(place).await?;
+        self.targets[target].remove_from_log();
+        let spec = self.targets[target].spec.clone();
+        self.targets[target] = self.new_target(spec).await?;
         Ok(())
     }
 }
--- a/standins/src/soak/heartbeats.rs
+++ b/standins/src/soak/heartbeats.rs
@@ -7,36 +7,36 @@
 use serde_json::json;
 
 use super::configuration::{HEARTBEAT_MS, TARGETS};
-use super::engines::TargetWorld;
+use super::engines::TargetRegistry;
 use super::log_service::LogTopics;
-use super::target::TargetPlace;
+use super::target::TargetSpec;
 
 /// Writes a target's heartbeats for as long as it runs.
 pub(super) async fn write_heartbeats(
-    place: TargetPlace,
+    spec: TargetSpec,
     address: SocketAddr,
-    world: Arc<TargetWorld>,
+    registry: Arc<TargetRegistry>,
     topics: Arc<LogTopics>,
 ) {
     loop {
-        write_heartbeat(&place, address, &world, &topics);
+        write_heartbeat(&spec, address, &registry, &topics);
         tokio::time::sleep(Duration::from_millis(HEARTBEAT_MS)).await;
     }
 }
 
 /// Writes what is true of a target now.
 pub(super) fn write_heartbeat(
-    place: &TargetPlace,
+    spec: &TargetSpec,
     address: SocketAddr,
-    world: &TargetWorld,
+    registry: &TargetRegistry,
     topics: &LogTopics,
 ) {
-    let state = world.state(address);
+    let state = registry.state(address);
     let layers = state
         .layers
         .map(|(from, to)| json!({"from": from, "to": to}));
     let body = json!({
-        "service": place.service, "address": address, "zone": place.zone, "kind": place.kind,
+        "service": spec.service, "address": address, "zone": spec.zone, "kind": spec.kind,
         "state": if state.draining { "draining" } else { "ready" }, "layers": layers,
         "version": "v1", "slots": 64, "cold_remaining_ms": 0, "sequence": 1,
     });
--- a/standins/src/soak/history.rs
+++ b/standins/src/soak/history.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use crate::check::NamedLimit;
+use crate::check::AdvertisedLimit;
 
 /// Kind of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,16 +25,16 @@
         /// It bore a target's proof.
         sealed: bool,
         /// It bore the id of the call, and the body was the one of that id.
-        own: bool,
+        matching: bool,
     },
     /// The connection ended before the whole answer.
-    Cut,
+    Interrupted,
     /// There was no connection.
     NoConnection,
     /// The caller left at its deadline.
-    Abandoned,
+    TimedOut,
     /// A look at the configuration in force, judged as a [`ProbeRecord`].
-    Look,
+    Probe,
 }
 
 /// One call of a caller.
@@ -64,7 +64,7 @@
     /// When it arrived.
     pub at: Instant,
     /// Whether the engines of its path held every layer once, in order.
-    pub layers_whole: bool,
+    pub layers_covered: bool,
 }
 
 /// A target that said that it leaves.
@@ -82,7 +82,7 @@
     /// The target.
     pub target: String,
     /// The limit, and when it was named.
-    pub limit: NamedLimit,
+    pub limit: AdvertisedLimit,
 }
 
 /// One look at which configuration a host has in force.
@@ -95,7 +95,7 @@
     /// The version that was asked for.
     pub version: u64,
     /// Whether that version, or a later one, was in force.
-    pub in_force: bool,
+    pub active: bool,
     /// When the log had the version.
     pub published: Instant,
     /// When the question was sent.
@@ -144,7 +144,7 @@
     /// What was made to misbehave, and when.
     pub disturbances: Vec<Disturbance>,
     /// Processes that ended though nobody told them to.
-    pub own_ends: Vec<String>,
+    pub unexpected_exits: Vec<String>,
     /// Whether every host served again once all faults were over.
     pub recovered: bool,
 }
--- a/standins/src/soak/host.rs
+++ b/standins/src/soak/host.rs
@@ -17,7 +17,7 @@
 
 /// Where a process listens.
 #[derive(Debug, Clone, Copy, Deserialize)]
-pub(super) struct ListenLine {
+pub(super) struct ListenAddresses {
     callers: SocketAddr,
     pub(super) readiness: SocketAddr,
     peers: SocketAddr,
@@ -41,7 +41,7 @@
     /// Lives of the process so far.
     pub(super) incarnation: u32,
     /// Where the present process listens.
-    pub(super) listening: watch::Receiver<Option<ListenLine>>,
+    pub(super) listening: watch::Receiver<Option<ListenAddresses>>,
 }
 
 impl SoakHost {
@@ -78,7 +78,7 @@
     ///
     /// If it cannot be started or ends before it listens.
     pub(super) async fn start(&mut self, seeds: &[SocketAddr]) -> io::Result<()> {
-        const LISTEN_LIMIT: Duration = Duration::from_secs(10);
+        const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
         let settings = self.folder.join(format!("{}.json", self.name));
         let text = host_settings(&self.name, &self.zone, self.index, self.log.address, seeds);
         std::fs::write(&settings, text)?;
@@ -93,19 +93,19 @@
         let (sender, mut listening) = watch::channel(None);
         if let Some(output) = child.stdout.take() {
             let file = File::create(self.folder.join(log))?;
-            std::thread::spawn(move || keep_lines(output, file, &sender));
+            std::thread::spawn(move || save_output(output, file, &sender));
         }
         self.child = Some(child);
         self.listening = listening.clone();
         let waited = listening.wait_for(Option::is_some);
-        let line = match tokio::time::timeout(LISTEN_LIMIT, waited).await {
+        let line = match tokio::time::timeout(LISTEN_TIMEOUT, waited).await {
             Ok(Ok(line)) => *line,
             _ => None,
         };
         let line =
             line.ok_or_else(|| io::Error::other(format!("{} does not listen", self.name)))?;
-        self.front.lead_to(Some(line.callers));
-        self.seed.lead_to(Some(line.peers));
+        self.front.set_server(Some(line.callers));
+        self.seed.set_server(Some(line.peers));
         Ok(())
     }
 
@@ -144,10 +144,14 @@
 }
 
 /// Keeps a process's lines in a file and tells where it listens.
-fn keep_lines(output: ChildStdout, mut file: File, sender: &watch::Sender<Option<ListenLine>>) {
+fn save_output(
+    output: ChildStdout,
+    mut file: File,
+    sender: &watch::Sender<Option<ListenAddresses>>,
+) {
     for line in BufReader::new(output).lines().map_while(Result::ok) {
         if line.contains("\"listening\"")
-            && let Ok(listening) = serde_json::from_str::<ListenLine>(&line)
+            && let Ok(listening) = serde_json::from_str::<ListenAddresses>(&line)
         {
             sender.send_replace(Some(listening));
         }
--- a/standins/src/soak/link.rs
+++ b/standins/src/soak/link.rs
@@ -23,28 +23,28 @@
     /// Resets every connection, and new ones at once.
     Reset,
     /// Passes nothing on in either direction, and closes nothing.
-    Silent,
+    Blackhole,
     /// Passes nothing on towards the server.
-    CutTowards,
+    BlockToServer,
     /// Passes nothing on towards the client.
-    CutBack,
+    BlockToClient,
 }
 
 impl LinkFault {
-    fn holds(self, way: LinkWay) -> bool {
+    fn holds(self, direction: LinkDirection) -> bool {
         match self {
-            Self::Silent => true,
-            Self::CutTowards => way == LinkWay::Towards,
-            Self::CutBack => way == LinkWay::Back,
+            Self::Blackhole => true,
+            Self::BlockToServer => direction == LinkDirection::ToServer,
+            Self::BlockToClient => direction == LinkDirection::ToClient,
             Self::None | Self::Delay(_) | Self::Reset => false,
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LinkWay {
-    Towards,
-    Back,
+enum LinkDirection {
+    ToServer,
+    ToClient,
 }
 
 /// A running link; dropping it resets its connections.
@@ -78,7 +78,7 @@
     }
 
     /// Leads new connections to `server`; with `None` they are reset.
-    pub fn lead_to(&self, server: Option<SocketAddr>) {
+    pub fn set_server(&self, server: Option<SocketAddr>) {
         self.server.send_replace(server);
     }
 
@@ -109,7 +109,7 @@
         match listener.accept().await {
             Ok((client, _)) => {
                 let server = *servers.borrow();
-                tokio::spawn(carry(client, server, faults.clone()));
+                tokio::spawn(relay(client, server, faults.clone()));
             }
             Err(error) => {
                 log::warn!("a link cannot take a connection: {error}");
@@ -119,7 +119,7 @@
     }
 }
 
-async fn carry(
+async fn relay(
     client: TcpStream,
     server: Option<SocketAddr>,
     mut faults: watch::Receiver<LinkFault>,
@@ -131,33 +131,43 @@
         return;
     }
     // A link that passes nothing takes connections and carries nothing.
-    let passes = |fault: &LinkFault| !fault.holds(LinkWay::Towards);
+    let passes = |fault: &LinkFault| !fault.holds(LinkDirection::ToServer);
     if faults.wait_for(passes).await.is_err() {
         return;
     }
-    let Ok(far) = TcpStream::connect(server).await else {
+    let Ok(upstream) = TcpStream::connect(server).await else {
         return;
     };
     let _ = (
         client.set_nodelay(true),
-        far.set_nodelay(true),
-        far.set_zero_linger(),
+        upstream.set_nodelay(true),
+        upstream.set_zero_linger(),
     );
     let (client_read, client_write) = client.into_split();
-    let (far_read, far_write) = far.into_split();
-    let towards = pump(client_read, far_write, LinkWay::Towards, faults.clone());
-    let back = pump(far_read, client_write, LinkWay::Back, faults.clone());
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let to_server = copy_direction(
+        client_read,
+        upstream_write,
+        LinkDirection::ToServer,
+        faults.clone(),
+    );
+    let to_client = copy_direction(
+        upstream_read,
+        client_write,
+        LinkDirection::ToClient,
+        faults.clone(),
+    );
     tokio::select! {
-        _ = async { tokio::try_join!(towards, back) } => {}
+        _ = async { tokio::try_join!(to_server, to_client) } => {}
         // Ends as well when the link is dropped.
         _ = faults.wait_for(|fault| *fault == LinkFault::Reset) => {}
     }
 }
 
-async fn pump(
+async fn copy_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    way: LinkWay,
+    direction: LinkDirection,
     mut faults: watch::Receiver<LinkFault>,
 ) -> io::Result<()> {
     let mut chunk = vec![0; CHUNK_BYTES];
@@ -165,7 +175,7 @@
         let count = from.read(&mut chunk).await?;
         let gone = |_| io::Error::from(io::ErrorKind::ConnectionReset);
         let fault = *faults
-            .wait_for(|fault| !fault.holds(way))
+            .wait_for(|fault| !fault.holds(direction))
             .await
             .map_err(gone)?;
         if let LinkFault::Delay(delay) = fault {
--- a/standins/src/soak/log_service.rs
+++ b/standins/src/soak/log_service.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct LogFaults {
     /// Refuses connections.
-    pub(super) dead: bool,
+    pub(super) offline: bool,
     /// Answers 503.
     pub(super) busy: bool,
     /// Waits before each answer.
@@ -44,7 +44,7 @@
 #[derive(Debug, Default)]
 pub(super) struct LogTopics {
     partitions: Mutex<HashMap<String, Partition>>,
-    news: Notify,
+    updates: Notify,
 }
 
 impl LogTopics {
@@ -64,11 +64,11 @@
         }
         partition.records.push((key.to_owned(), value));
         drop(partitions);
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
     }
 
     /// Forgets every record but the newest of each key.
-    pub(super) fn forget_history(&self) {
+    pub(super) fn truncate_history(&self) {
         for partition in self.partitions.lock().values_mut() {
             partition.first = partition.end();
             partition.records.clear();
@@ -123,12 +123,12 @@
     faults: FaultSwitch<LogFaults>,
 ) -> io::Result<HttpServer> {
     let switch = faults.clone();
-    let handler = move |call| answer(topics.clone(), switch.get(), call);
+    let handler = move |call| respond(topics.clone(), switch.get(), call);
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    HttpServer::bind(address, faults, |faults| faults.dead, handler).await
+    HttpServer::bind(address, faults, |faults| faults.offline, handler).await
 }
 
-async fn answer(topics: Arc<LogTopics>, faults: LogFaults, call: ServedCall) -> CallOutcome {
+async fn respond(topics: Arc<LogTopics>, faults: LogFaults, call: ServedCall) -> CallOutcome {
     tokio::time::sleep(faults.delay).await;
     let topic = call.query_text("topic").unwrap_or_default().to_owned();
     match call.path().as_slice() {
@@ -144,7 +144,7 @@
         ["jackdawwick", "log-read"] => {
             let from = call.query_number("from").unwrap_or(0);
             let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0));
-            read_when_there(&topics, &topic, from, wait).await
+            read_or_wait(&topics, &topic, from, wait).await
         }
         _ => CallOutcome::empty(StatusCode::NOT_FOUND),
     }
@@ -162,19 +162,14 @@
     whole.then_some((key, value))
 }
 
-async fn read_when_there(
-    topics: &LogTopics,
-    topic: &str,
-    from: u64,
-    wait: Duration,
-) -> CallOutcome {
+async fn read_or_wait(topics: &LogTopics, topic: &str, from: u64, wait: Duration) -> CallOutcome {
     let until = tokio::time::Instant::now() + wait;
     loop {
-        let news = topics.news.notified();
+        let updates = topics.updates.notified();
         let Some((found, body)) = topics.read(topic, from) else {
             return CallOutcome::empty(StatusCode::GONE);
         };
-        if found || tokio::time::timeout_at(until, news).await.is_err() {
+        if found || tokio::time::timeout_at(until, updates).await.is_err() {
             return CallOutcome::Answer {
                 status: StatusCode::OK,
                 body,
--- a/standins/src/soak/plan.rs
+++ b/standins/src/soak/plan.rs
@@ -16,7 +16,7 @@
     /// SIGTERM, and a new process once it has ended.
     Stop(usize),
     /// SIGTERM for one host after the other.
-    StopEach,
+    RollingRestart,
     /// SIGSTOP, and SIGCONT after the time.
     Pause(usize),
     /// SIGHUP.
@@ -28,13 +28,13 @@
     /// The link under which a host is known as a seed.
     SeedLink(usize, LinkFault),
     /// The log service refuses connections.
-    LogDead,
+    LogOffline,
     /// The log service answers 503.
     LogBusy,
     /// The log service is slow.
     LogSlow,
     /// The log service forgets its history.
-    LogForgets,
+    LogTruncation,
     /// The link to a target.
     TargetLink(usize, LinkFault),
     /// A target is down, and another starts after the time.
@@ -42,7 +42,7 @@
     /// A target says that it leaves; another starts at once.
     TargetLeaves(usize),
     /// A target spoils its answers.
-    TargetSpoils(usize, TargetFault),
+    TargetMisbehaves(usize, TargetFault),
     /// A target limits its rate to so many requests a second.
     TargetLimits(usize, u32),
     /// A new version of the configuration.
@@ -55,7 +55,7 @@
     /// Time from the start of the run.
     pub at: Duration,
     /// How long it lasts, where it has a length.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// What happens.
     pub action: FaultAction,
 }
@@ -73,7 +73,7 @@
     while at < length.as_secs_f64() {
         faults.push(PlannedFault {
             at: Duration::from_secs_f64(at),
-            lasts: Duration::from_secs_f64(random.random_range(SHORTEST..LONGEST)),
+            duration: Duration::from_secs_f64(random.random_range(SHORTEST..LONGEST)),
             action: draw_action(&mut random, hosts, targets),
         });
         let quiet = if random.random_bool(0.06) { 5.0 } else { 0.0 };
@@ -85,44 +85,44 @@
 fn draw_action(random: &mut StdRng, hosts: usize, targets: usize) -> FaultAction {
     let host = random.random_range(0..hosts);
     let target = random.random_range(0..targets);
-    let link = draw_link(random);
+    let link = draw_link_fault(random);
     match random.random_range(0..26) {
         0 | 1 => FaultAction::Kill(host),
         2 | 3 => FaultAction::Stop(host),
-        4 => FaultAction::StopEach,
+        4 => FaultAction::RollingRestart,
         5 => FaultAction::Pause(host),
         6 => FaultAction::Hangup(host),
         7 | 8 => FaultAction::FrontLink(host, link),
         9 | 10 => FaultAction::LogLink(host, link),
         11 => FaultAction::SeedLink(host, link),
-        12 => FaultAction::LogDead,
+        12 => FaultAction::LogOffline,
         13 => FaultAction::LogBusy,
         14 => FaultAction::LogSlow,
-        15 => FaultAction::LogForgets,
+        15 => FaultAction::LogTruncation,
         16 | 17 => FaultAction::TargetLink(target, link),
         18 => FaultAction::TargetCrash(target),
         19 => FaultAction::TargetLeaves(target),
-        20 | 21 => FaultAction::TargetSpoils(target, draw_spoiled(random)),
+        20 | 21 => FaultAction::TargetMisbehaves(target, draw_target_fault(random)),
         24 | 25 => FaultAction::TargetLimits(target, random.random_range(40..80)),
         _ => FaultAction::Publish,
     }
 }
 
-fn draw_link(random: &mut StdRng) -> LinkFault {
+fn draw_link_fault(random: &mut StdRng) -> LinkFault {
     match random.random_range(0..5) {
         0 => LinkFault::Delay(Duration::from_millis(random.random_range(5..400))),
         1 => LinkFault::Reset,
-        2 => LinkFault::Silent,
-        3 => LinkFault::CutTowards,
-        _ => LinkFault::CutBack,
+        2 => LinkFault::Blackhole,
+        3 => LinkFault::BlockToServer,
+        _ => LinkFault::BlockToClient,
     }
 }
 
-fn draw_spoiled(random: &mut StdRng) -> TargetFault {
+fn draw_target_fault(random: &mut StdRng) -> TargetFault {
     match random.random_range(0..5) {
-        0 => TargetFault::LosesAnswers,
-        1 => TargetFault::AnswersOthers,
-        2 => TargetFault::BreaksOff,
+        0 => TargetFault::DropsResponse,
+        1 => TargetFault::WrongRequestId,
+        2 => TargetFault::TruncatesBody,
         3 => TargetFault::Refuses,
         _ => TargetFault::Fails,
     }
--- a/standins/src/soak/poison.rs
+++ b/standins/src/soak/poison.rs
@@ -7,23 +7,23 @@
 use http::Method;
 use nix::sys::signal::Signal;
 
-use super::callers::{CallerDesk, build_request, connect, exchange};
+use super::callers::{CallerContext, build_request, connect, exchange};
 use super::faults::FaultEnd;
-use super::run::{LOOK_PAUSE, SoakRun, SoakSettings};
+use super::run::{POLL_INTERVAL, SoakRun, SoakSettings};
 
 /// Path of the request that engines do not survive.
 pub(super) const POISON_PATH: &str = "/draft/poison";
 /// How long an engine takes to crash: the request has begun to run then.
 pub(super) const CRASH_TIME: Duration = Duration::from_millis(60);
 /// Time after which another engine takes the place of one that crashed.
-const REPLACED_AFTER: Duration = Duration::from_millis(1500);
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(1500);
 /// How long a caller waits for an answer.
 const DEADLINE: Duration = Duration::from_secs(4);
 /// Time within which all hosts refuse what any of them has found out, also after a
 /// start of all of them.
-const KNOWN_EVERYWHERE: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// How long it may take until the request is refused at first.
-const FIRST_REFUSAL: Duration = Duration::from_secs(30);
+const FIRST_REFUSAL_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What became of a request that engines do not survive.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -44,22 +44,22 @@
 /// # Errors
 ///
 /// If processes or sockets cannot be set up.
-pub async fn play_poison(settings: SoakSettings) -> io::Result<PoisonReport> {
+pub async fn run_poison_request(settings: SoakSettings) -> io::Result<PoisonReport> {
     let mut run = SoakRun::open(settings).await?;
     if !run.wait_until_served().await {
         return Err(io::Error::other("the hosts do not serve"));
     }
-    let until = Instant::now() + FIRST_REFUSAL;
+    let until = Instant::now() + FIRST_REFUSAL_TIMEOUT;
     for host in (0..run.hosts.len()).cycle() {
         if run.is_refused_by(host).await? || Instant::now() >= until {
             break;
         }
         // What this host saw is known to the next one.
-        run.tend(KNOWN_EVERYWHERE).await?;
+        run.run_for(PROPAGATION_TIME).await?;
     }
     let crashed = run.crashed;
-    run.tend(KNOWN_EVERYWHERE).await?;
-    let refused_by = run.ask_all().await?;
+    run.run_for(PROPAGATION_TIME).await?;
+    let refused_by = run.count_refusing_hosts().await?;
     for host in &mut run.hosts {
         host.host.signal(Signal::SIGKILL);
     }
@@ -67,9 +67,9 @@
         run.take_down(host, true, Duration::ZERO);
     }
     run.heal_all().await?;
-    run.tend(KNOWN_EVERYWHERE).await?;
-    let refused_after_restart = run.ask_all().await?;
-    run.tend(CRASH_TIME * 2).await?;
+    run.run_for(PROPAGATION_TIME).await?;
+    let refused_after_restart = run.count_refusing_hosts().await?;
+    run.run_for(CRASH_TIME * 2).await?;
     Ok(PoisonReport {
         crashed,
         refused_by,
@@ -79,18 +79,18 @@
 }
 
 /// Whether a host refuses the request.
-async fn is_refused(desk: Arc<CallerDesk>, host: usize) -> bool {
-    let Some(mut connection) = connect(desk.fronts[host].address).await else {
+async fn is_refused(context: Arc<CallerContext>, host: usize) -> bool {
+    let Some(mut connection) = connect(context.fronts[host].address).await else {
         return false;
     };
-    let request = build_request(&desk.draw_id(), Method::POST, POISON_PATH, DEADLINE);
+    let request = build_request(&context.allocate_id(), Method::POST, POISON_PATH, DEADLINE);
     let answer = exchange(&mut connection, request).await;
-    answer.is_some_and(|answer| answer.status == 502 && answer.says("poison_request"))
+    answer.is_some_and(|answer| answer.status == 502 && answer.body_contains("poison_request"))
 }
 
 impl SoakRun {
     /// Hosts that refuse the request.
-    async fn ask_all(&mut self) -> io::Result<usize> {
+    async fn count_refusing_hosts(&mut self) -> io::Result<usize> {
         let mut refusing = 0;
         for host in 0..self.hosts.len() {
             refusing += usize::from(self.is_refused_by(host).await?);
@@ -100,33 +100,33 @@
 
     /// Sends the request to a host, whose engines may crash meanwhile.
     async fn is_refused_by(&mut self, host: usize) -> io::Result<bool> {
-        let asked = tokio::spawn(is_refused(self.desk.clone(), host));
+        let asked = tokio::spawn(is_refused(self.context.clone(), host));
         while !asked.is_finished() {
-            self.tend(LOOK_PAUSE).await?;
+            self.run_for(POLL_INTERVAL).await?;
         }
         asked.await.map_err(io::Error::other)
     }
 
     /// Lets some time pass, and replaces engines that crash meanwhile.
-    async fn tend(&mut self, time: Duration) -> io::Result<()> {
+    async fn run_for(&mut self, time: Duration) -> io::Result<()> {
         let until = Instant::now() + time;
         while Instant::now() < until {
-            self.end_poisoned();
-            self.end_due(Instant::now()).await?;
-            tokio::time::sleep(LOOK_PAUSE.min(time)).await;
+            self.stop_crashed_engines();
+            self.end_due_faults(Instant::now()).await?;
+            tokio::time::sleep(POLL_INTERVAL.min(time)).await;
         }
         Ok(())
     }
 
     /// Ends the engines that have begun to run the request.
-    pub(super) fn end_poisoned(&mut self) {
+    pub(super) fn stop_crashed_engines(&mut self) {
         for index in 0..self.targets.len() {
             if !self.targets[index].take_poisoned() {
                 continue;
             }
             self.targets[index].end();
             self.crashed += 1;
-            self.end_after(REPLACED_AFTER, FaultEnd::Replace(index));
+            self.end_after(REPLACEMENT_DELAY, FaultEnd::Replace(index));
         }
     }
 }
--- a/standins/src/soak/answers.rs
+++ b/standins/src/soak/responses.rs
@@ -3,7 +3,7 @@
 use std::hash::{Hash, Hasher};
 
 /// A number that depends on the id only.
-fn number_of(id: &str) -> u64 {
+fn hash_of(id: &str) -> u64 {
     let mut hasher = std::hash::DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish()
@@ -11,20 +11,20 @@
 
 /// The whole body of a plain answer.
 pub(super) fn plain_body(id: &str) -> String {
-    let repeats = 1 + number_of(id) % 40;
+    let repeats = 1 + hash_of(id) % 40;
     (0..repeats).map(|index| format!("{id}:{index};")).collect()
 }
 
 /// Number of events of a stream.
 pub(super) fn event_count(id: &str) -> u64 {
-    4 + number_of(id) % 40
+    4 + hash_of(id) % 40
 }
 
 /// One event of a stream, numbered from 1.
 pub(super) fn event_text(id: &str, number: u64) -> String {
     format!(
         "id: {number}\ndata: {id}-{number}-{:x}\n\n",
-        number_of(id) ^ number
+        hash_of(id) ^ number
     )
 }
 
--- a/standins/src/soak/run.rs
+++ b/standins/src/soak/run.rs
@@ -9,25 +9,25 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::callers::{CallerDesk, call, connect, keep_calling};
-use super::check::{BrokenPromise, broken_promises};
+use super::callers::{CallerContext, call, call_until_stopped, connect};
+use super::check::{Violation, find_violations};
 use super::configuration::{CONFIGURATION, ENGINE_SERVICE, GRACE_S, PLAIN_SERVICE, configuration};
-use super::engines::TargetWorld;
+use super::engines::TargetRegistry;
 use super::faults::FaultEnd;
 use super::history::{CallKind, CallOutcome, Disturbance, SoakHistory};
 use super::host::SoakHost;
 use super::log_service::{LogFaults, LogTopics, serve_log};
 use super::plan::draw_faults;
-use super::probe::{HostLife, Published, balance, is_ready, look_at_versions};
-use super::target::{Target, TargetPlace};
+use super::probe::{HostProcess, Published, balance, is_ready, probe_versions};
+use super::target::{Target, TargetSpec};
 use crate::faults::FaultSwitch;
 use crate::http_server::HttpServer;
 
 /// How long a start and the recovery at the end may take. Both take about two
 /// seconds; a machine that is busy with other things takes longer.
-const RECOVERY_LIMIT: Duration = Duration::from_secs(30);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Pause between two looks while waiting for something.
-pub(super) const LOOK_PAUSE: Duration = Duration::from_millis(50);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time that a stopping process may take beyond its grace time.
 pub(super) const STOP_SLACK: Duration = Duration::from_secs(1);
 
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone)]
 pub struct SoakReport {
     /// Promises that were broken.
-    pub broken: Vec<BrokenPromise>,
+    pub violations: Vec<Violation>,
     /// Faults made.
     pub faults: usize,
     /// Everything that was seen.
@@ -75,7 +75,7 @@
 /// A host, and what the run did to it.
 pub(super) struct RunHost {
     pub(super) host: SoakHost,
-    life: watch::Sender<HostLife>,
+    process: watch::Sender<HostProcess>,
     /// When it was told to stop or killed; `None` while it should run.
     pub(super) down: Option<HostDown>,
     pub(super) paused: bool,
@@ -95,16 +95,16 @@
     pub(super) hosts: Vec<RunHost>,
     pub(super) targets: Vec<Target>,
     pub(super) leaving: Vec<Target>,
-    pub(super) drawn_targets: usize,
+    pub(super) started_targets: usize,
     pub(super) topics: Arc<LogTopics>,
     pub(super) log_faults: FaultSwitch<LogFaults>,
     _log: HttpServer,
-    pub(super) world: Arc<TargetWorld>,
-    pub(super) desk: Arc<CallerDesk>,
+    pub(super) registry: Arc<TargetRegistry>,
+    pub(super) context: Arc<CallerContext>,
     pub(super) published: watch::Sender<Published>,
-    pub(super) ends: Vec<(Instant, FaultEnd)>,
+    pub(super) scheduled_ends: Vec<(Instant, FaultEnd)>,
     pub(super) disturbances: Vec<Disturbance>,
-    pub(super) own_ends: Vec<String>,
+    pub(super) unexpected_exits: Vec<String>,
     /// Engines that did not survive a request.
     pub(super) crashed: usize,
 }
@@ -116,7 +116,7 @@
 /// If processes or sockets cannot be set up.
 pub async fn run_soak(settings: SoakSettings) -> io::Result<SoakReport> {
     let mut run = SoakRun::open(settings).await?;
-    let recovered_first = run.wait_until_served().await;
+    let started = run.wait_until_served().await;
     let tasks = run.spawn_callers();
     let faults = draw_faults(
         run.settings.seed,
@@ -125,23 +125,23 @@
         run.targets.len(),
     );
     let count = faults.len();
-    run.make_faults(faults).await?;
+    run.inject_faults(faults).await?;
     run.heal_all().await?;
-    let recovered = recovered_first && run.wait_until_served().await;
-    run.desk.stop();
+    let recovered = started && run.wait_until_served().await;
+    run.context.stop();
     for task in tasks {
         if let Err(error) = task.await {
             log::error!("a caller failed: {error}");
         }
     }
     run.stop_all().await;
-    let mut history = std::mem::take(&mut *run.desk.history.lock());
-    history.runs = std::mem::take(&mut *run.world.runs.lock());
+    let mut history = std::mem::take(&mut *run.context.history.lock());
+    history.runs = std::mem::take(&mut *run.registry.runs.lock());
     history.disturbances = run.disturbances;
-    history.own_ends = run.own_ends;
+    history.unexpected_exits = run.unexpected_exits;
     history.recovered = recovered;
     Ok(SoakReport {
-        broken: broken_promises(&history, run.settings.timed),
+        violations: find_violations(&history, run.settings.timed),
         faults: count,
         history,
     })
@@ -152,13 +152,13 @@
 }
 
 /// Three plain targets, and in each zone three engines.
-fn target_places() -> Vec<TargetPlace> {
-    let plain = (0..3).map(|index| TargetPlace {
+fn target_specs() -> Vec<TargetSpec> {
+    let plain = (0..3).map(|index| TargetSpec {
         service: PLAIN_SERVICE,
         zone: zone_name(index),
         kind: None,
     });
-    let engines = (0..6).map(|index| TargetPlace {
+    let engines = (0..6).map(|index| TargetSpec {
         service: ENGINE_SERVICE,
         zone: zone_name(index),
         kind: Some(if index < 4 { "fast" } else { "slow" }),
@@ -178,13 +178,13 @@
             let host = SoakHost::open(index, &zone, log.local_addr(), program, folder).await?;
             hosts.push(RunHost {
                 host,
-                life: watch::Sender::new(HostLife::default()),
+                process: watch::Sender::new(HostProcess::default()),
                 down: None,
                 paused: false,
             });
         }
         let fronts = hosts.iter().map(|host| host.host.front.address);
-        let desk = Arc::new(CallerDesk::new(fronts.collect()));
+        let context = Arc::new(CallerContext::new(fronts.collect()));
         let first = Published {
             version: 1,
             at: Instant::now(),
@@ -195,20 +195,20 @@
             hosts,
             targets: Vec::new(),
             leaving: Vec::new(),
-            drawn_targets: 0,
+            started_targets: 0,
             topics,
             log_faults,
             _log: log,
-            world: Arc::default(),
-            desk,
+            registry: Arc::default(),
+            context,
             published: watch::Sender::new(first),
-            ends: Vec::new(),
+            scheduled_ends: Vec::new(),
             disturbances: Vec::new(),
-            own_ends: Vec::new(),
+            unexpected_exits: Vec::new(),
             crashed: 0,
         };
-        for place in target_places() {
-            let target = run.new_target(place).await?;
+        for spec in target_specs() {
+            let target = run.new_target(spec).await?;
             run.targets.push(target);
         }
         for index in 0..run.hosts.len() {
@@ -217,10 +217,10 @@
         Ok(run)
     }
 
-    pub(super) async fn new_target(&mut self, place: TargetPlace) -> io::Result<Target> {
-        self.drawn_targets += 1;
-        let id = format!("target-{}", self.drawn_targets);
-        Target::spawn(place, id, self.world.clone(), self.topics.clone()).await
+    pub(super) async fn new_target(&mut self, spec: TargetSpec) -> io::Result<Target> {
+        self.started_targets += 1;
+        let id = format!("target-{}", self.started_targets);
+        Target::spawn(spec, id, self.registry.clone(), self.topics.clone()).await
     }
 
     async fn start_host(&mut self, index: usize) -> io::Result<()> {
@@ -229,7 +229,7 @@
         let run = &mut self.hosts[index];
         run.host.start(&seeds).await?;
         let listening = *run.host.listening.borrow();
-        run.life.send_replace(HostLife {
+        run.process.send_replace(HostProcess {
             incarnation: run.host.incarnation,
             readiness: listening.map(|line| line.readiness),
         });
@@ -242,19 +242,19 @@
         let mut tasks = Vec::new();
         for index in 0..self.settings.callers {
             let seed = self.settings.seed.wrapping_mul(1000) + index as u64;
-            tasks.push(tokio::spawn(keep_calling(self.desk.clone(), seed)));
+            tasks.push(tokio::spawn(call_until_stopped(self.context.clone(), seed)));
         }
         for (index, host) in self.hosts.iter().enumerate() {
-            let life = host.life.subscribe();
+            let process = host.process.subscribe();
             tasks.push(tokio::spawn(balance(
-                self.desk.clone(),
+                self.context.clone(),
                 index,
-                life.clone(),
+                process.clone(),
             )));
-            tasks.push(tokio::spawn(look_at_versions(
-                self.desk.clone(),
+            tasks.push(tokio::spawn(probe_versions(
+                self.context.clone(),
                 index,
-                life,
+                process,
                 self.published.subscribe(),
             )));
         }
@@ -263,20 +263,20 @@
 
     /// Waits until every host is ready and answers a call of each kind.
     pub(super) async fn wait_until_served(&mut self) -> bool {
-        let until = Instant::now() + RECOVERY_LIMIT;
+        let until = Instant::now() + RECOVERY_TIMEOUT;
         for index in 0..self.hosts.len() {
             while !self.is_served(index).await {
                 if Instant::now() >= until {
                     return false;
                 }
-                tokio::time::sleep(LOOK_PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         true
     }
 
     async fn is_served(&self, index: usize) -> bool {
-        let readiness = self.hosts[index].life.borrow().readiness;
+        let readiness = self.hosts[index].process.borrow().readiness;
         let Some(readiness) = readiness else {
             return false;
         };
@@ -288,13 +288,13 @@
             CallKind::NonIdempotent,
             CallKind::Stream,
         ] {
-            let front = self.desk.fronts[index].address;
+            let front = self.context.fronts[index].address;
             let Some(mut connection) = connect(front).await else {
                 return false;
             };
-            let record = call(&self.desk, &mut connection, index, kind).await;
+            let record = call(&self.context, &mut connection, index, kind).await;
             let outcome = record.outcome;
-            self.desk.history.lock().calls.push(record);
+            self.context.history.lock().calls.push(record);
             if !matches!(outcome, CallOutcome::Answered { status: 200, .. }) {
                 return false;
             }
@@ -304,7 +304,7 @@
 
     /// Starts processes again, and notes those that ended by themselves or do
     /// not end in time.
-    pub(super) async fn tend_hosts(&mut self, now: Instant) -> io::Result<()> {
+    pub(super) async fn supervise_hosts(&mut self, now: Instant) -> io::Result<()> {
         let grace = Duration::from_secs(GRACE_S) + STOP_SLACK;
         for index in 0..self.hosts.len() {
             let run = &mut self.hosts[index];
@@ -312,15 +312,17 @@
             let name = format!("{} life {}", run.host.name, run.host.incarnation);
             match (run.down, ended) {
                 (None, Some(_)) => {
-                    self.own_ends.push(format!("{name} ended by itself"));
+                    self.unexpected_exits
+                        .push(format!("{name} ended by itself"));
                     self.start_host(index).await?;
                 }
                 (Some(down), Some(false)) if !down.killed => {
-                    self.own_ends.push(format!("{name} ended with an error"));
+                    self.unexpected_exits
+                        .push(format!("{name} ended with an error"));
                 }
                 (Some(down), None) if !down.killed && now > down.since + grace => {
                     if !run.paused && run.host.is_running() {
-                        self.own_ends.push(format!("{name} does not end"));
+                        self.unexpected_exits.push(format!("{name} does not end"));
                     }
                     run.host.signal(Signal::SIGKILL);
                     run.down = Some(HostDown {
@@ -341,16 +343,16 @@
     }
 
     pub(super) async fn heal_all(&mut self) -> io::Result<()> {
-        let ends = std::mem::take(&mut self.ends);
-        for (_, end) in ends {
+        let scheduled_ends = std::mem::take(&mut self.scheduled_ends);
+        for (_, end) in scheduled_ends {
             match end {
                 FaultEnd::StopNext(_) => {}
                 end => self.end(end).await?,
             }
         }
         while self.hosts.iter().any(|host| host.down.is_some()) {
-            self.tend_hosts(Instant::now()).await?;
-            tokio::time::sleep(LOOK_PAUSE).await;
+            self.supervise_hosts(Instant::now()).await?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -363,10 +365,10 @@
         let until = Instant::now() + Duration::from_secs(GRACE_S) + STOP_SLACK;
         for run in &mut self.hosts {
             while run.host.is_running() && Instant::now() < until {
-                tokio::time::sleep(LOOK_PAUSE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             if run.host.is_running() {
-                self.own_ends
+                self.unexpected_exits
                     .push(format!("{} does not end at last", run.host.name));
             }
         }
--- a/standins/src/soak/target.rs
+++ b/standins/src/soak/target.rs
@@ -20,17 +20,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-use super::answers::plain_body;
 use super::configuration::TARGETS;
 use super::engines::{
-    PathPart, TargetFault, TargetState, TargetWorld, is_whole, parse_path, take_order,
+    PathPart, TargetFault, TargetRegistry, TargetState, covers_all_layers, execute_order,
+    parse_path,
 };
-use super::event_stream::{StreamCourse, stream_events};
+use super::event_stream::{StreamBehavior, stream_events};
 use super::heartbeats::{write_heartbeat, write_heartbeats};
 use super::history::RunRecord;
 use super::link::FaultLink;
 use super::log_service::LogTopics;
 use super::poison::{CRASH_TIME, POISON_PATH};
+use super::responses::plain_body;
 
 /// Time that a plain answer takes.
 const PLAIN_TIME: Duration = Duration::from_millis(15);
@@ -40,7 +41,7 @@
 
 /// What a target is, for as long as it lives.
 #[derive(Debug, Clone)]
-pub(super) struct TargetPlace {
+pub(super) struct TargetSpec {
     pub(super) service: &'static str,
     pub(super) zone: String,
     pub(super) kind: Option<&'static str>,
@@ -49,13 +50,13 @@
 /// A running target behind its link.
 #[derive(Debug)]
 pub(super) struct Target {
-    pub(super) place: TargetPlace,
+    pub(super) spec: TargetSpec,
     pub(super) id: String,
     pub(super) link: FaultLink,
-    world: Arc<TargetWorld>,
+    registry: Arc<TargetRegistry>,
     topics: Arc<LogTopics>,
-    serving: JoinHandle<()>,
-    beating: JoinHandle<()>,
+    server_task: JoinHandle<()>,
+    heartbeat_task: JoinHandle<()>,
 }
 
 impl Target {
@@ -65,9 +66,9 @@
     ///
     /// If no port can be listened on.
     pub(super) async fn spawn(
-        place: TargetPlace,
+        spec: TargetSpec,
         id: String,
-        world: Arc<TargetWorld>,
+        registry: Arc<TargetRegistry>,
         topics: Arc<LogTopics>,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -77,29 +78,29 @@
             reachable: true,
             ..TargetState::default()
         };
-        world.states.lock().insert(link.address, state);
-        let serving = tokio::spawn(accept_all(listener, world.clone(), link.address));
-        let beating = tokio::spawn(write_heartbeats(
-            place.clone(),
+        registry.states.lock().insert(link.address, state);
+        let server_task = tokio::spawn(accept_all(listener, registry.clone(), link.address));
+        let heartbeat_task = tokio::spawn(write_heartbeats(
+            spec.clone(),
             link.address,
-            world.clone(),
+            registry.clone(),
             topics.clone(),
         ));
         Ok(Self {
-            place,
+            spec,
             id,
             link,
-            world,
+            registry,
             topics,
-            serving,
-            beating,
+            server_task,
+            heartbeat_task,
         })
     }
 
     /// Says that it leaves, and goes on serving.
     pub(super) fn drain(&self) {
         self.update(|state| state.draining = true);
-        write_heartbeat(&self.place, self.link.address, &self.world, &self.topics);
+        write_heartbeat(&self.spec, self.link.address, &self.registry, &self.topics);
     }
 
     /// Changes what is true of it.
@@ -107,14 +108,14 @@
     where
         U: FnOnce(&mut TargetState),
     {
-        self.world.update(self.link.address, update);
+        self.registry.update(self.link.address, update);
     }
 
     /// Ends without a word; its entry lapses after three heartbeats.
     pub(super) fn crash(&self) {
         self.update(|state| state.reachable = false);
         self.abort();
-        self.link.lead_to(None);
+        self.link.set_server(None);
         self.link.set(super::link::LinkFault::Reset);
     }
 
@@ -126,8 +127,8 @@
     }
 
     fn abort(&self) {
-        self.serving.abort();
-        self.beating.abort();
+        self.server_task.abort();
+        self.heartbeat_task.abort();
     }
 
     /// Whether it has begun to run a request that it does not survive; told once.
@@ -138,20 +139,21 @@
     }
 
     /// Writes nothing more, and its entry is dropped from the log; it goes on serving.
-    pub(super) fn leave(&self) {
-        self.beating.abort();
-        self.lapse();
+    pub(super) fn leave_silently(&self) {
+        self.heartbeat_task.abort();
+        self.remove_from_log();
     }
 
     /// Its entry is back in the log.
     pub(super) fn return_to_log(&mut self) {
-        let place = self.place.clone();
-        let (world, topics) = (self.world.clone(), self.topics.clone());
-        self.beating = tokio::spawn(write_heartbeats(place, self.link.address, world, topics));
+        let spec = self.spec.clone();
+        let (registry, topics) = (self.registry.clone(), self.topics.clone());
+        self.heartbeat_task =
+            tokio::spawn(write_heartbeats(spec, self.link.address, registry, topics));
     }
 
     /// Its entry is dropped from the log.
-    pub(super) fn lapse(&self) {
+    pub(super) fn remove_from_log(&self) {
         self.topics.append(TARGETS, &self.id, None);
     }
 }
@@ -162,17 +164,17 @@
     }
 }
 
-async fn accept_all(listener: TcpListener, world: Arc<TargetWorld>, address: SocketAddr) {
+async fn accept_all(listener: TcpListener, registry: Arc<TargetRegistry>, address: SocketAddr) {
     while let Ok((stream, _)) = listener.accept().await {
-        tokio::spawn(serve_connection(stream, world.clone(), address));
+        tokio::spawn(serve_connection(stream, registry.clone(), address));
     }
 }
 
-async fn serve_connection(stream: TcpStream, world: Arc<TargetWorld>, address: SocketAddr) {
+async fn serve_connection(stream: TcpStream, registry: Arc<TargetRegistry>, address: SocketAddr) {
     let _ = stream.set_nodelay(true);
     let service = service_fn(|request| {
-        let world = world.clone();
-        async move { answer(&world, address, request).await }
+        let registry = registry.clone();
+        async move { respond(&registry, address, request).await }
     });
     let served = hyper::server::conn::http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
@@ -185,13 +187,13 @@
 /// Makes hyper close the connection without an answer.
 #[derive(Debug, thiserror::Error)]
 #[error("the answer is lost")]
-struct LostAnswer;
+struct DroppedResponse;
 
-async fn answer(
-    world: &Arc<TargetWorld>,
+async fn respond(
+    registry: &Arc<TargetRegistry>,
     address: SocketAddr,
     request: Request<Incoming>,
-) -> Result<Response<TargetBody>, LostAnswer> {
+) -> Result<Response<TargetBody>, DroppedResponse> {
     let (parts, body) = request.into_parts();
     let text = |name: &str| {
         let value = parts
@@ -200,27 +202,31 @@
             .and_then(|value| value.to_str().ok());
         value.map(str::to_owned)
     };
-    let body = body.collect().await.map_err(|_| LostAnswer)?.to_bytes();
-    let state = world.state(address);
+    let body = body
+        .collect()
+        .await
+        .map_err(|_| DroppedResponse)?
+        .to_bytes();
+    let state = registry.state(address);
     let mut response = match parts.uri.path() {
         _ if text(names::TARGET_INSTANCE).is_some_and(|id| id != state.id) => {
             Ok(refusal(421, address))
         }
-        names::REPORT_PATH => Ok(json_answer(200, &world.report(address))),
+        names::REPORT_PATH => Ok(json_response(200, &registry.report(address))),
         names::ORDER_PATH => {
-            let (status, body) = take_order(world, address, &body);
-            Ok(json_answer(status, &body))
+            let (status, body) = execute_order(registry, address, &body);
+            Ok(json_response(status, &body))
         }
         _ => {
             if parts.uri.path() == POISON_PATH {
                 tokio::time::sleep(CRASH_TIME).await;
-                world.update(address, |state| state.poisoned = true);
+                registry.update(address, |state| state.poisoned = true);
                 return std::future::pending().await;
             }
             let id = text(names::ATTEMPT_ID).unwrap_or_default();
             let path = text(names::ENGINE_PATH).as_deref().and_then(parse_path);
             let last = text(names::LAST_EVENT_ID).and_then(|last| last.parse().ok());
-            run(world, address, id, path, last.unwrap_or(0)).await
+            run(registry, address, id, path, last.unwrap_or(0)).await
         }
     }?;
     let limit = state.limit.map(HeaderValue::try_from);
@@ -231,27 +237,27 @@
 }
 
 async fn run(
-    world: &Arc<TargetWorld>,
+    registry: &Arc<TargetRegistry>,
     address: SocketAddr,
     id: String,
     path: Option<Vec<PathPart>>,
     last_event: u64,
-) -> Result<Response<TargetBody>, LostAnswer> {
-    let state = world.state(address);
-    if let Some(unable) = path.as_ref().and_then(|path| world.unable(path)) {
-        return Ok(refusal(503, unable));
+) -> Result<Response<TargetBody>, DroppedResponse> {
+    let state = registry.state(address);
+    if let Some(unavailable) = path.as_ref().and_then(|path| registry.unavailable(path)) {
+        return Ok(refusal(503, unavailable));
     }
     if state.fault == TargetFault::Refuses {
         return Ok(refusal(503, address));
     }
-    world.runs.lock().push(RunRecord {
+    registry.runs.lock().push(RunRecord {
         id: id.clone(),
         target: state.id.clone(),
         at: Instant::now(),
-        layers_whole: path.as_ref().is_none_or(|path| is_whole(path)),
+        layers_covered: path.as_ref().is_none_or(|path| covers_all_layers(path)),
     });
     let echoed = match state.fault {
-        TargetFault::AnswersOthers => format!("{id}-other"),
+        TargetFault::WrongRequestId => format!("{id}-other"),
         _ => id.clone(),
     };
     let sealed = |status: u16, body: TargetBody| {
@@ -259,55 +265,55 @@
             .status(status)
             .header(names::ATTEMPT_ID, &echoed)
             .header(names::SERVER_SEAL, &state.id);
-        response.body(body).map_err(|_| LostAnswer)
+        response.body(body).map_err(|_| DroppedResponse)
     };
     match (path, state.fault) {
-        (_, TargetFault::LosesAnswers) => {
+        (_, TargetFault::DropsResponse) => {
             tokio::time::sleep(PLAIN_TIME).await;
-            Err(LostAnswer)
+            Err(DroppedResponse)
         }
-        (_, TargetFault::Fails) => sealed(500, whole(Bytes::from_static(b"failed"))),
+        (_, TargetFault::Fails) => sealed(500, full_body(Bytes::from_static(b"failed"))),
         (None, fault) => {
             tokio::time::sleep(PLAIN_TIME).await;
             let text = plain_body(&id);
             match fault {
-                TargetFault::BreaksOff => sealed(200, broken_body(text)),
-                _ => sealed(200, whole(text.into())),
+                TargetFault::TruncatesBody => sealed(200, truncated_body(text)),
+                _ => sealed(200, full_body(text.into())),
             }
         }
         (Some(path), fault) => {
-            let course = match fault {
-                TargetFault::BreaksOff => StreamCourse::BreaksSoon,
-                _ => StreamCourse::Sound,
+            let behavior = match fault {
+                TargetFault::TruncatesBody => StreamBehavior::TruncatesSoon,
+                _ => StreamBehavior::Complete,
             };
-            let events = stream_events(world.clone(), id, path, last_event, course);
+            let events = stream_events(registry.clone(), id, path, last_event, behavior);
             sealed(200, events)
         }
     }
 }
 
 /// An answer of which half comes, and then the connection breaks.
-fn broken_body(text: String) -> TargetBody {
+fn truncated_body(text: String) -> TargetBody {
     let half = Bytes::from(text).slice(..4);
     let frames = [Ok(Frame::data(half)), Err(io::Error::other("breaks off"))];
     StreamBody::new(stream::iter(frames)).boxed_unsync()
 }
 
-fn whole(bytes: Bytes) -> TargetBody {
+fn full_body(bytes: Bytes) -> TargetBody {
     Full::new(bytes)
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-fn json_answer(status: u16, body: &serde_json::Value) -> Response<TargetBody> {
-    let mut response = Response::new(whole(body.to_string().into()));
+fn json_response(status: u16, body: &serde_json::Value) -> Response<TargetBody> {
+    let mut response = Response::new(full_body(body.to_string().into()));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or_default();
     response
 }
 
 /// The target has not run the request; `at` is at fault.
 fn refusal(status: u16, at: SocketAddr) -> Response<TargetBody> {
-    let mut response = json_answer(status, &json!({}));
+    let mut response = json_response(status, &json!({}));
     let headers = response.headers_mut();
     headers.insert(names::NOT_EXECUTED, HeaderValue::from_static("1"));
     if let Ok(at) = HeaderValue::from_str(&at.to_string()) {
--- a/standins/tests/checkers.rs
+++ b/standins/tests/checkers.rs
@@ -7,7 +7,7 @@
 use jackdawwick::reason::RefusalReason;
 use standins::caller::{HeardAnswer, HeardEvent, HeardReply};
 use standins::check::{
-    CallHistory, CheckedPromise, GenerationHistory, RunHistory, TargetLeave, TargetSteps, check_all,
+    CallHistory, GenerationHistory, Guarantee, RunHistory, TargetLeave, TargetSteps, check_all,
 };
 use standins::engine::{StepKind, StepRecord};
 use standins::reference::{EMPTY_KV_STATE, generate, run_layer, token_of};
@@ -86,7 +86,7 @@
 }
 
 /// One whole generation and one settled call, both as they should be.
-fn right_history() -> RunHistory {
+fn correct_history() -> RunHistory {
     let tokens = generate(MODEL, VERSION, LAYERS, &PROMPT, TOKENS as usize);
     let mut events: Vec<StreamEvent> = (0..)
         .zip(tokens)
@@ -139,16 +139,19 @@
 }
 
 /// Promises broken by the right history after `fault` was put into it.
-fn broken_by<F>(fault: F) -> Vec<CheckedPromise>
+fn violated_guarantees<F>(fault: F) -> Vec<Guarantee>
 where
     F: FnOnce(&mut RunHistory),
 {
-    let mut history = right_history();
+    let mut history = correct_history();
     fault(&mut history);
-    let broken = check_all(&history, GRACE);
-    let mut promises: Vec<_> = broken.iter().map(|broken| broken.promise).collect();
-    promises.dedup();
-    promises
+    let violations = check_all(&history, GRACE);
+    let mut guarantees: Vec<_> = violations
+        .iter()
+        .map(|violation| violation.guarantee)
+        .collect();
+    guarantees.dedup();
+    guarantees
 }
 
 fn records(history: &mut RunHistory) -> &mut Vec<StepRecord> {
@@ -160,8 +163,8 @@
 }
 
 #[test]
-fn a_right_history_breaks_nothing() {
-    assert_eq!(broken_by(|_| {}), []);
+fn a_correct_history_has_no_violations() {
+    assert_eq!(violated_guarantees(|_| {}), []);
 }
 
 #[test]
@@ -175,8 +178,8 @@
             records(history).extend(again);
         }
     };
-    assert_eq!(broken_by(again(1)), []);
-    assert_eq!(broken_by(again(0)), [CheckedPromise::LayersOnce]);
+    assert_eq!(violated_guarantees(again(1)), []);
+    assert_eq!(violated_guarantees(again(0)), [Guarantee::LayersOnce]);
 }
 
 #[test]
@@ -204,12 +207,16 @@
         other_run,
     ];
     for (index, fault) in faults.into_iter().enumerate() {
-        assert_eq!(broken_by(fault), [CheckedPromise::LayersOnce], "{index}");
+        assert_eq!(
+            violated_guarantees(fault),
+            [Guarantee::LayersOnce],
+            "{index}"
+        );
     }
 }
 
 #[test]
-fn an_answer_with_gaps_repeats_or_a_false_count_is_noticed() {
+fn a_response_with_gaps_repeats_or_a_wrong_count_is_noticed() {
     let gap = |history: &mut RunHistory| drop(events(history).remove(1));
     let twice = |history: &mut RunHistory| {
         let token = events(history)[1].clone();
@@ -223,10 +230,14 @@
         |history: &mut RunHistory| events(history)[3] = heard(StreamEvent::Done { count: 4 });
     let faults: [fn(&mut RunHistory); 4] = [gap, twice, short, miscounted];
     for (index, fault) in faults.into_iter().enumerate() {
-        assert_eq!(broken_by(fault), [CheckedPromise::WholeAnswer], "{index}");
+        assert_eq!(
+            violated_guarantees(fault),
+            [Guarantee::CompleteResponse],
+            "{index}"
+        );
     }
     // Another request's token is also one that no chain of this one gave.
-    let foreign = broken_by(|history| {
+    let foreign = violated_guarantees(|history| {
         events(history)[1] = heard(StreamEvent::Token {
             number: 1,
             token: 1,
@@ -234,37 +245,37 @@
     });
     assert_eq!(
         foreign,
-        [CheckedPromise::LayersOnce, CheckedPromise::WholeAnswer]
+        [Guarantee::LayersOnce, Guarantee::CompleteResponse]
     );
 }
 
 #[test]
 fn a_request_that_ran_although_refused_as_not_run_is_noticed() {
-    let generation = broken_by(|history| {
+    let generation = violated_guarantees(|history| {
         let answer = &mut history.generations[0].answers[0];
         answer.events.clear();
         answer.refusal = Some(refused());
     });
-    assert_eq!(generation, [CheckedPromise::NotRun]);
-    let call = broken_by(|history| {
+    assert_eq!(generation, [Guarantee::NotRun]);
+    let call = violated_guarantees(|history| {
         let body = serde_json::to_vec(&refused()).expect("a refusal can be written");
         let refusal = reply(StatusCode::SERVICE_UNAVAILABLE, body);
         history.service_calls[0].replies = vec![Some(refusal)];
     });
-    assert_eq!(call, [CheckedPromise::NotRun]);
+    assert_eq!(call, [Guarantee::NotRun]);
 }
 
 #[test]
 fn a_key_that_ran_twice_is_noticed_also_under_two_request_ids() {
-    let same = broken_by(|history| history.calls.push(call_record("call")));
-    assert_eq!(same, [CheckedPromise::AtMostOnce]);
-    let other = broken_by(|history| {
+    let same = violated_guarantees(|history| history.calls.push(call_record("call")));
+    assert_eq!(same, [Guarantee::AtMostOnce]);
+    let other = violated_guarantees(|history| {
         let mut call = history.service_calls[0].clone();
         call.request = "call-2".into();
         history.service_calls.push(call);
         history.calls.push(call_record("call-2"));
     });
-    assert_eq!(other, [CheckedPromise::AtMostOnce]);
+    assert_eq!(other, [Guarantee::AtMostOnce]);
 }
 
 #[test]
@@ -278,24 +289,27 @@
                 .for_each(|record| record.at_micros += GRACE.as_micros() as u64);
         }
     };
-    assert_eq!(broken_by(leaving(1_000_000)), []);
-    assert_eq!(broken_by(leaving(999_999)), [CheckedPromise::NoNewWork]);
+    assert_eq!(violated_guarantees(leaving(1_000_000)), []);
+    assert_eq!(
+        violated_guarantees(leaving(999_999)),
+        [Guarantee::NoNewWork]
+    );
 }
 
 #[test]
-fn a_request_without_exactly_one_final_answer_is_noticed() {
-    let unanswered = broken_by(|history| drop(events(history).pop()));
-    assert_eq!(unanswered, [CheckedPromise::AnsweredOnce]);
-    let twice = broken_by(|history| {
+fn a_request_without_exactly_one_final_response_is_noticed() {
+    let unanswered = violated_guarantees(|history| drop(events(history).pop()));
+    assert_eq!(unanswered, [Guarantee::SingleResponse]);
+    let twice = violated_guarantees(|history| {
         let mut closing = answer(vec![StreamEvent::Done { count: TOKENS }]);
         closing.broken = false;
         history.generations[0].answers.push(closing);
     });
-    assert_eq!(twice, [CheckedPromise::AnsweredOnce]);
-    let lost_call = broken_by(|history| history.service_calls[0].replies = vec![None]);
-    assert_eq!(lost_call, [CheckedPromise::AnsweredOnce]);
+    assert_eq!(twice, [Guarantee::SingleResponse]);
+    let lost_call = violated_guarantees(|history| history.service_calls[0].replies = vec![None]);
+    assert_eq!(lost_call, [Guarantee::SingleResponse]);
     // After an entry host has died, the caller comes back with what it holds.
-    let resumed = broken_by(|history| {
+    let resumed = violated_guarantees(|history| {
         let answers = &mut history.generations[0].answers;
         let rest = answers[0].events.split_off(1);
         answers[0].broken = true;
--- a/standins/tests/departures.rs
+++ b/standins/tests/departures.rs
@@ -2,14 +2,16 @@
 
 mod support;
 
-use standins::soak::{DepartureReport, play_departure_during_cut, play_departure_unread};
+use standins::soak::{
+    DepartureReport, run_departure_during_log_outage, run_departure_with_host_cut_off,
+};
 use support::TestResult;
 use support::soaks::soak_settings;
 
 /// In two zones.
 const HOSTS: usize = 4;
 
-fn is_late_for_nobody(report: &DepartureReport) -> bool {
+fn has_no_late_runs(report: &DepartureReport) -> bool {
     report.late_runs == 0 && report.runs_before > 0 && report.unanswered == 0
 }
 
@@ -22,8 +24,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_host_that_lost_the_log_hears_from_its_neighbours_who_leaves() -> TestResult {
     let (settings, _folder) = soak_settings(HOSTS).await?;
-    let report = play_departure_unread(settings).await?;
-    assert!(is_late_for_nobody(&report), "{report:?}");
+    let report = run_departure_with_host_cut_off(settings).await?;
+    assert!(has_no_late_runs(&report), "{report:?}");
     Ok(())
 }
 
@@ -38,8 +40,8 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn who_left_during_a_cut_gets_nothing_after_it_and_who_lapsed_is_kept() -> TestResult {
     let (settings, _folder) = soak_settings(HOSTS).await?;
-    let report = play_departure_during_cut(settings).await?;
-    assert!(is_late_for_nobody(&report), "{report:?}");
-    assert!(report.runs_on_lapsed > 0, "{report:?}");
+    let report = run_departure_during_log_outage(settings).await?;
+    assert!(has_no_late_runs(&report), "{report:?}");
+    assert!(report.runs_on_expired > 0, "{report:?}");
     Ok(())
 }
--- a/standins/tests/limit_division/world.rs
+++ b/standins/tests/limit_division/simulation.rs
@@ -6,23 +6,23 @@
 use jackdawwick::ids::HostId;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
-use standins::check::NamedLimit;
+use standins::check::AdvertisedLimit;
 
-use super::ways::{Division, SendVerdict, Way};
+use super::strategies::{Division, SendVerdict, Strategy};
 
 const STEP: Duration = Duration::from_millis(5);
 /// Time until a host hears of another's end, and of its start: at least, at most.
-const END_HEARD: (u64, u64) = (1500, 2100);
-const START_HEARD: (u64, u64) = (100, 600);
+const END_DETECTED: (u64, u64) = (1500, 2100);
+const START_DETECTED: (u64, u64) = (100, 600);
 /// Time until a host that was told nothing by a target hears of its limit from others.
-const LIMIT_HEARD: (u64, u64) = (100, 700);
+const LIMIT_RECEIVED: (u64, u64) = (100, 700);
 /// Time from a request's arrival until the head of its answer is with the host.
-const HEAD_TIME: (u64, u64) = (50, 400);
+const RESPONSE_TIME: (u64, u64) = (50, 400);
 
 /// What a game is played with.
 #[derive(Debug, Clone)]
-pub(crate) struct Game {
-    pub(crate) way: Way,
+pub(crate) struct Scenario {
+    pub(crate) strategy: Strategy,
     pub(crate) hosts: usize,
     pub(crate) targets: usize,
     /// Requests a second that each target limits itself to.
@@ -34,7 +34,7 @@
     /// Targets name half of their limits from the middle on.
     pub(crate) lowered: bool,
     /// Hosts end and start, are cut off from each other, and demand moves.
-    pub(crate) trouble: bool,
+    pub(crate) faults: bool,
     pub(crate) seed: u64,
 }
 
@@ -42,7 +42,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Outcome {
     /// Targets that got more than their limit allows in some window.
-    pub(crate) breaches: usize,
+    pub(crate) violations: usize,
     /// Most that a target got in a window, as a part of what is allowed.
     pub(crate) worst: f64,
     /// Part of the limits that was used from when they have to be kept.
@@ -56,7 +56,7 @@
 }
 
 /// What a host knows and when.
-pub(crate) struct World {
+pub(crate) struct Cluster {
     pub(crate) now: Instant,
     pub(crate) names: Vec<HostId>,
     /// When each host ended, or last started.
@@ -69,13 +69,13 @@
     cut_since: Option<Instant>,
     pub(crate) loss: f64,
     /// The limits that targets name, the first from 3 s on.
-    limits: Vec<NamedLimit>,
+    limits: Vec<AdvertisedLimit>,
     /// Delay with which each host hears that the limit is another one.
-    change_heard: Vec<Duration>,
+    limit_delay: Vec<Duration>,
     pub(crate) random: StdRng,
 }
 
-impl World {
+impl Cluster {
     fn draw(&mut self, range: (u64, u64)) -> Duration {
         Duration::from_millis(self.random.random_range(range.0..=range.1))
     }
@@ -83,20 +83,20 @@
     /// Whether one host takes another one to be alive. Each hears of a change at a
     /// moment of its own.
     pub(crate) fn believes_alive(&self, host: usize, other: usize) -> bool {
-        let spread = ((host * 31 + other * 17) % 7) as f64 / 7.0;
-        let heard = self.changed[other] + self.delay[other].mul_f64(0.4 + 0.6 * spread);
-        let alive = self.alive[other] == (self.now >= heard);
+        let offset = ((host * 31 + other * 17) % 7) as f64 / 7.0;
+        let received = self.changed[other] + self.delay[other].mul_f64(0.4 + 0.6 * offset);
+        let alive = self.alive[other] == (self.now >= received);
         let apart = self.cut[host] != self.cut[other];
         let cut_known = self
             .cut_since
-            .is_some_and(|since| self.now >= since + Duration::from_millis(END_HEARD.0));
+            .is_some_and(|since| self.now >= since + Duration::from_millis(END_DETECTED.0));
         host == other || (alive && !(apart && cut_known))
     }
 
     /// The limit that a host takes targets to name.
     pub(crate) fn believed_limit(&self, host: usize) -> f64 {
-        let heard = |limit: &&NamedLimit| self.now >= limit.from + self.change_heard[host];
-        let last = self.limits.iter().rfind(heard);
+        let received = |limit: &&AdvertisedLimit| self.now >= limit.from + self.limit_delay[host];
+        let last = self.limits.iter().rfind(received);
         last.unwrap_or(&self.limits[0]).per_second
     }
 
@@ -109,71 +109,71 @@
     fn change(&mut self, host: usize, alive: bool) {
         self.alive[host] = alive;
         self.changed[host] = self.now;
-        self.delay[host] = self.draw(if alive { START_HEARD } else { END_HEARD });
+        self.delay[host] = self.draw(if alive { START_DETECTED } else { END_DETECTED });
     }
 }
 
 /// Plays 20 seconds of a limit that is named after 3.
-pub(crate) fn play(game: &Game) -> Outcome {
+pub(crate) fn simulate(scenario: &Scenario) -> Outcome {
     let start = Instant::now();
-    let limits = limits(game, start);
+    let limits = limits(scenario, start);
     let end = start + Duration::from_secs(23);
-    let names = (0..game.hosts).map(|host| format!("host-{host:03}").as_str().into());
-    let mut world = World {
+    let names = (0..scenario.hosts).map(|host| format!("host-{host:03}").as_str().into());
+    let mut cluster = Cluster {
         now: start,
         names: names.collect(),
-        alive: vec![true; game.hosts],
-        changed: vec![start - Duration::from_secs(60); game.hosts],
-        delay: vec![Duration::ZERO; game.hosts],
-        cut: vec![false; game.hosts],
+        alive: vec![true; scenario.hosts],
+        changed: vec![start - Duration::from_secs(60); scenario.hosts],
+        delay: vec![Duration::ZERO; scenario.hosts],
+        cut: vec![false; scenario.hosts],
         cut_since: None,
-        loss: game.loss,
-        change_heard: vec![Duration::ZERO; game.hosts],
+        loss: scenario.loss,
+        limit_delay: vec![Duration::ZERO; scenario.hosts],
         limits: limits.clone(),
-        random: StdRng::seed_from_u64(game.seed),
+        random: StdRng::seed_from_u64(scenario.seed),
     };
-    for host in 0..game.hosts {
-        world.change_heard[host] = world.draw(LIMIT_HEARD);
+    for host in 0..scenario.hosts {
+        cluster.limit_delay[host] = cluster.draw(LIMIT_RECEIVED);
     }
-    let mut division = Division::new(game);
-    let mut arrivals = vec![Vec::new(); game.targets];
-    let mut known = vec![vec![None::<Instant>; game.targets]; game.hosts];
-    let mut told = vec![vec![false; game.targets]; game.hosts];
+    let mut division = Division::new(scenario);
+    let mut arrivals = vec![Vec::new(); scenario.targets];
+    let mut known = vec![vec![None::<Instant>; scenario.targets]; scenario.hosts];
+    let mut reported = vec![vec![false; scenario.targets]; scenario.hosts];
     let mut outcome = Outcome::default();
-    let whole = game.demand * game.per_second * game.targets as f64;
-    while world.now < end {
-        world.now += STEP;
-        let now = world.now;
-        if game.trouble {
-            make_trouble(&mut world, &mut division, start);
+    let whole = scenario.demand * scenario.per_second * scenario.targets as f64;
+    while cluster.now < end {
+        cluster.now += STEP;
+        let now = cluster.now;
+        if scenario.faults {
+            inject_faults(&mut cluster, &mut division, start);
         }
-        division.exchange(&mut world);
-        let weights = weights(game, now - start);
+        division.exchange(&mut cluster);
+        let weights = weights(scenario, now - start);
         let sum = weights.iter().sum::<f64>();
         for (host, known) in known.iter().enumerate() {
             for (target, known) in known.iter().enumerate() {
-                if !told[host][target] && known.is_some_and(|at| now >= at) {
-                    told[host][target] = true;
-                    division.tell_sends(&mut world, host, target);
+                if !reported[host][target] && known.is_some_and(|at| now >= at) {
+                    reported[host][target] = true;
+                    division.report_sends(&mut cluster, host, target);
                 }
             }
         }
-        for host in 0..game.hosts {
+        for host in 0..scenario.hosts {
             let mean = whole * weights[host] / sum * STEP.as_secs_f64();
-            let count = mean as usize + usize::from(world.random.random_bool(mean.fract()));
-            for _ in 0..count.min(if world.alive[host] { usize::MAX } else { 0 }) {
+            let count = mean as usize + usize::from(cluster.random.random_bool(mean.fract()));
+            for _ in 0..count.min(if cluster.alive[host] { usize::MAX } else { 0 }) {
                 let mut served = false;
                 // Tries of a request at one target after the other.
-                let first = world.random.random_range(0..game.targets);
-                for target in (0..game.targets)
+                let first = cluster.random.random_range(0..scenario.targets);
+                for target in (0..scenario.targets)
                     .cycle()
                     .skip(first)
-                    .take(2.min(game.targets))
+                    .take(2.min(scenario.targets))
                 {
                     let limited = known[host][target].is_some_and(|at| now >= at);
                     let verdict = match limited {
-                        true => division.ask(&mut world, host, target),
-                        false => division.send_freely(host, target, now),
+                        true => division.send_limited(&mut cluster, host, target),
+                        false => division.send_unlimited(host, target, now),
                     };
                     let SendVerdict::At(at) = verdict else {
                         continue;
@@ -181,8 +181,8 @@
                     arrivals[target].push(at);
                     served = true;
                     if at >= limits[0].from {
-                        let heard = at + world.draw(HEAD_TIME);
-                        hear_limit(&mut known, &mut world, host, target, heard);
+                        let received = at + cluster.draw(RESPONSE_TIME);
+                        learn_limit(&mut known, &mut cluster, host, target, received);
                     }
                     break;
                 }
@@ -191,96 +191,96 @@
             }
         }
     }
-    judge(&mut arrivals, &limits, &mut outcome);
+    evaluate(&mut arrivals, &limits, &mut outcome);
     (outcome.calls, outcome.busiest) = division.calls();
     outcome
 }
 
 /// One limit for 20 seconds, or two for ten each.
-fn limits(game: &Game, start: Instant) -> Vec<NamedLimit> {
-    let limit = |per_second, from, until| NamedLimit {
+fn limits(scenario: &Scenario, start: Instant) -> Vec<AdvertisedLimit> {
+    let limit = |per_second, from, until| AdvertisedLimit {
         per_second,
         from: start + Duration::from_secs(from),
         until: start + Duration::from_secs(until),
     };
-    match game.lowered {
-        false => vec![limit(game.per_second, 3, 23)],
+    match scenario.lowered {
+        false => vec![limit(scenario.per_second, 3, 23)],
         true => vec![
-            limit(game.per_second, 3, 13),
-            limit(game.per_second / 2.0, 13, 23),
+            limit(scenario.per_second, 3, 13),
+            limit(scenario.per_second / 2.0, 13, 23),
         ],
     }
 }
 
 /// The host that is told of a limit knows it, and the others a while later.
-fn hear_limit(
+fn learn_limit(
     known: &mut [Vec<Option<Instant>>],
-    world: &mut World,
+    cluster: &mut Cluster,
     host: usize,
     target: usize,
-    heard: Instant,
+    received: Instant,
 ) {
     let is_first = known.iter().all(|known| known[target].is_none());
     let earlier = |known: Option<Instant>, at: Instant| Some(known.map_or(at, |was| was.min(at)));
-    known[host][target] = earlier(known[host][target], heard);
+    known[host][target] = earlier(known[host][target], received);
     if !is_first {
         return;
     }
     for other in known.iter_mut() {
-        let at = heard + world.draw(LIMIT_HEARD);
+        let at = received + cluster.draw(LIMIT_RECEIVED);
         other[target] = earlier(other[target], at);
     }
 }
 
 /// Part of the callers that each host has; they move once a second if there is trouble.
-fn weights(game: &Game, passed: Duration) -> Vec<f64> {
-    let turn = match game.trouble {
+fn weights(scenario: &Scenario, passed: Duration) -> Vec<f64> {
+    let rotation = match scenario.faults {
         true => passed.as_secs() as usize,
         false => 0,
     };
-    let weight = |host: usize| 1.0 / (1.0 + ((host + turn * 3) % game.hosts) as f64);
-    (0..game.hosts).map(weight).collect()
+    let weight = |host: usize| 1.0 / (1.0 + ((host + rotation * 3) % scenario.hosts) as f64);
+    (0..scenario.hosts).map(weight).collect()
 }
 
 /// A host ends every two seconds and starts again after one; from 10 to 15 s a third
 /// of the hosts is cut off from the others.
-fn make_trouble(world: &mut World, division: &mut Division, start: Instant) {
-    let passed = (world.now - start).as_millis();
-    let hosts = world.names.len();
+fn inject_faults(cluster: &mut Cluster, division: &mut Division, start: Instant) {
+    let passed = (cluster.now - start).as_millis();
+    let hosts = cluster.names.len();
     if passed.is_multiple_of(2000) {
-        let host = world.random.random_range(0..hosts);
-        world.change(host, false);
+        let host = cluster.random.random_range(0..hosts);
+        cluster.change(host, false);
     }
     if passed % 2000 == 1000 {
         for host in 0..hosts {
-            if !world.alive[host] {
-                world.change(host, true);
+            if !cluster.alive[host] {
+                cluster.change(host, true);
                 division.restart(host);
             }
         }
     }
     if passed == 10_000 || passed == 15_000 {
         let cut = passed == 10_000;
-        world.cut_since = cut.then_some(world.now);
+        cluster.cut_since = cut.then_some(cluster.now);
         for host in 0..hosts / 3 {
-            world.cut[host] = cut;
+            cluster.cut[host] = cut;
         }
     }
 }
 
-fn judge(arrivals: &mut [Vec<Instant>], limits: &[NamedLimit], outcome: &mut Outcome) {
+fn evaluate(arrivals: &mut [Vec<Instant>], limits: &[AdvertisedLimit], outcome: &mut Outcome) {
     let count = (arrivals.len() * limits.len()) as f64;
     for arrivals in arrivals {
         arrivals.sort_unstable();
         for limit in limits {
-            let kept_from = limit.from + Duration::from_secs(4);
-            let could = limit.per_second * (limit.until - kept_from).as_secs_f64();
+            let enforced_from = limit.from + Duration::from_secs(4);
+            let possible = limit.per_second * (limit.until - enforced_from).as_secs_f64();
             let kept = arrivals.iter();
-            let kept = kept.filter(|at| (kept_from..limit.until).contains(*at));
+            let kept = kept.filter(|at| (enforced_from..limit.until).contains(*at));
             let most = limit.most_in_window(arrivals) as f64 / limit.allowed();
-            outcome.breaches += usize::from(limit.worst_breach(arrivals).is_some());
+            outcome.violations += usize::from(limit.worst_violation(arrivals).is_some());
             outcome.worst = outcome.worst.max(most);
-            outcome.used += kept.count() as f64 / could / count;
+            outcome.used += kept.count() as f64 / possible / count;
         }
     }
 }
--- a/standins/tests/limits.rs
+++ b/standins/tests/limits.rs
@@ -5,8 +5,8 @@
 
 use std::time::{Duration, Instant};
 
-use standins::check::NamedLimit;
-use standins::soak::play_limit;
+use standins::check::AdvertisedLimit;
+use standins::soak::run_rate_limit;
 use support::TestResult;
 use support::soaks::soak_settings;
 
@@ -19,28 +19,28 @@
 }
 
 #[test]
-fn the_check_tells_a_limit_that_is_kept_from_one_that_each_host_keeps_by_itself() {
+fn the_check_distinguishes_a_shared_limit_from_one_applied_by_each_host() {
     let from = Instant::now();
-    let limit = NamedLimit {
+    let limit = AdvertisedLimit {
         per_second: 5.0,
         from,
         until: from + Duration::from_secs(20),
     };
     assert_eq!(limit.allowed(), 35.0);
-    assert_eq!(limit.worst_breach(&steady(from, 100, 200)), None);
-    let copied = limit.worst_breach(&steady(from, 600, 33));
+    assert_eq!(limit.worst_violation(&steady(from, 100, 200)), None);
+    let copied = limit.worst_violation(&steady(from, 600, 33));
     let copied = copied.expect("a breach");
     assert!(copied.arrived > 100, "{copied:?}");
     // Before the limit has to be kept nothing is judged.
-    assert_eq!(limit.worst_breach(&steady(from, 80, 33)), None);
+    assert_eq!(limit.worst_violation(&steady(from, 80, 33)), None);
 }
 
 /// Guards against a limit that is named to each host and kept by none for all.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_limit_holds_for_all_hosts_together() -> TestResult {
     let (settings, _folder) = soak_settings(HOSTS).await?;
-    let report = play_limit(settings).await?;
-    assert_eq!(report.breach, None, "{report:?}");
+    let report = run_rate_limit(settings).await?;
+    assert_eq!(report.violation, None, "{report:?}");
     assert_eq!(report.unanswered, 0, "{report:?}");
     Ok(())
 }
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -17,7 +17,8 @@
 use jackdawwick::verdict::RunVerdict;
 use standins::caller::CallerClient;
 use standins::check::{
-    GenerationHistory, RunHistory, TargetSteps, check_layers, check_not_run, check_whole_answers,
+    GenerationHistory, RunHistory, TargetSteps, check_complete_responses, check_layers,
+    check_not_run,
 };
 use standins::daemon_settings::{DaemonPlace, SeedPlace};
 use standins::declarations::{self, StageLayout, StageTarget, VERSION};
@@ -334,7 +335,7 @@
     }
     let history = fleet.history(generations);
     assert_eq!(check_layers(&history), []);
-    assert_eq!(check_whole_answers(&history), []);
+    assert_eq!(check_complete_responses(&history), []);
     Ok(())
 }
 
@@ -374,7 +375,7 @@
     }
     let history = fleet.history(generations);
     assert_eq!(check_not_run(&history), []);
-    assert_eq!(check_whole_answers(&history), []);
+    assert_eq!(check_complete_responses(&history), []);
     Ok(())
 }
 
--- a/standins/tests/poison.rs
+++ b/standins/tests/poison.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use standins::soak::{PoisonReport, play_poison};
+use standins::soak::{PoisonReport, run_poison_request};
 use support::TestResult;
 use support::soaks::soak_settings;
 
@@ -15,7 +15,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_poison_request_is_refused_by_all_hosts_and_after_a_start_of_all() -> TestResult {
     let (settings, _folder) = soak_settings(HOSTS).await?;
-    let report = play_poison(settings).await?;
+    let report = run_poison_request(settings).await?;
     let expected = PoisonReport {
         crashed: 3,
         refused_by: HOSTS,
--- a/standins/tests/shutdown.rs
+++ b/standins/tests/shutdown.rs
@@ -15,8 +15,8 @@
 use jackdawwick::verdict::RunVerdict;
 use standins::caller::{CallerClient, OutgoingCall};
 use standins::check::{
-    GenerationHistory, RunHistory, TargetSteps, check_answered_once, check_layers,
-    check_whole_answers,
+    GenerationHistory, RunHistory, TargetSteps, check_complete_responses, check_layers,
+    check_single_response,
 };
 use standins::daemon_settings::DaemonPlace;
 use standins::declarations::{self, StageLayout, StageTarget, VERSION};
@@ -313,8 +313,8 @@
         ..RunHistory::default()
     };
     let mut broken = check_layers(&history);
-    broken.extend(check_whole_answers(&history));
-    broken.extend(check_answered_once(&history));
+    broken.extend(check_complete_responses(&history));
+    broken.extend(check_single_response(&history));
     assert_eq!(broken, []);
     wait_for_handover(&fleet.platform, holder).await
 }
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -5,11 +5,11 @@
 
 use std::time::{Duration, Instant};
 
-use standins::check::NamedLimit;
+use standins::check::AdvertisedLimit;
 use standins::soak::{
-    BrokenPromise, CallKind, CallOutcome, CallRecord, Disturbance, DisturbanceScope, FaultLink,
-    LinkFault, ProbeRecord, RunRecord, SoakHistory, SoakSettings, TargetDeparture, TargetLimit,
-    broken_promises, draw_faults, run_soak,
+    CallKind, CallOutcome, CallRecord, Disturbance, DisturbanceScope, FaultLink, LinkFault,
+    ProbeRecord, RunRecord, SoakHistory, SoakSettings, TargetDeparture, TargetLimit, Violation,
+    draw_faults, find_violations, run_soak,
 };
 use support::TestResult;
 use support::soaks::soak_settings;
@@ -19,21 +19,21 @@
 const SERVED: CallOutcome = CallOutcome::Answered {
     status: 200,
     sealed: true,
-    own: true,
+    matching: true,
 };
 const REFUSED: CallOutcome = CallOutcome::Answered {
     status: 503,
     sealed: false,
-    own: true,
+    matching: true,
 };
 
 /// A history that begins at a moment of its own.
-struct Story {
+struct HistoryBuilder {
     start: Instant,
     history: SoakHistory,
 }
 
-impl Story {
+impl HistoryBuilder {
     fn new() -> Self {
         let history = SoakHistory {
             recovered: true,
@@ -65,7 +65,7 @@
             id: id.to_owned(),
             target: target.to_owned(),
             at: self.at(at),
-            layers_whole: true,
+            layers_covered: true,
         });
     }
 
@@ -78,149 +78,155 @@
         });
     }
 
-    fn probe(&mut self, version: u64, in_force: bool, published: u64, sent: u64) {
+    fn probe(&mut self, version: u64, active: bool, published: u64, sent: u64) {
         self.history.probes.push(ProbeRecord {
             host: 0,
             incarnation: 1,
             version,
-            in_force,
+            active,
             published: self.at(published),
             sent: self.at(sent),
             answered: self.at(sent + 5),
         });
     }
 
-    fn broken(&self) -> Vec<BrokenPromise> {
-        broken_promises(&self.history, true)
+    fn violations(&self) -> Vec<Violation> {
+        find_violations(&self.history, true)
     }
 }
 
 #[test]
-fn a_sound_history_breaks_nothing() {
-    let mut story = Story::new();
-    story.call("a", CallKind::NonIdempotent, 0, 20, SERVED);
-    story.run("a", "one", 5);
-    story.call("b", CallKind::NonIdempotent, 30, 31, REFUSED);
-    story.call("c", CallKind::Idempotent, 40, 80, SERVED);
-    story.run("c", "one", 45);
-    story.run("c", "two", 60);
-    story.probe(2, false, 100, 150);
-    story.probe(2, true, 100, 300);
-    assert_eq!(story.broken(), []);
+fn a_correct_history_has_no_violations() {
+    let mut builder = HistoryBuilder::new();
+    builder.call("a", CallKind::NonIdempotent, 0, 20, SERVED);
+    builder.run("a", "one", 5);
+    builder.call("b", CallKind::NonIdempotent, 30, 31, REFUSED);
+    builder.call("c", CallKind::Idempotent, 40, 80, SERVED);
+    builder.run("c", "one", 45);
+    builder.run("c", "two", 60);
+    builder.probe(2, false, 100, 150);
+    builder.probe(2, true, 100, 300);
+    assert_eq!(builder.violations(), []);
 }
 
 #[test]
 fn a_second_run_of_a_non_idempotent_call_is_found() {
-    let mut story = Story::new();
-    story.call("a", CallKind::NonIdempotent, 0, 20, SERVED);
-    story.run("a", "one", 5);
-    story.run("a", "two", 9);
-    assert_eq!(story.broken(), [BrokenPromise::RanTwice("a".into())]);
+    let mut builder = HistoryBuilder::new();
+    builder.call("a", CallKind::NonIdempotent, 0, 20, SERVED);
+    builder.run("a", "one", 5);
+    builder.run("a", "two", 9);
+    assert_eq!(builder.violations(), [Violation::RanTwice("a".into())]);
 }
 
 #[test]
 fn a_refused_call_that_runs_later_is_found() {
-    let mut story = Story::new();
-    story.call("a", CallKind::NonIdempotent, 0, 20, REFUSED);
-    story.run("a", "one", 500);
+    let mut builder = HistoryBuilder::new();
+    builder.call("a", CallKind::NonIdempotent, 0, 20, REFUSED);
+    builder.run("a", "one", 500);
     assert_eq!(
-        story.broken(),
-        [BrokenPromise::RanThoughRefused("a".into())]
+        builder.violations(),
+        [Violation::RanDespiteRefusal("a".into())]
     );
 }
 
 #[test]
-fn a_foreign_or_partial_success_is_found() {
-    let mut story = Story::new();
+fn a_success_of_another_call_or_with_a_partial_body_is_found() {
+    let mut builder = HistoryBuilder::new();
     let partial = CallOutcome::Answered {
         status: 200,
         sealed: true,
-        own: false,
+        matching: false,
     };
-    story.call("a", CallKind::Stream, 0, 20, partial);
-    assert_eq!(story.broken(), [BrokenPromise::WrongAnswer("a".into())]);
+    builder.call("a", CallKind::Stream, 0, 20, partial);
+    assert_eq!(builder.violations(), [Violation::WrongResponse("a".into())]);
 }
 
 #[test]
-fn a_call_that_nobody_sent_and_a_wrong_path_are_found() {
-    let mut story = Story::new();
-    story.run("a", "one", 5);
-    story.history.runs[0].layers_whole = false;
+fn a_run_without_a_call_and_an_incomplete_path_are_found() {
+    let mut builder = HistoryBuilder::new();
+    builder.run("a", "one", 5);
+    builder.history.runs[0].layers_covered = false;
     let found = [
-        BrokenPromise::Unasked("a".into()),
-        BrokenPromise::WrongLayers("a".into()),
+        Violation::UnknownCall("a".into()),
+        Violation::WrongLayers("a".into()),
     ];
-    assert_eq!(story.broken(), found);
+    assert_eq!(builder.violations(), found);
 }
 
 #[test]
 fn a_call_cut_by_a_stop_is_found_and_one_cut_by_a_kill_is_not() {
-    let mut story = Story::new();
-    story.call("a", CallKind::Stream, 5000, 5500, CallOutcome::Cut);
-    story.run("a", "one", 5010);
-    story.disturb(DisturbanceScope::Host(0), true, 5200, 9000);
-    assert_eq!(story.broken(), [BrokenPromise::LostAtStop("a".into())]);
-    story.disturb(DisturbanceScope::Host(0), false, 5400, 9000);
-    assert_eq!(story.broken(), []);
+    let mut builder = HistoryBuilder::new();
+    builder.call("a", CallKind::Stream, 5000, 5500, CallOutcome::Interrupted);
+    builder.run("a", "one", 5010);
+    builder.disturb(DisturbanceScope::Host(0), true, 5200, 9000);
+    assert_eq!(
+        builder.violations(),
+        [Violation::LostAtShutdown("a".into())]
+    );
+    builder.disturb(DisturbanceScope::Host(0), false, 5400, 9000);
+    assert_eq!(builder.violations(), []);
 }
 
 #[test]
-fn a_late_send_to_a_leaving_target_is_found_unless_the_host_was_cut_off() {
-    let mut story = Story::new();
-    story.history.departures.push(TargetDeparture {
+fn a_late_send_to_a_leaving_target_is_found_unless_the_host_was_disturbed() {
+    let mut builder = HistoryBuilder::new();
+    builder.history.departures.push(TargetDeparture {
         target: "one".into(),
-        at: story.at(5000),
+        at: builder.at(5000),
     });
-    story.call("a", CallKind::Idempotent, 7400, 7500, SERVED);
-    story.run("a", "one", 7410);
-    assert_eq!(story.broken(), [BrokenPromise::SentToLeaving("a".into())]);
-    story.disturb(DisturbanceScope::Host(0), false, 4000, 4500);
-    assert_eq!(story.broken(), []);
+    builder.call("a", CallKind::Idempotent, 7400, 7500, SERVED);
+    builder.run("a", "one", 7410);
+    assert_eq!(builder.violations(), [Violation::SentToLeaving("a".into())]);
+    builder.disturb(DisturbanceScope::Host(0), false, 4000, 4500);
+    assert_eq!(builder.violations(), []);
 }
 
 #[test]
-fn a_limit_that_each_host_keeps_by_itself_is_found_unless_the_host_was_cut_off() {
-    let mut story = Story::new();
-    story.history.limits.push(TargetLimit {
+fn a_limit_that_each_host_applies_separately_is_found_unless_the_host_was_disturbed() {
+    let mut builder = HistoryBuilder::new();
+    builder.history.limits.push(TargetLimit {
         target: "one".into(),
-        limit: NamedLimit {
+        limit: AdvertisedLimit {
             per_second: 2.0,
-            from: story.at(5000),
-            until: story.at(12_000),
+            from: builder.at(5000),
+            until: builder.at(12_000),
         },
     });
     for call in 0..50 {
         let (id, at) = (format!("call-{call}"), 6000 + 100 * call);
-        story.call(&id, CallKind::Idempotent, at, at + 20, SERVED);
-        story.run(&id, "one", at + 5);
+        builder.call(&id, CallKind::Idempotent, at, at + 20, SERVED);
+        builder.run(&id, "one", at + 5);
     }
-    assert_eq!(story.broken(), [BrokenPromise::OverLimit("one".into(), 40)]);
-    story.disturb(DisturbanceScope::Host(0), false, 5000, 11_000);
-    assert_eq!(story.broken(), []);
+    assert_eq!(
+        builder.violations(),
+        [Violation::OverLimit("one".into(), 40)]
+    );
+    builder.disturb(DisturbanceScope::Host(0), false, 5000, 11_000);
+    assert_eq!(builder.violations(), []);
 }
 
 #[test]
 fn a_host_that_falls_behind_or_stays_behind_is_found() {
-    let mut story = Story::new();
-    story.probe(3, true, 5000, 5100);
-    story.probe(3, false, 5000, 5500);
-    assert_eq!(story.broken(), [BrokenPromise::Regressed(0, 3)]);
-    let mut story = Story::new();
-    story.probe(3, false, 5000, 7100);
-    assert_eq!(story.broken(), [BrokenPromise::LateVersion(0, 3)]);
-    assert_eq!(broken_promises(&story.history, false), []);
+    let mut builder = HistoryBuilder::new();
+    builder.probe(3, true, 5000, 5100);
+    builder.probe(3, false, 5000, 5500);
+    assert_eq!(builder.violations(), [Violation::Regressed(0, 3)]);
+    let mut builder = HistoryBuilder::new();
+    builder.probe(3, false, 5000, 7100);
+    assert_eq!(builder.violations(), [Violation::LateVersion(0, 3)]);
+    assert_eq!(find_violations(&builder.history, false), []);
 }
 
 #[test]
-fn ends_and_lasting_outages_are_found() {
-    let mut story = Story::new();
-    story.history.own_ends.push("host-0".into());
-    story.history.recovered = false;
+fn unexpected_exits_and_missing_recovery_are_found() {
+    let mut builder = HistoryBuilder::new();
+    builder.history.unexpected_exits.push("host-0".into());
+    builder.history.recovered = false;
     let found = [
-        BrokenPromise::OwnEnd("host-0".into()),
-        BrokenPromise::NotRecovered,
+        Violation::UnexpectedExit("host-0".into()),
+        Violation::NotRecovered,
     ];
-    assert_eq!(story.broken(), found);
+    assert_eq!(builder.violations(), found);
 }
 
 #[test]
@@ -246,13 +252,17 @@
 }
 
 #[tokio::test]
-async fn a_link_resets_holds_and_heals() -> TestResult {
+async fn a_link_blocks_resets_and_recovers() -> TestResult {
     let link = FaultLink::open(Some(echo().await?)).await?;
     let mut stream = TcpStream::connect(link.address).await?;
     let mut byte = [0];
     stream.write_all(b"a").await?;
     stream.read_exact(&mut byte).await?;
-    for held in [LinkFault::Silent, LinkFault::CutTowards, LinkFault::CutBack] {
+    for held in [
+        LinkFault::Blackhole,
+        LinkFault::BlockToServer,
+        LinkFault::BlockToClient,
+    ] {
         link.set(held);
         stream.write_all(b"b").await?;
         let early = stream.read_exact(&mut byte);
@@ -270,7 +280,7 @@
 /// Entry hosts as processes, half a dozen faults and more, and every promise
 /// that is not bounded by a time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_short_soak_breaks_no_promise() -> TestResult {
+async fn a_short_soak_has_no_violations() -> TestResult {
     let (settings, _folder) = soak_settings(3).await?;
     let report = run_soak(SoakSettings {
         seed: 11,
@@ -279,7 +289,7 @@
         ..settings
     })
     .await?;
-    assert_eq!(report.broken, []);
+    assert_eq!(report.violations, []);
     assert!(report.faults > 3, "{} faults", report.faults);
     assert!(report.count(|ended| ended == SERVED) > 100);
     Ok(())
--- a/standins/tests/whole_answers.rs
+++ b/standins/tests/whole_answers.rs
@@ -6,7 +6,7 @@
 use jackdawwick::api::wire::{GenerateBody, ResumeToken, StreamEvent};
 use standins::caller::{CallerClient, HeardAnswer};
 use standins::check::{
-    GenerationHistory, RunHistory, check_answered_once, check_layers, check_whole_answers,
+    GenerationHistory, RunHistory, check_complete_responses, check_layers, check_single_response,
 };
 use standins::declarations::VERSION;
 use standins::engine::EngineFaults;
@@ -86,8 +86,8 @@
 
 fn assert_promises(history: &RunHistory) {
     let mut broken = check_layers(history);
-    broken.extend(check_whole_answers(history));
-    broken.extend(check_answered_once(history));
+    broken.extend(check_complete_responses(history));
+    broken.extend(check_single_response(history));
     assert!(broken.is_empty(), "{broken:?}");
 }
 
