--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -1,4 +1,4 @@
-//! Runs the randomized soak over a range of seeds.
+//! Runs the randomized soak test over a range of seeds.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
 
 fn main() -> std::io::Result<ExitCode> {
     let matches = Command::new("soak")
-        .about("Runs entry hosts as processes under faults and checks what they promise")
+        .about("Runs entry hosts as processes under faults and checks their guarantees")
         .arg(number_arg("first-seed", "1"))
         .arg(number_arg("seeds", "1"))
         .arg(number_arg("seconds", "20"))
@@ -27,14 +27,14 @@
             Arg::new("folder")
                 .long("folder")
                 .default_value("target/soak")
-                .help("Where settings and logs go; kept for seeds that broke a promise")
+                .help("Directory for settings and logs; kept for seeds with violations")
                 .value_parser(value_parser!(PathBuf)),
         )
         .arg(
             Arg::new("untimed")
                 .long("untimed")
                 .action(ArgAction::SetTrue)
-                .help("Leave out promises that are bounded by times"),
+                .help("Skip guarantees with a time bound"),
         )
         .get_matches();
     let path = |name: &str| {
@@ -67,7 +67,7 @@
             false => save_history(&folder, &report, &mut failed, seed)?,
         }
     }
-    writeln!(std::io::stdout(), "seeds that broke a promise: {failed:?}")?;
+    writeln!(std::io::stdout(), "seeds with violations: {failed:?}")?;
     Ok(ExitCode::from(u8::from(!failed.is_empty())))
 }
 
@@ -78,7 +78,7 @@
         )
     };
     format!(
-        "seed {seed}: {} faults, {} calls, {} served, {} refused or failed, {} cut, {} left; broken: {:?}",
+        "seed {seed}: {} faults, {} calls, {} served, {} refused or failed, {} interrupted, {} timed out; violations: {:?}",
         report.faults,
         report.history.calls.len(),
         answered(200..300),
--- a/standins/src/check.rs
+++ b/standins/src/check.rs
@@ -1,7 +1,7 @@
-//! Checks of a recorded history, one for each promise.
+//! Checks of a recorded history, one for each guarantee.
 //!
-//! The history joins what the targets really ran with what the callers heard.
-//! A checker reads it and reports each broken promise; [`check_all`] runs all.
+//! The history joins what the targets ran with what the callers received. Each checker
+//! reports the violations of its guarantee; [`check_all`] runs all of them.
 
 mod history;
 mod keys;
@@ -22,31 +22,31 @@
 pub use refusals::check_not_run;
 pub use responses::{check_complete_responses, check_single_response};
 
-/// The promises that are checked.
+/// The guarantees that are checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Guarantee {
     /// Every layer runs exactly once for each token, in order.
     LayersOnce,
-    /// Each caller gets the whole answer to its own request.
+    /// Each caller receives the complete response to its own request.
     CompleteResponse,
-    /// What was said not to have run did not run.
+    /// A request that is reported as not run did not run.
     NotRun,
     /// A non-idempotent request runs at most once.
     AtMostOnce,
-    /// A leaving target gets no new work.
+    /// A leaving target receives no new work.
     NoNewWork,
-    /// Every request is answered exactly once.
+    /// Every request receives exactly one final response.
     SingleResponse,
 }
 
-/// A promise that a history breaks.
+/// A violation of a guarantee in a history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
+    /// The violated guarantee.
     pub guarantee: Guarantee,
-    /// Request, key or target concerned.
+    /// The request, key or target that is affected.
     pub subject: String,
-    /// What is wrong.
+    /// Description of the violation.
     pub detail: String,
 }
 
@@ -73,7 +73,7 @@
     }
 }
 
-/// Runs every checker; a leaving target may get new work for `leave_grace`.
+/// Runs every checker. A leaving target may still receive new work for `leave_grace`.
 pub fn check_all(history: &RunHistory, leave_grace: Duration) -> Vec<Violation> {
     let mut violations = check_layers(history);
     violations.extend(check_complete_responses(history));
--- a/standins/src/check/history.rs
+++ b/standins/src/check/history.rs
@@ -1,4 +1,4 @@
-//! What a run of a fleet leaves behind.
+//! History of a run of a fleet.
 
 use jackdawwick::api::wire::{RefusalBody, StreamEvent};
 use jackdawwick::collections::FastMap;
@@ -8,10 +8,10 @@
 use crate::engine::StepRecord;
 use crate::service::CallRecord;
 
-/// What the targets ran and what the callers heard.
+/// What the targets ran and what the callers received.
 #[derive(Debug, Clone, Default)]
 pub struct RunHistory {
-    /// Steps that ran, engine by engine.
+    /// Steps that ran, by engine.
     pub steps: Vec<TargetSteps>,
     /// Calls that ran, on all targets of plain services.
     pub calls: Vec<CallRecord>,
@@ -19,43 +19,43 @@
     pub generations: Vec<GenerationHistory>,
     /// Calls of plain services, as their callers saw them.
     pub service_calls: Vec<CallHistory>,
-    /// Targets that were put down as leaving.
+    /// Targets that were marked as leaving.
     pub leaves: Vec<TargetLeave>,
 }
 
 /// Steps of one engine.
 #[derive(Debug, Clone)]
 pub struct TargetSteps {
-    /// The engine.
+    /// Id of the engine.
     pub target: TargetId,
-    /// Its record, in order.
+    /// Its steps, in the order in which they ran.
     pub records: Vec<StepRecord>,
 }
 
-/// One generation.
+/// One generation request.
 #[derive(Debug, Clone)]
 pub struct GenerationHistory {
     /// Request id that the caller sent.
     pub request: RequestId,
-    /// Organisation that asked.
+    /// Organisation of the caller.
     pub organisation: OrganisationId,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Version that all answers come from.
+    /// Version that all responses come from.
     pub version: String,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: LayerIndex,
-    /// Prompt sent.
+    /// Prompt of the request.
     pub prompt: Vec<TokenValue>,
-    /// Tokens asked for.
+    /// Requested number of tokens.
     pub max_tokens: u64,
-    /// Answers heard: more than one if the caller came back with what it held
-    /// after an entry host had died.
+    /// Responses received: more than one if an entry host ended and the caller resumed
+    /// the request at another one.
     pub answers: Vec<HeardAnswer>,
 }
 
 impl GenerationHistory {
-    /// Numbers and tokens heard, over all answers.
+    /// Returns the numbers and tokens received in all responses.
     pub fn numbered_tokens(&self) -> Vec<(u64, TokenValue)> {
         let token = |event: &StreamEvent| match event {
             StreamEvent::Token { number, token } => Some((*number, *token)),
@@ -66,12 +66,12 @@
         events.filter_map(|heard| token(&heard.event)).collect()
     }
 
-    /// Refusal that ended the request.
+    /// Returns the refusal that ended the request.
     pub fn refusal(&self) -> Option<&RefusalBody> {
         self.answers.last().and_then(HeardAnswer::refused)
     }
 
-    /// Count of the closing event, if the answer came to one.
+    /// Returns the token count of the closing event, if the last response has one.
     pub fn closing_count(&self) -> Option<u64> {
         let answer = self.answers.last()?;
         answer.events.iter().find_map(|heard| match heard.event {
@@ -81,30 +81,29 @@
     }
 }
 
-/// One request to a plain service, perhaps sent to several hosts.
+/// One request to a plain service, which may have been sent to several hosts.
 #[derive(Debug, Clone)]
 pub struct CallHistory {
     /// Request id that the caller sent.
     pub request: RequestId,
-    /// Organisation that asked.
+    /// Organisation of the caller.
     pub organisation: OrganisationId,
-    /// Key, if the call was marked as non-idempotent.
+    /// Idempotency key, if the call was marked as non-idempotent.
     pub key: Option<String>,
-    /// The last answer on each way on which it was sent; `None` if there is
-    /// none.
+    /// Last response of each host that the request was sent to; `None` if there was none.
     pub replies: Vec<Option<HeardReply>>,
-    /// Times that the connection broke and the caller sent it again.
+    /// Number of times that the connection broke and the caller sent the request again.
     pub lost_sends: usize,
 }
 
 impl CallHistory {
-    /// Whether the service answered on any way.
+    /// Returns whether the service responded successfully through any host.
     pub fn is_answered(&self) -> bool {
         let mut replies = self.replies.iter().flatten();
         replies.any(|reply| reply.status.is_success())
     }
 
-    /// Refusals among the replies.
+    /// Returns the refusals among the responses.
     pub fn refusals(&self) -> impl Iterator<Item = RefusalBody> {
         self.replies.iter().flatten().filter_map(|reply| {
             let is_refusal = !reply.status.is_success();
@@ -113,21 +112,21 @@
     }
 }
 
-/// When a target was put down as leaving.
+/// When a target was marked as leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetLeave {
-    /// The target.
+    /// Id of the target.
     pub target: TargetId,
     /// Microseconds since the Unix epoch.
     pub at_micros: u64,
 }
 
-/// The caller's request id in the name under which engines know a run.
+/// Returns the caller's request id from the name by which engines identify a run.
 pub(super) fn caller_request(run: &str) -> &str {
     run.rsplit_once('~').map_or(run, |(request, _)| request)
 }
 
-/// Steps by the caller's request id, in the order in which they ran.
+/// Groups steps by the caller's request id, in the order in which they ran.
 pub(super) fn steps_by_request(history: &RunHistory) -> FastMap<&str, Vec<&StepRecord>> {
     let mut steps: FastMap<&str, Vec<&StepRecord>> = FastMap::default();
     for record in history.steps.iter().flat_map(|engine| &engine.records) {
--- a/standins/src/check/keys.rs
+++ b/standins/src/check/keys.rs
@@ -1,4 +1,4 @@
-//! A non-idempotent request runs at most once.
+//! Checks that a non-idempotent request runs at most once.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use super::history::caller_request;
 use super::{Guarantee, RunHistory, Violation};
 
-/// Checks that no key of an organisation was carried out twice.
+/// Checks that no idempotency key of an organisation was executed twice.
 pub fn check_at_most_once(history: &RunHistory) -> Vec<Violation> {
     let keyed = history.service_calls.iter().filter_map(|call| {
         let key = call.key.as_deref()?;
--- a/standins/src/check/layers.rs
+++ b/standins/src/check/layers.rs
@@ -1,13 +1,12 @@
-//! Every layer exactly once, in order, for each delivered token.
+//! Checks that every layer runs exactly once, in order, for each delivered token.
 //!
-//! The reading applied: for each position that a delivered token rests on there
-//! is a chain of computed steps of one run, a step a stage, in which each
-//! stage's output is the next stage's input, the layers taken together are
-//! 0, 1, ... up to the model's last, each once, and a stage ran after the one
-//! before it. The last step of the chain at a token's position gave the token.
-//! A stage may compute a position again only under a later attempt (on a
-//! replacement, say); within an attempt positions are computed one after the
-//! other, each once.
+//! For each position that a delivered token depends on there has to be a chain of
+//! computed steps of one run, one step per stage. Each stage's output is the next stage's
+//! input, the layers of the chain are 0, 1, ... up to the model's last, each once, and
+//! each stage ran after the one before it. The last step of the chain at a token's
+//! position returned the token. A stage may compute a position again only under a later
+//! attempt, such as on a replacement; within an attempt it computes positions in
+//! sequence, each once.
 
 use jackdawwick::collections::FastMap;
 use jackdawwick::ids::{LayerIndex, RequestId, TokenPosition};
@@ -51,7 +50,7 @@
         check_chain(steps, ends, generation.layers)
             .map_err(|problem| format!("token {number}: {problem}"))?;
     }
-    // The KV state that the first token rests on comes from the whole prompt.
+    // The KV state that the first token depends on comes from the whole prompt.
     let prefix = if tokens.is_empty() { 0 } else { prompt - 1 };
     for position in 0..prefix {
         let steps = by_position.get(&position).map_or(&[][..], Vec::as_slice);
@@ -61,7 +60,7 @@
     Ok(())
 }
 
-/// Within one attempt of one stage, positions are computed one after the other.
+/// Checks that each stage computes positions in sequence within one attempt.
 fn check_sessions(computed: &[&StepRecord]) -> Result<(), String> {
     let mut last: FastMap<(&RequestId, u32, usize), TokenPosition> = FastMap::default();
     for record in computed {
@@ -79,7 +78,7 @@
     Ok(())
 }
 
-/// Whether a chain through all layers ends in one of `ends`.
+/// Checks that a chain through all layers ends in one of `ends`.
 fn check_chain<'r, I>(steps: &[&'r StepRecord], ends: I, layers: LayerIndex) -> Result<(), String>
 where
     I: Iterator<Item = &'r &'r StepRecord>,
@@ -94,7 +93,7 @@
     }
 }
 
-/// Whether `step` and some steps before it run layers `0..end_layer` in order.
+/// Returns whether `step` and steps before it ran the layers `0..end_layer` in order.
 fn is_chain(steps: &[&StepRecord], step: &StepRecord, end_layer: LayerIndex) -> bool {
     let count = step.layers.len() as LayerIndex;
     let Some(first) = end_layer.checked_sub(count).filter(|_| count > 0) else {
--- a/standins/src/check/leaving.rs
+++ b/standins/src/check/leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving target gets no new work.
+//! Checks that a leaving target receives no new work.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 
 use super::{Guarantee, RunHistory, TargetLeave, TargetSteps, Violation};
 
-/// Checks that no session began on a leaving target later than `grace` after
-/// it was put down as leaving.
+/// Checks that no session began on a leaving target more than `grace` after it was marked
+/// as leaving.
 pub fn check_leaving(history: &RunHistory, grace: Duration) -> Vec<Violation> {
     let mut violations = Vec::new();
     for leave in &history.leaves {
@@ -27,7 +27,10 @@
         let is_new = known.insert((&record.request, record.attempt, record.stage));
         if is_new && record.at_micros > latest {
             let late = Duration::from_micros(record.at_micros - leave.at_micros);
-            let detail = format!("{} began there {late:.1?} later", record.request);
+            let detail = format!(
+                "{} began a session {late:.1?} after the target was marked as leaving",
+                record.request
+            );
             let guarantee = Guarantee::NoNewWork;
             violations.push(Violation::new(guarantee, &engine.target, detail));
         }
--- a/standins/src/check/limits.rs
+++ b/standins/src/check/limits.rs
@@ -1,46 +1,45 @@
-//! A target that limits its rate of requests gets no more than that from all
-//! hosts together.
+//! Checks that all hosts together stay within the rate limit of a target.
 
 use std::time::{Duration, Instant};
 
-/// Any span of this length counts.
+/// Length of the sliding window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time from the first naming of a limit until it has to be kept.
+/// Time from the first advertisement of a limit until it has to be kept.
 const ENFORCED_AFTER: Duration = Duration::from_secs(3);
-/// What may come beyond the limit: a part of it, and requests besides.
+/// Allowed excess over the limit: a factor, and a number of requests in addition.
 const EXCESS_FACTOR: f64 = 1.5;
 const EXCESS_REQUESTS: f64 = 5.0;
 
-/// A limit, from its first naming to its end.
+/// A limit that a target advertises, and the period in which it does.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdvertisedLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// When the target first named it.
+    /// When the target first advertised the limit.
     pub from: Instant,
-    /// When it named it last.
+    /// When the target last advertised the limit.
     pub until: Instant,
 }
 
-/// More requests in a window than a limit allows.
+/// A window with more requests than a limit allows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitViolation {
     /// End of the window.
     pub at: Instant,
-    /// Requests that came in it.
+    /// Number of requests that arrived in the window.
     pub arrived: usize,
-    /// Requests that the limit allows in it.
+    /// Number of requests that the limit allows in the window.
     pub allowed: f64,
 }
 
 impl AdvertisedLimit {
-    /// Requests that it allows in any window.
+    /// Returns the number of requests that the limit allows in any window.
     pub fn allowed(&self) -> f64 {
         EXCESS_FACTOR * self.per_second * WINDOW.as_secs_f64() + EXCESS_REQUESTS
     }
 
-    /// Most requests in a window that ends while the limit has to be kept; the moments
-    /// are in order of time.
+    /// Returns the largest number of requests in a window that ends while the limit has
+    /// to be kept. `arrivals` are sorted by time.
     pub fn most_in_window(&self, arrivals: &[Instant]) -> usize {
         self.windows(arrivals)
             .map(|(_, arrived)| arrived)
@@ -48,9 +47,9 @@
             .unwrap_or(0)
     }
 
-    /// The worst breach by requests that came at these moments, in order of time.
-    /// Windows that end while the limit has to be kept count, also what came in
-    /// them before the limit was named.
+    /// Returns the worst violation by requests that arrived at these times, sorted by
+    /// time. Windows that end while the limit has to be kept are checked, and requests in
+    /// them that arrived before the limit was advertised count as well.
     pub fn worst_violation(&self, arrivals: &[Instant]) -> Option<LimitViolation> {
         let windows = self.windows(arrivals);
         let violations = windows.filter(|(_, arrived)| *arrived as f64 > self.allowed());
@@ -62,7 +61,8 @@
         })
     }
 
-    /// The windows that end with each request, and what came in them.
+    /// Returns the window that ends at each request: its end and the number of requests
+    /// in it.
     fn windows(&self, arrivals: &[Instant]) -> impl Iterator<Item = (Instant, usize)> {
         let judged = self.from + ENFORCED_AFTER..=self.until;
         let ends = arrivals.iter().copied().enumerate();
--- a/standins/src/check/refusals.rs
+++ b/standins/src/check/refusals.rs
@@ -1,4 +1,4 @@
-//! What was said not to have run did not run.
+//! Checks that a request that is reported as not run did not run.
 
 use jackdawwick::collections::FastSet;
 use jackdawwick::verdict::RunVerdict;
@@ -6,12 +6,12 @@
 use super::history::{caller_request, steps_by_request};
 use super::{CallHistory, Guarantee, RunHistory, Violation};
 
-/// Checks that no target ran anything of a request whose verdict is `NotRun`.
+/// Checks that no target ran any part of a request whose verdict is `NotRun`.
 ///
-/// Of a request that was sent several times only those are judged whose every
-/// answer says so: the others may rightly have run. A caller that sends a call
-/// without a key again after a lost answer hears about the last time alone, so
-/// such calls are not judged; with a key they are.
+/// A request that was sent several times is checked only if every response reports
+/// `NotRun`, as the other attempts may have run. A caller that repeats a call without a
+/// key after a lost response receives the verdict of the last attempt only, so such calls
+/// are skipped; calls with a key are checked.
 pub fn check_not_run(history: &RunHistory) -> Vec<Violation> {
     let steps = steps_by_request(history);
     let calls = history
@@ -26,7 +26,7 @@
     });
     let ran = generations.filter_map(|generation| {
         let ran = steps.get(&*generation.request)?;
-        let detail = format!("told that it did not run, but {} steps did", ran.len());
+        let detail = format!("refused as not run, but {} steps ran", ran.len());
         let guarantee = Guarantee::NotRun;
         Some(Violation::new(guarantee, &generation.request, detail))
     });
@@ -34,7 +34,7 @@
     let ran_calls = refused_calls
         .filter(|call| called.contains(&*call.request))
         .map(|call| {
-            let detail = "told that it did not run, but it did";
+            let detail = "refused as not run, but it ran";
             Violation::new(Guarantee::NotRun, &call.request, detail)
         });
     ran.chain(ran_calls).collect()
--- a/standins/src/check/responses.rs
+++ b/standins/src/check/responses.rs
@@ -1,4 +1,4 @@
-//! Whole answers, to their own request, exactly once.
+//! Checks that each request receives its own complete response exactly once.
 
 use jackdawwick::api::wire::StreamEvent;
 
@@ -6,7 +6,7 @@
 use crate::caller::HeardAnswer;
 use crate::reference;
 
-/// Checks that tokens are numbered without gaps, are the right ones for the
+/// Checks that tokens are numbered without gaps and are the expected ones for the
 /// request, and that the closing event counts them.
 pub fn check_complete_responses(history: &RunHistory) -> Vec<Violation> {
     let problems = history.generations.iter().filter_map(|generation| {
@@ -28,27 +28,29 @@
     );
     for ((number, token), (expected, right)) in received.iter().zip((0..).zip(right)) {
         if *number != expected {
-            return Err(format!("token {number} came in place of token {expected}"));
+            return Err(format!(
+                "received token {number}, expected token {expected}"
+            ));
         }
         if *token != right {
-            return Err(format!("token {number} is {token} in place of {right}"));
+            return Err(format!("token {number} is {token}, expected {right}"));
         }
     }
     let count = received.len() as u64;
     match generation.closing_count() {
-        Some(closing) if closing != count => {
-            Err(format!("{count} tokens were heard and {closing} counted"))
-        }
+        Some(closing) if closing != count => Err(format!(
+            "{count} tokens received, but the closing event counts {closing}"
+        )),
         Some(_) if count != generation.max_tokens => Err(format!(
-            "{count} tokens make the answer in place of {}",
+            "{count} tokens received, expected {}",
             generation.max_tokens
         )),
         _ => Ok(()),
     }
 }
 
-/// Checks that each request got exactly one final answer: only its last
-/// answer is closed, by its count or a refusal.
+/// Checks that each request received exactly one final response: only its last response
+/// ends with a count or a refusal.
 pub fn check_single_response(history: &RunHistory) -> Vec<Violation> {
     let guarantee = Guarantee::SingleResponse;
     let generations = history.generations.iter().filter_map(|generation| {
@@ -56,7 +58,7 @@
         let is_last_final = generation.answers.last().is_some_and(is_final);
         let problem = match finals.count() {
             1 if is_last_final => return None,
-            count => format!("{count} final answers"),
+            count => format!("{count} final responses"),
         };
         Some(Violation::new(guarantee, &generation.request, problem))
     });
@@ -64,7 +66,7 @@
         let unanswered = call.replies.iter().filter(|reply| reply.is_none());
         let problem = match unanswered.count() {
             0 if !call.replies.is_empty() => return None,
-            count => format!("{count} of {} calls unanswered", call.replies.len()),
+            count => format!("{count} of {} calls without a response", call.replies.len()),
         };
         Some(Violation::new(guarantee, &call.request, problem))
     });
--- a/standins/src/faults.rs
+++ b/standins/src/faults.rs
@@ -1,10 +1,10 @@
-//! Faults that are switched while a stand-in runs.
+//! Faults that can be switched while a stand-in runs.
 
 use std::sync::Arc;
 
 use tokio::sync::watch;
 
-/// Shared, observable set of faults of one stand-in.
+/// Shared, observable set of the faults of one stand-in.
 #[derive(Debug)]
 pub struct FaultSwitch<F> {
     sender: Arc<watch::Sender<F>>,
@@ -22,19 +22,19 @@
 where
     F: Clone + Send + Sync + 'static,
 {
-    /// A switch that starts with `faults`.
+    /// Creates a switch with the initial `faults`.
     pub fn new(faults: F) -> Self {
         Self {
             sender: Arc::new(watch::Sender::new(faults)),
         }
     }
 
-    /// The faults as they are now.
+    /// Returns the current faults.
     pub fn get(&self) -> F {
         self.sender.borrow().clone()
     }
 
-    /// Reads one thing of the present faults.
+    /// Reads one value from the current faults.
     pub fn read<T, R>(&self, read: R) -> T
     where
         R: FnOnce(&F) -> T,
@@ -47,7 +47,7 @@
         self.sender.send_replace(faults);
     }
 
-    /// Changes some faults.
+    /// Changes the faults in place.
     pub fn update<U>(&self, update: U)
     where
         U: FnOnce(&mut F),
@@ -55,7 +55,8 @@
         self.sender.send_modify(update);
     }
 
-    /// Changes some faults if they are as `update` wants them; true if so.
+    /// Changes the faults in place and returns what `update` returns: whether it changed
+    /// them.
     pub fn update_if<U>(&self, update: U) -> bool
     where
         U: FnOnce(&mut F) -> bool,
@@ -63,7 +64,8 @@
         self.sender.send_if_modified(update)
     }
 
-    /// Counts one down from a "next N times" fault; true if there was one left.
+    /// Decrements the counter of a "next N times" fault and returns whether it was above
+    /// 0.
     pub fn take_one<C>(&self, counter: C) -> bool
     where
         C: FnOnce(&mut F) -> &mut u32,
@@ -82,7 +84,7 @@
         C: Fn(&F) -> bool,
     {
         let mut receiver = self.sender.subscribe();
-        // The sender lives in `self`, so the wait cannot end by its loss.
+        // `self` holds the sender, so the channel stays open during the wait.
         let _ = receiver.wait_for(condition).await;
     }
 }
--- a/standins/src/soak.rs
+++ b/standins/src/soak.rs
@@ -1,12 +1,12 @@
-//! A randomized soak: real entry hosts as separate processes, faults from
-//! outside them, and a check of what callers and targets saw.
+//! Randomized soak test: runs entry hosts as separate processes, injects faults from
+//! outside and checks what callers and targets recorded.
 //!
-//! [`run_soak`] draws everything from one seed: it starts a log service,
-//! targets and engines in this process, entry hosts as processes of their own,
-//! and callers that keep their connections open until the host is gone. Links
-//! of the hosts to the log, of callers to hosts and of hosts to targets pass
-//! through a [`FaultLink`]; processes are stopped, paused, killed and started
-//! again. [`find_violations`] then judges the history.
+//! [`run_soak`] derives everything from one seed. It starts a log service, targets and
+//! engines in this process, entry hosts as processes of their own, and callers that keep
+//! their connections open until the host closes them. The connections of hosts to the
+//! log, of callers to hosts and of hosts to targets pass through a [`FaultLink`]; host
+//! processes are stopped, paused, killed and restarted. [`find_violations`] then checks
+//! the history.
 
 mod callers;
 mod check;
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections open and note how each call ends.
+//! Callers that keep their connections open and record the outcome of each call.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,23 +20,23 @@
 use super::history::{CallKind, CallOutcome, CallRecord, SoakHistory};
 use super::responses::{plain_body, stream_body};
 
-/// How long a connection may take.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a caller waits for a plain answer, and for a stream.
+/// Deadlines of a call with a plain response, and of one with a stream.
 const PLAIN_DEADLINE: Duration = Duration::from_secs(4);
 const STREAM_DEADLINE: Duration = Duration::from_secs(8);
-/// Pause after a connection that could not be opened or broke.
+/// Delay after a connection that could not be opened or that broke.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// An entry host as its callers reach it.
+/// Entry point of callers to an entry host.
 #[derive(Debug)]
 pub(super) struct HostFront {
     pub(super) address: SocketAddr,
-    /// The balancer gives it new connections.
+    /// Whether the load balancer sends new connections to the host.
     pub(super) ready: AtomicBool,
 }
 
-/// What all callers share.
+/// State that all callers share.
 #[derive(Debug)]
 pub(super) struct CallerContext {
     pub(super) fronts: Vec<HostFront>,
@@ -64,7 +64,7 @@
         format!("call-{number:08}")
     }
 
-    /// Tells all callers to stop.
+    /// Signals all callers to stop.
     pub(super) fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
     }
@@ -73,7 +73,7 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// A host in rotation; any if none is.
+    /// Returns a random host in rotation, or any host if none is in rotation.
     fn pick_host(&self, random: &mut StdRng) -> usize {
         let ready = |index: &usize| self.fronts[*index].ready.load(Ordering::Relaxed);
         let hosts = (0..self.fronts.len()).filter(ready).collect::<Vec<_>>();
@@ -87,7 +87,7 @@
 /// A connection to an entry host.
 pub(super) type CallerConnection = SendRequest<Full<Bytes>>;
 
-/// Opens a connection; `None` if there is none in time.
+/// Opens a connection; returns `None` if it fails or times out.
 pub(super) async fn connect(address: SocketAddr) -> Option<CallerConnection> {
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.ok()?.ok()?;
@@ -96,13 +96,13 @@
     let (sender, connection) = connected_http.ok()?;
     tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!("a caller's connection ended: {error}");
+            log::debug!("caller connection failed: {error}");
         }
     });
     Some(sender)
 }
 
-/// Calls until told to stop.
+/// Sends calls until the callers are stopped.
 pub(super) async fn call_until_stopped(context: Arc<CallerContext>, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     while !context.is_stopped() {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Uses a connection until it is closed or `calls` are made.
+/// Uses a connection until it is closed or `calls` calls have been sent.
 async fn call_repeatedly(
     context: &CallerContext,
     mut connection: CallerConnection,
@@ -143,7 +143,7 @@
     }
 }
 
-/// Makes one call of a kind.
+/// Sends one call of a kind and records its outcome.
 pub(super) async fn call(
     context: &CallerContext,
     connection: &mut CallerConnection,
@@ -174,7 +174,7 @@
     }
 }
 
-/// A complete answer.
+/// A complete response.
 #[derive(Debug)]
 pub(super) struct CompleteResponse {
     pub(super) status: u16,
@@ -184,7 +184,7 @@
 }
 
 impl CompleteResponse {
-    /// Whether the body holds a word.
+    /// Returns whether the body contains a word.
     pub(super) fn body_contains(&self, word: &str) -> bool {
         String::from_utf8_lossy(&self.body).contains(word)
     }
@@ -225,7 +225,8 @@
     request.ok()
 }
 
-/// Sends a request and reads the whole answer; `None` if it is cut.
+/// Sends a request and reads the complete response; returns `None` if the connection
+/// breaks.
 pub(super) async fn exchange(
     connection: &mut CallerConnection,
     request: Option<Request<Full<Bytes>>>,
--- a/standins/src/soak/check.rs
+++ b/standins/src/soak/check.rs
@@ -1,4 +1,4 @@
-//! The promises, judged on a history.
+//! Checks the guarantees on a history.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,50 +7,51 @@
     CallKind, CallOutcome, CallRecord, Disturbance, DisturbanceScope, SoakHistory,
 };
 
-/// Within this time a leaving target gets nothing new.
+/// Time after which a leaving target receives no new calls.
 const LEAVING_BOUND: Duration = Duration::from_secs(2);
-/// Within this time a configuration is in force.
+/// Time after which a published configuration is active.
 const ACTIVATION_BOUND: Duration = Duration::from_secs(2);
-/// A host that served a version does not fall behind it later than this.
+/// Time after which a host that served a version may no longer fall behind it.
 const REGRESSION_SLACK: Duration = Duration::from_millis(250);
-/// Timed promises hold for hosts and a log that were sound for this long.
+/// Guarantees with a time bound hold if the host and the log were undisturbed for this
+/// long.
 const UNDISTURBED_TIME: Duration = Duration::from_secs(3);
-/// A caller may lose a call that crosses the close of its connection; one that
-/// was open for longer was read.
+/// A caller may lose a call that it sends while its connection is being closed. After
+/// this time the host has read the call.
 const CLOSE_RACE_TIME: Duration = Duration::from_millis(200);
 
-/// A promise that was broken, and where it showed.
+/// A violated guarantee, with the call, target or host that is affected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
     /// A non-idempotent call ran more than once.
     RanTwice(String),
-    /// A caller was told that its call was not run, and it ran.
+    /// A call ran though its caller received a response that it had not run.
     RanDespiteRefusal(String),
-    /// A success was another call's, without proof, or not whole.
+    /// A successful response belongs to another call, has no proof of a target, or is
+    /// incomplete.
     WrongResponse(String),
-    /// A call's path did not hold every layer once, in order.
+    /// The path of a call did not hold every layer once, in order.
     WrongLayers(String),
-    /// A call that no caller sent was run.
+    /// A call ran that no caller sent.
     UnknownCall(String),
-    /// A stop by SIGTERM cut off a call.
+    /// A shutdown by SIGTERM interrupted a call.
     LostAtShutdown(String),
-    /// A target got a call long after it said that it leaves.
+    /// A target received a call too long after it had announced that it leaves.
     SentToLeaving(String),
-    /// A target got more calls than the limit that it named allows.
+    /// A target received more calls than its advertised limit allows.
     OverLimit(String, usize),
-    /// A host went back behind a version that it had served.
+    /// A host went back to a version before one that it had served.
     Regressed(usize, u64),
-    /// A version was not in force in time.
+    /// A version was not active in time.
     LateVersion(usize, u64),
-    /// A process ended by itself.
+    /// A process exited unexpectedly, or did not exit when it was stopped.
     UnexpectedExit(String),
-    /// Not every host served again once all faults were over.
+    /// Not every host served again after all faults had ended.
     NotRecovered,
 }
 
-/// Judges a history. Promises that are bounded by times are judged only if
-/// `timed`: on a machine that is busy with other things they may be missed by
-/// the stand-ins as well.
+/// Returns all violations in a history. Guarantees with a time bound are checked only if
+/// `timed`: on a busy machine the stand-ins may miss these bounds as well.
 pub fn find_violations(history: &SoakHistory, timed: bool) -> Vec<Violation> {
     let mut violations = Vec::new();
     violations.extend(wrong_runs(history));
@@ -101,7 +102,7 @@
     violations
 }
 
-/// These statuses say that a call has not run and never will.
+/// Returns whether the status says that the call has not run and never will.
 fn reports_not_run(outcome: CallOutcome) -> bool {
     matches!(
         outcome,
@@ -150,7 +151,7 @@
     disturbance.from <= until && disturbance.until >= from
 }
 
-/// Whether nothing but planned work happened anywhere from `from` to `until`.
+/// Returns whether there were only planned disturbances from `from` to `until`.
 fn is_undisturbed(history: &SoakHistory, from: Instant, until: Instant) -> bool {
     let mut unplanned = history
         .disturbances
@@ -159,7 +160,7 @@
     !unplanned.any(|disturbance| overlaps(disturbance, from, until))
 }
 
-/// Whether a host and the log were sound from `from` to `until`.
+/// Returns whether a host and the log were undisturbed from `from` to `until`.
 fn is_host_undisturbed(history: &SoakHistory, host: usize, from: Instant, until: Instant) -> bool {
     let mut disturbances = history.disturbances.iter().filter(|disturbance| {
         disturbance.scope == DisturbanceScope::Log
@@ -223,7 +224,8 @@
         .collect()
 }
 
-/// Calls of hosts that were sound for a while before count; the others are excused.
+/// Finds limits that were exceeded. Only calls of hosts that were undisturbed for a while
+/// before count.
 fn over_limits(history: &SoakHistory) -> Vec<Violation> {
     let calls = calls_by_id(history);
     let is_sound = |id: &str, at: Instant| {
--- a/standins/src/soak/configuration.rs
+++ b/standins/src/soak/configuration.rs
@@ -1,31 +1,31 @@
-//! What the soak's operators publish, and the settings of its hosts.
+//! Configuration that the soak publishes, and the settings of its hosts.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use serde_json::json;
 
-/// Log topic of the configuration, and its key there.
+/// Log topic of the configuration, and its key in the topic.
 pub(super) const CONFIGURATION: (&str, &str) = ("keyed.op", "config");
 /// Log topic of the targets.
 pub(super) const TARGETS: &str = "keyed.servers";
-/// Host that callers name.
+/// Host name that callers send.
 pub(super) const CALLED_HOST: &str = "soak.example";
-/// Key with which callers call.
+/// API key of the callers.
 pub(super) const API_KEY: &str = "soak-key";
 /// Service of plain targets, and of engines.
 pub(super) const PLAIN_SERVICE: &str = "plain";
 pub(super) const ENGINE_SERVICE: &str = "engines";
 /// Layers of the model.
 pub(super) const LAYERS: u32 = 8;
-/// Pause between two heartbeats of a target.
+/// Interval of the heartbeats of a target.
 pub(super) const HEARTBEAT_MS: u64 = 400;
-/// Time for which a request that depends on a dead engine stalls.
+/// Time for which a request that depends on a dead engine may stall.
 pub(super) const STALL_MS: u64 = 2000;
-/// Time within which a stopping process has to end.
+/// Grace period within which a process has to exit after SIGTERM.
 pub(super) const GRACE_S: u64 = 6;
 
-/// Path prefix under which a version of the configuration shows.
+/// Returns the path prefix that a version of the configuration serves.
 pub(super) fn version_prefix(version: u64) -> String {
     format!("/version-{version}/")
 }
@@ -39,7 +39,7 @@
     })
 }
 
-/// A configuration: the lasting routes, and one for each of the last three
+/// Returns a configuration with the fixed routes and one route for each of the last three
 /// versions.
 pub(super) fn configuration(version: u64) -> Bytes {
     let lasting = [
@@ -77,7 +77,7 @@
     body.to_string().into()
 }
 
-/// The settings file of a host; it listens on ports of its own choice.
+/// Returns the settings file of a host, which listens on ports that the system assigns.
 pub(super) fn host_settings(
     name: &str,
     zone: &str,
@@ -85,7 +85,7 @@
     log: SocketAddr,
     seeds: &[SocketAddr],
 ) -> String {
-    // Each host's metrics have an address of their own.
+    // The readiness and metrics of each host have an address of their own.
     let readiness = format!("127.0.1.{}:0", index + 1);
     let body = json!({
         "node": name, "zone": zone, "seeds": seeds, "heartbeat_ms": HEARTBEAT_MS,
--- a/standins/src/soak/departure.rs
+++ b/standins/src/soak/departure.rs
@@ -1,4 +1,4 @@
-//! Targets that leave while entry hosts do not have the log.
+//! Targets that leave while entry hosts cannot read the log.
 
 use std::io;
 use std::sync::Arc;
@@ -12,36 +12,36 @@
 use super::link::LinkFault;
 use super::run::{POLL_INTERVAL, SoakRun, SoakSettings};
 
-/// Time within which a leaving target gets nothing new, from the moment at which the
-/// host could know.
+/// Time after which a leaving target receives no new requests, from the moment at which
+/// the host can know that it leaves.
 const DRAIN_BOUND: Duration = Duration::from_secs(2);
-/// How long hosts are without the log: entries lapse after three heartbeats.
+/// How long hosts cannot read the log. Entries expire after three heartbeats.
 const OUTAGE_TIME: Duration = Duration::from_millis(10 * HEARTBEAT_MS);
-/// How long entries that lapsed stay away after the log is back.
+/// How long expired entries stay away after the log is back.
 const EXPIRED_TIME: Duration = Duration::from_millis(1500);
-/// How long callers go on after the bound.
+/// How long callers continue after the bound.
 const OBSERVATION_TIME: Duration = Duration::from_secs(3);
-/// Callers at a host at once: more than its zone has plain targets, so that those of the
-/// other zone are used too.
+/// Concurrent callers at a host: more than its zone has plain targets, so that the
+/// targets of the other zone are used as well.
 const CALLERS: usize = 8;
-/// Plain targets by their place: zones are taken in turn.
+/// Plain targets by index; they alternate between the zones.
 const LOCAL_TARGETS: [usize; 2] = [0, 2];
 const REMOTE_TARGET: usize = 1;
 
-/// What callers of a host and its targets saw.
+/// What the callers of a host and its targets recorded.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DepartureReport {
-    /// Requests that reached the target later than it may get any.
+    /// Requests that reached the leaving target after the bound.
     pub late_runs: usize,
-    /// Requests that reached it before.
+    /// Requests that reached it before the bound.
     pub runs_before: usize,
-    /// Requests that reached sound targets whose entries lapsed, before they were back.
+    /// Requests that reached live targets while their entries were expired.
     pub runs_on_expired: usize,
-    /// Calls that were not answered by a target.
+    /// Calls without a successful response.
     pub unanswered: usize,
 }
 
-/// Calls a host without a pause until told to stop.
+/// Calls a host without pauses until the callers are stopped.
 async fn call_host(context: Arc<CallerContext>, host: usize) -> Vec<CallRecord> {
     let mut records = Vec::new();
     while !context.is_stopped() {
@@ -57,8 +57,8 @@
     records
 }
 
-/// The first host of a zone loses the log alone; a target leaves without a word
-/// meanwhile. The other host of the zone reads all the while.
+/// Cuts the first host of a zone off from the log while a target leaves without
+/// announcing it. The other host of the zone keeps reading the log.
 ///
 /// # Errors
 ///
@@ -77,9 +77,9 @@
     Ok(report(&run, &records, LOCAL_TARGETS[1], left, left..left))
 }
 
-/// All hosts of a zone lose the log, and the entries of its targets lapse; a target of
-/// the other zone leaves without a word meanwhile. The log comes back, and a while later
-/// the entries that lapsed.
+/// Cuts all hosts of a zone off from the log while the entries of its targets expire and
+/// a target of the other zone leaves without announcing it. The log comes back, and the
+/// expired entries return a while later.
 ///
 /// # Errors
 ///
@@ -117,7 +117,7 @@
     let mut run = SoakRun::open(settings).await?;
     match run.wait_until_served().await {
         true => Ok(run),
-        false => Err(io::Error::other("the hosts do not serve")),
+        false => Err(io::Error::other("the hosts do not serve requests")),
     }
 }
 
--- a/standins/src/soak/engines.rs
+++ b/standins/src/soak/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that each hold a range of layers, as far as the soak needs them.
+//! Engines that each hold a range of layers, with the features that the soak needs.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,57 +12,57 @@
 use super::configuration::LAYERS;
 use super::history::RunRecord;
 
-/// How a target misbehaves towards each of its requests.
+/// Fault that a target shows on each of its requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum TargetFault {
-    /// Not at all.
+    /// Works correctly.
     #[default]
     None,
-    /// Runs it and closes the connection in place of an answer.
+    /// Runs the request and closes the connection without a response.
     DropsResponse,
-    /// Answers with the id of another request.
+    /// Responds with the id of another request.
     WrongRequestId,
-    /// Breaks off in the middle of the body.
+    /// Closes the connection in the middle of the body.
     TruncatesBody,
-    /// Says that it has not run it.
+    /// Refuses the request as not run.
     Refuses,
-    /// Answers 500 at once.
+    /// Responds with status 500 at once.
     Fails,
 }
 
-/// What is true of a target now.
+/// Current state of a target.
 #[derive(Debug, Clone, Default)]
 pub(super) struct TargetState {
     pub(super) id: String,
     pub(super) layers: Option<(u32, u32)>,
-    /// Orders accepted since its start.
+    /// Number of orders accepted since the target started.
     pub(super) orders: u64,
-    /// It loads layers.
+    /// Whether it is loading layers.
     pub(super) busy: bool,
     pub(super) draining: bool,
-    /// Neither dead nor cut off.
+    /// Whether it is alive and its link passes data.
     pub(super) reachable: bool,
     pub(super) fault: TargetFault,
-    /// The limit that it names in its answers, as written.
+    /// Limit that it advertises in its responses, as written in the header.
     pub(super) limit: Option<String>,
-    /// It has begun to run a request that it does not survive.
+    /// Whether it has begun to run a request that crashes it.
     pub(super) poisoned: bool,
 }
 
-/// The targets by their addresses, and what they ran.
+/// State of all targets by address, and the calls that they ran.
 #[derive(Debug, Default)]
 pub(super) struct TargetRegistry {
     pub(super) states: Mutex<HashMap<SocketAddr, TargetState>>,
-    /// Streams that run, by the call's id and the first engine.
+    /// Running streams, by the id of the call and the first engine.
     paths: Mutex<HashMap<(String, SocketAddr), RunningPath>>,
     pub(super) runs: Mutex<Vec<RunRecord>>,
 }
 
-/// The path of a stream that runs.
+/// Path of a running stream.
 #[derive(Debug, Clone)]
 struct RunningPath {
     parts: Vec<PathPart>,
-    /// Tells a stream from one that was resumed in its place.
+    /// Distinguishes a stream from one that was resumed in its place.
     number: u64,
 }
 
@@ -74,7 +74,7 @@
     pub(super) to: u32,
 }
 
-/// Reads a path as it stands in the header and in orders.
+/// Parses a path as written in the header and in orders.
 pub(super) fn parse_path(text: &str) -> Option<Vec<PathPart>> {
     let parts = text.split(',').map(|part| {
         let (address, range) = part.split_once('=')?;
@@ -88,7 +88,7 @@
     parts.collect()
 }
 
-/// Whether the parts are every layer once, in order.
+/// Returns whether the parts hold every layer once, in order.
 pub(super) fn covers_all_layers(path: &[PathPart]) -> bool {
     let mut next = 0;
     for part in path {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The first engine of a path that cannot take its part.
+    /// Returns the first engine of a path that cannot run its part.
     pub(super) fn unavailable(&self, path: &[PathPart]) -> Option<SocketAddr> {
         let is_available = |part: &&PathPart| {
             let state = self.state(part.address);
@@ -129,7 +129,7 @@
             .map(|part| part.address)
     }
 
-    /// A stream begins; gives its number.
+    /// Registers a stream that begins and returns its number.
     pub(super) fn begin_stream(&self, id: &str, parts: Vec<PathPart>) -> u64 {
         let number = self.runs.lock().len() as u64;
         if let Some(first) = parts.first() {
@@ -139,13 +139,13 @@
         number
     }
 
-    /// A stream is over.
+    /// Removes a stream that has ended.
     pub(super) fn end_stream(&self, id: &str, number: u64) {
         let mut paths = self.paths.lock();
         paths.retain(|(other, _), path| other != id || path.number != number);
     }
 
-    /// The engine that a running stream waits for.
+    /// Returns the engine that a running stream waits for.
     pub(super) fn stalled_at(&self, id: &str, number: u64) -> Option<SocketAddr> {
         let parts = {
             let paths = self.paths.lock();
@@ -157,7 +157,7 @@
         addresses.find(|address| !self.state(*address).reachable)
     }
 
-    /// The report of an engine.
+    /// Returns the report of an engine.
     pub(super) fn report(&self, address: SocketAddr) -> serde_json::Value {
         let state = self.state(address);
         let running = self.paths.lock().clone().into_iter();
@@ -191,7 +191,7 @@
     },
 }
 
-/// Carries an order out; gives the status and the body of the answer.
+/// Executes an order and returns the status and the body of the response.
 pub(super) fn execute_order(
     registry: &Arc<TargetRegistry>,
     address: SocketAddr,
@@ -223,7 +223,7 @@
     });
     tokio::time::sleep(LOAD_TIME).await;
     registry.update(address, |state| {
-        // A restart meanwhile leaves the engine empty.
+        // A restart during the load leaves the engine empty.
         if state.id == id {
             state.layers = Some(layers);
             state.busy = false;
--- a/standins/src/soak/event_stream.rs
+++ b/standins/src/soak/event_stream.rs
@@ -1,4 +1,4 @@
-//! A stream of events over a path of engines.
+//! A stream of events through a path of engines.
 
 use std::io;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use super::responses::{event_count, event_text};
 use super::target::TargetBody;
 
-/// Pause between two events of a stream.
+/// Interval of the events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(20);
-/// Pause between two looks at a path that stalls.
+/// Interval at which a stalled stream checks its path.
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A stream under way.
+/// A running stream.
 struct EventStream {
     registry: Arc<TargetRegistry>,
     id: String,
@@ -28,11 +28,11 @@
     behavior: StreamBehavior,
 }
 
-/// How a stream goes on.
+/// How a stream continues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum StreamBehavior {
     Complete,
-    /// Breaks off in the middle of its next fifth event.
+    /// Ends in the middle of the next event whose number is a multiple of five.
     TruncatesSoon,
     Truncated,
 }
@@ -72,7 +72,7 @@
 impl EventStream {
     async fn next_event(&mut self) -> io::Result<Option<Bytes>> {
         if self.behavior == StreamBehavior::Truncated {
-            return Err(io::Error::other("breaks off"));
+            return Err(io::Error::other("stream truncated"));
         }
         if self.next > event_count(&self.id) {
             return Ok(None);
@@ -89,8 +89,7 @@
         Ok(Some(text.into()))
     }
 
-    /// A stream stalls while an engine of its path is dead, and is cut off
-    /// after a while.
+    /// Waits while an engine of the path is dead; fails after the stall time.
     async fn wait_for_path(&self) -> io::Result<()> {
         let until = Instant::now() + Duration::from_millis(STALL_MS);
         while self.registry.stalled_at(&self.id, self.number).is_some() {
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Makes the planned faults, and ends them.
+//! Injects the planned faults and ends them.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -15,14 +15,14 @@
 use super::run::{HostDown, POLL_INTERVAL, STOP_SLACK, SoakRun};
 use crate::check::AdvertisedLimit;
 
-/// How long a target serves on after it said that it leaves.
+/// How long a target keeps serving after it announced that it leaves.
 const DRAIN_TIME: Duration = Duration::from_secs(4);
-/// How long a target names a limit at least: it has to be kept after 3 s.
+/// Minimum time for which a target advertises a limit, which has to be kept after 3 s.
 const MIN_LIMIT_TIME: Duration = Duration::from_secs(5);
-/// What a fault still touches after its end.
+/// How long a fault may have effects after its end.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 
-/// Something that ends a fault.
+/// Action that ends a fault.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum FaultEnd {
     Resume(usize),
@@ -54,7 +54,7 @@
         Ok(())
     }
 
-    /// Notes what is touched, and when it will be over.
+    /// Records what a fault affects, and until when.
     fn record_disturbance(&mut self, scope: DisturbanceScope, planned: bool, duration: Duration) {
         let now = Instant::now();
         self.disturbances.push(Disturbance {
@@ -70,7 +70,7 @@
     }
 
     async fn inject(&mut self, action: FaultAction, duration: Duration) -> io::Result<()> {
-        log::info!("{action:?} for {duration:?}");
+        log::info!("injecting {action:?} for {duration:?}");
         let stop_time = Duration::from_secs(GRACE_S) + STOP_SLACK;
         match action {
             FaultAction::Kill(host) => {
@@ -189,7 +189,7 @@
         Ok(())
     }
 
-    /// A target names a limit for a while, unless it names one already.
+    /// Makes a target advertise a limit for a while, unless it already advertises one.
     fn start_limiting(&mut self, index: usize, per_second: u32, duration: Duration) {
         let target = &self.targets[index];
         if self.registry.state(target.link.address).limit.is_some() {
--- a/standins/src/soak/heartbeats.rs
+++ b/standins/src/soak/heartbeats.rs
@@ -1,4 +1,4 @@
-//! What targets write into the log of themselves.
+//! Heartbeats that targets write to the log.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use super::log_service::LogTopics;
 use super::target::TargetSpec;
 
-/// Writes a target's heartbeats for as long as it runs.
+/// Writes the heartbeats of a target for as long as it runs.
 pub(super) async fn write_heartbeats(
     spec: TargetSpec,
     address: SocketAddr,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Writes what is true of a target now.
+/// Writes the current state of a target.
 pub(super) fn write_heartbeat(
     spec: &TargetSpec,
     address: SocketAddr,
--- a/standins/src/soak/history.rs
+++ b/standins/src/soak/history.rs
@@ -1,4 +1,4 @@
-//! What callers, targets and the soak itself saw.
+//! History of what callers, targets and the soak itself recorded.
 
 use std::time::Instant;
 
@@ -9,7 +9,7 @@
 pub enum CallKind {
     /// May run more than once.
     Idempotent,
-    /// May run once at most.
+    /// May run at most once.
     NonIdempotent,
     /// A stream that may be resumed.
     Stream,
@@ -18,22 +18,23 @@
 /// How a call ended for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A complete answer came.
+    /// A complete response was received.
     Answered {
-        /// Its status.
+        /// Status code of the response.
         status: u16,
-        /// It bore a target's proof.
+        /// Whether the response carries a target's proof.
         sealed: bool,
-        /// It bore the id of the call, and the body was the one of that id.
+        /// Whether the response carries the id of the call and the body that belongs to
+        /// this id.
         matching: bool,
     },
-    /// The connection ended before the whole answer.
+    /// The connection ended before the complete response.
     Interrupted,
-    /// There was no connection.
+    /// No connection could be opened.
     NoConnection,
-    /// The caller left at its deadline.
+    /// The caller gave up at its deadline.
     TimedOut,
-    /// A look at the configuration in force, judged as a [`ProbeRecord`].
+    /// A probe for the active configuration, checked as a [`ProbeRecord`].
     Probe,
 }
 
@@ -42,7 +43,7 @@
 pub struct CallRecord {
     /// Unique id of the call.
     pub id: String,
-    /// Its kind.
+    /// Kind of the call.
     pub kind: CallKind,
     /// Index of the entry host that it was sent to.
     pub host: usize,
@@ -57,70 +58,70 @@
 /// A call that a target began to run.
 #[derive(Debug, Clone)]
 pub struct RunRecord {
-    /// The call.
+    /// Id of the call.
     pub id: String,
-    /// The target.
+    /// Id of the target.
     pub target: String,
-    /// When it arrived.
+    /// When the call arrived.
     pub at: Instant,
     /// Whether the engines of its path held every layer once, in order.
     pub layers_covered: bool,
 }
 
-/// A target that said that it leaves.
+/// A target that announced that it leaves.
 #[derive(Debug, Clone)]
 pub struct TargetDeparture {
-    /// The target.
+    /// Id of the target.
     pub target: String,
-    /// When the log had it.
+    /// When the announcement was in the log.
     pub at: Instant,
 }
 
-/// A limit that a target named.
+/// A limit that a target advertised.
 #[derive(Debug, Clone)]
 pub struct TargetLimit {
-    /// The target.
+    /// Id of the target.
     pub target: String,
-    /// The limit, and when it was named.
+    /// The limit, and when it was advertised.
     pub limit: AdvertisedLimit,
 }
 
-/// One look at which configuration a host has in force.
+/// One probe for the configuration that is active at a host.
 #[derive(Debug, Clone, Copy)]
 pub struct ProbeRecord {
     /// Index of the host.
     pub host: usize,
-    /// Which process of that host answered.
+    /// Number of the process of the host that responded.
     pub incarnation: u32,
-    /// The version that was asked for.
+    /// The version that was probed.
     pub version: u64,
-    /// Whether that version, or a later one, was in force.
+    /// Whether this version, or a later one, was active.
     pub active: bool,
-    /// When the log had the version.
+    /// When the version was in the log.
     pub published: Instant,
-    /// When the question was sent.
+    /// When the probe was sent.
     pub sent: Instant,
-    /// When the answer came.
+    /// When the response was received.
     pub answered: Instant,
 }
 
-/// What a disturbance touches.
+/// What a disturbance affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DisturbanceScope {
-    /// One entry host, its process or its links.
+    /// One entry host: its process or its links.
     Host(usize),
-    /// The log service, for all.
+    /// The log service, for all hosts.
     Log,
     /// A target.
     Target,
 }
 
-/// A time in which something was made to misbehave.
+/// A period in which a fault was injected.
 #[derive(Debug, Clone, Copy)]
 pub struct Disturbance {
-    /// What it touched.
+    /// What it affected.
     pub scope: DisturbanceScope,
-    /// Whether it is ordinary work: a stop by SIGTERM and the start after it.
+    /// Whether it is a regular operation: a stop by SIGTERM and the restart after it.
     pub planned: bool,
     /// When it began.
     pub from: Instant,
@@ -128,7 +129,7 @@
     pub until: Instant,
 }
 
-/// Everything that was seen.
+/// Everything that a run of the soak recorded.
 #[derive(Debug, Clone, Default)]
 pub struct SoakHistory {
     /// Calls, as callers saw them.
@@ -137,14 +138,14 @@
     pub runs: Vec<RunRecord>,
     /// Targets that left.
     pub departures: Vec<TargetDeparture>,
-    /// Limits that targets named.
+    /// Limits that targets advertised.
     pub limits: Vec<TargetLimit>,
-    /// Looks at the configuration in force.
+    /// Probes for the active configuration.
     pub probes: Vec<ProbeRecord>,
-    /// What was made to misbehave, and when.
+    /// What was disturbed, and when.
     pub disturbances: Vec<Disturbance>,
-    /// Processes that ended though nobody told them to.
+    /// Processes that exited unexpectedly or did not exit when stopped.
     pub unexpected_exits: Vec<String>,
-    /// Whether every host served again once all faults were over.
+    /// Whether every host served again after all faults had ended.
     pub recovered: bool,
 }
--- a/standins/src/soak/host.rs
+++ b/standins/src/soak/host.rs
@@ -1,4 +1,4 @@
-//! An entry host as a process of its own.
+//! An entry host that runs as a separate process.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Write};
@@ -15,7 +15,7 @@
 use super::configuration::host_settings;
 use super::link::FaultLink;
 
-/// Where a process listens.
+/// Addresses on which a process listens.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub(super) struct ListenAddresses {
     callers: SocketAddr,
@@ -23,7 +23,7 @@
     peers: SocketAddr,
 }
 
-/// One entry host over several lives of its process.
+/// One entry host, over the successive processes that run it.
 #[derive(Debug)]
 pub(super) struct SoakHost {
     pub(super) name: String,
@@ -31,21 +31,21 @@
     index: usize,
     program: PathBuf,
     folder: PathBuf,
-    /// The way of callers to it.
+    /// Link from callers to the host.
     pub(super) front: FaultLink,
-    /// Its way to the log service.
+    /// Link from the host to the log service.
     pub(super) log: FaultLink,
-    /// The way of other hosts that know it as a seed only.
+    /// Link from other hosts that know this host only as a seed.
     pub(super) seed: FaultLink,
     child: Option<Child>,
-    /// Lives of the process so far.
+    /// Number of processes started so far.
     pub(super) incarnation: u32,
-    /// Where the present process listens.
+    /// Addresses on which the current process listens.
     pub(super) listening: watch::Receiver<Option<ListenAddresses>>,
 }
 
 impl SoakHost {
-    /// Opens the links of a host; its process is started by [`Self::start`].
+    /// Opens the links of a host; [`Self::start`] starts its process.
     ///
     /// # Errors
     ///
@@ -109,13 +109,13 @@
         Ok(())
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process runs.
     pub(super) fn is_running(&mut self) -> bool {
         let child = self.child.as_mut();
         child.is_some_and(|child| matches!(child.try_wait(), Ok(None)))
     }
 
-    /// Sends a signal to the process, if it runs.
+    /// Sends a signal to the process if it runs.
     pub(super) fn signal(&mut self, signal: Signal) {
         if !self.is_running() {
             return;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Takes what is left of an ended process; `true` if it ended well.
+    /// Reaps an exited process and returns whether it exited successfully.
     pub(super) fn reap(&mut self) -> Option<bool> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -143,7 +143,7 @@
     }
 }
 
-/// Keeps a process's lines in a file and tells where it listens.
+/// Saves the output of a process to a file and reports where it listens.
 fn save_output(
     output: ChildStdout,
     mut file: File,
--- a/standins/src/soak/limit.rs
+++ b/standins/src/soak/limit.rs
@@ -1,4 +1,4 @@
-//! A target that names a limit while all hosts send to it.
+//! A target that advertises a limit while all hosts send requests to it.
 
 use std::io;
 use std::sync::Arc;
@@ -11,33 +11,33 @@
 use super::run::{SoakRun, SoakSettings};
 use crate::check::AdvertisedLimit;
 
-/// Callers at each host, and the pause of each between two calls: 18 requests a
-/// second at each of three targets with six hosts.
+/// Callers at each host, and the interval of the calls of each: with six hosts, 18
+/// requests per second at each of three targets.
 const CALLERS: usize = 3;
 const CALL_INTERVAL: Duration = Duration::from_millis(333);
-/// How long callers call before the limit is named, and while it is.
+/// How long callers run before the limit is advertised, and while it is.
 const UNLIMITED_TIME: Duration = Duration::from_secs(5);
 const LIMITED_TIME: Duration = Duration::from_secs(12);
-/// The limit, in requests a second: under half of what the target got before.
+/// The limit, in requests per second: less than half of what the target received before.
 const PER_SECOND: f64 = 8.0;
-/// The plain target that names it: the only one of its zone.
+/// Plain target that advertises the limit: the only one of its zone.
 const LIMITED_TARGET: usize = 1;
 
-/// What a target with a limit got, and what callers did.
+/// What the limited target received, and the results of the callers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LimitReport {
-    /// Requests that came in the worst window and those that are allowed, if they are
-    /// fewer.
+    /// Requests in the worst window and the number that the limit allows, if it is
+    /// exceeded.
     pub violation: Option<(usize, f64)>,
-    /// Part of the limit that was used, from when it has to be kept.
+    /// Fraction of the limit that was used once it had to be kept.
     pub used: f64,
-    /// Calls that were not answered by a target.
+    /// Calls without a successful response.
     pub unanswered: usize,
-    /// Calls in all.
+    /// All calls.
     pub calls: usize,
 }
 
-/// Calls one host at a steady pace until told to stop.
+/// Calls one host at a fixed rate until the callers are stopped.
 async fn call_steadily(
     context: Arc<CallerContext>,
     host: usize,
@@ -73,7 +73,7 @@
     (0..count).map(spawn).collect()
 }
 
-/// Moments at which requests reached the target that names a limit.
+/// Returns the times at which requests reached the limited target.
 fn arrivals(run: &SoakRun) -> Vec<Instant> {
     let runs = run.registry.runs.lock();
     let id = &run.targets[LIMITED_TARGET].id;
@@ -81,7 +81,8 @@
     own.map(|ran| ran.at).collect()
 }
 
-/// All hosts send to a target, which then names less than that as its limit.
+/// Sends requests from all hosts to a target, which then advertises a limit below their
+/// rate.
 ///
 /// # Errors
 ///
@@ -89,7 +90,7 @@
 pub async fn run_rate_limit(settings: SoakSettings) -> io::Result<LimitReport> {
     let mut run = SoakRun::open(settings).await?;
     if !run.wait_until_served().await {
-        return Err(io::Error::other("the hosts do not serve"));
+        return Err(io::Error::other("the hosts do not serve requests"));
     }
     let callers = spawn_callers(&run);
     tokio::time::sleep(UNLIMITED_TIME).await;
--- a/standins/src/soak/link.rs
+++ b/standins/src/soak/link.rs
@@ -1,4 +1,4 @@
-//! A TCP link between two sides of the soak that can misbehave.
+//! A TCP link between two sides of the soak that can inject faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,23 +10,23 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Bytes that are passed on at a time.
+/// Bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a link does to what passes it.
+/// Fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Passes everything on.
+    /// Forwards everything.
     None,
-    /// Holds each piece for so long.
+    /// Delays each chunk.
     Delay(Duration),
     /// Resets every connection, and new ones at once.
     Reset,
-    /// Passes nothing on in either direction, and closes nothing.
+    /// Forwards nothing in either direction and closes nothing.
     Blackhole,
-    /// Passes nothing on towards the server.
+    /// Forwards nothing to the server.
     BlockToServer,
-    /// Passes nothing on towards the client.
+    /// Forwards nothing to the client.
     BlockToClient,
 }
 
@@ -50,7 +50,7 @@
 /// A running link; dropping it resets its connections.
 #[derive(Debug)]
 pub struct FaultLink {
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
     fault: watch::Sender<LinkFault>,
     server: watch::Sender<Option<SocketAddr>>,
@@ -58,7 +58,7 @@
 }
 
 impl FaultLink {
-    /// Opens a link to a server that may be named later.
+    /// Opens a link to a server that may be set later.
     ///
     /// # Errors
     ///
@@ -77,12 +77,12 @@
         })
     }
 
-    /// Leads new connections to `server`; with `None` they are reset.
+    /// Sets the server of new connections; with `None` they are reset.
     pub fn set_server(&self, server: Option<SocketAddr>) {
         self.server.send_replace(server);
     }
 
-    /// Resets its connections and takes no more: its port is closed.
+    /// Resets all connections and closes the port.
     pub fn close(&self) {
         self.fault.send_replace(LinkFault::Reset);
         self.task.abort();
@@ -112,7 +112,7 @@
                 tokio::spawn(relay(client, server, faults.clone()));
             }
             Err(error) => {
-                log::warn!("a link cannot take a connection: {error}");
+                log::warn!("link cannot accept a connection: {error}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
@@ -124,13 +124,13 @@
     server: Option<SocketAddr>,
     mut faults: watch::Receiver<LinkFault>,
 ) {
-    // A reset is what a closed port and a killed process give.
+    // Closed ports and killed processes also reset their connections.
     let _ = client.set_zero_linger();
     let Some(server) = server else { return };
     if *faults.borrow() == LinkFault::Reset {
         return;
     }
-    // A link that passes nothing takes connections and carries nothing.
+    // A link that forwards nothing still accepts connections.
     let passes = |fault: &LinkFault| !fault.holds(LinkDirection::ToServer);
     if faults.wait_for(passes).await.is_err() {
         return;
@@ -159,7 +159,7 @@
     );
     tokio::select! {
         _ = async { tokio::try_join!(to_server, to_client) } => {}
-        // Ends as well when the link is dropped.
+        // Returns as well when the link is dropped.
         _ = faults.wait_for(|fault| *fault == LinkFault::Reset) => {}
     }
 }
--- a/standins/src/soak/log_service.rs
+++ b/standins/src/soak/log_service.rs
@@ -1,4 +1,4 @@
-//! A log service with keyed topics of one partition each, in memory.
+//! In-memory log service with keyed topics of one partition each.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -15,20 +15,20 @@
 use crate::faults::FaultSwitch;
 use crate::http_server::{CallOutcome, HttpServer, ServedCall};
 
-/// How the service misbehaves.
+/// Faults of the service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct LogFaults {
-    /// Refuses connections.
+    /// Whether it refuses connections.
     pub(super) offline: bool,
-    /// Answers 503.
+    /// Whether it responds with 503.
     pub(super) busy: bool,
-    /// Waits before each answer.
+    /// Delay before each response.
     pub(super) delay: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Partition {
-    /// Offset of the first record that is kept.
+    /// Offset of the first retained record.
     first: u64,
     records: Vec<(String, Option<Bytes>)>,
     newest: BTreeMap<String, (u64, Bytes)>,
@@ -40,7 +40,7 @@
     }
 }
 
-/// The topics, shared with the service.
+/// The topics of the service.
 #[derive(Debug, Default)]
 pub(super) struct LogTopics {
     partitions: Mutex<HashMap<String, Partition>>,
@@ -48,7 +48,7 @@
 }
 
 impl LogTopics {
-    /// Appends a record; without a value its key is dropped.
+    /// Appends a record; a record without a value removes its key.
     pub(super) fn append(&self, topic: &str, key: &str, value: Option<Bytes>) {
         let mut partitions = self.partitions.lock();
         let partition = partitions.entry(topic.to_owned()).or_default();
@@ -67,7 +67,7 @@
         self.updates.notify_waiters();
     }
 
-    /// Forgets every record but the newest of each key.
+    /// Drops every record but the newest of each key.
     pub(super) fn truncate_history(&self) {
         for partition in self.partitions.lock().values_mut() {
             partition.first = partition.end();
@@ -75,7 +75,7 @@
         }
     }
 
-    /// `None` if `from` is no longer kept.
+    /// Reads records from an offset; returns `None` if the offset is no longer retained.
     fn read(&self, topic: &str, from: u64) -> Option<(bool, Bytes)> {
         let partitions = self.partitions.lock();
         let empty = Partition::default();
@@ -150,8 +150,8 @@
     }
 }
 
-/// The key and the value of the one record of an append: 4 bytes of length, 1 byte of
-/// the key's length, the key, the value.
+/// Decodes the key and the value of the only record of an append: 4 bytes of length, 1
+/// byte of key length, the key, the value.
 fn decode_record(body: &Bytes) -> Option<(String, Option<Bytes>)> {
     let (length, record) = body.split_first_chunk::<4>()?;
     let whole = u32::from_be_bytes(*length) as usize == record.len();
--- a/standins/src/soak/plan.rs
+++ b/standins/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of one run, drawn from its seed.
+//! Faults of one run, drawn from its seed.
 
 use std::time::Duration;
 
@@ -8,44 +8,44 @@
 use super::engines::TargetFault;
 use super::link::LinkFault;
 
-/// Something that is made to misbehave.
+/// Something that is disturbed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultAction {
-    /// SIGKILL, and a new process after the time.
+    /// Kills a host by SIGKILL and restarts it after the duration.
     Kill(usize),
-    /// SIGTERM, and a new process once it has ended.
+    /// Stops a host by SIGTERM and restarts it once it has exited.
     Stop(usize),
-    /// SIGTERM for one host after the other.
+    /// Stops and restarts one host after the other.
     RollingRestart,
-    /// SIGSTOP, and SIGCONT after the time.
+    /// Pauses a host by SIGSTOP and continues it by SIGCONT after the duration.
     Pause(usize),
-    /// SIGHUP.
+    /// Sends SIGHUP to a host.
     Hangup(usize),
-    /// The link of callers to a host.
+    /// Fault on the link of callers to a host.
     FrontLink(usize, LinkFault),
-    /// The link of a host to the log service.
+    /// Fault on the link of a host to the log service.
     LogLink(usize, LinkFault),
-    /// The link under which a host is known as a seed.
+    /// Fault on the link under which a host is known as a seed.
     SeedLink(usize, LinkFault),
     /// The log service refuses connections.
     LogOffline,
-    /// The log service answers 503.
+    /// The log service responds with 503.
     LogBusy,
     /// The log service is slow.
     LogSlow,
-    /// The log service forgets its history.
+    /// The log service drops its history.
     LogTruncation,
-    /// The link to a target.
+    /// Fault on the link to a target.
     TargetLink(usize, LinkFault),
-    /// A target is down, and another starts after the time.
+    /// A target crashes, and another one starts after the duration.
     TargetCrash(usize),
-    /// A target says that it leaves; another starts at once.
+    /// A target announces that it leaves; another one starts at once.
     TargetLeaves(usize),
-    /// A target spoils its answers.
+    /// A target returns faulty responses.
     TargetMisbehaves(usize, TargetFault),
-    /// A target limits its rate to so many requests a second.
+    /// A target limits its rate, in requests per second.
     TargetLimits(usize, u32),
-    /// A new version of the configuration.
+    /// Publishes a new version of the configuration.
     Publish,
 }
 
@@ -54,15 +54,15 @@
 pub struct PlannedFault {
     /// Time from the start of the run.
     pub at: Duration,
-    /// How long it lasts, where it has a length.
+    /// How long the fault lasts, if it has a duration.
     pub duration: Duration,
-    /// What happens.
+    /// What is disturbed.
     pub action: FaultAction,
 }
 
-/// Draws the faults of a run of `length`: they begin one to three a second on
-/// average, last up to four seconds and so overlap; quiet spells between them
-/// let the promises be judged that hold for sound hosts only.
+/// Draws the faults of a run of `length`: on average one to three begin per second, and
+/// each lasts up to four seconds, so that they overlap. Quiet periods between them allow
+/// the check of the guarantees that hold only for undisturbed hosts.
 pub fn draw_faults(seed: u64, length: Duration, hosts: usize, targets: usize) -> Vec<PlannedFault> {
     const SHORTEST: f64 = 0.2;
     const LONGEST: f64 = 4.0;
--- a/standins/src/soak/poison.rs
+++ b/standins/src/soak/poison.rs
@@ -1,4 +1,4 @@
-//! A request that engines do not survive, sent again and again.
+//! A request that crashes engines and is sent repeatedly.
 
 use std::io;
 use std::sync::Arc;
@@ -11,35 +11,35 @@
 use super::faults::FaultEnd;
 use super::run::{POLL_INTERVAL, SoakRun, SoakSettings};
 
-/// Path of the request that engines do not survive.
+/// Path of the request that crashes engines.
 pub(super) const POISON_PATH: &str = "/draft/poison";
-/// How long an engine takes to crash: the request has begun to run then.
+/// Time until an engine crashes, during which the request has begun to run.
 pub(super) const CRASH_TIME: Duration = Duration::from_millis(60);
-/// Time after which another engine takes the place of one that crashed.
+/// Delay after which another engine replaces a crashed one.
 const REPLACEMENT_DELAY: Duration = Duration::from_millis(1500);
-/// How long a caller waits for an answer.
+/// How long a caller waits for a response.
 const DEADLINE: Duration = Duration::from_secs(4);
-/// Time within which all hosts refuse what any of them has found out, also after a
-/// start of all of them.
+/// Time within which all hosts refuse a request that any of them has identified, also
+/// after a restart of all hosts.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// How long it may take until the request is refused at first.
+/// Timeout of the first refusal of the request.
 const FIRST_REFUSAL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What became of a request that engines do not survive.
+/// Outcome of a request that crashes engines.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PoisonReport {
-    /// Engines that crashed until it was refused.
+    /// Engines that crashed before the request was refused.
     pub crashed: usize,
-    /// Hosts that refuse it.
+    /// Hosts that refuse the request.
     pub refused_by: usize,
-    /// Hosts that refuse it after all were killed and started again.
+    /// Hosts that refuse the request after all were killed and restarted.
     pub refused_after_restart: usize,
-    /// Engines that crashed after it was refused.
+    /// Engines that crashed after the request was refused.
     pub crashed_later: usize,
 }
 
-/// Sends a request that engines do not survive to one host after the other, until it is
-/// refused; asks all hosts, kills them, and asks them again.
+/// Sends a request that crashes engines to one host after the other until it is refused.
+/// Then sends it to all hosts, kills and restarts them, and sends it to all again.
 ///
 /// # Errors
 ///
@@ -47,14 +47,14 @@
 pub async fn run_poison_request(settings: SoakSettings) -> io::Result<PoisonReport> {
     let mut run = SoakRun::open(settings).await?;
     if !run.wait_until_served().await {
-        return Err(io::Error::other("the hosts do not serve"));
+        return Err(io::Error::other("the hosts do not serve requests"));
     }
     let until = Instant::now() + FIRST_REFUSAL_TIMEOUT;
     for host in (0..run.hosts.len()).cycle() {
         if run.is_refused_by(host).await? || Instant::now() >= until {
             break;
         }
-        // What this host saw is known to the next one.
+        // The next host has to know what this host observed.
         run.run_for(PROPAGATION_TIME).await?;
     }
     let crashed = run.crashed;
@@ -78,7 +78,7 @@
     })
 }
 
-/// Whether a host refuses the request.
+/// Returns whether a host refuses the request.
 async fn is_refused(context: Arc<CallerContext>, host: usize) -> bool {
     let Some(mut connection) = connect(context.fronts[host].address).await else {
         return false;
@@ -89,7 +89,7 @@
 }
 
 impl SoakRun {
-    /// Hosts that refuse the request.
+    /// Returns the number of hosts that refuse the request.
     async fn count_refusing_hosts(&mut self) -> io::Result<usize> {
         let mut refusing = 0;
         for host in 0..self.hosts.len() {
@@ -98,7 +98,7 @@
         Ok(refusing)
     }
 
-    /// Sends the request to a host, whose engines may crash meanwhile.
+    /// Sends the request to a host and replaces engines that crash meanwhile.
     async fn is_refused_by(&mut self, host: usize) -> io::Result<bool> {
         let asked = tokio::spawn(is_refused(self.context.clone(), host));
         while !asked.is_finished() {
@@ -107,7 +107,7 @@
         asked.await.map_err(io::Error::other)
     }
 
-    /// Lets some time pass, and replaces engines that crash meanwhile.
+    /// Waits and replaces engines that crash meanwhile.
     async fn run_for(&mut self, time: Duration) -> io::Result<()> {
         let until = Instant::now() + time;
         while Instant::now() < until {
@@ -118,7 +118,7 @@
         Ok(())
     }
 
-    /// Ends the engines that have begun to run the request.
+    /// Stops the engines that have begun to run the request.
     pub(super) fn stop_crashed_engines(&mut self) {
         for index in 0..self.targets.len() {
             if !self.targets[index].take_poisoned() {
--- a/standins/src/soak/probe.rs
+++ b/standins/src/soak/probe.rs
@@ -1,4 +1,4 @@
-//! The balancer's question, and the look at which configuration is in force.
+//! Readiness checks of the load balancer, and probes for the active configuration.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 use super::configuration::version_prefix;
 use super::history::{CallKind, CallOutcome, CallRecord, ProbeRecord};
 
-/// Pause between two questions of the balancer, and the misses that take a
-/// host out.
+/// Interval of the readiness checks, and the number of failed checks after which a host
+/// is taken out of rotation.
 const READY_INTERVAL: Duration = Duration::from_millis(500);
 const UNREADY_THRESHOLD: u32 = 2;
-/// Pause between two looks at the configuration of a host.
+/// Interval of the probes for the configuration of a host.
 const PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// How long an answer may take.
+/// Timeout of a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The configuration that was published last.
@@ -29,15 +29,15 @@
     pub(super) at: Instant,
 }
 
-/// The present process of a host.
+/// The current process of a host.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct HostProcess {
     pub(super) incarnation: u32,
-    /// Where it answers whether it is ready; `None` while it is down.
+    /// Address of its readiness endpoint; `None` while it is down.
     pub(super) readiness: Option<SocketAddr>,
 }
 
-/// Whether a host says that it is ready.
+/// Returns whether a host reports that it is ready.
 pub(super) async fn is_ready(address: SocketAddr) -> bool {
     let response = async {
         let mut connection = connect(address).await?;
@@ -48,7 +48,7 @@
     matches!(answer, Ok(Some(answer)) if answer.status == 200)
 }
 
-/// Takes a host out of rotation and back, until told to stop.
+/// Takes a host out of rotation and back in, until the callers are stopped.
 pub(super) async fn balance(
     context: Arc<CallerContext>,
     host: usize,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Looks at the configuration of a host, until told to stop.
+/// Probes the configuration of a host until the callers are stopped.
 pub(super) async fn probe_versions(
     context: Arc<CallerContext>,
     host: usize,
@@ -110,7 +110,8 @@
         ended: answered,
         outcome: CallOutcome::Probe,
     });
-    // A host without any configuration says 503: it takes no side.
+    // A host without any configuration responds with 503, which shows nothing about a
+    // version.
     if let Some(status) = status.filter(|status| *status != 503) {
         history.probes.push(ProbeRecord {
             host,
--- a/standins/src/soak/run.rs
+++ b/standins/src/soak/run.rs
@@ -23,46 +23,46 @@
 use crate::faults::FaultSwitch;
 use crate::http_server::HttpServer;
 
-/// How long a start and the recovery at the end may take. Both take about two
-/// seconds; a machine that is busy with other things takes longer.
+/// Timeout of the start and of the recovery at the end. Both take about two seconds, and
+/// longer on a busy machine.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause between two looks while waiting for something.
+/// Interval of polling while waiting for a condition.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time that a stopping process may take beyond its grace time.
+/// Time that a stopping process may take beyond its grace period.
 pub(super) const STOP_SLACK: Duration = Duration::from_secs(1);
 
-/// One run.
+/// Settings of a run.
 #[derive(Debug, Clone)]
 pub struct SoakSettings {
-    /// Draws faults and calls.
+    /// Seed of the faults and calls.
     pub seed: u64,
-    /// How long faults are made.
+    /// How long faults are injected.
     pub length: Duration,
-    /// Entry hosts, in two availability zones.
+    /// Number of entry hosts, in two availability zones.
     pub hosts: usize,
-    /// Callers that call all the time.
+    /// Number of concurrent callers.
     pub callers: usize,
-    /// The entry host's program.
+    /// Path of the entry host's program.
     pub program: PathBuf,
-    /// Where settings and logs of the processes go.
+    /// Directory for the settings and logs of the processes.
     pub folder: PathBuf,
-    /// Whether promises that are bounded by times are judged.
+    /// Whether guarantees with a time bound are checked.
     pub timed: bool,
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Debug, Clone)]
 pub struct SoakReport {
-    /// Promises that were broken.
+    /// Violations of guarantees.
     pub violations: Vec<Violation>,
-    /// Faults made.
+    /// Number of faults injected.
     pub faults: usize,
-    /// Everything that was seen.
+    /// Everything that was recorded.
     pub history: SoakHistory,
 }
 
 impl SoakReport {
-    /// Calls that ended so.
+    /// Returns the number of calls whose outcome matches `ended`.
     pub fn count<F>(&self, ended: F) -> usize
     where
         F: Fn(CallOutcome) -> bool,
@@ -72,11 +72,11 @@
     }
 }
 
-/// A host, and what the run did to it.
+/// A host and its state in the run.
 pub(super) struct RunHost {
     pub(super) host: SoakHost,
     process: watch::Sender<HostProcess>,
-    /// When it was told to stop or killed; `None` while it should run.
+    /// Set while the host has been stopped or killed; `None` while it should run.
     pub(super) down: Option<HostDown>,
     pub(super) paused: bool,
 }
@@ -89,7 +89,7 @@
     pub(super) killed: bool,
 }
 
-/// A run under way.
+/// A run in progress.
 pub(super) struct SoakRun {
     pub(super) settings: SoakSettings,
     pub(super) hosts: Vec<RunHost>,
@@ -105,7 +105,7 @@
     pub(super) scheduled_ends: Vec<(Instant, FaultEnd)>,
     pub(super) disturbances: Vec<Disturbance>,
     pub(super) unexpected_exits: Vec<String>,
-    /// Engines that did not survive a request.
+    /// Number of engines that a request crashed.
     pub(super) crashed: usize,
 }
 
@@ -131,7 +131,7 @@
     run.context.stop();
     for task in tasks {
         if let Err(error) = task.await {
-            log::error!("a caller failed: {error}");
+            log::error!("caller task failed: {error}");
         }
     }
     run.stop_all().await;
@@ -151,7 +151,7 @@
     format!("zone-{}", index % 2)
 }
 
-/// Three plain targets, and in each zone three engines.
+/// Returns three plain targets, and three engines in each zone.
 fn target_specs() -> Vec<TargetSpec> {
     let plain = (0..3).map(|index| TargetSpec {
         service: PLAIN_SERVICE,
@@ -261,7 +261,7 @@
         tasks
     }
 
-    /// Waits until every host is ready and answers a call of each kind.
+    /// Waits until every host is ready and responds to a call of each kind.
     pub(super) async fn wait_until_served(&mut self) -> bool {
         let until = Instant::now() + RECOVERY_TIMEOUT;
         for index in 0..self.hosts.len() {
@@ -302,27 +302,28 @@
         true
     }
 
-    /// Starts processes again, and notes those that ended by themselves or do
-    /// not end in time.
+    /// Restarts processes, and records those that exited unexpectedly or did not exit in
+    /// time.
     pub(super) async fn supervise_hosts(&mut self, now: Instant) -> io::Result<()> {
         let grace = Duration::from_secs(GRACE_S) + STOP_SLACK;
         for index in 0..self.hosts.len() {
             let run = &mut self.hosts[index];
             let ended = run.host.reap();
-            let name = format!("{} life {}", run.host.name, run.host.incarnation);
+            let name = format!("{} process {}", run.host.name, run.host.incarnation);
             match (run.down, ended) {
                 (None, Some(_)) => {
                     self.unexpected_exits
-                        .push(format!("{name} ended by itself"));
+                        .push(format!("{name} exited unexpectedly"));
                     self.start_host(index).await?;
                 }
                 (Some(down), Some(false)) if !down.killed => {
                     self.unexpected_exits
-                        .push(format!("{name} ended with an error"));
+                        .push(format!("{name} exited with an error"));
                 }
                 (Some(down), None) if !down.killed && now > down.since + grace => {
                     if !run.paused && run.host.is_running() {
-                        self.unexpected_exits.push(format!("{name} does not end"));
+                        self.unexpected_exits
+                            .push(format!("{name} did not exit in time"));
                     }
                     run.host.signal(Signal::SIGKILL);
                     run.down = Some(HostDown {
@@ -357,7 +358,7 @@
         Ok(())
     }
 
-    /// Stops every host, callers having left.
+    /// Stops every host after the callers have stopped.
     async fn stop_all(&mut self) {
         for index in 0..self.hosts.len() {
             self.take_down(index, false, Duration::MAX / 4);
@@ -369,7 +370,7 @@
             }
             if run.host.is_running() {
                 self.unexpected_exits
-                    .push(format!("{} does not end at last", run.host.name));
+                    .push(format!("{} did not exit at the final stop", run.host.name));
             }
         }
     }
--- a/standins/src/soak/target.rs
+++ b/standins/src/soak/target.rs
@@ -33,13 +33,13 @@
 use super::poison::{CRASH_TIME, POISON_PATH};
 use super::responses::plain_body;
 
-/// Time that a plain answer takes.
+/// Time that a plain response takes.
 const PLAIN_TIME: Duration = Duration::from_millis(15);
 
-/// Answer of a target.
+/// Body of a target's response.
 pub(super) type TargetBody = UnsyncBoxBody<Bytes, io::Error>;
 
-/// What a target is, for as long as it lives.
+/// Fixed properties of a target.
 #[derive(Debug, Clone)]
 pub(super) struct TargetSpec {
     pub(super) service: &'static str,
@@ -60,7 +60,7 @@
 }
 
 impl Target {
-    /// Starts a target under an id of its own; it writes heartbeats.
+    /// Starts a target under an id of its own, which writes heartbeats.
     ///
     /// # Errors
     ///
@@ -97,13 +97,13 @@
         })
     }
 
-    /// Says that it leaves, and goes on serving.
+    /// Announces that the target leaves; it keeps serving.
     pub(super) fn drain(&self) {
         self.update(|state| state.draining = true);
         write_heartbeat(&self.spec, self.link.address, &self.registry, &self.topics);
     }
 
-    /// Changes what is true of it.
+    /// Changes the state of the target.
     pub(super) fn update<U>(&self, update: U)
     where
         U: FnOnce(&mut TargetState),
@@ -111,7 +111,8 @@
         self.registry.update(self.link.address, update);
     }
 
-    /// Ends without a word; its entry lapses after three heartbeats.
+    /// Stops the target without an announcement; its entry expires after three
+    /// heartbeats.
     pub(super) fn crash(&self) {
         self.update(|state| state.reachable = false);
         self.abort();
@@ -119,7 +120,7 @@
         self.link.set(super::link::LinkFault::Reset);
     }
 
-    /// Its process ends: its port takes no connections any more.
+    /// Ends the process of the target: its port accepts no more connections.
     pub(super) fn end(&self) {
         self.update(|state| state.reachable = false);
         self.abort();
@@ -131,20 +132,22 @@
         self.heartbeat_task.abort();
     }
 
-    /// Whether it has begun to run a request that it does not survive; told once.
+    /// Returns whether the target has begun to run a request that crashes it, and clears
+    /// the flag.
     pub(super) fn take_poisoned(&self) -> bool {
         let mut poisoned = false;
         self.update(|state| poisoned = std::mem::take(&mut state.poisoned));
         poisoned
     }
 
-    /// Writes nothing more, and its entry is dropped from the log; it goes on serving.
+    /// Stops the heartbeats and removes the target's entry from the log; it keeps
+    /// serving.
     pub(super) fn leave_silently(&self) {
         self.heartbeat_task.abort();
         self.remove_from_log();
     }
 
-    /// Its entry is back in the log.
+    /// Writes heartbeats again, which returns the target's entry to the log.
     pub(super) fn return_to_log(&mut self) {
         let spec = self.spec.clone();
         let (registry, topics) = (self.registry.clone(), self.topics.clone());
@@ -152,7 +155,7 @@
             tokio::spawn(write_heartbeats(spec, self.link.address, registry, topics));
     }
 
-    /// Its entry is dropped from the log.
+    /// Removes the target's entry from the log.
     pub(super) fn remove_from_log(&self) {
         self.topics.append(TARGETS, &self.id, None);
     }
@@ -180,13 +183,13 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        log::debug!("a connection of a target ended: {error}");
+        log::debug!("target connection failed: {error}");
     }
 }
 
-/// Makes hyper close the connection without an answer.
+/// Makes hyper close the connection without a response.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer is lost")]
+#[error("response dropped")]
 struct DroppedResponse;
 
 async fn respond(
@@ -292,10 +295,13 @@
     }
 }
 
-/// An answer of which half comes, and then the connection breaks.
+/// Returns a body of which only a part arrives before the connection breaks.
 fn truncated_body(text: String) -> TargetBody {
     let half = Bytes::from(text).slice(..4);
-    let frames = [Ok(Frame::data(half)), Err(io::Error::other("breaks off"))];
+    let frames = [
+        Ok(Frame::data(half)),
+        Err(io::Error::other("body truncated")),
+    ];
     StreamBody::new(stream::iter(frames)).boxed_unsync()
 }
 
@@ -311,7 +317,7 @@
     response
 }
 
-/// The target has not run the request; `at` is at fault.
+/// Refuses a request as not run, because of the server `at`.
 fn refusal(status: u16, at: SocketAddr) -> Response<TargetBody> {
     let mut response = json_response(status, &json!({}));
     let headers = response.headers_mut();
--- a/standins/tests/checkers.rs
+++ b/standins/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! Each checker accepts a right history and notices a faulty one.
+//! Each checker accepts a correct history and detects a faulty one.
 
 use std::time::{Duration, Instant};
 
@@ -42,7 +42,7 @@
     RefusalBody::not_run(RefusalReason::QueueFull, "the queue is full")
 }
 
-/// Steps of a run, position after position through both stages.
+/// Returns the steps of a run: each position passes through both stages before the next.
 fn run_steps(run: &str) -> Vec<StepRecord> {
     let right = generate(MODEL, VERSION, LAYERS, &PROMPT, TOKENS as usize);
     let inputs = PROMPT
@@ -85,7 +85,7 @@
     records
 }
 
-/// One whole generation and one settled call, both as they should be.
+/// Returns a correct history of one complete generation and one settled call.
 fn correct_history() -> RunHistory {
     let tokens = generate(MODEL, VERSION, LAYERS, &PROMPT, TOKENS as usize);
     let mut events: Vec<StreamEvent> = (0..)
@@ -138,7 +138,7 @@
     }
 }
 
-/// Promises broken by the right history after `fault` was put into it.
+/// Returns the guarantees that a correct history violates after `fault` changed it.
 fn violated_guarantees<F>(fault: F) -> Vec<Guarantee>
 where
     F: FnOnce(&mut RunHistory),
@@ -236,7 +236,7 @@
             "{index}"
         );
     }
-    // Another request's token is also one that no chain of this one gave.
+    // The token of another request is also one that no chain of this request returned.
     let foreign = violated_guarantees(|history| {
         events(history)[1] = heard(StreamEvent::Token {
             number: 1,
@@ -308,7 +308,7 @@
     assert_eq!(twice, [Guarantee::SingleResponse]);
     let lost_call = violated_guarantees(|history| history.service_calls[0].replies = vec![None]);
     assert_eq!(lost_call, [Guarantee::SingleResponse]);
-    // After an entry host has died, the caller comes back with what it holds.
+    // After an entry host ended, the caller resumes with the tokens that it holds.
     let resumed = violated_guarantees(|history| {
         let answers = &mut history.generations[0].answers;
         let rest = answers[0].events.split_off(1);
--- a/standins/tests/limit_division/main.rs
+++ b/standins/tests/limit_division/main.rs
@@ -1,5 +1,5 @@
-//! Ways to divide a target's limit among hosts, played in memory: what targets get is
-//! judged by the rule.
+//! Simulations of strategies that divide the rate limit of a target among hosts. The
+//! requests that targets receive are checked against the limit.
 
 mod simulation;
 mod strategies;
@@ -21,27 +21,27 @@
     }
 }
 
-/// Guards against a limit that each host keeps by itself.
+/// Guards against a limit that each host applies separately.
 #[test]
 fn a_limit_copied_to_each_host_is_exceeded() {
     let outcome = simulate(&scenario(Strategy::Copied, 8, 1));
     assert_eq!(outcome.violations, 3, "{outcome:?}");
 }
 
-/// Plays a game in which every limit has to be kept.
+/// Runs a simulation in which every limit has to be kept.
 fn simulate_within_limit(scenario: &Scenario) -> Outcome {
     let outcome = simulate(scenario);
     assert_eq!(outcome.violations, 0, "{scenario:?}: {outcome:?}");
     outcome
 }
 
-/// Plays a game in which every limit has to be kept, and used while there is work.
+/// Runs a simulation in which every limit has to be kept, and used while there is demand.
 fn simulate_full_use(scenario: &Scenario) {
     let outcome = simulate_within_limit(scenario);
     assert!(outcome.used >= 0.9, "{scenario:?}: {outcome:?}");
 }
 
-/// Guards against a limit that is exceeded by all hosts together, or not used.
+/// Guards against a limit that all hosts together exceed or leave unused.
 #[test]
 fn issued_permits_keep_and_use_the_limit() {
     for (hosts, per_second) in [(8, 2.0), (8, 6.4), (84, 2.0), (84, 6.4), (300, 6.4)] {
@@ -54,8 +54,8 @@
     }
 }
 
-/// Guards against hosts that hand out more than the limit while they take each other
-/// for dead, start, or are cut off from each other.
+/// Guards against hosts that issue more than the limit while they take each other for
+/// dead, start, or are partitioned.
 #[test]
 fn issued_permits_keep_the_limit_through_restarts_partitions_and_lost_calls() {
     for (hosts, per_second) in [(3, 20.0), (8, 0.5), (8, 6.4), (24, 50.0), (84, 6.4)] {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Guards against what was promised under a limit that is lower now.
+/// Guards against permits that were issued under a limit that is lower now.
 #[test]
 fn issued_permits_keep_and_use_a_lowered_limit() {
     for hosts in [8, 84] {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Seeds of each game; `LIMIT_SEEDS` names another number.
+/// Returns the number of seeds of each scenario; `LIMIT_SEEDS` overrides it.
 fn seeds() -> u64 {
     let requested = std::env::var("LIMIT_SEEDS").ok();
     requested
@@ -91,7 +91,7 @@
         .unwrap_or(6)
 }
 
-/// Figures of a way over some seeds.
+/// Results of a strategy, over several seeds.
 #[derive(Debug, Default)]
 struct StrategyFigures {
     violations: usize,
@@ -124,7 +124,7 @@
     figures
 }
 
-/// Guards against a way that leaves limits unused where others use them. With
+/// Guards against a strategy that leaves limits unused where others use them. With
 /// `LIMIT_TABLE` set and `--nocapture`, prints the table of the design page.
 #[test]
 fn issued_permits_use_more_of_a_limit_than_shares_do() {
--- a/standins/tests/limit_division/simulation.rs
+++ b/standins/tests/limit_division/simulation.rs
@@ -1,5 +1,5 @@
-//! Hosts and limited targets in memory, with a simulated clock: what each host knows
-//! of the others comes late, and calls between them are lost.
+//! Hosts and rate-limited targets in memory, with a simulated clock. Hosts learn about
+//! each other with a delay, and calls between them are lost.
 
 use std::time::{Duration, Instant};
 
@@ -11,66 +11,70 @@
 use super::strategies::{Division, SendVerdict, Strategy};
 
 const STEP: Duration = Duration::from_millis(5);
-/// Time until a host hears of another's end, and of its start: at least, at most.
+/// Time until a host detects that another one ended or started, in ms: minimum and
+/// maximum.
 const END_DETECTED: (u64, u64) = (1500, 2100);
 const START_DETECTED: (u64, u64) = (100, 600);
-/// Time until a host that was told nothing by a target hears of its limit from others.
+/// Time until a host that did not receive a limit from the target itself receives it from
+/// other hosts, in ms: minimum and maximum.
 const LIMIT_RECEIVED: (u64, u64) = (100, 700);
-/// Time from a request's arrival until the head of its answer is with the host.
+/// Time from the arrival of a request until the host has the head of the response, in ms:
+/// minimum and maximum.
 const RESPONSE_TIME: (u64, u64) = (50, 400);
 
-/// What a game is played with.
+/// Parameters of a simulation.
 #[derive(Debug, Clone)]
 pub(crate) struct Scenario {
     pub(crate) strategy: Strategy,
     pub(crate) hosts: usize,
     pub(crate) targets: usize,
-    /// Requests a second that each target limits itself to.
+    /// Limit of each target, in requests per second.
     pub(crate) per_second: f64,
-    /// Requests a second of all hosts, in times of all limits.
+    /// Request rate of all hosts, as a multiple of all limits.
     pub(crate) demand: f64,
-    /// Part of the calls between hosts that is lost.
+    /// Fraction of the calls between hosts that is lost.
     pub(crate) loss: f64,
-    /// Targets name half of their limits from the middle on.
+    /// Whether targets halve their limits in the middle of the simulation.
     pub(crate) lowered: bool,
-    /// Hosts end and start, are cut off from each other, and demand moves.
+    /// Whether hosts end and start, are partitioned, and demand moves between them.
     pub(crate) faults: bool,
     pub(crate) seed: u64,
 }
 
-/// What a game came to.
+/// Results of a simulation.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Outcome {
-    /// Targets that got more than their limit allows in some window.
+    /// Number of limits that targets advertised and that were exceeded in some window.
     pub(crate) violations: usize,
-    /// Most that a target got in a window, as a part of what is allowed.
+    /// Most requests that a target received in a window, as a fraction of what is
+    /// allowed.
     pub(crate) worst: f64,
-    /// Part of the limits that was used from when they have to be kept.
+    /// Fraction of the limits that was used once they had to be kept.
     pub(crate) used: f64,
     pub(crate) served: usize,
     pub(crate) refused: usize,
-    /// Calls between hosts for the sake of limits, by all hosts.
+    /// Number of calls between hosts for limits, of all hosts.
     pub(crate) calls: usize,
-    /// Most calls that one host answered.
+    /// Largest number of calls that one host made or received.
     pub(crate) busiest: usize,
 }
 
-/// What a host knows and when.
+/// State of the hosts, and what they know about each other.
 pub(crate) struct Cluster {
     pub(crate) now: Instant,
     pub(crate) names: Vec<HostId>,
-    /// When each host ended, or last started.
+    /// Whether each host is alive; `changed` holds when it last ended or started.
     pub(crate) alive: Vec<bool>,
     changed: Vec<Instant>,
-    /// Delay with which a change of each host is heard, drawn at the change.
+    /// Delay until other hosts detect the last change of each host, drawn at the change.
     delay: Vec<Duration>,
-    /// Hosts on the other side of a partition.
+    /// Whether each host is on the minority side of a partition.
     pub(crate) cut: Vec<bool>,
     cut_since: Option<Instant>,
     pub(crate) loss: f64,
-    /// The limits that targets name, the first from 3 s on.
+    /// Limits that targets advertise, the first from 3 s on.
     limits: Vec<AdvertisedLimit>,
-    /// Delay with which each host hears that the limit is another one.
+    /// Delay until each host receives a changed limit.
     limit_delay: Vec<Duration>,
     pub(crate) random: StdRng,
 }
@@ -80,8 +84,8 @@
         Duration::from_millis(self.random.random_range(range.0..=range.1))
     }
 
-    /// Whether one host takes another one to be alive. Each hears of a change at a
-    /// moment of its own.
+    /// Returns whether `host` takes `other` to be alive. Each host detects a change at a
+    /// different time.
     pub(crate) fn believes_alive(&self, host: usize, other: usize) -> bool {
         let offset = ((host * 31 + other * 17) % 7) as f64 / 7.0;
         let received = self.changed[other] + self.delay[other].mul_f64(0.4 + 0.6 * offset);
@@ -93,14 +97,14 @@
         host == other || (alive && !(apart && cut_known))
     }
 
-    /// The limit that a host takes targets to name.
+    /// Returns the limit that a host takes targets to have.
     pub(crate) fn believed_limit(&self, host: usize) -> f64 {
         let received = |limit: &&AdvertisedLimit| self.now >= limit.from + self.limit_delay[host];
         let last = self.limits.iter().rfind(received);
         last.unwrap_or(&self.limits[0]).per_second
     }
 
-    /// Whether a call from one host to another is answered.
+    /// Returns whether a call from `host` to `other` succeeds.
     pub(crate) fn reaches(&mut self, host: usize, other: usize) -> bool {
         let lost = self.random.random_bool(self.loss);
         host == other || (self.alive[other] && self.cut[host] == self.cut[other] && !lost)
@@ -113,7 +117,7 @@
     }
 }
 
-/// Plays 20 seconds of a limit that is named after 3.
+/// Simulates 20 s of a limit that is advertised from 3 s on.
 pub(crate) fn simulate(scenario: &Scenario) -> Outcome {
     let start = Instant::now();
     let limits = limits(scenario, start);
@@ -163,7 +167,7 @@
             let count = mean as usize + usize::from(cluster.random.random_bool(mean.fract()));
             for _ in 0..count.min(if cluster.alive[host] { usize::MAX } else { 0 }) {
                 let mut served = false;
-                // Tries of a request at one target after the other.
+                // A request is attempted at one target after the other.
                 let first = cluster.random.random_range(0..scenario.targets);
                 for target in (0..scenario.targets)
                     .cycle()
@@ -196,7 +200,7 @@
     outcome
 }
 
-/// One limit for 20 seconds, or two for ten each.
+/// Returns one limit for 20 s, or two limits for 10 s each.
 fn limits(scenario: &Scenario, start: Instant) -> Vec<AdvertisedLimit> {
     let limit = |per_second, from, until| AdvertisedLimit {
         per_second,
@@ -212,7 +216,8 @@
     }
 }
 
-/// The host that is told of a limit knows it, and the others a while later.
+/// Records when the host that received a limit from a target, and later the other hosts,
+/// know it.
 fn learn_limit(
     known: &mut [Vec<Option<Instant>>],
     cluster: &mut Cluster,
@@ -232,7 +237,8 @@
     }
 }
 
-/// Part of the callers that each host has; they move once a second if there is trouble.
+/// Returns the share of the callers at each host; with faults, callers move between hosts
+/// once per second.
 fn weights(scenario: &Scenario, passed: Duration) -> Vec<f64> {
     let rotation = match scenario.faults {
         true => passed.as_secs() as usize,
@@ -242,8 +248,8 @@
     (0..scenario.hosts).map(weight).collect()
 }
 
-/// A host ends every two seconds and starts again after one; from 10 to 15 s a third
-/// of the hosts is cut off from the others.
+/// Stops a host every 2 s and restarts it 1 s later; partitions a third of the hosts from
+/// the others from 10 to 15 s.
 fn inject_faults(cluster: &mut Cluster, division: &mut Division, start: Instant) {
     let passed = (cluster.now - start).as_millis();
     let hosts = cluster.names.len();
--- a/standins/tests/limit_division/strategies.rs
+++ b/standins/tests/limit_division/strategies.rs
@@ -1,4 +1,4 @@
-//! Ways to divide a limit among hosts.
+//! Strategies that divide a rate limit among hosts.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,26 +11,26 @@
 
 use super::simulation::{Cluster, Scenario};
 
-/// Pause between two exchanges of what hosts sent and held back.
+/// Interval at which hosts exchange their demand.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
-/// Time within which the demand of other hosts is smoothed.
+/// Weight of the new value in the moving average of a host's demand.
 const SMOOTHING: f64 = 0.5;
-/// A call between two hosts, both ways.
+/// Round-trip time of a call between two hosts.
 const ROUND_TRIP: Duration = Duration::from_millis(2);
-/// Pause after a question that was not answered, and how long requests wait.
+/// Delay after a request for permits that failed, and the time for which requests wait.
 const UNANSWERED_DELAY: Duration = Duration::from_millis(500);
 const MAX_WAIT: Duration = Duration::from_millis(100);
 
-/// A way to divide a limit.
+/// A strategy that divides a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Strategy {
-    /// Each host keeps the whole limit by itself.
+    /// Each host applies the whole limit.
     Copied,
-    /// Each host has the same part, by the hosts that it takes to be alive.
+    /// Each host has an equal share, by the number of hosts that it takes to be alive.
     Equal,
-    /// Each host has a part by what it and the others have to send.
+    /// Each host has a share in proportion to its demand.
     Demand,
-    /// One host hands out permits.
+    /// One host issues permits to all hosts.
     Issued,
 }
 
@@ -40,7 +40,7 @@
     Withheld,
 }
 
-/// A bucket that begins empty and holds at most one permit.
+/// A token bucket that starts empty and holds at most one permit.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
     filled: f64,
@@ -58,15 +58,16 @@
     }
 }
 
-/// What all hosts hold.
+/// State of all hosts under a strategy.
 pub(crate) struct Division {
     strategy: Strategy,
     targets: usize,
     buckets: HashMap<(usize, usize), Bucket>,
-    /// Requests since the last exchange, and a second as it was then, of each host.
+    /// Requests of each host since the last exchange, and its demand per second as of
+    /// then.
     requested: Vec<Vec<f64>>,
     wanted: Vec<Vec<f64>>,
-    /// What each host heard of the others' demand.
+    /// Demand of the other hosts, as each host received it.
     received: Vec<Vec<f64>>,
     exchanged: Option<Instant>,
     issuers: Vec<PermitIssuer>,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// A host starts again and knows nothing.
+    /// Restarts a host without its state.
     pub(crate) fn restart(&mut self, host: usize) {
         self.buckets.retain(|(of, _), _| *of != host);
         self.withheld.retain(|(of, _), _| *of != host);
@@ -106,7 +107,7 @@
         self.pools[host] = PermitPool::default();
     }
 
-    /// A request to a target that has named no limit yet.
+    /// Sends a request to a target that has not advertised a limit yet.
     pub(crate) fn send_unlimited(
         &mut self,
         host: usize,
@@ -118,7 +119,7 @@
         SendVerdict::At(now)
     }
 
-    /// A request to a limited target.
+    /// Sends a request to a rate-limited target.
     pub(crate) fn send_limited(
         &mut self,
         cluster: &mut Cluster,
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Hosts tell each other what they had to send, a little late; some words are lost.
+    /// Exchanges the demand between hosts, with a delay; some of the calls are lost.
     pub(crate) fn exchange(&mut self, cluster: &mut Cluster) {
         let due = self
             .exchanged
@@ -180,7 +181,7 @@
         }
     }
 
-    /// A host hears of a limit, and tells what it sent before.
+    /// Reports the requests that a host sent to a target before it knew the limit.
     pub(crate) fn report_sends(&mut self, cluster: &mut Cluster, host: usize, target: usize) {
         let unpermitted = self.pools[host].unpermitted(target as u64, cluster.now);
         if self.strategy == Strategy::Issued && !unpermitted.is_empty() {
@@ -254,7 +255,7 @@
         let hosts = 0..cluster.names.len();
         let live = hosts.filter(|other| cluster.believes_alive(issuer, *other));
         let share = issued_share(live.count(), cluster.names.len());
-        // Whoever has heard of the lower limit tells the other with the question.
+        // The host that knows the lower limit passes it on with the request.
         let limit = cluster
             .believed_limit(host)
             .min(cluster.believed_limit(issuer));
@@ -262,14 +263,14 @@
         self.issuers[issuer].handle_request(&request, limit, share, now)
     }
 
-    /// Calls of all hosts, and of the busiest.
+    /// Returns the number of calls of all hosts, and of the busiest one.
     pub(crate) fn calls(&self) -> (usize, usize) {
         let busiest = self.calls.iter().copied().max();
         (self.calls.iter().sum(), busiest.unwrap_or(0))
     }
 }
 
-/// The host that another one takes for the one that hands out permits for a target.
+/// Returns the host that `host` takes for the issuer of the permits for a target.
 fn believed_issuer(cluster: &Cluster, host: usize, target: u64) -> Option<usize> {
     let hosts = 0..cluster.names.len();
     let live = hosts.filter(|other| cluster.believes_alive(host, *other));
--- a/standins/tests/limits.rs
+++ b/standins/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Targets that name a limit, against entry hosts as processes; and the check of
-//! what they get.
+//! Targets that advertise a limit, with entry hosts as processes, and the check of the
+//! requests that they receive.
 
 mod support;
 
@@ -12,7 +12,7 @@
 
 const HOSTS: usize = 6;
 
-/// Arrivals `gap_ms` apart.
+/// Returns arrivals that are `gap_ms` apart.
 fn steady(from: Instant, count: u32, gap_ms: u64) -> Vec<Instant> {
     let gap = Duration::from_millis(gap_ms);
     (0..count).map(|number| from + gap * number).collect()
@@ -31,11 +31,12 @@
     let copied = limit.worst_violation(&steady(from, 600, 33));
     let copied = copied.expect("a breach");
     assert!(copied.arrived > 100, "{copied:?}");
-    // Before the limit has to be kept nothing is judged.
+    // Nothing is checked before the limit has to be kept.
     assert_eq!(limit.worst_violation(&steady(from, 80, 33)), None);
 }
 
-/// Guards against a limit that is named to each host and kept by none for all.
+/// Guards against hosts that each keep the limit of a target, so that all of them
+/// together exceed it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_limit_holds_for_all_hosts_together() -> TestResult {
     let (settings, _folder) = soak_settings(HOSTS).await?;
--- a/standins/tests/poison.rs
+++ b/standins/tests/poison.rs
@@ -1,4 +1,4 @@
-//! A request that engines do not survive, against entry hosts as processes.
+//! A request that crashes engines, sent to entry hosts that run as processes.
 
 mod support;
 
@@ -8,10 +8,10 @@
 
 const HOSTS: usize = 4;
 
-/// Symptom: one caller's request crashes engine after engine, at whichever host it
-/// comes, and again after all hosts have lost their power. Sequence: three hosts see an
-/// engine end each; all hosts are killed and start again; the request comes again.
-/// Cause: what a host had seen of a request stayed with its process.
+/// Guards against a request that crashes engine after engine, through whichever host it
+/// is sent: hosts did not share what they had observed of it, and lost it when their
+/// processes ended. Three hosts each see an engine crash; all hosts are killed and
+/// restarted, and the request is sent again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_poison_request_is_refused_by_all_hosts_and_after_a_start_of_all() -> TestResult {
     let (settings, _folder) = soak_settings(HOSTS).await?;
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The soak: its checks on histories that break a promise, its links, and a
-//! short run with the real program.
+//! Tests of the soak: its checks on histories with violations, its links, and a short run
+//! with the real daemon.
 
 mod support;
 
@@ -27,7 +27,7 @@
     matching: true,
 };
 
-/// A history that begins at a moment of its own.
+/// Builds a history from times relative to its start.
 struct HistoryBuilder {
     start: Instant,
     history: SoakHistory,
@@ -236,7 +236,7 @@
     assert_ne!(draw_faults(5, length, 4, 9), draw_faults(6, length, 4, 9));
 }
 
-/// A server that sends back what it gets.
+/// Starts a server that echoes what it receives.
 async fn echo() -> std::io::Result<std::net::SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -277,8 +277,8 @@
     Ok(())
 }
 
-/// Entry hosts as processes, half a dozen faults and more, and every promise
-/// that is not bounded by a time.
+/// Runs entry hosts as processes under at least four faults and checks every guarantee
+/// that has no time bound.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_short_soak_has_no_violations() -> TestResult {
     let (settings, _folder) = soak_settings(3).await?;
