--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -158,11 +158,11 @@
     };
     let request = build_request(&id, method, path, deadline);
     let sent = Instant::now();
-    let answered = tokio::time::timeout(deadline, exchange(connection, request)).await;
-    let outcome = match answered {
+    let result = tokio::time::timeout(deadline, exchange(connection, request)).await;
+    let outcome = match result {
         Err(_) => CallOutcome::TimedOut,
         Ok(None) => CallOutcome::Interrupted,
-        Ok(Some(answer)) => classify_response(&id, kind, &answer),
+        Ok(Some(response)) => classify_response(&id, kind, &response),
     };
     CallRecord {
         id,
@@ -190,16 +190,17 @@
     }
 }
 
-fn classify_response(id: &str, kind: CallKind, answer: &CompleteResponse) -> CallOutcome {
+fn classify_response(id: &str, kind: CallKind, response: &CompleteResponse) -> CallOutcome {
     let expected = match kind {
         CallKind::Stream => stream_body(id),
         CallKind::Idempotent | CallKind::NonIdempotent => plain_body(id),
     };
-    let own_body = !(200..300).contains(&answer.status) || answer.body == expected.as_bytes();
+    let body_matches =
+        !(200..300).contains(&response.status) || response.body == expected.as_bytes();
     CallOutcome::Answered {
-        status: answer.status,
-        sealed: answer.sealed,
-        matching: own_body && answer.id.as_deref() == Some(id),
+        status: response.status,
+        sealed: response.sealed,
+        matching: body_matches && response.id.as_deref() == Some(id),
     }
 }
 
--- a/standins/src/soak/poison.rs
+++ b/standins/src/soak/poison.rs
@@ -84,8 +84,9 @@
         return false;
     };
     let request = build_request(&context.allocate_id(), Method::POST, POISON_PATH, DEADLINE);
-    let answer = exchange(&mut connection, request).await;
-    answer.is_some_and(|answer| answer.status == 502 && answer.body_contains("poison_request"))
+    let response = exchange(&mut connection, request).await;
+    response
+        .is_some_and(|response| response.status == 502 && response.body_contains("poison_request"))
 }
 
 impl SoakRun {
@@ -124,7 +125,7 @@
             if !self.targets[index].take_poisoned() {
                 continue;
             }
-            self.targets[index].end();
+            self.targets[index].exit();
             self.crashed += 1;
             self.end_after(REPLACEMENT_DELAY, FaultEnd::Replace(index));
         }
--- a/standins/src/soak/probe.rs
+++ b/standins/src/soak/probe.rs
@@ -39,13 +39,13 @@
 
 /// Returns whether a host reports that it is ready.
 pub(super) async fn is_ready(address: SocketAddr) -> bool {
-    let response = async {
+    let readiness_check = async {
         let mut connection = connect(address).await?;
         let request = build_request("ready", Method::GET, names::READY_PATH, RESPONSE_TIMEOUT);
         exchange(&mut connection, request).await
     };
-    let answer = tokio::time::timeout(RESPONSE_TIMEOUT, response).await;
-    matches!(answer, Ok(Some(answer)) if answer.status == 200)
+    let response = tokio::time::timeout(RESPONSE_TIMEOUT, readiness_check).await;
+    matches!(response, Ok(Some(response)) if response.status == 200)
 }
 
 /// Takes a host out of rotation and back in, until the callers are stopped.
@@ -95,10 +95,10 @@
     let path = format!("{}look", version_prefix(newest.version));
     let request = build_request(&id, Method::GET, &path, RESPONSE_TIMEOUT);
     let sent = Instant::now();
-    let answer = tokio::time::timeout(RESPONSE_TIMEOUT, exchange(&mut connection, request)).await;
+    let response = tokio::time::timeout(RESPONSE_TIMEOUT, exchange(&mut connection, request)).await;
     let answered = Instant::now();
-    let status = match answer {
-        Ok(Some(answer)) => Some(answer.status),
+    let status = match response {
+        Ok(Some(response)) => Some(response.status),
         _ => None,
     };
     let mut history = context.history.lock();
--- a/standins/src/soak/target.rs
+++ b/standins/src/soak/target.rs
@@ -121,7 +121,7 @@
     }
 
     /// Ends the process of the target: its port accepts no more connections.
-    pub(super) fn end(&self) {
+    pub(super) fn exit(&self) {
         self.update(|state| state.reachable = false);
         self.abort();
         self.link.close();
--- a/standins/tests/limit_division/simulation.rs
+++ b/standins/tests/limit_division/simulation.rs
@@ -69,8 +69,8 @@
     /// Delay until other hosts detect the last change of each host, drawn at the change.
     delay: Vec<Duration>,
     /// Whether each host is on the minority side of a partition.
-    pub(crate) cut: Vec<bool>,
-    cut_since: Option<Instant>,
+    pub(crate) partitioned: Vec<bool>,
+    partitioned_since: Option<Instant>,
     pub(crate) loss: f64,
     /// Limits that targets advertise, the first from 3 s on.
     limits: Vec<AdvertisedLimit>,
@@ -88,26 +88,27 @@
     /// different time.
     pub(crate) fn believes_alive(&self, host: usize, other: usize) -> bool {
         let offset = ((host * 31 + other * 17) % 7) as f64 / 7.0;
-        let received = self.changed[other] + self.delay[other].mul_f64(0.4 + 0.6 * offset);
-        let alive = self.alive[other] == (self.now >= received);
-        let apart = self.cut[host] != self.cut[other];
-        let cut_known = self
-            .cut_since
+        let detected_at = self.changed[other] + self.delay[other].mul_f64(0.4 + 0.6 * offset);
+        let alive = self.alive[other] == (self.now >= detected_at);
+        let separated = self.partitioned[host] != self.partitioned[other];
+        let partition_detected = self
+            .partitioned_since
             .is_some_and(|since| self.now >= since + Duration::from_millis(END_DETECTED.0));
-        host == other || (alive && !(apart && cut_known))
+        host == other || (alive && !(separated && partition_detected))
     }
 
     /// Returns the limit that a host takes targets to have.
     pub(crate) fn believed_limit(&self, host: usize) -> f64 {
-        let received = |limit: &&AdvertisedLimit| self.now >= limit.from + self.limit_delay[host];
-        let last = self.limits.iter().rfind(received);
+        let is_known = |limit: &&AdvertisedLimit| self.now >= limit.from + self.limit_delay[host];
+        let last = self.limits.iter().rfind(is_known);
         last.unwrap_or(&self.limits[0]).per_second
     }
 
     /// Returns whether a call from `host` to `other` succeeds.
     pub(crate) fn reaches(&mut self, host: usize, other: usize) -> bool {
         let lost = self.random.random_bool(self.loss);
-        host == other || (self.alive[other] && self.cut[host] == self.cut[other] && !lost)
+        host == other
+            || (self.alive[other] && self.partitioned[host] == self.partitioned[other] && !lost)
     }
 
     fn change(&mut self, host: usize, alive: bool) {
@@ -129,8 +130,8 @@
         alive: vec![true; scenario.hosts],
         changed: vec![start - Duration::from_secs(60); scenario.hosts],
         delay: vec![Duration::ZERO; scenario.hosts],
-        cut: vec![false; scenario.hosts],
-        cut_since: None,
+        partitioned: vec![false; scenario.hosts],
+        partitioned_since: None,
         loss: scenario.loss,
         limit_delay: vec![Duration::ZERO; scenario.hosts],
         limits: limits.clone(),
@@ -144,7 +145,7 @@
     let mut known = vec![vec![None::<Instant>; scenario.targets]; scenario.hosts];
     let mut reported = vec![vec![false; scenario.targets]; scenario.hosts];
     let mut outcome = Outcome::default();
-    let whole = scenario.demand * scenario.per_second * scenario.targets as f64;
+    let total_demand = scenario.demand * scenario.per_second * scenario.targets as f64;
     while cluster.now < end {
         cluster.now += STEP;
         let now = cluster.now;
@@ -163,7 +164,7 @@
             }
         }
         for host in 0..scenario.hosts {
-            let mean = whole * weights[host] / sum * STEP.as_secs_f64();
+            let mean = total_demand * weights[host] / sum * STEP.as_secs_f64();
             let count = mean as usize + usize::from(cluster.random.random_bool(mean.fract()));
             for _ in 0..count.min(if cluster.alive[host] { usize::MAX } else { 0 }) {
                 let mut served = false;
@@ -266,10 +267,10 @@
         }
     }
     if passed == 10_000 || passed == 15_000 {
-        let cut = passed == 10_000;
-        cluster.cut_since = cut.then_some(cluster.now);
+        let partitioned = passed == 10_000;
+        cluster.partitioned_since = partitioned.then_some(cluster.now);
         for host in 0..hosts / 3 {
-            cluster.cut[host] = cut;
+            cluster.partitioned[host] = partitioned;
         }
     }
 }
--- a/standins/tests/limit_division/strategies.rs
+++ b/standins/tests/limit_division/strategies.rs
@@ -98,8 +98,8 @@
 
     /// Restarts a host without its state.
     pub(crate) fn restart(&mut self, host: usize) {
-        self.buckets.retain(|(of, _), _| *of != host);
-        self.withheld.retain(|(of, _), _| *of != host);
+        self.buckets.retain(|(owner, _), _| *owner != host);
+        self.withheld.retain(|(owner, _), _| *owner != host);
         self.requested[host].fill(0.0);
         self.wanted[host].fill(0.0);
         self.received[host].fill(0.0);
@@ -172,7 +172,9 @@
             }
             let others = 0..cluster.names.len();
             let others = others.filter(|other| {
-                *other != host && cluster.alive[*other] && cluster.cut[*other] == cluster.cut[host]
+                *other != host
+                    && cluster.alive[*other]
+                    && cluster.partitioned[*other] == cluster.partitioned[host]
             });
             let others = others.collect::<Vec<_>>();
             for (target, received) in self.received[host].iter_mut().enumerate() {
