--- a/standins/src/check/layers.rs
+++ b/standins/src/check/layers.rs
@@ -1,34 +1,33 @@
-//! Every layer exactly once, in order, for each delivered token.
+//! Checks that every layer runs exactly once, in order, for each delivered token.
 //!
-//! The reading applied: for each position that a delivered token rests on there
-//! is a chain of computed steps of one run, a step a stage, in which each
-//! stage's output is the next stage's input, the layers taken together are
-//! 0, 1, ... up to the model's last, each once, and a stage ran after the one
-//! before it. The last step of the chain at a token's position gave the token.
-//! A stage may compute a position again only under a later attempt (on a
-//! replacement, say); within an attempt positions are computed one after the
-//! other, each once.
+//! For each position that a delivered token depends on there has to be a chain of
+//! computed steps of one run, one step per stage. Each stage's output is the next stage's
+//! input, the layers of the chain are 0, 1, ... up to the model's last, each once, and
+//! each stage ran after the one before it. The last step of the chain at a token's
+//! position returned the token. A stage may compute a position again only under a later
+//! attempt, such as on a replacement; within an attempt it computes positions in
+//! sequence, each once.
 
 use jackdawwick::collections::FastMap;
 use jackdawwick::ids::{LayerIndex, RequestId, TokenPosition};
 
 use super::history::steps_by_request;
-use super::{BrokenPromise, CheckedPromise, GenerationHistory, RunHistory};
+use super::{GenerationHistory, Guarantee, RunHistory, Violation};
 use crate::engine::{StepKind, StepRecord};
 
 /// Checks the layers of every delivered token.
-pub fn check_layers(history: &RunHistory) -> Vec<BrokenPromise> {
+pub fn check_layers(history: &RunHistory) -> Vec<Violation> {
     let steps = steps_by_request(history);
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for generation in &history.generations {
         let records = steps.get(&*generation.request);
         let records: Vec<&StepRecord> = records.into_iter().flatten().copied().collect();
         if let Err(detail) = check_generation(generation, &records) {
-            let promise = CheckedPromise::LayersOnce;
-            broken.push(BrokenPromise::new(promise, &generation.request, detail));
+            let guarantee = Guarantee::LayersOnce;
+            violations.push(Violation::new(guarantee, &generation.request, detail));
         }
     }
-    broken
+    violations
 }
 
 fn check_generation(generation: &GenerationHistory, records: &[&StepRecord]) -> Result<(), String> {
@@ -38,30 +37,30 @@
         .copied()
         .collect();
     check_sessions(&computed)?;
-    let mut at_position: FastMap<TokenPosition, Vec<&StepRecord>> = FastMap::default();
+    let mut by_position: FastMap<TokenPosition, Vec<&StepRecord>> = FastMap::default();
     for record in computed {
-        at_position.entry(record.position).or_default().push(record);
+        by_position.entry(record.position).or_default().push(record);
     }
     let tokens = generation.numbered_tokens();
     let prompt = generation.prompt.len() as u64;
     for (number, token) in &tokens {
         let position = prompt + number - 1;
-        let steps = at_position.get(&position).map_or(&[][..], Vec::as_slice);
+        let steps = by_position.get(&position).map_or(&[][..], Vec::as_slice);
         let ends = steps.iter().filter(|step| step.output == *token);
         check_chain(steps, ends, generation.layers)
             .map_err(|problem| format!("token {number}: {problem}"))?;
     }
-    // The KV state that the first token rests on comes from the whole prompt.
-    let rests_on = if tokens.is_empty() { 0 } else { prompt - 1 };
-    for position in 0..rests_on {
-        let steps = at_position.get(&position).map_or(&[][..], Vec::as_slice);
+    // The KV state that the first token depends on comes from the whole prompt.
+    let prefix = if tokens.is_empty() { 0 } else { prompt - 1 };
+    for position in 0..prefix {
+        let steps = by_position.get(&position).map_or(&[][..], Vec::as_slice);
         check_chain(steps, steps.iter(), generation.layers)
             .map_err(|problem| format!("prompt position {position}: {problem}"))?;
     }
     Ok(())
 }
 
-/// Within one attempt of one stage, positions are computed one after the other.
+/// Checks that each stage computes positions in sequence within one attempt.
 fn check_sessions(computed: &[&StepRecord]) -> Result<(), String> {
     let mut last: FastMap<(&RequestId, u32, usize), TokenPosition> = FastMap::default();
     for record in computed {
@@ -79,7 +78,7 @@
     Ok(())
 }
 
-/// Whether a chain through all layers ends in one of `ends`.
+/// Checks that a chain through all layers ends in one of `ends`.
 fn check_chain<'r, I>(steps: &[&'r StepRecord], ends: I, layers: LayerIndex) -> Result<(), String>
 where
     I: Iterator<Item = &'r &'r StepRecord>,
@@ -94,7 +93,7 @@
     }
 }
 
-/// Whether `step` and some steps before it run layers `0..end_layer` in order.
+/// Returns whether `step` and steps before it ran the layers `0..end_layer` in order.
 fn is_chain(steps: &[&StepRecord], step: &StepRecord, end_layer: LayerIndex) -> bool {
     let count = step.layers.len() as LayerIndex;
     let Some(first) = end_layer.checked_sub(count).filter(|_| count > 0) else {
@@ -107,10 +106,10 @@
         return step.stage == 0;
     }
     steps.iter().any(|before| {
-        let leads_here = before.request == step.request
+        let precedes = before.request == step.request
             && before.stage + 1 == step.stage
             && before.output == step.input
             && before.order < step.order;
-        leads_here && is_chain(steps, before, first)
+        precedes && is_chain(steps, before, first)
     })
 }
--- a/standins/src/soak/engines.rs
+++ b/standins/src/soak/engines.rs
@@ -1,4 +1,4 @@
-//! Engines that each hold a range of layers, as far as the soak needs them.
+//! Engines that each hold a range of layers, with the features that the soak needs.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,57 +12,57 @@
 use super::configuration::LAYERS;
 use super::history::RunRecord;
 
-/// How a target misbehaves towards each of its requests.
+/// Fault that a target shows on each of its requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum TargetFault {
-    /// Not at all.
+    /// Works correctly.
     #[default]
     None,
-    /// Runs it and closes the connection in place of an answer.
-    LosesAnswers,
-    /// Answers with the id of another request.
-    AnswersOthers,
-    /// Breaks off in the middle of the body.
-    BreaksOff,
-    /// Says that it has not run it.
+    /// Runs the request and closes the connection without a response.
+    DropsResponse,
+    /// Responds with the id of another request.
+    WrongRequestId,
+    /// Closes the connection in the middle of the body.
+    TruncatesBody,
+    /// Refuses the request as not run.
     Refuses,
-    /// Answers 500 at once.
+    /// Responds with status 500 at once.
     Fails,
 }
 
-/// What is true of a target now.
+/// Current state of a target.
 #[derive(Debug, Clone, Default)]
 pub(super) struct TargetState {
     pub(super) id: String,
     pub(super) layers: Option<(u32, u32)>,
-    /// Orders accepted since its start.
+    /// Number of orders accepted since the target started.
     pub(super) orders: u64,
-    /// It loads layers.
+    /// Whether it is loading layers.
     pub(super) busy: bool,
     pub(super) draining: bool,
-    /// Neither dead nor cut off.
+    /// Whether it is alive and its link passes data.
     pub(super) reachable: bool,
     pub(super) fault: TargetFault,
-    /// The limit that it names in its answers, as written.
+    /// Limit that it advertises in its responses, as written in the header.
     pub(super) limit: Option<String>,
-    /// It has begun to run a request that it does not survive.
+    /// Whether it has begun to run a request that crashes it.
     pub(super) poisoned: bool,
 }
 
-/// The targets by their addresses, and what they ran.
+/// State of all targets by address, and the calls that they ran.
 #[derive(Debug, Default)]
-pub(super) struct TargetWorld {
+pub(super) struct TargetRegistry {
     pub(super) states: Mutex<HashMap<SocketAddr, TargetState>>,
-    /// Streams that run, by the call's id and the first engine.
+    /// Running streams, by the id of the call and the first engine.
     paths: Mutex<HashMap<(String, SocketAddr), RunningPath>>,
     pub(super) runs: Mutex<Vec<RunRecord>>,
 }
 
-/// The path of a stream that runs.
+/// Path of a running stream.
 #[derive(Debug, Clone)]
 struct RunningPath {
     parts: Vec<PathPart>,
-    /// Tells a stream from one that was resumed in its place.
+    /// Distinguishes a stream from one that was resumed in its place.
     number: u64,
 }
 
@@ -74,7 +74,7 @@
     pub(super) to: u32,
 }
 
-/// Reads a path as it stands in the header and in orders.
+/// Parses a path as written in the header and in orders.
 pub(super) fn parse_path(text: &str) -> Option<Vec<PathPart>> {
     let parts = text.split(',').map(|part| {
         let (address, range) = part.split_once('=')?;
@@ -88,8 +88,8 @@
     parts.collect()
 }
 
-/// Whether the parts are every layer once, in order.
-pub(super) fn is_whole(path: &[PathPart]) -> bool {
+/// Returns whether the parts hold every layer once, in order.
+pub(super) fn covers_all_layers(path: &[PathPart]) -> bool {
     let mut next = 0;
     for part in path {
         if part.from != next || part.to <= part.from {
@@ -100,7 +100,7 @@
     next == LAYERS
 }
 
-impl TargetWorld {
+impl TargetRegistry {
     pub(super) fn state(&self, address: SocketAddr) -> TargetState {
         let states = self.states.lock();
         states.get(&address).cloned().unwrap_or_default()
@@ -115,9 +115,9 @@
         }
     }
 
-    /// The first engine of a path that cannot take its part.
-    pub(super) fn unable(&self, path: &[PathPart]) -> Option<SocketAddr> {
-        let able = |part: &&PathPart| {
+    /// Returns the first engine of a path that cannot run its part.
+    pub(super) fn unavailable(&self, path: &[PathPart]) -> Option<SocketAddr> {
+        let is_available = |part: &&PathPart| {
             let state = self.state(part.address);
             let held = state
                 .layers
@@ -125,12 +125,12 @@
             state.reachable && !state.draining && held
         };
         path.iter()
-            .find(|part| !able(part))
+            .find(|part| !is_available(part))
             .map(|part| part.address)
     }
 
-    /// A stream begins; gives its number.
-    pub(super) fn begin(&self, id: &str, parts: Vec<PathPart>) -> u64 {
+    /// Registers a stream that begins and returns its number.
+    pub(super) fn begin_stream(&self, id: &str, parts: Vec<PathPart>) -> u64 {
         let number = self.runs.lock().len() as u64;
         if let Some(first) = parts.first() {
             let key = (id.to_owned(), first.address);
@@ -139,13 +139,13 @@
         number
     }
 
-    /// A stream is over.
-    pub(super) fn end(&self, id: &str, number: u64) {
+    /// Removes a stream that has ended.
+    pub(super) fn end_stream(&self, id: &str, number: u64) {
         let mut paths = self.paths.lock();
         paths.retain(|(other, _), path| other != id || path.number != number);
     }
 
-    /// The engine that a running stream waits for.
+    /// Returns the engine that a running stream waits for.
     pub(super) fn stalled_at(&self, id: &str, number: u64) -> Option<SocketAddr> {
         let parts = {
             let paths = self.paths.lock();
@@ -157,7 +157,7 @@
         addresses.find(|address| !self.state(*address).reachable)
     }
 
-    /// The report of an engine.
+    /// Returns the report of an engine.
     pub(super) fn report(&self, address: SocketAddr) -> serde_json::Value {
         let state = self.state(address);
         let running = self.paths.lock().clone().into_iter();
@@ -191,39 +191,39 @@
     },
 }
 
-/// Carries an order out; gives the status and the body of the answer.
-pub(super) fn take_order(
-    world: &Arc<TargetWorld>,
+/// Executes an order and returns the status and the body of the response.
+pub(super) fn execute_order(
+    registry: &Arc<TargetRegistry>,
     address: SocketAddr,
     body: &[u8],
 ) -> (u16, serde_json::Value) {
     match serde_json::from_slice::<OrderBody>(body) {
         Ok(OrderBody::Place { from, to, expected }) => {
-            let state = world.state(address);
+            let state = registry.state(address);
             match expected {
                 Some(expected) if expected != state.orders => (409, json!({})),
                 _ if state.busy => (409, json!({})),
                 _ => {
-                    tokio::spawn(load_layers(world.clone(), address, (from, to)));
+                    tokio::spawn(load_layers(registry.clone(), address, (from, to)));
                     (202, json!({}))
                 }
             }
         }
-        Ok(OrderBody::Repath { id, path }) => move_stream(world, address, &id, &path),
+        Ok(OrderBody::Repath { id, path }) => reroute_stream(registry, address, &id, &path),
         Err(error) => (400, json!({"error": error.to_string()})),
     }
 }
 
-async fn load_layers(world: Arc<TargetWorld>, address: SocketAddr, layers: (u32, u32)) {
+async fn load_layers(registry: Arc<TargetRegistry>, address: SocketAddr, layers: (u32, u32)) {
     const LOAD_TIME: Duration = Duration::from_millis(150);
-    let id = world.state(address).id;
-    world.update(address, |state| {
+    let id = registry.state(address).id;
+    registry.update(address, |state| {
         state.orders += 1;
         state.busy = true;
     });
     tokio::time::sleep(LOAD_TIME).await;
-    world.update(address, |state| {
-        // A restart meanwhile leaves the engine empty.
+    registry.update(address, |state| {
+        // A restart during the load leaves the engine empty.
         if state.id == id {
             state.layers = Some(layers);
             state.busy = false;
@@ -231,19 +231,19 @@
     });
 }
 
-fn move_stream(
-    world: &TargetWorld,
+fn reroute_stream(
+    registry: &TargetRegistry,
     address: SocketAddr,
     id: &str,
     path: &str,
 ) -> (u16, serde_json::Value) {
-    let Some(path) = parse_path(path).filter(|path| is_whole(path)) else {
+    let Some(path) = parse_path(path).filter(|path| covers_all_layers(path)) else {
         return (400, json!({}));
     };
-    if let Some(unable) = world.unable(&path) {
-        return (409, json!({"address": unable}));
+    if let Some(unavailable) = registry.unavailable(&path) {
+        return (409, json!({"address": unavailable}));
     }
-    match world.paths.lock().get_mut(&(id.to_owned(), address)) {
+    match registry.paths.lock().get_mut(&(id.to_owned(), address)) {
         Some(running) => {
             running.parts = path;
             (202, json!({}))
--- a/standins/src/soak/link.rs
+++ b/standins/src/soak/link.rs
@@ -1,4 +1,4 @@
-//! A TCP link between two sides of the soak that can misbehave.
+//! A TCP link between two sides of the soak that can inject faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,47 +10,47 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Bytes that are passed on at a time.
+/// Bytes that are forwarded at a time.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a link does to what passes it.
+/// Fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Passes everything on.
+    /// Forwards everything.
     None,
-    /// Holds each piece for so long.
+    /// Delays each chunk.
     Delay(Duration),
     /// Resets every connection, and new ones at once.
     Reset,
-    /// Passes nothing on in either direction, and closes nothing.
-    Silent,
-    /// Passes nothing on towards the server.
-    CutTowards,
-    /// Passes nothing on towards the client.
-    CutBack,
+    /// Forwards nothing in either direction and closes nothing.
+    Blackhole,
+    /// Forwards nothing to the server.
+    BlockToServer,
+    /// Forwards nothing to the client.
+    BlockToClient,
 }
 
 impl LinkFault {
-    fn holds(self, way: LinkWay) -> bool {
+    fn holds(self, direction: LinkDirection) -> bool {
         match self {
-            Self::Silent => true,
-            Self::CutTowards => way == LinkWay::Towards,
-            Self::CutBack => way == LinkWay::Back,
+            Self::Blackhole => true,
+            Self::BlockToServer => direction == LinkDirection::ToServer,
+            Self::BlockToClient => direction == LinkDirection::ToClient,
             Self::None | Self::Delay(_) | Self::Reset => false,
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LinkWay {
-    Towards,
-    Back,
+enum LinkDirection {
+    ToServer,
+    ToClient,
 }
 
 /// A running link; dropping it resets its connections.
 #[derive(Debug)]
 pub struct FaultLink {
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
     fault: watch::Sender<LinkFault>,
     server: watch::Sender<Option<SocketAddr>>,
@@ -58,7 +58,7 @@
 }
 
 impl FaultLink {
-    /// Opens a link to a server that may be named later.
+    /// Opens a link to a server that may be set later.
     ///
     /// # Errors
     ///
@@ -77,12 +77,12 @@
         })
     }
 
-    /// Leads new connections to `server`; with `None` they are reset.
-    pub fn lead_to(&self, server: Option<SocketAddr>) {
+    /// Sets the server of new connections; with `None` they are reset.
+    pub fn set_server(&self, server: Option<SocketAddr>) {
         self.server.send_replace(server);
     }
 
-    /// Resets its connections and takes no more: its port is closed.
+    /// Resets all connections and closes the port.
     pub fn close(&self) {
         self.fault.send_replace(LinkFault::Reset);
         self.task.abort();
@@ -109,55 +109,65 @@
         match listener.accept().await {
             Ok((client, _)) => {
                 let server = *servers.borrow();
-                tokio::spawn(carry(client, server, faults.clone()));
+                tokio::spawn(relay(client, server, faults.clone()));
             }
             Err(error) => {
-                log::warn!("a link cannot take a connection: {error}");
+                log::warn!("link cannot accept a connection: {error}");
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
     }
 }
 
-async fn carry(
+async fn relay(
     client: TcpStream,
     server: Option<SocketAddr>,
     mut faults: watch::Receiver<LinkFault>,
 ) {
-    // A reset is what a closed port and a killed process give.
+    // Closed ports and killed processes also reset their connections.
     let _ = client.set_zero_linger();
     let Some(server) = server else { return };
     if *faults.borrow() == LinkFault::Reset {
         return;
     }
-    // A link that passes nothing takes connections and carries nothing.
-    let passes = |fault: &LinkFault| !fault.holds(LinkWay::Towards);
+    // A link that forwards nothing still accepts connections.
+    let passes = |fault: &LinkFault| !fault.holds(LinkDirection::ToServer);
     if faults.wait_for(passes).await.is_err() {
         return;
     }
-    let Ok(far) = TcpStream::connect(server).await else {
+    let Ok(upstream) = TcpStream::connect(server).await else {
         return;
     };
     let _ = (
         client.set_nodelay(true),
-        far.set_nodelay(true),
-        far.set_zero_linger(),
+        upstream.set_nodelay(true),
+        upstream.set_zero_linger(),
     );
     let (client_read, client_write) = client.into_split();
-    let (far_read, far_write) = far.into_split();
-    let towards = pump(client_read, far_write, LinkWay::Towards, faults.clone());
-    let back = pump(far_read, client_write, LinkWay::Back, faults.clone());
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let to_server = copy_direction(
+        client_read,
+        upstream_write,
+        LinkDirection::ToServer,
+        faults.clone(),
+    );
+    let to_client = copy_direction(
+        upstream_read,
+        client_write,
+        LinkDirection::ToClient,
+        faults.clone(),
+    );
     tokio::select! {
-        _ = async { tokio::try_join!(towards, back) } => {}
-        // Ends as well when the link is dropped.
+        _ = async { tokio::try_join!(to_server, to_client) } => {}
+        // Returns as well when the link is dropped.
         _ = faults.wait_for(|fault| *fault == LinkFault::Reset) => {}
     }
 }
 
-async fn pump(
+async fn copy_direction(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    way: LinkWay,
+    direction: LinkDirection,
     mut faults: watch::Receiver<LinkFault>,
 ) -> io::Result<()> {
     let mut chunk = vec![0; CHUNK_BYTES];
@@ -165,7 +175,7 @@
         let count = from.read(&mut chunk).await?;
         let gone = |_| io::Error::from(io::ErrorKind::ConnectionReset);
         let fault = *faults
-            .wait_for(|fault| !fault.holds(way))
+            .wait_for(|fault| !fault.holds(direction))
             .await
             .map_err(gone)?;
         if let LinkFault::Delay(delay) = fault {
--- a/standins/src/soak/log_service.rs
+++ b/standins/src/soak/log_service.rs
@@ -1,4 +1,4 @@
-//! A log service with keyed topics of one partition each, in memory.
+//! In-memory log service with keyed topics of one partition each.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -15,20 +15,20 @@
 use crate::faults::FaultSwitch;
 use crate::http_server::{CallOutcome, HttpServer, ServedCall};
 
-/// How the service misbehaves.
+/// Faults of the service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct LogFaults {
-    /// Refuses connections.
-    pub(super) dead: bool,
-    /// Answers 503.
+    /// Whether it refuses connections.
+    pub(super) offline: bool,
+    /// Whether it responds with 503.
     pub(super) busy: bool,
-    /// Waits before each answer.
+    /// Delay before each response.
     pub(super) delay: Duration,
 }
 
 #[derive(Debug, Default)]
 struct Partition {
-    /// Offset of the first record that is kept.
+    /// Offset of the first retained record.
     first: u64,
     records: Vec<(String, Option<Bytes>)>,
     newest: BTreeMap<String, (u64, Bytes)>,
@@ -40,15 +40,15 @@
     }
 }
 
-/// The topics, shared with the service.
+/// The topics of the service.
 #[derive(Debug, Default)]
 pub(super) struct LogTopics {
     partitions: Mutex<HashMap<String, Partition>>,
-    news: Notify,
+    updates: Notify,
 }
 
 impl LogTopics {
-    /// Appends a record; without a value its key is dropped.
+    /// Appends a record; a record without a value removes its key.
     pub(super) fn append(&self, topic: &str, key: &str, value: Option<Bytes>) {
         let mut partitions = self.partitions.lock();
         let partition = partitions.entry(topic.to_owned()).or_default();
@@ -64,18 +64,18 @@
         }
         partition.records.push((key.to_owned(), value));
         drop(partitions);
-        self.news.notify_waiters();
+        self.updates.notify_waiters();
     }
 
-    /// Forgets every record but the newest of each key.
-    pub(super) fn forget_history(&self) {
+    /// Drops every record but the newest of each key.
+    pub(super) fn truncate_history(&self) {
         for partition in self.partitions.lock().values_mut() {
             partition.first = partition.end();
             partition.records.clear();
         }
     }
 
-    /// `None` if `from` is no longer kept.
+    /// Reads records from an offset; returns `None` if the offset is no longer retained.
     fn read(&self, topic: &str, from: u64) -> Option<(bool, Bytes)> {
         let partitions = self.partitions.lock();
         let empty = Partition::default();
@@ -123,12 +123,12 @@
     faults: FaultSwitch<LogFaults>,
 ) -> io::Result<HttpServer> {
     let switch = faults.clone();
-    let handler = move |call| answer(topics.clone(), switch.get(), call);
+    let handler = move |call| respond(topics.clone(), switch.get(), call);
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    HttpServer::bind(address, faults, |faults| faults.dead, handler).await
+    HttpServer::bind(address, faults, |faults| faults.offline, handler).await
 }
 
-async fn answer(topics: Arc<LogTopics>, faults: LogFaults, call: ServedCall) -> CallOutcome {
+async fn respond(topics: Arc<LogTopics>, faults: LogFaults, call: ServedCall) -> CallOutcome {
     tokio::time::sleep(faults.delay).await;
     let topic = call.query_text("topic").unwrap_or_default().to_owned();
     match call.path().as_slice() {
@@ -144,14 +144,14 @@
         ["jackdawwick", "log-read"] => {
             let from = call.query_number("from").unwrap_or(0);
             let wait = Duration::from_millis(call.query_number("wait_ms").unwrap_or(0));
-            read_when_there(&topics, &topic, from, wait).await
+            read_or_wait(&topics, &topic, from, wait).await
         }
         _ => CallOutcome::empty(StatusCode::NOT_FOUND),
     }
 }
 
-/// The key and the value of the one record of an append: 4 bytes of length, 1 byte of
-/// the key's length, the key, the value.
+/// Decodes the key and the value of the only record of an append: 4 bytes of length, 1
+/// byte of key length, the key, the value.
 fn decode_record(body: &Bytes) -> Option<(String, Option<Bytes>)> {
     let (length, record) = body.split_first_chunk::<4>()?;
     let whole = u32::from_be_bytes(*length) as usize == record.len();
@@ -162,19 +162,14 @@
     whole.then_some((key, value))
 }
 
-async fn read_when_there(
-    topics: &LogTopics,
-    topic: &str,
-    from: u64,
-    wait: Duration,
-) -> CallOutcome {
+async fn read_or_wait(topics: &LogTopics, topic: &str, from: u64, wait: Duration) -> CallOutcome {
     let until = tokio::time::Instant::now() + wait;
     loop {
-        let news = topics.news.notified();
+        let updates = topics.updates.notified();
         let Some((found, body)) = topics.read(topic, from) else {
             return CallOutcome::empty(StatusCode::GONE);
         };
-        if found || tokio::time::timeout_at(until, news).await.is_err() {
+        if found || tokio::time::timeout_at(until, updates).await.is_err() {
             return CallOutcome::Respond {
                 status: StatusCode::OK,
                 body,
--- a/standins/src/soak/plan.rs
+++ b/standins/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! The faults of one run, drawn from its seed.
+//! Faults of one run, drawn from its seed.
 
 use std::time::Duration;
 
@@ -8,44 +8,44 @@
 use super::engines::TargetFault;
 use super::link::LinkFault;
 
-/// Something that is made to misbehave.
+/// Something that is disturbed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultAction {
-    /// SIGKILL, and a new process after the time.
+    /// Kills a host by SIGKILL and restarts it after the duration.
     Kill(usize),
-    /// SIGTERM, and a new process once it has ended.
+    /// Stops a host by SIGTERM and restarts it once it has exited.
     Stop(usize),
-    /// SIGTERM for one host after the other.
-    StopEach,
-    /// SIGSTOP, and SIGCONT after the time.
+    /// Stops and restarts one host after the other.
+    RollingRestart,
+    /// Pauses a host by SIGSTOP and continues it by SIGCONT after the duration.
     Pause(usize),
-    /// SIGHUP.
+    /// Sends SIGHUP to a host.
     Hangup(usize),
-    /// The link of callers to a host.
+    /// Fault on the link of callers to a host.
     FrontLink(usize, LinkFault),
-    /// The link of a host to the log service.
+    /// Fault on the link of a host to the log service.
     LogLink(usize, LinkFault),
-    /// The link under which a host is known as a seed.
+    /// Fault on the link under which a host is known as a seed.
     SeedLink(usize, LinkFault),
     /// The log service refuses connections.
-    LogDead,
-    /// The log service answers 503.
+    LogOffline,
+    /// The log service responds with 503.
     LogBusy,
     /// The log service is slow.
     LogSlow,
-    /// The log service forgets its history.
-    LogForgets,
-    /// The link to a target.
+    /// The log service drops its history.
+    LogTruncation,
+    /// Fault on the link to a target.
     TargetLink(usize, LinkFault),
-    /// A target is down, and another starts after the time.
+    /// A target crashes, and another one starts after the duration.
     TargetCrash(usize),
-    /// A target says that it leaves; another starts at once.
+    /// A target announces that it leaves; another one starts at once.
     TargetLeaves(usize),
-    /// A target spoils its answers.
-    TargetSpoils(usize, TargetFault),
-    /// A target limits its rate to so many requests a second.
+    /// A target returns faulty responses.
+    TargetMisbehaves(usize, TargetFault),
+    /// A target limits its rate, in requests per second.
     TargetLimits(usize, u32),
-    /// A new version of the configuration.
+    /// Publishes a new version of the configuration.
     Publish,
 }
 
@@ -54,15 +54,15 @@
 pub struct PlannedFault {
     /// Time from the start of the run.
     pub at: Duration,
-    /// How long it lasts, where it has a length.
-    pub lasts: Duration,
-    /// What happens.
+    /// How long the fault lasts, if it has a duration.
+    pub duration: Duration,
+    /// What is disturbed.
     pub action: FaultAction,
 }
 
-/// Draws the faults of a run of `length`: they begin one to three a second on
-/// average, last up to four seconds and so overlap; quiet spells between them
-/// let the promises be judged that hold for sound hosts only.
+/// Draws the faults of a run of `length`: on average one to three begin per second, and
+/// each lasts up to four seconds, so that they overlap. Quiet periods between them allow
+/// the check of the guarantees that hold only for undisturbed hosts.
 pub fn draw_faults(seed: u64, length: Duration, hosts: usize, targets: usize) -> Vec<PlannedFault> {
     const SHORTEST: f64 = 0.2;
     const LONGEST: f64 = 4.0;
@@ -73,7 +73,7 @@
     while at < length.as_secs_f64() {
         faults.push(PlannedFault {
             at: Duration::from_secs_f64(at),
-            lasts: Duration::from_secs_f64(random.random_range(SHORTEST..LONGEST)),
+            duration: Duration::from_secs_f64(random.random_range(SHORTEST..LONGEST)),
             action: draw_action(&mut random, hosts, targets),
         });
         let quiet = if random.random_bool(0.06) { 5.0 } else { 0.0 };
@@ -85,44 +85,44 @@
 fn draw_action(random: &mut StdRng, hosts: usize, targets: usize) -> FaultAction {
     let host = random.random_range(0..hosts);
     let target = random.random_range(0..targets);
-    let link = draw_link(random);
+    let link = draw_link_fault(random);
     match random.random_range(0..26) {
         0 | 1 => FaultAction::Kill(host),
         2 | 3 => FaultAction::Stop(host),
-        4 => FaultAction::StopEach,
+        4 => FaultAction::RollingRestart,
         5 => FaultAction::Pause(host),
         6 => FaultAction::Hangup(host),
         7 | 8 => FaultAction::FrontLink(host, link),
         9 | 10 => FaultAction::LogLink(host, link),
         11 => FaultAction::SeedLink(host, link),
-        12 => FaultAction::LogDead,
+        12 => FaultAction::LogOffline,
         13 => FaultAction::LogBusy,
         14 => FaultAction::LogSlow,
-        15 => FaultAction::LogForgets,
+        15 => FaultAction::LogTruncation,
         16 | 17 => FaultAction::TargetLink(target, link),
         18 => FaultAction::TargetCrash(target),
         19 => FaultAction::TargetLeaves(target),
-        20 | 21 => FaultAction::TargetSpoils(target, draw_spoiled(random)),
+        20 | 21 => FaultAction::TargetMisbehaves(target, draw_target_fault(random)),
         24 | 25 => FaultAction::TargetLimits(target, random.random_range(40..80)),
         _ => FaultAction::Publish,
     }
 }
 
-fn draw_link(random: &mut StdRng) -> LinkFault {
+fn draw_link_fault(random: &mut StdRng) -> LinkFault {
     match random.random_range(0..5) {
         0 => LinkFault::Delay(Duration::from_millis(random.random_range(5..400))),
         1 => LinkFault::Reset,
-        2 => LinkFault::Silent,
-        3 => LinkFault::CutTowards,
-        _ => LinkFault::CutBack,
+        2 => LinkFault::Blackhole,
+        3 => LinkFault::BlockToServer,
+        _ => LinkFault::BlockToClient,
     }
 }
 
-fn draw_spoiled(random: &mut StdRng) -> TargetFault {
+fn draw_target_fault(random: &mut StdRng) -> TargetFault {
     match random.random_range(0..5) {
-        0 => TargetFault::LosesAnswers,
-        1 => TargetFault::AnswersOthers,
-        2 => TargetFault::BreaksOff,
+        0 => TargetFault::DropsResponse,
+        1 => TargetFault::WrongRequestId,
+        2 => TargetFault::TruncatesBody,
         3 => TargetFault::Refuses,
         _ => TargetFault::Fails,
     }
