--- a/standins/tests/at_most_once.rs
+++ b/standins/tests/at_most_once.rs
@@ -7,7 +7,8 @@
 use std::time::{Duration, SystemTime};
 
 use claim_fleet::{
-    ClaimFleet, ORGANISATION, OTHER_ORGANISATION, SMALL_ORGANISATION, Told, fresh_key, key_of,
+    CallOutcome, ClaimFleet, ORGANISATION, OTHER_ORGANISATION, SMALL_ORGANISATION, key_created_at,
+    new_key,
 };
 use futures::future::join_all;
 use jackdawwick::reason::RefusalReason;
@@ -18,30 +19,30 @@
 use support::{DaemonProcess, TestError, TestResult, eventually};
 
 /// Long enough for a claim on a busy machine, where none is to be given up.
-const PATIENT_CLAIMS: &str = "\n[timing]\nclaim_timeout = \"15s\"\nstep_timeout = \"15s\"\n";
+const LONG_CLAIM_TIMEOUT: &str = "\n[timing]\nclaim_timeout = \"15s\"\nstep_timeout = \"15s\"\n";
 /// Short, where giving up is what is tried.
-const HASTY_CLAIMS: &str = "\n[timing]\nclaim_timeout = \"600ms\"\nlog_wait = \"50ms\"\n";
+const SHORT_CLAIM_TIMEOUT: &str = "\n[timing]\nclaim_timeout = \"600ms\"\nlog_wait = \"50ms\"\n";
 /// How long the platform takes for a call while a claimant is to be caught
 /// between its claim's arrival in the log and its own reading of it.
 const SLOW_PLATFORM_MS: u64 = 400;
 /// Times that a claimant is tried to be caught.
-const CATCHES: u64 = 20;
+const STOP_ATTEMPTS: u64 = 20;
 
 /// Symptom: a traveller is charged twice.
 /// Sequence: the balancer sends one key to two or three hosts at once, and to
 /// one of them twice.
 /// Cause: each host finds the key unused and sends the request on.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_key_at_several_hosts_at_once_runs_once() -> TestResult {
-    let fleet = ClaimFleet::start(3, PATIENT_CLAIMS).await?;
+async fn concurrent_requests_with_one_key_run_once() -> TestResult {
+    let fleet = ClaimFleet::start(3, LONG_CLAIM_TIMEOUT).await?;
     let mut random = StdRng::seed_from_u64(41);
     let mut sent = Vec::new();
-    let keys: Vec<String> = (0..60).map(fresh_key).collect();
+    let keys: Vec<String> = (0..60).map(new_key).collect();
     for key in &keys {
         let first = random.random_range(0..3);
-        for place in 0..random.random_range(2..5) {
-            let host = fleet.callers((first + place) % 3);
-            sent.push((host, format!("{key}-at-{place}"), key));
+        for attempt in 0..random.random_range(2..5) {
+            let host = fleet.callers((first + attempt) % 3);
+            sent.push((host, format!("{key}-at-{attempt}"), key));
         }
     }
     let settle = |(host, request, key): &(_, String, &String)| {
@@ -49,22 +50,28 @@
         let fleet = &fleet;
         async move { fleet.settle(host, &request, &key).await }
     };
-    let told = join_all(sent.iter().map(settle)).await;
+    let outcomes = join_all(sent.iter().map(settle)).await;
     fleet.check()?;
     for key in &keys {
         assert_eq!(fleet.runs(key).len(), 1, "{key}");
     }
-    for told in &told {
-        let may_have_run = told.verdict() == Some(RunVerdict::MayHaveRun);
-        assert!(told.is_answer() || may_have_run, "{told:?}");
+    for outcome in &outcomes {
+        let may_have_run = outcome.verdict() == Some(RunVerdict::MayHaveRun);
+        assert!(outcome.is_response() || may_have_run, "{outcome:?}");
     }
-    let answered = told.iter().filter(|told| told.is_answer()).count();
-    assert!(answered > keys.len(), "no answer reached a second caller");
+    let response_count = outcomes
+        .iter()
+        .filter(|outcome| outcome.is_response())
+        .count();
+    assert!(
+        response_count > keys.len(),
+        "no answer reached a second caller"
+    );
     // Later repeats, at any host, get the answer from the log.
     for (host, key) in (0..3).cycle().zip(&keys) {
         let request = format!("{key}-again");
-        let told = fleet.settle(fleet.callers(host), &request, key).await;
-        assert!(told.is_answer(), "{told:?}");
+        let outcome = fleet.settle(fleet.callers(host), &request, key).await;
+        assert!(outcome.is_response(), "{outcome:?}");
     }
     fleet.check()?;
     for key in &keys {
@@ -79,11 +86,11 @@
 /// Cause: keys are taken to be unique, or unchecked.
 #[tokio::test]
 async fn a_key_belongs_to_one_request_of_one_organisation() -> TestResult {
-    let fleet = ClaimFleet::start(2, PATIENT_CLAIMS).await?;
-    let (key, host) = (fresh_key(1), fleet.callers(0));
-    fleet.settle(host, "first", &key).await.answer()?;
+    let fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
+    let (key, host) = (new_key(1), fleet.callers(0));
+    fleet.settle(host, "first", &key).await.response()?;
     let other = fleet.settle_as(OTHER_ORGANISATION, host, "other", &key);
-    other.await.answer()?;
+    other.await.response()?;
     assert_eq!(fleet.runs(&key).len(), 2);
     let caller = CallerClient::open(ORGANISATION);
     let unusable = uuid::Builder::from_random_bytes([7; 16]).into_uuid();
@@ -114,15 +121,15 @@
 /// Cause: the request is sent on without a claim, or the claim that was never
 /// written is taken to hold the key.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outage_of_the_log_refuses_at_once_and_leaves_the_key_free() -> TestResult {
-    let fleet = ClaimFleet::start(2, PATIENT_CLAIMS).await?;
+async fn a_log_outage_refuses_requests_and_keeps_their_keys_usable() -> TestResult {
+    let fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
     let faults = fleet.fleet.platform.faults();
     faults.update(|faults| faults.outage = true);
     for (number, host) in (0..8).zip([0, 1].into_iter().cycle()) {
-        let key = fresh_key(number);
+        let key = new_key(number);
         let request = format!("outage-{number}");
-        let told = fleet.settle(fleet.callers(host), &request, &key).await;
-        let refusal = told.refusal()?;
+        let outcome = fleet.settle(fleet.callers(host), &request, &key).await;
+        let refusal = outcome.refusal()?;
         assert_eq!(refusal.verdict, RunVerdict::NotRun);
         assert_eq!(refusal.reason, RefusalReason::LogUnavailable);
         assert!(refusal.retry_after_ms.is_some());
@@ -130,7 +137,7 @@
     }
     assert!(fleet.service().record().is_empty());
     faults.update(|faults| faults.outage = false);
-    let keys: Vec<String> = (0..8).map(|number| fresh_key(100 + number)).collect();
+    let keys: Vec<String> = (0..8).map(|number| new_key(100 + number)).collect();
     for key in &keys {
         let host = fleet.callers(1);
         fleet.settle_until_answered(host, key, key).await?;
@@ -143,10 +150,10 @@
 /// Sequence: the append of the claim takes effect, its answer is lost.
 /// Cause: the claimant takes the claim for failed, or appends another one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_whose_answer_is_lost_counts_once() -> TestResult {
-    let fleet = ClaimFleet::start(2, PATIENT_CLAIMS).await?;
+async fn a_claim_with_a_lost_append_response_runs_once() -> TestResult {
+    let fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
     for number in 0..10 {
-        let key = fresh_key(number);
+        let key = new_key(number);
         let faults = fleet.fleet.platform.faults();
         faults.update(|faults| faults.lose_append_answers = 2);
         let (first, second) = (format!("{key}-first"), format!("{key}-second"));
@@ -155,7 +162,7 @@
             fleet.settle(fleet.callers(1), &second, &key),
         );
         assert!(
-            first.is_answer() || second.is_answer(),
+            first.is_response() || second.is_response(),
             "{first:?}, {second:?}"
         );
         assert_eq!(fleet.runs(&key).len(), 1);
@@ -170,29 +177,29 @@
 /// Cause: a claim that turns up late is dispatched, or nobody withdraws it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_that_is_lost_or_late_is_never_dispatched() -> TestResult {
-    let fleet = ClaimFleet::start(2, HASTY_CLAIMS).await?;
+    let fleet = ClaimFleet::start(2, SHORT_CLAIM_TIMEOUT).await?;
     let faults = fleet.fleet.platform.faults();
     let mut given_up = 0;
     for (number, delay_ms) in (0..).zip([0, 900, 0, 1_200].into_iter().cycle().take(40)) {
         if given_up > 3 {
             break;
         }
-        let key = fresh_key(number);
+        let key = new_key(number);
         faults.update(|faults| match delay_ms {
             // All of them: hosts append other records beside the claim.
             0 => faults.lose_appends = u32::MAX,
             _ => faults.delay_ms = delay_ms,
         });
         let request = format!("{key}-lost");
-        let told = fleet.settle(fleet.callers(0), &request, &key).await;
+        let outcome = fleet.settle(fleet.callers(0), &request, &key).await;
         faults.update(|faults| faults.lose_appends = 0);
-        if told.is_answer() {
+        if outcome.is_response() {
             // The delay was too short to be noticed.
             faults.update(|faults| faults.delay_ms = 0);
             continue;
         }
         given_up += 1;
-        assert_eq!(told.refusal()?.verdict, RunVerdict::NotRun);
+        assert_eq!(outcome.refusal()?.verdict, RunVerdict::NotRun);
         assert!(fleet.runs(&key).is_empty());
         if delay_ms > 0 {
             eventually("the claim turns up", || async { fleet.is_claimed(&key) }).await?;
@@ -208,33 +215,33 @@
 }
 
 /// A claimant that stands still between its claim and its dispatch.
-struct CaughtClaimant {
+struct StoppedClaimant {
     key: String,
-    told: tokio::task::JoinHandle<Told>,
+    outcome: tokio::task::JoinHandle<CallOutcome>,
 }
 
 /// Stops a claimant after its claim has reached the log and before it has
 /// sent the request on.
-async fn catch_claimant(
+async fn stop_claimant(
     fleet: &ClaimFleet,
     claimant: &DaemonProcess,
-) -> Result<CaughtClaimant, TestError> {
+) -> Result<StoppedClaimant, TestError> {
     let faults = fleet.fleet.platform.faults();
     let mut random = StdRng::seed_from_u64(43);
-    for number in 0..CATCHES {
-        let key = fresh_key(number);
+    for number in 0..STOP_ATTEMPTS {
+        let key = new_key(number);
         faults.update(|faults| faults.delay_ms = SLOW_PLATFORM_MS);
         // Sent at once, the claim would arrive together with the claimant's
         // next read of the log.
         let pause = random.random_range(SLOW_PLATFORM_MS / 4..SLOW_PLATFORM_MS / 2);
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        let told = tokio::spawn({
-            let (book, key) = (Arc::clone(&fleet.book), key.clone());
+        let outcome = tokio::spawn({
+            let (recorder, key) = (Arc::clone(&fleet.recorder), key.clone());
             let (host, request) = (claimant.callers, format!("{key}-caught"));
-            async move { book.settle(ORGANISATION, host, &request, &key).await }
+            async move { recorder.settle(ORGANISATION, host, &request, &key).await }
         });
         eventually("the claim shows", || async {
-            fleet.is_claimed(&key) || told.is_finished()
+            fleet.is_claimed(&key) || outcome.is_finished()
         })
         .await?;
         claimant.process.signal("STOP")?;
@@ -244,18 +251,18 @@
         let request = format!("{key}-elsewhere");
         let elsewhere = fleet.settle(fleet.callers(0), &request, &key).await;
         if elsewhere.verdict() == Some(RunVerdict::MayHaveRun) && fleet.runs(&key).is_empty() {
-            return Ok(CaughtClaimant { key, told });
+            return Ok(StoppedClaimant { key, outcome });
         }
         // It had gone on too far, or had claimed nothing; woken, it ends.
         claimant.process.signal("CONT")?;
-        told.await?;
-        let (host, key) = (claimant.callers, fresh_key(1_000 + number));
+        outcome.await?;
+        let (host, key) = (claimant.callers, new_key(1_000 + number));
         fleet.settle_until_answered(host, &key, &key).await?;
     }
     Err("the claimant was never caught".into())
 }
 
-const CAUGHT_CLAIMS: &str = "\n[timing]\nclaim_timeout = \"2s\"\nlog_wait = \"10ms\"\n";
+const STOPPED_CLAIMANT_TIMING: &str = "\n[timing]\nclaim_timeout = \"2s\"\nlog_wait = \"10ms\"\n";
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Symptom: a request that another host reported as "may have run" is run long
@@ -264,23 +271,25 @@
 /// is asked for the key; the claim's deadline passes; the claimant wakes.
 /// Cause: the claimant goes on where it stood and does not look at the time.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_claimant_that_wakes_late_sends_nothing() -> TestResult {
-    let fleet = ClaimFleet::start(1, CAUGHT_CLAIMS).await?;
-    let claimant = fleet.start_process("vake-frozen", CAUGHT_CLAIMS).await?;
-    let caught = catch_claimant(&fleet, &claimant).await?;
+async fn a_claimant_resumed_after_its_deadline_dispatches_nothing() -> TestResult {
+    let fleet = ClaimFleet::start(1, STOPPED_CLAIMANT_TIMING).await?;
+    let claimant = fleet
+        .start_process("vake-frozen", STOPPED_CLAIMANT_TIMING)
+        .await?;
+    let stopped = stop_claimant(&fleet, &claimant).await?;
     // The claim was made before now, so its deadline lies before this ends.
     tokio::time::sleep(CLAIM_TIMEOUT).await;
     claimant.process.signal("CONT")?;
-    let told = caught.told.await?;
-    assert_eq!(told.verdict(), Some(RunVerdict::NotRun), "{told:?}");
-    assert!(fleet.runs(&caught.key).is_empty());
+    let outcome = stopped.outcome.await?;
+    assert_eq!(outcome.verdict(), Some(RunVerdict::NotRun), "{outcome:?}");
+    assert!(fleet.runs(&stopped.key).is_empty());
     // The withdrawal frees the key, and still it runs once only.
     let host = fleet.callers(0);
-    let request = format!("{}-back", caught.key);
+    let request = format!("{}-back", stopped.key);
     fleet
-        .settle_until_answered(host, &request, &caught.key)
+        .settle_until_answered(host, &request, &stopped.key)
         .await?;
-    assert_eq!(fleet.runs(&caught.key).len(), 1);
+    assert_eq!(fleet.runs(&stopped.key).len(), 1);
     fleet.check()
 }
 
@@ -291,21 +300,29 @@
 /// may have sent the request before it died.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_claim_of_a_killed_claimant_is_never_taken_over() -> TestResult {
-    let fleet = ClaimFleet::start(1, CAUGHT_CLAIMS).await?;
-    let mut claimant = fleet.start_process("vake-killed", CAUGHT_CLAIMS).await?;
-    let caught = catch_claimant(&fleet, &claimant).await?;
+    let fleet = ClaimFleet::start(1, STOPPED_CLAIMANT_TIMING).await?;
+    let mut claimant = fleet
+        .start_process("vake-killed", STOPPED_CLAIMANT_TIMING)
+        .await?;
+    let stopped = stop_claimant(&fleet, &claimant).await?;
     claimant.process.kill()?;
-    assert_eq!(caught.told.await?, Told::Nothing);
-    let successor = fleet.start_process("vake-killed", CAUGHT_CLAIMS).await?;
+    assert_eq!(stopped.outcome.await?, CallOutcome::NoResponse);
+    let successor = fleet
+        .start_process("vake-killed", STOPPED_CLAIMANT_TIMING)
+        .await?;
     for (number, host) in [fleet.callers(0), successor.callers, fleet.callers(0)]
         .into_iter()
         .enumerate()
     {
-        let request = format!("{}-{number}", caught.key);
-        let told = fleet.settle(host, &request, &caught.key).await;
-        assert_eq!(told.verdict(), Some(RunVerdict::MayHaveRun), "{told:?}");
+        let request = format!("{}-{number}", stopped.key);
+        let outcome = fleet.settle(host, &request, &stopped.key).await;
+        assert_eq!(
+            outcome.verdict(),
+            Some(RunVerdict::MayHaveRun),
+            "{outcome:?}"
+        );
     }
-    assert!(fleet.runs(&caught.key).is_empty());
+    assert!(fleet.runs(&stopped.key).is_empty());
     fleet.check()
 }
 
@@ -315,19 +332,19 @@
 /// claim has expired too early and it comes to one that started later.
 /// Cause: a key without a claim is taken for a new one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_returns_after_its_window_is_refused() -> TestResult {
+async fn a_key_reused_after_its_window_is_refused() -> TestResult {
     const WINDOW: Duration = Duration::from_secs(60);
-    const LEFT: Duration = Duration::from_secs(4);
+    const REMAINING: Duration = Duration::from_secs(4);
     let settings = "\n[timing]\nidempotency_window = \"1m\"\nclock_skew = \"100ms\"\n";
     let fleet = ClaimFleet::start(1, settings).await?;
     let host = fleet.callers(0);
-    let old = key_of(SystemTime::now() - (WINDOW - LEFT), 1);
-    let young = fresh_key(2);
-    fleet.settle(host, "old", &old).await.answer()?;
-    fleet.settle(host, "young", &young).await.answer()?;
+    let old = key_created_at(SystemTime::now() - (WINDOW - REMAINING), 1);
+    let young = new_key(2);
+    fleet.settle(host, "old", &old).await.response()?;
+    fleet.settle(host, "young", &young).await.response()?;
     let expired = async |host, request: &str| {
-        let told = fleet.settle(host, request, &old).await;
-        let refusal = told.refusal();
+        let outcome = fleet.settle(host, request, &old).await;
+        let refusal = outcome.refusal();
         refusal.is_ok_and(|body| {
             (body.verdict, body.reason) == (RunVerdict::NotRun, RefusalReason::KeyExpired)
         })
@@ -337,14 +354,14 @@
     // which are fewer, stay.
     let kept = fleet.fleet.platform.record("declarations").len() as u64;
     for number in 10..10 + kept {
-        let key = fresh_key(number);
-        fleet.settle(host, &key, &key).await.answer()?;
+        let key = new_key(number);
+        fleet.settle(host, &key, &key).await.response()?;
     }
     fleet.fleet.platform.set_retention(kept);
     let late = fleet.start_process("vake-late", settings).await?;
     assert!(expired(late.callers, "old-late").await);
-    let told = fleet.settle(late.callers, "young-late", &young).await;
-    let refusal = told.refusal()?;
+    let outcome = fleet.settle(late.callers, "young-late", &young).await;
+    let refusal = outcome.refusal()?;
     assert_eq!(refusal.verdict, RunVerdict::NotRun);
     assert_eq!(refusal.reason, RefusalReason::NotReady);
     assert!(refusal.retry_after_ms.is_some());
@@ -358,9 +375,9 @@
 /// Cause: it exits once its caller is answered, before the log shows how the
 /// request ended.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_shutdown_waits_until_the_log_shows_how_requests_ended() -> TestResult {
-    let mut fleet = ClaimFleet::start(2, PATIENT_CLAIMS).await?;
-    let key = fresh_key(1);
+async fn a_shutdown_waits_until_outcomes_are_in_the_log() -> TestResult {
+    let mut fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
+    let key = new_key(1);
     let faults = fleet.fleet.platform.faults();
     fleet
         .service()
@@ -369,7 +386,7 @@
     let service = fleet.service().faults();
     let mut stopping = fleet.fleet.daemons.remove(0);
     let (callers, fleet) = (stopping.callers, &fleet);
-    let (told, ()) = tokio::join!(fleet.settle(callers, "stopping", &key), async {
+    let (outcome, ()) = tokio::join!(fleet.settle(callers, "stopping", &key), async {
         let claimed = eventually("the key is claimed", || async { fleet.is_claimed(&key) });
         assert!(claimed.await.is_ok());
         faults.update(|faults| faults.delay_ms = SLOW_PLATFORM_MS);
@@ -379,7 +396,7 @@
         };
         tokio::join!(stopping.shutdown(), thaw);
     });
-    assert!(told.is_answer(), "{told:?}");
+    assert!(outcome.is_response(), "{outcome:?}");
     let records = fleet.fleet.platform.record("claims");
     let is_outcome = |text: &str| text.contains("outcome") && text.contains("\"ran\"");
     assert!(
@@ -388,7 +405,7 @@
     );
     faults.update(|faults| faults.delay_ms = 0);
     let repeat = fleet.settle(fleet.callers(0), "repeat", &key).await;
-    assert_eq!(repeat, told);
+    assert_eq!(repeat, outcome);
     fleet.check()
 }
 
@@ -397,11 +414,11 @@
 /// and once more after it has ended.
 /// Cause: only calls of services are claimed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_generation_under_one_key_runs_once() -> TestResult {
-    let fleet = ClaimFleet::start(2, PATIENT_CLAIMS).await?;
+async fn concurrent_generations_with_one_key_run_once() -> TestResult {
+    let fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
     for number in 0..10 {
-        let key = fresh_key(number);
-        let requests = [0, 1, 2].map(|place| format!("draft-{number}-{place}"));
+        let key = new_key(number);
+        let requests = [0, 1, 2].map(|attempt| format!("draft-{number}-{attempt}"));
         let (first, second) = tokio::join!(
             fleet.generate(fleet.callers(0), &requests[0], Some(&key), 5),
             fleet.generate(fleet.callers(1), &requests[1], Some(&key), 5),
@@ -428,11 +445,11 @@
 /// while its organisation has no room left.
 /// Cause: the repeat is refused before anybody looks at its key.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeat_is_not_refused_as_not_run_after_its_request_ran() -> TestResult {
-    let settings = format!("{PATIENT_CLAIMS}\n[limits]\nmax_queued_per_organisation = 0\n");
+async fn a_retry_of_a_completed_request_is_not_refused_as_not_run() -> TestResult {
+    let settings = format!("{LONG_CLAIM_TIMEOUT}\n[limits]\nmax_queued_per_organisation = 0\n");
     let fleet = ClaimFleet::start(1, &settings).await?;
     let daemon = &fleet.fleet.daemons[0];
-    let (host, key, other) = (daemon.callers, fresh_key(1), fresh_key(2));
+    let (host, key, other) = (daemon.callers, new_key(1), new_key(2));
     let settle = |request: &'static str, key: &str| {
         let (fleet, key) = (&fleet, key.to_owned());
         async move {
@@ -442,25 +459,27 @@
         }
     };
     eventually("the organisation has room here", || async {
-        let told = fleet.ask_balance(SMALL_ORGANISATION, host, "warm-up").await;
-        told.is_answer()
+        let outcome = fleet
+            .query_balance(SMALL_ORGANISATION, host, "warm-up")
+            .await;
+        outcome.is_response()
     })
     .await?;
     let first = settle("first", &key).await;
-    first.answer()?;
+    first.response()?;
     let faults = fleet.service().faults();
     faults.update(|faults| faults.frozen = true);
     let (blocker, refused) = tokio::join!(
-        fleet.ask_balance(SMALL_ORGANISATION, host, "blocker"),
+        fleet.query_balance(SMALL_ORGANISATION, host, "blocker"),
         async {
             let is_full = || async { fleet.in_flight(daemon).await > 0 };
             let is_full = eventually("no room is left", is_full).await;
-            let told = [settle("repeat", &key).await, settle("new", &other).await];
+            let outcomes = [settle("repeat", &key).await, settle("new", &other).await];
             faults.update(|faults| faults.frozen = false);
-            is_full.map(|()| told)
+            is_full.map(|()| outcomes)
         }
     );
-    blocker.answer()?;
+    blocker.response()?;
     let [repeat, new] = refused?;
     assert_eq!(repeat, first);
     assert_eq!(new.verdict(), Some(RunVerdict::NotRun), "{new:?}");
--- a/standins/tests/claim_fleet/mod.rs
+++ b/standins/tests/claim_fleet/mod.rs
@@ -46,35 +46,35 @@
 /// A fleet with what its callers sent and heard.
 pub struct ClaimFleet {
     pub fleet: Fleet,
-    pub book: Arc<CallBook>,
+    pub recorder: Arc<CallRecorder>,
 }
 
 /// What callers sent and heard.
 #[derive(Debug, Default)]
-pub struct CallBook {
-    heard: Mutex<Vec<CallHistory>>,
+pub struct CallRecorder {
+    sent_calls: Mutex<Vec<CallHistory>>,
     generations: Mutex<Vec<GenerationHistory>>,
 }
 
 /// What a caller was told about one call.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Told {
+pub enum CallOutcome {
     /// An answer of the service.
-    Answer(Vec<u8>),
+    Response(Vec<u8>),
     /// A refusal.
     Refused(RefusalBody),
     /// Nothing: the connection broke.
-    Nothing,
+    NoResponse,
 }
 
-impl Told {
-    pub fn is_answer(&self) -> bool {
-        matches!(self, Self::Answer(_))
+impl CallOutcome {
+    pub fn is_response(&self) -> bool {
+        matches!(self, Self::Response(_))
     }
 
-    pub fn answer(&self) -> Result<&[u8], TestError> {
+    pub fn response(&self) -> Result<&[u8], TestError> {
         match self {
-            Self::Answer(body) => Ok(body),
+            Self::Response(body) => Ok(body),
             other => Err(format!("not answered: {other:?}").into()),
         }
     }
@@ -95,7 +95,7 @@
 }
 
 /// A key made at `created`; keys of different `number`s differ.
-pub fn key_of(created: SystemTime, number: u64) -> String {
+pub fn key_created_at(created: SystemTime, number: u64) -> String {
     let age = created.duration_since(UNIX_EPOCH).unwrap_or_default();
     let millis = u64::try_from(age.as_millis()).unwrap_or_default();
     let mut random = [0; 10];
@@ -105,8 +105,8 @@
 }
 
 /// A key made now.
-pub fn fresh_key(number: u64) -> String {
-    key_of(SystemTime::now(), number)
+pub fn new_key(number: u64) -> String {
+    key_created_at(SystemTime::now(), number)
 }
 
 fn small_layout(entry_hosts: usize, extra_settings: &str) -> FleetLayout {
@@ -191,7 +191,7 @@
         }
         Ok(Self {
             fleet,
-            book: Arc::default(),
+            recorder: Arc::default(),
         })
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Sends a settlement under a key and writes down what is heard.
-    pub async fn settle(&self, host: SocketAddr, request: &str, key: &str) -> Told {
+    pub async fn settle(&self, host: SocketAddr, request: &str, key: &str) -> CallOutcome {
         self.settle_as(ORGANISATION, host, request, key).await
     }
 
@@ -233,8 +233,8 @@
         host: SocketAddr,
         request: &str,
         key: &str,
-    ) -> Told {
-        self.book.settle(organisation, host, request, key).await
+    ) -> CallOutcome {
+        self.recorder.settle(organisation, host, request, key).await
     }
 
     /// Sends a settlement again and again, each time as a request of its own,
@@ -249,19 +249,24 @@
         eventually("the key can be used", || async {
             attempts.set(attempts.get() + 1);
             let request = format!("{request}-{}", attempts.get());
-            self.settle(host, &request, key).await.is_answer()
+            self.settle(host, &request, key).await.is_response()
         })
         .await
     }
 
     /// Sends a call that may be repeated and writes down what is heard.
-    pub async fn ask_balance(&self, organisation: &str, host: SocketAddr, request: &str) -> Told {
+    pub async fn query_balance(
+        &self,
+        organisation: &str,
+        host: SocketAddr,
+        request: &str,
+    ) -> CallOutcome {
         let call = OutgoingCall {
             path: BALANCE,
             body: "{}".into(),
             key: None,
         };
-        self.book.send(organisation, host, request, call).await
+        self.recorder.send(organisation, host, request, call).await
     }
 
     /// Asks for a generation, under a key if there is one, and writes down
@@ -282,11 +287,11 @@
             resume: None,
         };
         let caller = CallerClient::open(ORGANISATION);
-        let answer = match key {
+        let response = match key {
             Some(key) => caller.generate_once(host, request, &body, key).await,
             None => caller.generate(host, request, &body).await,
         };
-        self.book.generations.lock().push(GenerationHistory {
+        self.recorder.generations.lock().push(GenerationHistory {
             request: request.into(),
             organisation: ORGANISATION.into(),
             model: MODEL.to_owned(),
@@ -294,9 +299,9 @@
             layers: LAYERS,
             prompt: PROMPT.to_vec(),
             max_tokens,
-            answers: vec![answer.clone()],
+            answers: vec![response.clone()],
         });
-        answer
+        response
     }
 
     /// Steps that the engine ran for a request of a caller.
@@ -349,9 +354,9 @@
     pub fn check(&self) -> TestResult {
         let history = RunHistory {
             calls: self.service().record(),
-            service_calls: self.book.heard.lock().clone(),
+            service_calls: self.recorder.sent_calls.lock().clone(),
             steps: self.steps(),
-            generations: self.book.generations.lock().clone(),
+            generations: self.recorder.generations.lock().clone(),
             ..RunHistory::default()
         };
         let mut broken = check_at_most_once(&history);
@@ -360,19 +365,19 @@
             let lines: Vec<String> = broken.iter().map(ToString::to_string).collect();
             return Err(lines.join("\n").into());
         }
-        self.check_same_answers()
+        self.check_same_responses()
     }
 
-    fn check_same_answers(&self) -> TestResult {
-        let mut answers = BTreeMap::new();
-        let heard = self.book.heard.lock();
-        for call in heard.iter().filter(|call| call.key.is_some()) {
+    fn check_same_responses(&self) -> TestResult {
+        let mut responses = BTreeMap::new();
+        let sent_calls = self.recorder.sent_calls.lock();
+        for call in sent_calls.iter().filter(|call| call.key.is_some()) {
             for reply in call.replies.iter().flatten() {
-                let Told::Answer(body) = told(Some(reply.clone())) else {
+                let CallOutcome::Response(body) = call_outcome(Some(reply.clone())) else {
                     continue;
                 };
                 let name = (call.organisation.clone(), call.key.clone());
-                let first = answers.entry(name).or_insert_with(|| body.clone());
+                let first = responses.entry(name).or_insert_with(|| body.clone());
                 if *first != body {
                     return Err(format!("{:?}: two different answers", call.key).into());
                 }
@@ -392,7 +397,7 @@
     }
 }
 
-impl CallBook {
+impl CallRecorder {
     /// Sends a settlement under a key and writes down what is heard.
     pub async fn settle(
         &self,
@@ -400,7 +405,7 @@
         host: SocketAddr,
         request: &str,
         key: &str,
-    ) -> Told {
+    ) -> CallOutcome {
         let call = OutgoingCall {
             path: SETTLE,
             body: format!("{{\"split\":\"{key}\"}}").into(),
@@ -415,30 +420,30 @@
         host: SocketAddr,
         request: &str,
         call: OutgoingCall<'_>,
-    ) -> Told {
+    ) -> CallOutcome {
         let key = call.key.map(str::to_owned);
         let reply = CallerClient::open(organisation)
             .call_service(host, request, call)
             .await
             .ok();
-        self.heard.lock().push(CallHistory {
+        self.sent_calls.lock().push(CallHistory {
             request: request.into(),
             organisation: organisation.into(),
             key,
             replies: vec![reply.clone()],
             lost_sends: 0,
         });
-        told(reply)
+        call_outcome(reply)
     }
 }
 
-fn told(reply: Option<HeardReply>) -> Told {
+fn call_outcome(reply: Option<HeardReply>) -> CallOutcome {
     match reply {
-        None => Told::Nothing,
-        Some(reply) if reply.status == StatusCode::OK => Told::Answer(reply.body.to_vec()),
+        None => CallOutcome::NoResponse,
+        Some(reply) if reply.status == StatusCode::OK => CallOutcome::Response(reply.body.to_vec()),
         Some(reply) => match serde_json::from_slice(&reply.body) {
-            Ok(body) => Told::Refused(body),
-            Err(_) => Told::Nothing,
+            Ok(body) => CallOutcome::Refused(body),
+            Err(_) => CallOutcome::NoResponse,
         },
     }
 }
--- a/standins/tests/configuration.rs
+++ b/standins/tests/configuration.rs
@@ -14,14 +14,14 @@
 use rand::{RngExt, SeedableRng};
 use standins::operator;
 use support::configuration::*;
-use support::hosts::{ForceWatcher, TestHost, accepted, organisation};
+use support::hosts::{ReversionDetector, TestHost, accepted, organisation};
 use support::{TestError, TestResult, eventually};
 
 // Symptom: an operator's change vanishes, or two hosts serve different ones.
 // Events: two operators change what both have seen, through two hosts, at the
 // same time. Cause: a host takes the last change written, or its own.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn of_two_racing_operators_one_is_accepted_and_the_other_told_by_whom() -> TestResult {
+async fn of_two_concurrent_changes_one_is_accepted_and_the_other_gets_a_conflict() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
     let hosts = start_hosts(platform.local_addr()).await?;
     let mut random = StdRng::seed_from_u64(41);
@@ -37,18 +37,22 @@
             operator::apply_as("operator-2", hosts[second].operators, &specs[1], based_on),
         );
         let replies = [replies.0?, replies.1?];
-        let won = replies
+        let accepted_index = replies
             .iter()
             .position(|reply| reply.status == StatusCode::OK);
-        let won = won.ok_or_else(|| format!("round {round}: {replies:?}"))?;
-        let lost = &replies[1 - won];
-        assert_eq!(lost.status, StatusCode::CONFLICT, "round {round}: {lost:?}");
-        let version = accepted(&replies[won])?;
-        let conflict: ConflictBody = lost.json()?;
+        let accepted_index = accepted_index.ok_or_else(|| format!("round {round}: {replies:?}"))?;
+        let rejected = &replies[1 - accepted_index];
+        assert_eq!(
+            rejected.status,
+            StatusCode::CONFLICT,
+            "round {round}: {rejected:?}"
+        );
+        let version = accepted(&replies[accepted_index])?;
+        let conflict: ConflictBody = rejected.json()?;
         assert_eq!(conflict.winner, Some(version));
-        let winner = format!("operator-{}", won + 1);
+        let winner = format!("operator-{}", accepted_index + 1);
         assert_eq!(conflict.operator.as_deref(), Some(&*winner));
-        all_serve(&hosts, &key("desk"), version).await?;
+        wait_until_all_serve(&hosts, &key("desk"), version).await?;
         based_on = Some(version);
     }
     Ok(())
@@ -60,7 +64,7 @@
 // again, or a first attempt that was paused arrives after later changes.
 // Cause: the answer of the append decides instead of the record in the log.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_append_whose_answer_is_lost_is_accepted_once() -> TestResult {
+async fn an_append_with_a_lost_response_is_accepted_once() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
     let hosts = start_hosts(platform.local_addr()).await?;
     let mut based_on = Some(hosts[0].declare("desk", 1).await?);
@@ -76,7 +80,7 @@
         platform
             .faults()
             .update(|faults| faults.lose_append_answers = 0);
-        all_serve(&hosts, &key("desk"), version).await?;
+        wait_until_all_serve(&hosts, &key("desk"), version).await?;
         based_on = Some(version);
         let mut records = platform.record(DECLARATION_STREAM).into_iter();
         let stored = records.find(|record| record.offset == version);
@@ -100,7 +104,7 @@
 // answers none, so that the operator's time ends during an append.
 // Cause: the verdict is that of the attempts that were answered.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_change_during_an_outage_gets_a_final_answer_that_stays_true() -> TestResult {
+async fn a_change_during_an_outage_gets_a_correct_verdict() -> TestResult {
     let (refused, hung, both) = tokio::join!(
         change_in_outage(None),
         change_in_outage(Some(Duration::ZERO)),
@@ -118,7 +122,7 @@
     let platform = start_platform(u64::MAX).await?;
     let host = TestHost::start("entry-1", "vake", platform.local_addr(), &[]).await?;
     let version = host.declare("desk", 1).await?;
-    host.serves(&key("desk"), version).await?;
+    host.wait_until_serving(&key("desk"), version).await?;
     platform.faults().update(|faults| faults.outage = true);
     let faults = platform.faults();
     let switch = async {
@@ -143,7 +147,7 @@
         .update(|faults| (faults.hanging, faults.outage) = (false, false));
     // Whatever was on its way is in the log before this one is accepted.
     let later = host.declare("desk", 2).await?;
-    host.serves(&key("desk"), later).await?;
+    host.wait_until_serving(&key("desk"), later).await?;
     match host.version(&key("other")).await {
         Some(found) if verdict == RunVerdict::NotRun => {
             Err(format!("told not run, and accepted as {found}").into())
@@ -156,49 +160,57 @@
 // Events: it appends a checkpoint of the state before its pause.
 // Cause: readers take the content of any checkpoint that they meet.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_old_checkpoint_appended_late_is_ignored_and_a_wrong_one_told() -> TestResult {
+async fn a_stale_checkpoint_is_ignored_and_a_wrong_one_reported() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
     let mut hosts = Vec::from(start_hosts(platform.local_addr()).await?);
     let first = hosts[0].declare("gone", 1).await?;
     let old = hosts[0].declare("desk", 1).await?;
-    all_serve(&hosts, &key("desk"), old).await?;
-    let [table, wrong] = right_and_wrong(&platform)?;
-    let watcher = ForceWatcher::spawn();
-    hosts.iter().for_each(|host| watcher.add(host));
+    wait_until_all_serve(&hosts, &key("desk"), old).await?;
+    let [table, wrong] = correct_and_wrong_tables(&platform)?;
+    let detector = ReversionDetector::spawn();
+    hosts.iter().for_each(|host| detector.add(host));
     let version = hosts[1].declare("desk", 2).await?;
     let deletion = operator::delete(hosts[1].operators, &key("gone"), first).await?;
     let deletion = accepted(&deletion)?;
-    all_serve(&hosts, &key("desk"), version).await?;
-    watcher.in_force(&key("desk"), version, false);
+    wait_until_all_serve(&hosts, &key("desk"), version).await?;
+    detector.set_minimum(&key("desk"), version, false);
     append(&platform, checkpoint("late", &table)?).await?;
     hosts.push(TestHost::start("alone", "vake", platform.local_addr(), &[]).await?);
-    watcher.add(&hosts[3]);
+    detector.add(&hosts[3]);
     let newest = hosts[3].declare("other", 3).await?;
-    all_serve(&hosts, &key("other"), newest).await?;
-    watcher.in_force(&key("gone"), deletion, true);
+    wait_until_all_serve(&hosts, &key("other"), newest).await?;
+    detector.set_minimum(&key("gone"), deletion, true);
     for host in &hosts {
         assert_eq!(host.version(&key("desk")).await, Some(version));
         assert_eq!(host.version(&key("gone")).await, None, "{}", host.name);
-        assert_eq!(metric(host, DIFFERING).await, Some(0), "{}", host.name);
+        assert_eq!(
+            metric(host, DIFFERING_CHECKPOINTS).await,
+            Some(0),
+            "{}",
+            host.name
+        );
     }
     append(&platform, checkpoint("wrong", &wrong)?).await?;
     for host in &hosts {
         let what = "the wrong checkpoint is told";
-        eventually(what, || async { metric(host, DIFFERING).await == Some(1) }).await?;
+        eventually(what, || async {
+            metric(host, DIFFERING_CHECKPOINTS).await == Some(1)
+        })
+        .await?;
         assert_eq!(host.version(&key("desk")).await, Some(version));
     }
-    watcher.finish()
+    detector.finish()
 }
 
 // Symptom: after an upgrade of half the hosts the others serve what they make
 // of records that they can't judge. Events: a record of newer rules is read.
 // Cause: the host goes on, or takes it for a malformed one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_record_of_newer_rules_stops_a_host_from_taking_work() -> TestResult {
+async fn a_record_with_newer_rules_makes_hosts_unready() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
     let hosts = start_hosts(platform.local_addr()).await?;
     let version = hosts[0].declare("desk", 1).await?;
-    all_serve(&hosts, &key("desk"), version).await?;
+    wait_until_all_serve(&hosts, &key("desk"), version).await?;
     let record = format!("{{\"id\":\"newer\",\"rules\":{}}}", JUDGING_RULES + 1);
     append(&platform, record).await?;
     for host in &hosts {
--- a/standins/tests/configuration_hosts.rs
+++ b/standins/tests/configuration_hosts.rs
@@ -19,7 +19,7 @@
 use standins::{operator, reference};
 use support::configuration::*;
 use support::forwarder::{LinkState, TestLink};
-use support::hosts::{ForceWatcher, TestHost, accepted, organisation};
+use support::hosts::{ReversionDetector, TestHost, accepted, organisation};
 use support::{TestError, TestResult, eventually};
 
 const MODEL: &str = "drafter";
@@ -42,15 +42,15 @@
 // host is replaced, twice. Cause: a new host takes an old checkpoint for the
 // whole state, or goes on behind a checkpoint and loses what lies between.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn configuration_outlives_its_records_and_all_its_hosts() -> TestResult {
+async fn configuration_survives_log_retention_and_host_replacement() -> TestResult {
     let platform = start_platform(24).await?;
-    let watcher = ForceWatcher::spawn();
+    let detector = ReversionDetector::spawn();
     let mut hosts = Vec::from(start_hosts(platform.local_addr()).await?);
     let kept = hosts[0].declare("kept", 7).await?;
-    let gone = hosts[0].declare("gone", 7).await?;
-    let deletion = operator::delete(hosts[0].operators, &key("gone"), gone).await?;
+    let removed = hosts[0].declare("gone", 7).await?;
+    let deletion = operator::delete(hosts[0].operators, &key("gone"), removed).await?;
     let deletion = accepted(&deletion)?;
-    all_serve(&hosts, &key("kept"), kept).await?;
+    wait_until_all_serve(&hosts, &key("kept"), kept).await?;
     let (mut version, mut based_on) = (deletion, None);
     for round in 0_u32..6 {
         let seeds: Vec<&TestHost> = hosts.iter().collect();
@@ -64,15 +64,15 @@
             version = accepted(&reply)?;
             based_on = Some(version);
         }
-        all_serve(&hosts, &key("desk"), version).await?;
-        all_serve(&hosts, &key("kept"), kept).await?;
-        watcher.in_force(&key("desk"), version, false);
-        watcher.in_force(&key("kept"), kept, false);
-        watcher.in_force(&key("gone"), deletion, true);
+        wait_until_all_serve(&hosts, &key("desk"), version).await?;
+        wait_until_all_serve(&hosts, &key("kept"), kept).await?;
+        detector.set_minimum(&key("desk"), version, false);
+        detector.set_minimum(&key("kept"), kept, false);
+        detector.set_minimum(&key("gone"), deletion, true);
         hosts
             .iter()
             .skip(hosts.len() - 1)
-            .for_each(|host| watcher.add(host));
+            .for_each(|host| detector.add(host));
         hosts.remove(0).shutdown().await;
     }
     let horizon = platform.record(DECLARATION_STREAM).len() as u64 - 24;
@@ -84,11 +84,11 @@
     // somebody divides: with expired lease records it could begin to do so
     // itself only after the longest lease, and is not ready before.
     let alone = TestHost::start("alone", "vake", platform.local_addr(), &[]).await?;
-    watcher.add(&alone);
-    alone.serves(&key("desk"), version).await?;
-    alone.serves(&key("kept"), kept).await?;
+    detector.add(&alone);
+    alone.wait_until_serving(&key("desk"), version).await?;
+    alone.wait_until_serving(&key("kept"), kept).await?;
     assert_eq!(alone.version(&key("gone")).await, None);
-    watcher.finish()
+    detector.finish()
 }
 
 // Symptom: a host that starts during an outage serves an old configuration,
@@ -99,20 +99,27 @@
 async fn a_host_started_during_an_outage_waits_for_the_newest_state() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
     let link = TestLink::bind().await?;
-    link.lead_to(platform.local_addr());
+    link.forward_to(platform.local_addr());
     let old = TestHost::start("old", "vake", link.address, &[]).await?;
     let new = TestHost::start("new", "vake", platform.local_addr(), &[]).await?;
     let before = new.declare("desk", 1).await?;
-    old.serves(&key("desk"), before).await?;
+    old.wait_until_serving(&key("desk"), before).await?;
     link.set(LinkState::Cut);
     let after = new.declare("desk", 2).await?;
     platform.faults().update(|faults| faults.outage = true);
 
-    new.from_peers.set(LinkState::Held);
-    let patient = "peer_timeout = \"50s\"";
+    new.peer_link.set(LinkState::Held);
+    let long_peer_timeout = "peer_timeout = \"50s\"";
     let seeds = [&old, &new];
-    let started = TestHost::start_with("a", "vake", platform.local_addr(), &seeds, patient).await?;
-    let lone = TestHost::start("b", "didube", platform.local_addr(), &[]).await?;
+    let started = TestHost::start_with(
+        "a",
+        "vake",
+        platform.local_addr(),
+        &seeds,
+        long_peer_timeout,
+    )
+    .await?;
+    let isolated = TestHost::start("b", "didube", platform.local_addr(), &[]).await?;
     eventually("the old state has come", || async {
         started.version(&key("desk")).await == Some(before)
     })
@@ -121,22 +128,24 @@
         assert!(!started.is_ready().await, "takes work on the old state");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    new.from_peers.set(LinkState::Open);
-    started.serves(&key("desk"), after).await?;
+    new.peer_link.set(LinkState::Open);
+    started.wait_until_serving(&key("desk"), after).await?;
 
-    let reply = operator::apply(lone.operators, &organisation("b", 1), None).await?;
+    let reply = operator::apply(isolated.operators, &organisation("b", 1), None).await?;
     assert_eq!(reply.json::<RefusalBody>()?.verdict, RunVerdict::NotRun);
-    let ready = standins::json_client::call(Method::GET, lone.callers, "/readyz", &()).await?;
+    let ready = standins::json_client::call(Method::GET, isolated.callers, "/readyz", &()).await?;
     assert_eq!(ready.status, StatusCode::SERVICE_UNAVAILABLE);
     // Without configuration it knows no organisation either; a caller that
     // was told so would not come back.
     let caller = CallerClient::open("desk");
-    let answer = caller.generate(lone.callers, "early", &generation()).await;
-    let refusal = answer.refused().ok_or("no refusal")?;
+    let response = caller
+        .generate(isolated.callers, "early", &generation())
+        .await;
+    let refusal = response.refused().ok_or("no refusal")?;
     assert_eq!(refusal.reason, RefusalReason::NotReady);
     assert_eq!(refusal.verdict, RunVerdict::NotRun);
     platform.faults().update(|faults| faults.outage = false);
-    lone.serves(&key("desk"), after).await
+    isolated.wait_until_serving(&key("desk"), after).await
 }
 
 // Symptom: a zone keeps an old configuration for as long as the platform is
@@ -144,47 +153,51 @@
 // Events: the zone loses the platform, then also its peers, then has them back.
 // Cause: the log is the only way for records, or what is unknown counts as new.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_zone_cut_off_follows_by_its_peers_or_keeps_what_it_has() -> TestResult {
+async fn a_disconnected_zone_follows_its_peers_or_keeps_its_configuration() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
     let link = TestLink::bind().await?;
-    link.lead_to(platform.local_addr());
+    link.forward_to(platform.local_addr());
     let cut = TestHost::start("cut", "anfa", link.address, &[]).await?;
     let near = TestHost::start("near", "sidi", platform.local_addr(), &[&cut]).await?;
     let far = TestHost::start("far", "sidi", platform.local_addr(), &[&cut, &near]).await?;
     let hosts = [cut, near, far];
-    let watcher = ForceWatcher::spawn();
-    hosts.iter().for_each(|host| watcher.add(host));
+    let detector = ReversionDetector::spawn();
+    hosts.iter().for_each(|host| detector.add(host));
     let desk = key("desk");
     let first = hosts[1].declare("desk", 1).await?;
-    all_serve(&hosts, &desk, first).await?;
-    watcher.in_force(&desk, first, false);
+    wait_until_all_serve(&hosts, &desk, first).await?;
+    detector.set_minimum(&desk, first, false);
 
     link.set(LinkState::Cut);
     let mut by_peers = first;
     // Heard by their own calls, one peer after the other does not answer.
-    for mute in [&hosts[1], &hosts[2]] {
-        mute.from_peers.set(LinkState::Cut);
+    for unreachable in [&hosts[1], &hosts[2]] {
+        unreachable.peer_link.set(LinkState::Cut);
         by_peers = hosts[1].declare("desk", 2).await?;
-        all_serve(&hosts, &desk, by_peers).await?;
-        watcher.in_force(&desk, by_peers, false);
-        mute.from_peers.set(LinkState::Open);
+        wait_until_all_serve(&hosts, &desk, by_peers).await?;
+        detector.set_minimum(&desk, by_peers, false);
+        unreachable.peer_link.set(LinkState::Open);
     }
-    let [_, wrong] = right_and_wrong(&platform)?;
+    let [_, wrong] = correct_and_wrong_tables(&platform)?;
     append(&platform, checkpoint("wrong", &wrong)?).await?;
-    let told = || async { metric(&hosts[0], DIFFERING).await == Some(1) };
-    eventually("the cut-off host tells of the wrong checkpoint", told).await?;
+    let reports_difference = || async { metric(&hosts[0], DIFFERING_CHECKPOINTS).await == Some(1) };
+    eventually(
+        "the cut-off host tells of the wrong checkpoint",
+        reports_difference,
+    )
+    .await?;
 
     hosts
         .iter()
-        .for_each(|host| host.from_peers.set(LinkState::Cut));
-    let unheard = hosts[1].declare("desk", 3).await?;
-    hosts[2].serves(&desk, unheard).await?;
-    let hears_nobody = || async {
+        .for_each(|host| host.peer_link.set(LinkState::Cut));
+    let unseen = hosts[1].declare("desk", 3).await?;
+    hosts[2].wait_until_serving(&desk, unseen).await?;
+    let is_isolated = || async {
         assert!(hosts[0].is_ready().await, "stopped serving");
         let view = operator::read::<ForceView>(hosts[0].operators, "/v1/force").await;
         view.is_ok_and(|view| view.hosts.iter().filter(|host| host.reachable).count() == 1)
     };
-    eventually("the cut-off host hears nobody", hears_nobody).await?;
+    eventually("the cut-off host hears nobody", is_isolated).await?;
     for _ in 0..50 {
         assert!(hosts[0].is_ready().await, "stopped serving");
         assert_eq!(hosts[0].version(&desk).await, Some(by_peers));
@@ -192,13 +205,13 @@
     }
     hosts
         .iter()
-        .for_each(|host| host.from_peers.set(LinkState::Open));
-    all_serve(&hosts, &desk, unheard).await?;
-    watcher.in_force(&desk, unheard, false);
+        .for_each(|host| host.peer_link.set(LinkState::Open));
+    wait_until_all_serve(&hosts, &desk, unseen).await?;
+    detector.set_minimum(&desk, unseen, false);
     link.set(LinkState::Open);
     let last = hosts[0].declare("desk", 4).await?;
-    all_serve(&hosts, &desk, last).await?;
-    watcher.finish()
+    wait_until_all_serve(&hosts, &desk, last).await?;
+    detector.finish()
 }
 
 // Symptom: `watch` never ends, or ends while a host is behind.
@@ -207,7 +220,7 @@
 // Cause: what is not heard directly counts as unreachable for ever; or a new
 // incarnation is taken for an old one and not listened to.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn the_view_of_what_is_in_force_comes_to_name_every_host() -> TestResult {
+async fn the_force_view_lists_every_host_after_restarts() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
     let address = platform.local_addr();
     let mut hosts: Vec<TestHost> = Vec::new();
@@ -251,7 +264,7 @@
     let listed = hosts.iter().map(|host| ListedHost {
         host: host.name.as_str().into(),
         zone: host.zone.as_str().into(),
-        peer_address: host.from_peers.address.to_string(),
+        peer_address: host.peer_link.address.to_string(),
         phase: ListedPhase::Live,
     });
     HostList {
@@ -265,7 +278,7 @@
 // anew while it runs, and the platform goes down. Cause: tables are built
 // anew and lose what is in flight.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_stream_goes_on_over_changes_of_what_serves_it() -> TestResult {
+async fn a_stream_survives_changes_of_its_resources() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
     let hosts = start_hosts(platform.local_addr()).await?;
     let settings = EngineSettings {
@@ -290,40 +303,40 @@
     let declared = declarations::pipeline(MODEL, &stages(100.0));
     operator::declare_all(hosts[0].operators, &declared).await?;
     let version = hosts[0].declare("desk", 100).await?;
-    all_serve(&hosts, &key("desk"), version).await?;
+    wait_until_all_serve(&hosts, &key("desk"), version).await?;
     let body = generation();
     let caller = CallerClient::open("desk");
     let ended = AtomicBool::new(false);
     let changes = async {
-        let mut made = 0;
+        let mut change_count = 0;
         while !ended.load(Ordering::Relaxed) {
-            let rate = 100.0 + f64::from(made);
+            let rate = 100.0 + f64::from(change_count);
             let changed = declarations::pipeline(MODEL, &stages(rate));
             operator::declare_all(hosts[1].operators, &changed).await?;
-            hosts[2].declare("desk", 100 + made).await?;
-            made += 1;
+            hosts[2].declare("desk", 100 + change_count).await?;
+            change_count += 1;
         }
         platform.faults().update(|faults| faults.outage = true);
-        Ok::<_, TestError>(made)
+        Ok::<_, TestError>(change_count)
     };
     let stream = async {
-        let answer = caller.generate(hosts[0].callers, "long", &body).await;
+        let response = caller.generate(hosts[0].callers, "long", &body).await;
         ended.store(true, Ordering::Relaxed);
-        answer
+        response
     };
-    let (answer, made) = tokio::join!(stream, changes);
-    let right = reference::generate(
+    let (response, change_count) = tokio::join!(stream, changes);
+    let expected = reference::generate(
         MODEL,
         declarations::VERSION,
         LAYERS,
         &body.prompt,
         TOKENS as usize,
     );
-    assert!(answer.is_whole(), "{answer:?}");
-    assert_eq!(answer.tokens(), right);
-    assert!(made? > 0, "nothing changed while the stream ran");
+    assert!(response.is_whole(), "{response:?}");
+    assert_eq!(response.tokens(), expected);
+    assert!(change_count? > 0, "nothing changed while the stream ran");
     // The platform is down by now; the configuration stays in force.
-    let answer = caller.generate(hosts[0].callers, "after", &body).await;
-    assert_eq!(answer.tokens(), right);
+    let response = caller.generate(hosts[0].callers, "after", &body).await;
+    assert_eq!(response.tokens(), expected);
     Ok(())
 }
--- a/standins/tests/force_time.rs
+++ b/standins/tests/force_time.rs
@@ -19,7 +19,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 #[ignore = "a measurement"]
-async fn measure_the_time_to_force_on_eight_hosts() -> TestResult {
+async fn measure_rollout_time_on_eight_hosts() -> TestResult {
     let layout = FleetLayout::franchise();
     let one_engine = |stage: &StagePlan| StagePlan {
         engines: stage.engines[..1].to_vec(),
@@ -31,33 +31,33 @@
     };
     let fleet = Fleet::start(layout).await?;
     let mut random = StdRng::seed_from_u64(5);
-    let (mut told, mut in_force) = (Vec::new(), Vec::new());
+    let (mut accepted_times, mut applied_times) = (Vec::new(), Vec::new());
     for round in 1..=50 {
         let host = fleet.daemons[random.random_range(0..fleet.daemons.len())].operators;
         let began = Instant::now();
         let version = operator::declare_all(host, &[organisation("measured", round)]).await?;
-        told.push(began.elapsed());
+        accepted_times.push(began.elapsed());
         fleet.wait_in_force(version).await?;
-        in_force.push(began.elapsed());
+        applied_times.push(began.elapsed());
     }
-    print_times("accepted", told);
-    print_times("in force on 8 hosts", in_force);
+    print_times("accepted", accepted_times);
+    print_times("in force on 8 hosts", applied_times);
 
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformServer::bind(any_port, PlatformSettings::default()).await?;
     let desk = ResourceKey::new(ResourceKind::Organisation, "desk");
     let link = TestLink::bind().await?;
-    link.lead_to(platform.local_addr());
+    link.forward_to(platform.local_addr());
     let cut = TestHost::start("cut", "anfa", link.address, &[]).await?;
     let near = TestHost::start("near", "sidi", platform.local_addr(), &[&cut]).await?;
     let first = near.declare("desk", 1).await?;
-    cut.serves(&desk, first).await?;
+    cut.wait_until_serving(&desk, first).await?;
     link.set(LinkState::Cut);
     let mut by_peers = Vec::new();
     for round in 2..22 {
         let began = Instant::now();
         let version = near.declare("desk", round).await?;
-        cut.serves(&desk, version).await?;
+        cut.wait_until_serving(&desk, version).await?;
         by_peers.push(began.elapsed());
     }
     print_times("in force in a zone that has only its peers", by_peers);
--- a/standins/tests/leaving.rs
+++ b/standins/tests/leaving.rs
@@ -22,14 +22,14 @@
 /// How long the load goes on after that.
 const AFTER_GRACE: Duration = Duration::from_millis(1_500);
 /// Requests that must have begun and ended well after the grace.
-const LEAST_AFTER_GRACE: usize = 10;
-const PATIENCE: Duration = Duration::from_secs(20);
+const MIN_REQUESTS_AFTER_GRACE: usize = 10;
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const ENGINE: &str = "engine-1-0";
 const ORGANISATION: &str = "organisation-1";
 const PROMPT: [u64; 4] = [2, 7, 1, 8];
-const SHORT: u64 = 4;
-const LONG: u64 = 160;
-const PAUSE: Duration = Duration::from_millis(60);
+const SHORT_TOKENS: u64 = 4;
+const LONG_TOKENS: u64 = 160;
+const SEND_INTERVAL: Duration = Duration::from_millis(60);
 
 /// An entry host in each of two zones. The engine that leaves is the fastest
 /// of its stage, so that it is in use. `didube` has engines unless all are to
@@ -91,27 +91,27 @@
 }
 
 async fn generate(
-    fleet_body: GenerateBody,
+    request_body: GenerateBody,
     host: SocketAddr,
     request: String,
 ) -> GenerationHistory {
     let caller = CallerClient::open(ORGANISATION);
-    let answer = caller.generate(host, &request, &fleet_body).await;
+    let response = caller.generate(host, &request, &request_body).await;
     GenerationHistory {
         request: request.as_str().into(),
         organisation: ORGANISATION.into(),
-        model: fleet_body.model.to_string(),
+        model: request_body.model.to_string(),
         version: VERSION.to_owned(),
         layers: 8,
         prompt: PROMPT.to_vec(),
-        max_tokens: fleet_body.max_tokens,
-        answers: vec![answer],
+        max_tokens: request_body.max_tokens,
+        answers: vec![response],
     }
 }
 
 /// What the callers heard.
 #[derive(Default)]
-struct HeardLoad {
+struct LoadResult {
     generations: Vec<GenerationHistory>,
     calls: Vec<Result<HeardReply, String>>,
 }
@@ -120,7 +120,7 @@
 /// beside a long stream through each.
 struct SteadyLoad {
     stop: watch::Sender<bool>,
-    task: JoinHandle<HeardLoad>,
+    task: JoinHandle<LoadResult>,
 }
 
 impl SteadyLoad {
@@ -128,7 +128,7 @@
         let stop = watch::Sender::new(false);
         let stopped = stop.subscribe();
         let hosts: Vec<_> = fleet.running().map(|daemon| daemon.callers).collect();
-        let (short, long) = (body(fleet, SHORT), body(fleet, LONG));
+        let (short, long) = (body(fleet, SHORT_TOKENS), body(fleet, LONG_TOKENS));
         let task = tokio::spawn(async move {
             let mut generations = JoinSet::new();
             let mut calls = JoinSet::new();
@@ -155,9 +155,9 @@
                     });
                 }
                 number += 1;
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(SEND_INTERVAL).await;
             }
-            HeardLoad {
+            LoadResult {
                 generations: generations.join_all().await,
                 calls: calls.join_all().await,
             }
@@ -165,7 +165,7 @@
         Self { stop, task }
     }
 
-    async fn end(self) -> Result<HeardLoad, TestError> {
+    async fn end(self) -> Result<LoadResult, TestError> {
         self.stop.send_replace(true);
         Ok(self.task.await?)
     }
@@ -174,7 +174,7 @@
 /// Waits until runs are on the engine that is to leave, and gives the service
 /// target with the most calls, which is to leave too.
 async fn wait_until_used(fleet: &Fleet) -> Result<usize, TestError> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let engine = fleet.engine(ENGINE).ok_or("no such engine")?;
     let calls = |index: &usize| fleet.services[*index].server.record().len();
     loop {
@@ -195,21 +195,21 @@
     let refused_until_then = refused_as_leaving(fleet).await?;
     let grace_over = Instant::now();
     tokio::time::sleep(AFTER_GRACE).await;
-    let heard = load.end().await?;
-    for call in &heard.calls {
+    let results = load.end().await?;
+    for call in &results.calls {
         let status = call.as_ref().map(|reply| reply.status);
         assert_eq!(status, Ok(http::StatusCode::OK), "{call:?}");
     }
-    for one in &heard.generations {
-        assert!(one.answers[0].is_whole(), "{one:?}");
+    for generation in &results.generations {
+        assert!(generation.answers[0].is_whole(), "{generation:?}");
     }
-    let late = heard.generations.iter().filter(|one| {
-        let sent = one.answers[0].sent;
+    let late = results.generations.iter().filter(|generation| {
+        let sent = generation.answers[0].sent;
         sent > grace_over
     });
-    assert!(late.count() >= LEAST_AFTER_GRACE);
+    assert!(late.count() >= MIN_REQUESTS_AFTER_GRACE);
     let history = RunHistory {
-        generations: heard.generations,
+        generations: results.generations,
         leaves: vec![TargetLeave {
             target: ENGINE.into(),
             at_micros,
@@ -249,7 +249,7 @@
     Ok(refused)
 }
 
-fn refuse_by_themselves(fleet: &Fleet, service: usize) -> TestResult {
+fn make_targets_refuse(fleet: &Fleet, service: usize) -> TestResult {
     let engine = fleet.engine(ENGINE).ok_or("no such engine")?;
     engine
         .server
@@ -271,9 +271,9 @@
     let name = fleet.services[service].name.clone();
     let mut drained = Vec::new();
     for declaration in fleet.declarations() {
-        let is_leaver = [ENGINE, &*name].contains(&&*declaration.key.name);
+        let is_leaving = [ENGINE, &*name].contains(&&*declaration.key.name);
         if let ResourceSpec::Target(mut spec) = declaration.spec
-            && is_leaver
+            && is_leaving
         {
             spec.phase = TargetPhase::Draining;
             let name = declaration.key.name.to_string();
@@ -314,7 +314,7 @@
 /// Sequence: the list is down, so that only the targets say that they leave.
 /// Cause: what one host hears from a target must reach the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_refuses_by_itself_gets_no_new_work() -> TestResult {
+async fn a_target_that_refuses_work_gets_no_new_work() -> TestResult {
     let mut fleet = start_fleet(["didube", "vake"]).await?;
     let load = SteadyLoad::spawn(&fleet);
     let service = wait_until_used(&fleet).await?;
@@ -322,7 +322,7 @@
         .platform
         .faults()
         .update(|faults| faults.outage = true);
-    refuse_by_themselves(&fleet, service)?;
+    make_targets_refuse(&fleet, service)?;
     check_leave(&fleet, load, service).await?;
     fleet.shutdown().await;
     Ok(())
@@ -334,7 +334,7 @@
 /// Cause: hosts poll targets of their own zone only, so nobody polls these.
 /// The refusal of a step must count as the target's word.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_counts_where_nobody_polls_the_target() -> TestResult {
+async fn a_refusal_marks_a_target_that_no_host_polls_as_leaving() -> TestResult {
     let mut fleet = start_fleet(["vake", "vake"]).await?;
     // Capacity is split over the zones that have a target.
     fleet.declare(&[spare_target()]).await?;
@@ -345,7 +345,7 @@
         .platform
         .faults()
         .update(|faults| faults.outage = true);
-    refuse_by_themselves(&fleet, service)?;
+    make_targets_refuse(&fleet, service)?;
     check_leave(&fleet, load, service).await?;
     fleet.shutdown().await;
     Ok(())
--- a/standins/tests/not_run.rs
+++ b/standins/tests/not_run.rs
@@ -3,7 +3,7 @@
 mod claim_fleet;
 mod support;
 
-use claim_fleet::{ClaimFleet, ORGANISATION, Told, fresh_key};
+use claim_fleet::{CallOutcome, ClaimFleet, ORGANISATION, new_key};
 use futures::future::join_all;
 use jackdawwick::reason::RefusalReason;
 use jackdawwick::target::wire::TargetRefusalKind;
@@ -14,13 +14,14 @@
 use support::{TestResult, eventually};
 
 /// Short enough for targets that hang.
-const HASTY_TARGETS: &str = "\n[timing]\nconnect_timeout = \"200ms\"\nstep_timeout = \"400ms\"\n";
+const SHORT_TARGET_TIMEOUTS: &str =
+    "\n[timing]\nconnect_timeout = \"200ms\"\nstep_timeout = \"400ms\"\n";
 /// Slows a call of 5 ms far beyond the step timeout.
-const CRAWL: f64 = 300.0;
+const SLOW_FACTOR: f64 = 300.0;
 /// Tokens of the generations here.
 const TOKENS: u64 = 6;
 /// Tokens of one that does not end by itself before it is cut.
-const LONG: u64 = 1_000;
+const LONG_TOKENS: u64 = 1_000;
 
 /// What a fault leaves behind: the verdict that is due and whether the call
 /// takes effect.
@@ -68,7 +69,7 @@
         }),
         case("frozen", MayHaveRun, true, |faults| faults.frozen = true),
         case("crawls", MayHaveRun, true, |faults| {
-            faults.slow_factor = CRAWL;
+            faults.slow_factor = SLOW_FACTOR;
         }),
         case("far away", MayHaveRun, true, |faults| {
             faults.link_delay_ms = 1_500;
@@ -83,21 +84,21 @@
 /// Cause: a failure after the call was sent is taken for one before; or the
 /// key of a call that may have run is let through again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_settlement_told_not_run_did_not_run() -> TestResult {
-    let tried = join_all(call_cases().into_iter().map(try_settlement)).await;
-    tried.into_iter().collect()
+async fn a_settlement_reported_not_run_did_not_run() -> TestResult {
+    let results = join_all(call_cases().into_iter().map(try_settlement)).await;
+    results.into_iter().collect()
 }
 
 async fn try_settlement(case: CallCase) -> TestResult {
-    let fleet = ClaimFleet::start(2, HASTY_TARGETS).await?;
+    let fleet = ClaimFleet::start(2, SHORT_TARGET_TIMEOUTS).await?;
     let service = fleet.service();
     service.faults().set(case.faults);
-    let key = fresh_key(1);
-    let told = fleet.settle(fleet.callers(0), "first", &key).await;
+    let key = new_key(1);
+    let outcome = fleet.settle(fleet.callers(0), "first", &key).await;
     assert_eq!(
-        told.verdict(),
+        outcome.verdict(),
         Some(case.verdict),
-        "{}: {told:?}",
+        "{}: {outcome:?}",
         case.name
     );
     fleet.check()?;
@@ -113,8 +114,8 @@
             eventually("the claim is settled", settled).await?;
             for (number, host) in (0..6).zip([1, 0].into_iter().cycle()) {
                 let request = format!("again-{number}");
-                let told = fleet.settle(fleet.callers(host), &request, &key).await;
-                let verdict = told.verdict();
+                let outcome = fleet.settle(fleet.callers(host), &request, &key).await;
+                let verdict = outcome.verdict();
                 assert_eq!(verdict, Some(RunVerdict::MayHaveRun), "{}", case.name);
             }
         }
@@ -137,21 +138,25 @@
 /// Sequence: the same failures; the router may try again where it is allowed,
 /// and what it says must cover every try.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_call_told_not_run_did_not_run() -> TestResult {
-    let tried = join_all(call_cases().into_iter().map(try_plain_call)).await;
-    tried.into_iter().collect()
+async fn a_plain_call_reported_not_run_did_not_run() -> TestResult {
+    let results = join_all(call_cases().into_iter().map(try_plain_call)).await;
+    results.into_iter().collect()
 }
 
 async fn try_plain_call(case: CallCase) -> TestResult {
-    let fleet = ClaimFleet::start(1, HASTY_TARGETS).await?;
+    let fleet = ClaimFleet::start(1, SHORT_TARGET_TIMEOUTS).await?;
     let service = fleet.service();
     service.faults().set(case.faults);
-    let told = fleet
-        .ask_balance(ORGANISATION, fleet.callers(0), "plain")
+    let outcome = fleet
+        .query_balance(ORGANISATION, fleet.callers(0), "plain")
         .await;
-    assert!(matches!(told, Told::Refused(_)), "{}: {told:?}", case.name);
+    assert!(
+        matches!(outcome, CallOutcome::Refused(_)),
+        "{}: {outcome:?}",
+        case.name
+    );
     if case.takes_effect {
-        assert_ne!(told.verdict(), Some(RunVerdict::NotRun), "{}", case.name);
+        assert_ne!(outcome.verdict(), Some(RunVerdict::NotRun), "{}", case.name);
     }
     service.faults().set(ServiceFaults::default());
     if case.takes_effect {
@@ -193,8 +198,8 @@
     ]
 }
 
-fn verdict_of(answer: &HeardAnswer) -> Option<RunVerdict> {
-    answer.refused().map(|body| body.verdict)
+fn verdict_of(response: &HeardAnswer) -> Option<RunVerdict> {
+    response.refused().map(|body| body.verdict)
 }
 
 /// Symptom: a team is told that its draft was not run, though an engine ran it.
@@ -203,24 +208,24 @@
 /// Cause: the verdict is taken from the last failure alone, or the key of a
 /// run that may have begun is let through again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_generation_told_not_run_did_not_run() -> TestResult {
-    let tried = join_all(run_cases().into_iter().map(try_generation)).await;
-    tried.into_iter().collect()
+async fn a_generation_reported_not_run_did_not_run() -> TestResult {
+    let results = join_all(run_cases().into_iter().map(try_generation)).await;
+    results.into_iter().collect()
 }
 
 async fn try_generation(case: RunCase) -> TestResult {
-    let fleet = ClaimFleet::start(2, HASTY_TARGETS).await?;
+    let fleet = ClaimFleet::start(2, SHORT_TARGET_TIMEOUTS).await?;
     let engine = fleet.engine();
     engine.faults().set(case.faults);
-    let key = fresh_key(1);
+    let key = new_key(1);
     let host = fleet.callers(0);
     let (plain, keyed) = tokio::join!(
         fleet.generate(host, "plain", None, TOKENS),
         fleet.generate(host, "keyed", Some(&key), TOKENS),
     );
-    for answer in [&plain, &keyed] {
-        let verdict = verdict_of(answer);
-        assert_eq!(verdict, Some(case.verdict), "{}: {answer:?}", case.name);
+    for response in [&plain, &keyed] {
+        let verdict = verdict_of(response);
+        assert_eq!(verdict, Some(case.verdict), "{}: {response:?}", case.name);
     }
     fleet.check()?;
     engine.faults().set(EngineFaults::default());
@@ -246,8 +251,8 @@
         return eventually("the key can be used", || async {
             attempts.set(attempts.get() + 1);
             let request = format!("again-{}", attempts.get());
-            let answer = fleet.generate(host, &request, Some(key), tokens).await;
-            answer.is_whole()
+            let response = fleet.generate(host, &request, Some(key), tokens).await;
+            response.is_whole()
         })
         .await;
     }
@@ -256,8 +261,8 @@
     eventually("the claim is settled", || async { fleet.settlements() > 0 }).await?;
     for (number, host) in (0..6).zip([1, 0].into_iter().cycle()) {
         let (request, host) = (format!("again-{number}"), fleet.callers(host));
-        let answer = fleet.generate(host, &request, Some(key), tokens).await;
-        let refusal = answer.refused().ok_or("the key was let through")?;
+        let response = fleet.generate(host, &request, Some(key), tokens).await;
+        let refusal = response.refused().ok_or("the key was let through")?;
         assert_eq!(refusal.reason, RefusalReason::ClaimedElsewhere);
         assert_ne!(refusal.verdict, RunVerdict::NotRun);
         assert_eq!(fleet.steps_of(&request), 0);
@@ -269,17 +274,17 @@
 /// time is up while a step is under way.
 /// Cause: what has been delivered is not counted as run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_generation_that_breaks_in_its_middle_is_never_told_not_run() -> TestResult {
-    let fleet = ClaimFleet::start(2, HASTY_TARGETS).await?;
+async fn an_interrupted_generation_is_never_reported_not_run() -> TestResult {
+    let fleet = ClaimFleet::start(2, SHORT_TARGET_TIMEOUTS).await?;
     let engine = fleet.engine();
     let slow = EngineFaults {
         slow_factor: 20.0,
         ..EngineFaults::default()
     };
     engine.faults().set(slow);
-    let key = fresh_key(1);
-    let (answer, died) = tokio::join!(
-        fleet.generate(fleet.callers(0), "broken", Some(&key), LONG),
+    let key = new_key(1);
+    let (response, died) = tokio::join!(
+        fleet.generate(fleet.callers(0), "broken", Some(&key), LONG_TOKENS),
         async {
             let begun = || async { fleet.steps_of("broken") > 4 };
             let begun = eventually("the run has begun", begun).await;
@@ -288,10 +293,10 @@
         }
     );
     died?;
-    assert_eq!(verdict_of(&answer), Some(RunVerdict::MayHaveRun));
-    assert!(!answer.tokens().is_empty());
+    assert_eq!(verdict_of(&response), Some(RunVerdict::MayHaveRun));
+    assert!(!response.tokens().is_empty());
     engine.revive();
-    check_key_after(&fleet, RunVerdict::MayHaveRun, &key, LONG).await?;
+    check_key_after(&fleet, RunVerdict::MayHaveRun, &key, LONG_TOKENS).await?;
     fleet.check()
 }
 
@@ -299,11 +304,11 @@
 /// caller's time is up while the step is under way.
 /// Cause: a step without an answer is not counted as run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_generation_whose_time_is_up_is_never_told_not_run() -> TestResult {
+async fn a_timed_out_generation_is_never_reported_not_run() -> TestResult {
     let fleet = ClaimFleet::start(1, "\n[timing]\nstep_timeout = \"20s\"\n").await?;
     let engine = fleet.engine();
-    let (answer, hung) = tokio::join!(
-        fleet.generate(fleet.callers(0), "late", None, LONG),
+    let (response, hung) = tokio::join!(
+        fleet.generate(fleet.callers(0), "late", None, LONG_TOKENS),
         async {
             let begun = || async { fleet.steps_of("late") > 0 };
             let begun = eventually("the run has begun", begun).await;
@@ -312,7 +317,7 @@
         }
     );
     hung?;
-    let refusal = answer.refused().ok_or("not refused")?;
+    let refusal = response.refused().ok_or("not refused")?;
     assert_eq!(refusal.verdict, RunVerdict::MayHaveRun, "{refusal:?}");
     fleet.check()
 }
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -25,7 +25,7 @@
 use standins::json_client::call;
 use standins::operator::{self, Declaration};
 use standins::platform::{PlatformServer, PlatformSettings};
-use support::{DaemonProcess, PATIENCE, TestError, TestResult, eventually};
+use support::{DaemonProcess, TestError, TestResult, WAIT_TIMEOUT, eventually};
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
@@ -36,12 +36,12 @@
 const HOSTS: [&str; 2] = ["entry-1", "entry-2"];
 const ORGANISATION: &str = "desk";
 const PROMPT: [u64; 3] = [5, 6, 7];
-const SHORT: u64 = 3;
+const SHORT_TOKENS: u64 = 3;
 /// Tokens of an answer that takes more than a second, and less than ranges are
 /// kept after they are no longer declared.
-const LONG: u64 = 100;
+const LONG_TOKENS: u64 = 100;
 const STEP_TIME: Duration = Duration::from_millis(5);
-const PAUSE: Duration = Duration::from_millis(50);
+const SEND_INTERVAL: Duration = Duration::from_millis(50);
 
 struct SmallFleet {
     platform: PlatformServer,
@@ -82,7 +82,7 @@
             targets: targets.map(|(target, _)| target.clone()).collect(),
         });
     }
-    let places = peer_places()?;
+    let places = reserve_peer_addresses()?;
     let mut daemons = Vec::new();
     for place in &places {
         let settings = DaemonPlace {
@@ -111,8 +111,8 @@
     for daemon in &fleet.daemons {
         eventually("a request is answered", || async {
             let caller = CallerClient::open(ORGANISATION);
-            let answer = caller.generate(daemon.callers, "first", &body(1)).await;
-            answer.is_whole()
+            let response = caller.generate(daemon.callers, "first", &body(1)).await;
+            response.is_whole()
         })
         .await?;
     }
@@ -121,7 +121,7 @@
 
 /// Finds a port for each host's peers, on a loopback address from which no
 /// connection goes out, so that the ports stay free until the daemons listen.
-fn peer_places() -> Result<Vec<SeedPlace>, TestError> {
+fn reserve_peer_addresses() -> Result<Vec<SeedPlace>, TestError> {
     let [.., high, low] = std::process::id().to_be_bytes();
     let mut held = Vec::new();
     let mut places = Vec::new();
@@ -151,8 +151,8 @@
 /// Runs a request; its history names the version that the answer began with.
 async fn run(host: SocketAddr, request: String, max_tokens: u64) -> GenerationHistory {
     let caller = CallerClient::open(ORGANISATION);
-    let answer = caller.generate(host, &request, &body(max_tokens)).await;
-    let version = answer.events.iter().find_map(|heard| match &heard.event {
+    let response = caller.generate(host, &request, &body(max_tokens)).await;
+    let version = response.events.iter().find_map(|heard| match &heard.event {
         StreamEvent::Started { version, .. } => Some(version.clone()),
         _ => None,
     });
@@ -164,7 +164,7 @@
         layers: LAYERS,
         prompt: PROMPT.to_vec(),
         max_tokens,
-        answers: vec![answer],
+        answers: vec![response],
     }
 }
 
@@ -184,10 +184,10 @@
             let mut number = 0;
             while !*stopped.borrow() {
                 for host in &hosts {
-                    runs.spawn(run(*host, format!("run-{number}"), SHORT));
+                    runs.spawn(run(*host, format!("run-{number}"), SHORT_TOKENS));
                     number += 1;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(SEND_INTERVAL).await;
             }
             runs.join_all().await
         });
@@ -232,7 +232,8 @@
                 let Ok(state) = self.state(engine).await else {
                     return false;
                 };
-                let mut held: Vec<&str> = state.loaded.iter().map(|one| &*one.version).collect();
+                let mut held: Vec<&str> =
+                    state.loaded.iter().map(|range| &*range.version).collect();
                 held.sort_unstable();
                 if held != versions || !state.loading.is_empty() {
                     return false;
@@ -308,7 +309,7 @@
     let load = SteadyLoad::spawn(&fleet);
     operator::declare_all(operators, &[model(VERSION), fleet.next_pipeline()]).await?;
     fleet.wait_for_versions(&[VERSION, NEXT_VERSION]).await?;
-    let long = tokio::spawn(run(callers, "long".to_owned(), LONG));
+    let long = tokio::spawn(run(callers, "long".to_owned(), LONG_TOKENS));
     eventually("the long run has begun", || async {
         let steps = fleet.history(Vec::new()).steps;
         let mut records = steps.iter().flat_map(|engine| &engine.records);
@@ -326,11 +327,19 @@
     assert_eq!(long.version, VERSION);
     fleet.wait_for_versions(&[NEXT_VERSION]).await?;
     let mut generations = load.end().await?;
-    assert!(generations.iter().any(|one| one.version == VERSION));
-    assert!(generations.iter().any(|one| one.version == NEXT_VERSION));
+    assert!(
+        generations
+            .iter()
+            .any(|generation| generation.version == VERSION)
+    );
+    assert!(
+        generations
+            .iter()
+            .any(|generation| generation.version == NEXT_VERSION)
+    );
     generations.push(long);
-    for one in &generations {
-        assert!(one.answers[0].is_whole(), "{one:?}");
+    for generation in &generations {
+        assert!(generation.answers[0].is_whole(), "{generation:?}");
     }
     let history = fleet.history(generations);
     assert_eq!(check_layers(&history), []);
@@ -348,28 +357,28 @@
     let fleet = start_fleet(Duration::from_secs(1)).await?;
     let (operators, callers) = (fleet.daemons[0].operators, fleet.daemons[0].callers);
     operator::declare_all(operators, &[model(NEXT_VERSION), fleet.next_pipeline()]).await?;
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let mut generations = Vec::new();
     loop {
         let request = format!("early-{}", generations.len());
-        let generation = run(callers, request, SHORT).await;
+        let generation = run(callers, request, SHORT_TOKENS).await;
         let is_whole = generation.answers[0].is_whole();
         generations.push(generation);
         if is_whole {
             break;
         }
         assert!(Instant::now() < deadline, "{generations:?}");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(SEND_INTERVAL).await;
     }
     let refused = &generations[..generations.len() - 1];
     assert!(!refused.is_empty(), "the weights came too early");
-    for (number, one) in refused.iter().enumerate() {
-        let refusal = one.refusal().ok_or("neither whole nor refused")?;
+    for (number, generation) in refused.iter().enumerate() {
+        let refusal = generation.refusal().ok_or("neither whole nor refused")?;
         assert!(refusal.retry_after_ms.is_some());
         // Later on the first stage may be loaded and run before the second.
         assert!(
             number > 0 || refusal.verdict == RunVerdict::NotRun,
-            "{one:?}"
+            "{generation:?}"
         );
     }
     let history = fleet.history(generations);
@@ -385,7 +394,7 @@
 /// Cause: the host does not know that it was frozen; an order may have been on
 /// its way, and some engines carry out whichever comes last.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stale_order_of_a_woken_holder_does_not_stick() -> TestResult {
+async fn a_stale_order_of_a_resumed_holder_is_corrected() -> TestResult {
     let fleet = start_fleet(Duration::from_millis(100)).await?;
     let holder = fleet.lease_holder().await?;
     let other = 1 - holder;
@@ -421,7 +430,7 @@
 /// Sequence: the lease holder is killed, then a change is declared.
 /// Cause: the lease stays with the dead host, or the other one does not go on.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_other_host_goes_on_after_the_holder_is_killed() -> TestResult {
+async fn the_other_host_takes_over_after_the_holder_is_killed() -> TestResult {
     let mut fleet = start_fleet(Duration::from_millis(100)).await?;
     let holder = fleet.lease_holder().await?;
     fleet.daemons[holder].process.kill()?;
--- a/standins/tests/shutdown.rs
+++ b/standins/tests/shutdown.rs
@@ -34,7 +34,7 @@
 const HOSTS: [&str; 2] = ["entry-1", "entry-2"];
 const PROMPT: [u64; 3] = [5, 6, 7];
 /// Tokens of an answer that takes about two seconds.
-const LONG: u64 = 120;
+const LONG_TOKENS: u64 = 120;
 const STREAMS: usize = 6;
 const STEP_TIME: Duration = Duration::from_millis(5);
 const CALL_TIME: Duration = Duration::from_secs(1);
@@ -43,7 +43,7 @@
 const WIDE: &str = "wide";
 /// Far longer than the patience of these tests: who gets the lease sooner was
 /// handed it.
-const LEASE: &str = "30s";
+const LEASE_DURATION: &str = "30s";
 
 struct SmallFleet {
     platform: PlatformServer,
@@ -67,7 +67,7 @@
             };
             let server = EngineServer::bind(any_port, settings).await?;
             let name = format!("engine-{first_layer}-{number}");
-            engines.push((place(&name, server.local_addr()), server));
+            engines.push((stage_target(&name, server.local_addr()), server));
         }
         let targets = engines.iter().rev().take(2);
         stages.push(StageLayout {
@@ -94,7 +94,7 @@
         targets: Vec::new(),
     });
     let mut resources = declarations::pipeline(MODEL, &stages);
-    let targets = [place("artifacts-1", service.local_addr())];
+    let targets = [stage_target("artifacts-1", service.local_addr())];
     resources.extend(declarations::service("artifacts", &targets, &[]));
     resources.push(declarations::organisation(WIDE, 100, 1_000));
     resources.push(declarations::organisation(NARROW, 1, 1_000));
@@ -108,8 +108,8 @@
     for daemon in &fleet.daemons {
         eventually("a request is answered", || async {
             let caller = CallerClient::open(WIDE);
-            let answer = caller.generate(daemon.callers, "first", &body(1)).await;
-            answer.is_whole()
+            let response = caller.generate(daemon.callers, "first", &body(1)).await;
+            response.is_whole()
         })
         .await?;
     }
@@ -117,7 +117,7 @@
 }
 
 /// Brings the one unit of [`NARROW`]'s capacity to a host: the other may hold it.
-async fn hold_narrow(host: SocketAddr) -> TestResult {
+async fn wait_for_narrow_capacity(host: SocketAddr) -> TestResult {
     eventually("the narrow organisation is served", || async {
         let caller = CallerClient::open(NARROW);
         caller.generate(host, "hold", &body(1)).await.is_whole()
@@ -139,13 +139,14 @@
     platform: &PlatformServer,
     drain_timeout: &str,
 ) -> Result<DaemonProcess, TestError> {
-    let timing =
-        format!("\n[timing]\ndrain_timeout = {drain_timeout:?}\nlease_duration = {LEASE:?}\n");
+    let timing = format!(
+        "\n[timing]\ndrain_timeout = {drain_timeout:?}\nlease_duration = {LEASE_DURATION:?}\n"
+    );
     let settings = DaemonPlace::new(host, ZONE, platform.local_addr()).to_toml(&timing);
     DaemonProcess::spawn(&settings)
 }
 
-fn place(name: &str, address: SocketAddr) -> StageTarget {
+fn stage_target(name: &str, address: SocketAddr) -> StageTarget {
     StageTarget {
         name: name.to_owned(),
         zone: ZONE.into(),
@@ -174,7 +175,7 @@
 ) -> JoinHandle<GenerationHistory> {
     tokio::spawn(async move {
         let caller = CallerClient::open(organisation);
-        let answer = caller.generate(host, &request, &body(max_tokens)).await;
+        let response = caller.generate(host, &request, &body(max_tokens)).await;
         GenerationHistory {
             request: request.as_str().into(),
             organisation: organisation.into(),
@@ -183,7 +184,7 @@
             layers: LAYERS,
             prompt: PROMPT.to_vec(),
             max_tokens,
-            answers: vec![answer],
+            answers: vec![response],
         }
     })
 }
@@ -256,21 +257,21 @@
     reply.is_ok_and(|reply| reply.status == StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// Ends the lease holder by a signal under load; `strike` happens right after
+/// Ends the lease holder by a signal under load; `after_signal` happens right after
 /// the signal. Everything that it had taken in must end whole.
-async fn end_under_load<F>(strike: F) -> TestResult
+async fn terminate_under_load<F>(after_signal: F) -> TestResult
 where
     F: FnOnce(&SmallFleet),
 {
     let mut fleet = start_fleet("60s").await?;
     let holder = lease_holder(&fleet.platform).await?;
     let host = fleet.daemons[holder].callers;
-    hold_narrow(host).await?;
+    wait_for_narrow_capacity(host).await?;
     let streams: Vec<_> = (0..STREAMS)
-        .map(|number| start_run(host, WIDE, format!("wide-{number}"), LONG))
+        .map(|number| start_run(host, WIDE, format!("wide-{number}"), LONG_TOKENS))
         .collect();
     let queued: Vec<_> = (0..3)
-        .map(|number| start_run(host, NARROW, format!("narrow-{number}"), LONG / 4))
+        .map(|number| start_run(host, NARROW, format!("narrow-{number}"), LONG_TOKENS / 4))
         .collect();
     let download = tokio::spawn(async move {
         let call = OutgoingCall {
@@ -286,7 +287,7 @@
     })
     .await?;
     fleet.daemons[holder].process.signal("TERM")?;
-    strike(&fleet);
+    after_signal(&fleet);
     eventually("the daemon is not ready", || is_unready(host)).await?;
     let late = CallerClient::open(WIDE)
         .generate(host, "late", &body(1))
@@ -324,8 +325,8 @@
 /// service call is in flight.
 /// Cause: the process ends, or closes connections, before they are done.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_signal_under_load_cuts_off_nothing() -> TestResult {
-    end_under_load(|_| {}).await
+async fn termination_under_load_completes_all_requests() -> TestResult {
+    terminate_under_load(|_| {}).await
 }
 
 /// Symptom: as above, for the streams on one stage.
@@ -333,7 +334,7 @@
 /// Cause: a daemon that drains must still repair the runs that it finishes.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stage_that_dies_while_draining_is_replaced() -> TestResult {
-    end_under_load(|fleet| {
+    terminate_under_load(|fleet| {
         let busiest = fleet.engines[2..]
             .iter()
             .max_by_key(|(_, server)| server.record().len());
@@ -351,22 +352,22 @@
 async fn a_drain_that_takes_too_long_ends_streams_with_a_verdict() -> TestResult {
     let mut fleet = start_fleet("300ms").await?;
     let host = fleet.daemons[0].callers;
-    hold_narrow(host).await?;
-    let stream = start_run(host, WIDE, "long".to_owned(), 10 * LONG);
-    let running = start_run(host, NARROW, "running".to_owned(), 10 * LONG);
+    wait_for_narrow_capacity(host).await?;
+    let stream = start_run(host, WIDE, "long".to_owned(), 10 * LONG_TOKENS);
+    let running = start_run(host, NARROW, "running".to_owned(), 10 * LONG_TOKENS);
     let has_begun = || async { fleet.has_run("long") && fleet.has_run("running") };
     eventually("the streams run", has_begun).await?;
-    let waiting = start_run(host, NARROW, "waiting".to_owned(), LONG);
+    let waiting = start_run(host, NARROW, "waiting".to_owned(), LONG_TOKENS);
     // Nothing tells from outside that a request stands in the queue.
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet.daemons[0].process.signal("TERM")?;
     for cut in [stream.await?, running.await?] {
-        let answer = &cut.answers[0];
-        assert!(!answer.broken, "{answer:?}");
-        let refusal = answer.refused().ok_or("no error event")?;
+        let response = &cut.answers[0];
+        assert!(!response.broken, "{response:?}");
+        let refusal = response.refused().ok_or("no error event")?;
         assert_eq!(refusal.reason, RefusalReason::Draining);
         assert_eq!(refusal.verdict, RunVerdict::MayHaveRun);
-        assert!(!answer.tokens().is_empty());
+        assert!(!response.tokens().is_empty());
     }
     let refused = waiting.await?;
     let refusal = refused.refusal().ok_or("the queued request hung")?;
@@ -383,7 +384,7 @@
 /// Cause: with nothing in flight the process ends before it has handed the
 /// lease back.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_idle_host_hands_its_leases_back() -> TestResult {
+async fn an_idle_host_releases_its_leases() -> TestResult {
     let mut fleet = start_fleet("60s").await?;
     let holder = lease_holder(&fleet.platform).await?;
     fleet.daemons[holder].process.signal("TERM")?;
@@ -427,16 +428,16 @@
 /// before the host has read it there.
 /// Cause: the host does not know yet that it holds what it has to hand back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lease_just_acquired_is_handed_back() -> TestResult {
+async fn a_newly_acquired_lease_is_released() -> TestResult {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformServer::bind(any_port, PlatformSettings::default()).await?;
     platform.faults().update(|faults| faults.delay_ms = 400);
-    let noise = keep_readers_busy(platform.local_addr());
+    let background_appends = keep_readers_busy(platform.local_addr());
     let mut daemon = start_daemon(HOSTS[0], &platform, "60s")?;
     let holder = lease_holder(&platform).await?;
     daemon.process.signal("TERM")?;
     assert_eq!(wait_for_exit(&mut daemon)?, Some(0));
-    noise.abort();
+    background_appends.abort();
     platform.faults().update(|faults| faults.delay_ms = 0);
     let _other = start_daemon(HOSTS[1 - holder], &platform, "60s")?;
     wait_for_handover(&platform, holder).await
--- a/standins/tests/support/configuration.rs
+++ b/standins/tests/support/configuration.rs
@@ -16,7 +16,7 @@
 use super::{TestError, TestResult};
 
 /// Counter of checkpoints that contradict a host's state.
-pub const DIFFERING: &str = "jackdawwick_differing_checkpoints_total";
+pub const DIFFERING_CHECKPOINTS: &str = "jackdawwick_differing_checkpoints_total";
 
 pub type ChangeRecord = LogRecord<DeclarationBody>;
 
@@ -44,9 +44,13 @@
     ResourceKey::new(ResourceKind::Organisation, name)
 }
 
-pub async fn all_serve(hosts: &[TestHost], key: &ResourceKey, version: LogOffset) -> TestResult {
+pub async fn wait_until_all_serve(
+    hosts: &[TestHost],
+    key: &ResourceKey,
+    version: LogOffset,
+) -> TestResult {
     for host in hosts {
-        host.serves(key, version).await?;
+        host.wait_until_serving(key, version).await?;
     }
     Ok(())
 }
@@ -70,18 +74,20 @@
 }
 
 /// The state at the end of the log, and another that misses the last record.
-pub fn right_and_wrong(platform: &PlatformServer) -> Result<[DeclarationTable; 2], TestError> {
-    let mut right = DeclarationTable::default();
+pub fn correct_and_wrong_tables(
+    platform: &PlatformServer,
+) -> Result<[DeclarationTable; 2], TestError> {
+    let mut correct = DeclarationTable::default();
     for record in platform.record(DECLARATION_STREAM) {
-        right.apply_raw(record.offset, &record.body)?;
+        correct.apply_raw(record.offset, &record.body)?;
     }
     let mut wrong = DeclarationTable::default();
     for record in platform.record(DECLARATION_STREAM) {
-        let is_last = record.offset + 1 == right.applied();
+        let is_last = record.offset + 1 == correct.applied();
         let body = if is_last { "noise" } else { &record.body };
         wrong.apply_raw(record.offset, body)?;
     }
-    Ok([right, wrong])
+    Ok([correct, wrong])
 }
 
 /// The text of a record with the state of a table.
--- a/standins/tests/support/forwarder.rs
+++ b/standins/tests/support/forwarder.rs
@@ -33,7 +33,7 @@
         let (server, servers) = watch::channel(None);
         tokio::spawn(async move {
             while let Ok((client, _)) = listener.accept().await {
-                tokio::spawn(carry(client, states.clone(), servers.clone()));
+                tokio::spawn(forward_connection(client, states.clone(), servers.clone()));
             }
         });
         Ok(Self {
@@ -43,7 +43,7 @@
         })
     }
 
-    pub fn lead_to(&self, server: SocketAddr) {
+    pub fn forward_to(&self, server: SocketAddr) {
         self.server.send_replace(Some(server));
     }
 
@@ -52,7 +52,7 @@
     }
 }
 
-async fn carry(
+async fn forward_connection(
     mut client: TcpStream,
     mut states: watch::Receiver<LinkState>,
     mut servers: watch::Receiver<Option<SocketAddr>>,
--- a/standins/tests/support/hosts.rs
+++ b/standins/tests/support/hosts.rs
@@ -27,7 +27,7 @@
     pub zone: String,
     pub operators: SocketAddr,
     pub callers: SocketAddr,
-    pub from_peers: TestLink,
+    pub peer_link: TestLink,
     handle: DaemonHandle,
 }
 
@@ -50,13 +50,13 @@
         seeds: &[&TestHost],
         timing: &str,
     ) -> Result<Self, TestError> {
-        let from_peers = TestLink::bind().await?;
+        let peer_link = TestLink::bind().await?;
         let seeds = seeds.iter().map(|seed| SeedPlace {
             host: seed.name.clone(),
             zone: seed.zone.clone(),
-            address: seed.from_peers.address,
+            address: seed.peer_link.address,
         });
-        let place = DaemonPlace {
+        let seen_key = DaemonPlace {
             seeds: seeds.collect(),
             ..DaemonPlace::new(name, zone, platform)
         };
@@ -66,19 +66,19 @@
             "\n[[operators.credentials]]\noperator = \"operator-2\"\ntoken_digest = \"{digest}\"\n\
              \n[timing]\nheartbeat_interval = \"100ms\"\n{timing}\n"
         );
-        let listen = format!("[listen]\nadvertised_peers = \"{}\"\n", from_peers.address);
-        let text = place
+        let listen = format!("[listen]\nadvertised_peers = \"{}\"\n", peer_link.address);
+        let text = seen_key
             .to_toml(&extra)
             .replacen("[listen]\n", &listen, 1)
             .replacen("[platform]\n", "[platform]\ncheckpoint_records = 10\n", 1);
         let handle = daemon::spawn(DaemonOptions::from_toml(&text)?).await?;
-        from_peers.lead_to(handle.peer_address().ok_or("no address for peers")?);
+        peer_link.forward_to(handle.peer_address().ok_or("no address for peers")?);
         Ok(Self {
             name: name.to_owned(),
             zone: zone.to_owned(),
             operators: handle.operator_address(),
             callers: handle.caller_address(),
-            from_peers,
+            peer_link,
             handle,
         })
     }
@@ -107,7 +107,7 @@
     }
 
     /// Waits until the host takes work under this version of a resource.
-    pub async fn serves(&self, key: &ResourceKey, version: LogOffset) -> TestResult {
+    pub async fn wait_until_serving(&self, key: &ResourceKey, version: LogOffset) -> TestResult {
         let what = format!("{} serves {key} as of {version}", self.name);
         eventually(&what, || async {
             self.is_ready().await && self.version(key).await == Some(version)
@@ -129,27 +129,27 @@
 
 /// What was in force everywhere, and what any host was seen to serve since.
 #[derive(Default)]
-struct WatchState {
+struct DetectorState {
     /// Latest change that was in force everywhere, and whether it deleted.
-    floor: BTreeMap<ResourceKey, (LogOffset, bool)>,
+    minimums: BTreeMap<ResourceKey, (LogOffset, bool)>,
     hosts: Vec<(String, SocketAddr)>,
     /// Highest version seen, by host and resource.
     seen: BTreeMap<(String, ResourceKey), LogOffset>,
-    looks: usize,
+    polls: usize,
     reverted: Vec<String>,
 }
 
 /// Looks at every host all the time: on a host that takes work no resource
 /// may have an older version than before on that host, or than was in force
 /// everywhere, and nothing deleted may be back.
-pub struct ForceWatcher {
-    state: Arc<Mutex<WatchState>>,
+pub struct ReversionDetector {
+    state: Arc<Mutex<DetectorState>>,
     task: JoinHandle<()>,
 }
 
-impl ForceWatcher {
+impl ReversionDetector {
     pub fn spawn() -> Self {
-        let state = Arc::new(Mutex::new(WatchState::default()));
+        let state = Arc::new(Mutex::new(DetectorState::default()));
         let task = tokio::spawn(watch(Arc::clone(&state)));
         Self { state, task }
     }
@@ -160,9 +160,9 @@
     }
 
     /// Notes a change that is in force everywhere.
-    pub fn in_force(&self, key: &ResourceKey, version: LogOffset, deleted: bool) {
+    pub fn set_minimum(&self, key: &ResourceKey, version: LogOffset, deleted: bool) {
         let mut state = self.state.lock();
-        state.floor.insert(key.clone(), (version, deleted));
+        state.minimums.insert(key.clone(), (version, deleted));
     }
 
     /// Fails if any host went back, or if hardly anything was looked at.
@@ -170,42 +170,42 @@
         self.task.abort();
         let state = self.state.lock();
         match &state.reverted[..] {
-            [] if state.looks >= 10 => Ok(()),
-            [] => Err(format!("only {} looks", state.looks).into()),
+            [] if state.polls >= 10 => Ok(()),
+            [] => Err(format!("only {} looks", state.polls).into()),
             reverted => Err(format!("reverted: {reverted:?}").into()),
         }
     }
 }
 
-async fn watch(state: Arc<Mutex<WatchState>>) {
+async fn watch(state: Arc<Mutex<DetectorState>>) {
     loop {
         let hosts = state.lock().hosts.clone();
         for (host, address) in hosts {
-            let floor = state.lock().floor.clone();
+            let minimums = state.lock().minimums.clone();
             let status = operator::read::<StatusView>(address, "/v1/status").await;
             let listed = operator::read::<Vec<ResourceView>>(address, "/v1/resources").await;
             // A host that is gone or takes no work serves nothing old.
             let (true, Ok(views)) = (status.is_ok_and(|status| status.ready), listed) else {
                 continue;
             };
-            compare(&mut state.lock(), &host, &floor, &views);
+            compare(&mut state.lock(), &host, &minimums, &views);
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
 fn compare(
-    state: &mut WatchState,
+    state: &mut DetectorState,
     host: &str,
-    floor: &BTreeMap<ResourceKey, (LogOffset, bool)>,
+    minimums: &BTreeMap<ResourceKey, (LogOffset, bool)>,
     views: &[ResourceView],
 ) {
-    state.looks += 1;
-    for (key, (least, deleted)) in floor {
+    state.polls += 1;
+    for (key, (minimum, deleted)) in minimums {
         match views.iter().find(|view| view.key == *key) {
-            Some(view) if view.version < *least => {
+            Some(view) if view.version < *minimum => {
                 let found = view.version;
-                let text = format!("{host}: {key} is {found}, {least} was in force");
+                let text = format!("{host}: {key} is {found}, {minimum} was in force");
                 state.reverted.push(text);
             }
             None if !deleted => state.reverted.push(format!("{host}: {key} is missing")),
@@ -213,11 +213,11 @@
         }
     }
     for view in views {
-        let place = (host.to_owned(), view.key.clone());
-        let before = state.seen.insert(place, view.version);
-        if before.is_some_and(|before| before > view.version) {
+        let seen_key = (host.to_owned(), view.key.clone());
+        let previous = state.seen.insert(seen_key, view.version);
+        if previous.is_some_and(|previous| previous > view.version) {
             let (key, found) = (&view.key, view.version);
-            let text = format!("{host}: {key} went from {before:?} to {found}");
+            let text = format!("{host}: {key} went from {previous:?} to {found}");
             state.reverted.push(text);
         }
     }
--- a/standins/tests/support/mod.rs
+++ b/standins/tests/support/mod.rs
@@ -21,7 +21,7 @@
 pub type TestError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Bound on waiting for something that is expected to come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A process that is killed when dropped.
 pub struct TestProcess {
@@ -43,13 +43,13 @@
         })
     }
 
-    /// The address in the next line, which begins with `word`.
-    pub fn address(&mut self, word: &str) -> Result<SocketAddr, TestError> {
+    /// The address in the next line, which begins with `prefix`.
+    pub fn address(&mut self, prefix: &str) -> Result<SocketAddr, TestError> {
         let mut line = String::new();
         self.lines.read_line(&mut line)?;
         let rest = line
-            .strip_prefix(word)
-            .ok_or_else(|| format!("{word}: {line:?}"))?;
+            .strip_prefix(prefix)
+            .ok_or_else(|| format!("{prefix}: {line:?}"))?;
         Ok(rest.trim().parse()?)
     }
 
@@ -124,18 +124,18 @@
     }
 }
 
-/// Polls until `check` holds, within [`PATIENCE`].
+/// Polls until `check` holds, within [`WAIT_TIMEOUT`].
 pub async fn eventually<C, F>(what: &str, mut check: C) -> TestResult
 where
     C: FnMut() -> F,
     F: Future<Output = bool>,
 {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
         if check().await {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    Err(format!("{what}: not within {PATIENCE:?}").into())
+    Err(format!("{what}: not within {WAIT_TIMEOUT:?}").into())
 }
--- a/standins/tests/whole_answers.rs
+++ b/standins/tests/whole_answers.rs
@@ -19,10 +19,10 @@
 const TOKENS: u64 = 12;
 const LAYERS: u32 = 12;
 /// Tokens of an answer that takes some seconds.
-const LONG_ANSWER: u64 = 300;
+const LONG_RESPONSE_TOKENS: u64 = 300;
 type NamedFault = (&'static str, fn(&mut EngineFaults));
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Where in a run a fault strikes, as the position that is being worked on.
 const PREFILL: u64 = 0;
 const FIRST_TOKEN: u64 = 6;
@@ -84,7 +84,7 @@
     }
 }
 
-fn assert_promises(history: &RunHistory) {
+fn assert_invariants(history: &RunHistory) {
     let mut broken = check_layers(history);
     broken.extend(check_whole_answers(history));
     broken.extend(check_answered_once(history));
@@ -115,7 +115,7 @@
     stage: usize,
     position: u64,
 ) -> Result<&'f FleetEngine, TestError> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
         match engine_at(fleet, request, stage) {
             Some((engine, reached)) if reached >= position => return Ok(engine),
@@ -127,7 +127,7 @@
 
 /// Runs one request and strikes the engines of `stages` once the first of
 /// them has run `position`.
-async fn strike<F>(
+async fn run_with_fault<F>(
     fleet: &Fleet,
     request: &str,
     stages: &[usize],
@@ -140,14 +140,14 @@
     let host = fleet.daemons[0].callers;
     let body = body(fleet);
     let name = request.to_owned();
-    let answer = tokio::spawn(async move { caller().generate(host, &name, &body).await });
+    let response = tokio::spawn(async move { caller().generate(host, &name, &body).await });
     wait_for(fleet, request, stages[0], position).await?;
     for stage in stages {
         if let Some((engine, _)) = engine_at(fleet, request, *stage) {
             fault(engine);
         }
     }
-    Ok(answer.await?)
+    Ok(response.await?)
 }
 
 /// Symptom: an answer that stops, repeats tokens or goes on with wrong ones.
@@ -161,12 +161,12 @@
         let mut fleet = start_fleet().await?;
         for position in [PREFILL, FIRST_TOKEN, MIDDLE, LAST_TOKEN] {
             let request = format!("die-{stage}-{position}");
-            let answer = strike(&fleet, &request, &[stage], position, |engine| {
+            let response = run_with_fault(&fleet, &request, &[stage], position, |engine| {
                 engine.server.die();
             })
             .await?;
-            assert!(answer.is_whole(), "{request}: {answer:?}");
-            assert_promises(&history(&fleet, &request, vec![answer]));
+            assert!(response.is_whole(), "{request}: {response:?}");
+            assert_invariants(&history(&fleet, &request, vec![response]));
             for engine in &fleet.engines {
                 engine.server.revive();
             }
@@ -185,12 +185,12 @@
     let mut fleet = start_fleet().await?;
     for (number, stages) in [[0, 1], [1, 2], [0, 2]].iter().enumerate() {
         let request = format!("two-{number}");
-        let answer = strike(&fleet, &request, stages, MIDDLE, |engine| {
+        let response = run_with_fault(&fleet, &request, stages, MIDDLE, |engine| {
             engine.server.die();
         })
         .await?;
-        assert!(answer.is_whole(), "{request}: {answer:?}");
-        assert_promises(&history(&fleet, &request, vec![answer]));
+        assert!(response.is_whole(), "{request}: {response:?}");
+        assert_invariants(&history(&fleet, &request, vec![response]));
         for engine in &fleet.engines {
             engine.server.revive();
         }
@@ -205,7 +205,7 @@
 /// Cause: the step took effect, so it must be asked for again and not sent
 /// anew, and an answer that does not match what is awaited must be dropped.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_crossed_and_repeated_answers_do_no_harm() -> TestResult {
+async fn lost_swapped_and_repeated_responses_do_not_corrupt_results() -> TestResult {
     let mut fleet = start_fleet().await?;
     let faults: [NamedFault; 3] = [
         ("lost", |faults| faults.lose_answers = 1),
@@ -220,16 +220,16 @@
                 let name = format!("beside-{request}");
                 async move { caller().generate(host, &name, &body).await }
             });
-            let answer = strike(&fleet, &request, &[stage], FIRST_TOKEN, |engine| {
+            let response = run_with_fault(&fleet, &request, &[stage], FIRST_TOKEN, |engine| {
                 engine.server.faults().update(fault);
             })
             .await?;
-            let beside = other.await?;
-            assert!(answer.is_whole(), "{request}: {answer:?}");
-            assert!(beside.is_whole(), "beside {request}: {beside:?}");
-            assert_promises(&history(&fleet, &request, vec![answer]));
-            let beside_request = format!("beside-{request}");
-            assert_promises(&history(&fleet, &beside_request, vec![beside]));
+            let concurrent = other.await?;
+            assert!(response.is_whole(), "{request}: {response:?}");
+            assert!(concurrent.is_whole(), "beside {request}: {concurrent:?}");
+            assert_invariants(&history(&fleet, &request, vec![response]));
+            let concurrent_request = format!("beside-{request}");
+            assert_invariants(&history(&fleet, &concurrent_request, vec![concurrent]));
         }
     }
     fleet.shutdown().await;
@@ -241,22 +241,24 @@
 /// goes on with what it had been asked.
 /// Cause: the frozen engine does not know that it was replaced.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_engine_that_wakes_does_no_harm() -> TestResult {
+async fn a_frozen_engine_that_resumes_does_not_corrupt_results() -> TestResult {
     let mut fleet = start_fleet().await?;
     for stage in 0..3 {
         let request = format!("frozen-{stage}");
-        let woken = std::sync::Mutex::new(None);
-        let answer = strike(&fleet, &request, &[stage], MIDDLE, |engine| {
+        let frozen_faults = std::sync::Mutex::new(None);
+        let response = run_with_fault(&fleet, &request, &[stage], MIDDLE, |engine| {
             let faults = engine.server.faults();
             faults.update(|faults| faults.frozen = true);
-            *woken.lock().unwrap_or_else(|error| error.into_inner()) = Some(faults);
+            *frozen_faults
+                .lock()
+                .unwrap_or_else(|error| error.into_inner()) = Some(faults);
         })
         .await?;
-        assert!(answer.is_whole(), "{request}: {answer:?}");
-        let faults = woken.into_inner()?.ok_or("no engine was frozen")?;
+        assert!(response.is_whole(), "{request}: {response:?}");
+        let faults = frozen_faults.into_inner()?.ok_or("no engine was frozen")?;
         faults.update(|faults| faults.frozen = false);
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert_promises(&history(&fleet, &request, vec![answer]));
+        assert_invariants(&history(&fleet, &request, vec![response]));
     }
     fleet.shutdown().await;
     Ok(())
@@ -302,7 +304,7 @@
         .collect();
     let expected: Vec<u64> = (delivered.len() as u64..TOKENS).collect();
     assert_eq!(numbers, expected);
-    assert_promises(&history(&fleet, request, vec![first, second]));
+    assert_invariants(&history(&fleet, request, vec![first, second]));
     fleet.shutdown().await;
     Ok(())
 }
@@ -313,15 +315,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_run_ends_when_its_caller_goes() -> TestResult {
     let mut fleet = start_fleet().await?;
-    let fleet_body = GenerateBody {
-        max_tokens: LONG_ANSWER,
+    let request_body = GenerateBody {
+        max_tokens: LONG_RESPONSE_TOKENS,
         ..body(&fleet)
     };
     let host = fleet.daemons[0].callers;
-    let response = caller().start_generation(host, "gone", &fleet_body).await?;
+    let stream = caller()
+        .start_generation(host, "gone", &request_body)
+        .await?;
     wait_for(&fleet, "gone", 2, MIDDLE).await?;
-    drop(response);
-    let deadline = Instant::now() + PATIENCE;
+    drop(stream);
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let count = |fleet: &Fleet| -> usize {
         fleet
             .engines
@@ -339,7 +343,7 @@
     }
     let (_, reached) = engine_at(&fleet, "gone", 0).ok_or("no engine ran it")?;
     assert!(
-        reached < LONG_ANSWER / 2,
+        reached < LONG_RESPONSE_TOKENS / 2,
         "the run went on to position {reached}"
     );
     fleet.shutdown().await;
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -23,7 +23,7 @@
 const STEP_TIMES: [u64; 3] = [200, 1_000, 400];
 
 /// Entry hosts and their availability zones.
-const PLACES: [(&str, &str); 3] = [
+const HOSTS: [(&str, &str); 3] = [
     ("entry-1", "vake"),
     ("entry-2", "vake"),
     ("entry-3", "didube"),
@@ -58,17 +58,21 @@
         stages.push(StageLayout {
             first_layer: first,
             last_layer: last,
-            targets: vec![place(&format!("engine-{index}"), zone_of(index), address)],
+            targets: vec![stage_target(
+                &format!("engine-{index}"),
+                zone_of(index),
+                address,
+            )],
         });
     }
     let ledger = start("service", &[])?;
     let mut daemons = Vec::new();
-    for (host, zone) in PLACES {
+    for (host, zone) in HOSTS {
         let settings = DaemonPlace::new(host, zone, platform).to_toml("");
         daemons.push(DaemonProcess::spawn(&settings)?);
     }
     let hosts = HostList {
-        hosts: PLACES
+        hosts: HOSTS
             .iter()
             .zip(&daemons)
             .map(|((host, zone), daemon)| listed(host, zone, daemon))
@@ -79,7 +83,7 @@
     let mut resources = declarations::pipeline(MODEL, &stages);
     resources.extend(declarations::service(
         "ledger",
-        &[place("ledger-1", "vake", ledger)],
+        &[stage_target("ledger-1", "vake", ledger)],
         &["settle"],
     ));
     resources.push(declarations::organisation("desk", 100, 1_000));
@@ -124,7 +128,7 @@
     }
 }
 
-fn place(name: &str, zone: &str, address: SocketAddr) -> StageTarget {
+fn stage_target(name: &str, zone: &str, address: SocketAddr) -> StageTarget {
     StageTarget {
         name: name.to_owned(),
         zone: zone.into(),
@@ -177,7 +181,7 @@
 #[tokio::test]
 async fn a_request_crosses_three_stages_through_any_daemon() -> TestResult {
     let fleet = start_fleet().await?;
-    let right = reference::generate(
+    let expected_tokens = reference::generate(
         MODEL,
         declarations::VERSION,
         LAYERS,
@@ -187,9 +191,9 @@
     let caller = CallerClient::open("desk");
     for (index, daemon) in fleet.daemons.iter().enumerate() {
         let request = format!("request-{index}");
-        let answer = caller.generate(daemon.callers, &request, &body()).await;
-        assert!(answer.is_whole(), "{answer:?}");
-        assert_eq!(answer.tokens(), right);
+        let response = caller.generate(daemon.callers, &request, &body()).await;
+        assert!(response.is_whole(), "{response:?}");
+        assert_eq!(response.tokens(), expected_tokens);
         check_layers(&engine_records(&fleet).await?, &request)?;
     }
     let plain = OutgoingCall {
@@ -210,7 +214,7 @@
 /// Cause: nothing in the protocol shows it; the proof must come from the
 /// engines' record, and the checker above must be able to fail.
 #[tokio::test]
-async fn the_checker_notices_a_skipped_layer() -> TestResult {
+async fn the_checker_detects_a_skipped_layer() -> TestResult {
     let fleet = start_fleet().await?;
     let faults = EngineFaults {
         skip_layer: Some(5),
@@ -219,16 +223,16 @@
     call(Method::PUT, fleet.engines[1], "/control/faults", &faults).await?;
     let caller = CallerClient::open("desk");
     let daemon = &fleet.daemons[0];
-    let answer = caller.generate(daemon.callers, "skipped", &body()).await;
-    let right = reference::generate(
+    let response = caller.generate(daemon.callers, "skipped", &body()).await;
+    let expected_tokens = reference::generate(
         MODEL,
         declarations::VERSION,
         LAYERS,
         &PROMPT,
         TOKENS as usize,
     );
-    assert!(answer.is_whole());
-    assert_ne!(answer.tokens(), right);
+    assert!(response.is_whole());
+    assert_ne!(response.tokens(), expected_tokens);
     assert!(check_layers(&engine_records(&fleet).await?, "skipped").is_err());
     Ok(())
 }
