--- a/standins/tests/at_most_once.rs
+++ b/standins/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A non-idempotent request runs at most once, whatever fails.
+//! Checks that a non-idempotent request runs at most once, whatever fails.
 
 mod claim_fleet;
 mod support;
@@ -18,20 +18,19 @@
 use standins::caller::{CallerClient, OutgoingCall};
 use support::{DaemonProcess, TestError, TestResult, eventually};
 
-/// Long enough for a claim on a busy machine, where none is to be given up.
+/// Long enough that no claim times out on a busy machine.
 const LONG_CLAIM_TIMEOUT: &str = "\n[timing]\nclaim_timeout = \"15s\"\nstep_timeout = \"15s\"\n";
-/// Short, where giving up is what is tried.
+/// Short enough that claims time out.
 const SHORT_CLAIM_TIMEOUT: &str = "\n[timing]\nclaim_timeout = \"600ms\"\nlog_wait = \"50ms\"\n";
-/// How long the platform takes for a call while a claimant is to be caught
-/// between its claim's arrival in the log and its own reading of it.
+/// Response time of the platform while a test stops a claimant between the arrival of its
+/// claim in the log and its own read of that claim.
 const SLOW_PLATFORM_MS: u64 = 400;
-/// Times that a claimant is tried to be caught.
+/// Attempts at stopping a claimant at the right moment.
 const STOP_ATTEMPTS: u64 = 20;
 
-/// Symptom: a traveller is charged twice.
-/// Sequence: the balancer sends one key to two or three hosts at once, and to
-/// one of them twice.
-/// Cause: each host finds the key unused and sends the request on.
+/// Guards against a settlement that runs twice, because each host finds the key unused
+/// and forwards the request. A load balancer sends one key to two or three hosts at once,
+/// and to one of them twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_requests_with_one_key_run_once() -> TestResult {
     let fleet = ClaimFleet::start(3, LONG_CLAIM_TIMEOUT).await?;
@@ -65,9 +64,9 @@
         .count();
     assert!(
         response_count > keys.len(),
-        "no answer reached a second caller"
+        "no second caller got a response"
     );
-    // Later repeats, at any host, get the answer from the log.
+    // Later retries at any host get the response from the log.
     for (host, key) in (0..3).cycle().zip(&keys) {
         let request = format!("{key}-again");
         let outcome = fleet.settle(fleet.callers(host), &request, key).await;
@@ -80,10 +79,10 @@
     Ok(())
 }
 
-/// Symptom: a request is refused or answered with another's answer.
-/// Sequence: two organisations use one key; one organisation uses a key for
-/// two bodies; a request comes without a key, or with one that has no time.
-/// Cause: keys are taken to be unique, or unchecked.
+/// Guards against a request that is refused or gets the response of another one, because
+/// keys are assumed to be unique or are not checked. Two organisations use one key, one
+/// organisation uses a key for two bodies, and requests come without a key or with one
+/// that has no timestamp.
 #[tokio::test]
 async fn a_key_belongs_to_one_request_of_one_organisation() -> TestResult {
     let fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
@@ -98,7 +97,7 @@
     for (body, key, hint) in [
         ("{\"other\":1}", Some(key.as_str()), "different request"),
         ("{}", Some(unusable.as_str()), "UUID of version 7"),
-        // Marked by the service's declaration alone.
+        // Only the declaration of the service marks this operation as non-idempotent.
         ("{}", None, "UUID of version 7"),
     ] {
         let call = OutgoingCall {
@@ -115,11 +114,10 @@
     fleet.check()
 }
 
-/// Symptom: a request runs although its caller was refused, or its key cannot
-/// be used after an outage.
-/// Sequence: the log refuses everything; the request comes; the log is back.
-/// Cause: the request is sent on without a claim, or the claim that was never
-/// written is taken to hold the key.
+/// Guards against a request that runs after its caller was refused, because it is
+/// forwarded without a claim, and against a key that stays unusable after an outage,
+/// because a claim that was never written counts. The log refuses all calls and recovers
+/// later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_log_outage_refuses_requests_and_keeps_their_keys_usable() -> TestResult {
     let fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
@@ -146,9 +144,9 @@
     fleet.check()
 }
 
-/// Symptom: a request runs twice, or never although its claim stands.
-/// Sequence: the append of the claim takes effect, its answer is lost.
-/// Cause: the claimant takes the claim for failed, or appends another one.
+/// Guards against a request that runs twice, or never in spite of its claim, because the
+/// claimant treats the claim as failed or appends another one. The append of the claim
+/// takes effect, but its response is lost.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_with_a_lost_append_response_runs_once() -> TestResult {
     let fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
@@ -170,11 +168,10 @@
     fleet.check()
 }
 
-/// Symptom: a request runs although its caller was told that it did not, or
-/// its key stays blocked.
-/// Sequence: the append of the claim is lost, or it reaches the log only after
-/// the claimant has given up; the caller comes back with the same key.
-/// Cause: a claim that turns up late is dispatched, or nobody withdraws it.
+/// Guards against a request that runs after it was reported as not run, because a late
+/// claim is dispatched, and against a key that stays blocked, because the claim is not
+/// withdrawn. The append of the claim is lost or reaches the log after the claimant has
+/// given up, and the caller retries with the same key.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_that_is_lost_or_late_is_never_dispatched() -> TestResult {
     let fleet = ClaimFleet::start(2, SHORT_CLAIM_TIMEOUT).await?;
@@ -186,7 +183,7 @@
         }
         let key = new_key(number);
         faults.update(|faults| match delay_ms {
-            // All of them: hosts append other records beside the claim.
+            // All appends are lost, since hosts append other records besides the claim.
             0 => faults.lose_appends = u32::MAX,
             _ => faults.delay_ms = delay_ms,
         });
@@ -194,7 +191,7 @@
         let outcome = fleet.settle(fleet.callers(0), &request, &key).await;
         faults.update(|faults| faults.lose_appends = 0);
         if outcome.is_response() {
-            // The delay was too short to be noticed.
+            // The delay was too short for the claim to time out.
             faults.update(|faults| faults.delay_ms = 0);
             continue;
         }
@@ -202,7 +199,10 @@
         assert_eq!(outcome.refusal()?.verdict, RunVerdict::NotRun);
         assert!(fleet.runs(&key).is_empty());
         if delay_ms > 0 {
-            eventually("the claim turns up", || async { fleet.is_claimed(&key) }).await?;
+            eventually("the late claim is in the log", || async {
+                fleet.is_claimed(&key)
+            })
+            .await?;
         }
         faults.update(|faults| faults.delay_ms = 0);
         let host = fleet.callers(1);
@@ -214,14 +214,14 @@
     fleet.check()
 }
 
-/// A claimant that stands still between its claim and its dispatch.
+/// A claimant that is stopped between its claim and its dispatch.
 struct StoppedClaimant {
     key: String,
     outcome: tokio::task::JoinHandle<CallOutcome>,
 }
 
-/// Stops a claimant after its claim has reached the log and before it has
-/// sent the request on.
+/// Stops a claimant after its claim has reached the log and before it has forwarded the
+/// request.
 async fn stop_claimant(
     fleet: &ClaimFleet,
     claimant: &DaemonProcess,
@@ -231,8 +231,8 @@
     for number in 0..STOP_ATTEMPTS {
         let key = new_key(number);
         faults.update(|faults| faults.delay_ms = SLOW_PLATFORM_MS);
-        // Sent at once, the claim would arrive together with the claimant's
-        // next read of the log.
+        // Without this pause the claim would arrive together with the claimant's next
+        // read of the log.
         let pause = random.random_range(SLOW_PLATFORM_MS / 4..SLOW_PLATFORM_MS / 2);
         tokio::time::sleep(Duration::from_millis(pause)).await;
         let outcome = tokio::spawn({
@@ -240,36 +240,36 @@
             let (host, request) = (claimant.callers, format!("{key}-caught"));
             async move { recorder.settle(ORGANISATION, host, &request, &key).await }
         });
-        eventually("the claim shows", || async {
+        eventually("the claim is in the log", || async {
             fleet.is_claimed(&key) || outcome.is_finished()
         })
         .await?;
         claimant.process.signal("STOP")?;
         faults.update(|faults| faults.delay_ms = 0);
-        // Once another host has judged the key, bytes that were on their way
-        // to the service have arrived.
+        // Once another host has given a verdict on the key, bytes in flight to the
+        // service have arrived.
         let request = format!("{key}-elsewhere");
         let elsewhere = fleet.settle(fleet.callers(0), &request, &key).await;
         if elsewhere.verdict() == Some(RunVerdict::MayHaveRun) && fleet.runs(&key).is_empty() {
             return Ok(StoppedClaimant { key, outcome });
         }
-        // It had gone on too far, or had claimed nothing; woken, it ends.
+        // The claimant had already forwarded the request, or had not claimed the key.
+        // Resumed, it completes the call.
         claimant.process.signal("CONT")?;
         outcome.await?;
         let (host, key) = (claimant.callers, new_key(1_000 + number));
         fleet.settle_until_answered(host, &key, &key).await?;
     }
-    Err("the claimant was never caught".into())
+    Err("the claimant was never stopped between claim and dispatch".into())
 }
 
 const STOPPED_CLAIMANT_TIMING: &str = "\n[timing]\nclaim_timeout = \"2s\"\nlog_wait = \"10ms\"\n";
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Symptom: a request that another host reported as "may have run" is run long
-/// after its caller left.
-/// Sequence: the claimant is frozen between claim and dispatch; another host
-/// is asked for the key; the claim's deadline passes; the claimant wakes.
-/// Cause: the claimant goes on where it stood and does not look at the time.
+/// Guards against a request that runs long after another host has reported it as "may
+/// have run", because the claimant continues without a look at the time. The claimant is
+/// stopped between claim and dispatch, another host receives the key, and the claimant
+/// resumes after the deadline of the claim.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claimant_resumed_after_its_deadline_dispatches_nothing() -> TestResult {
     let fleet = ClaimFleet::start(1, STOPPED_CLAIMANT_TIMING).await?;
@@ -277,13 +277,14 @@
         .start_process("vake-frozen", STOPPED_CLAIMANT_TIMING)
         .await?;
     let stopped = stop_claimant(&fleet, &claimant).await?;
-    // The claim was made before now, so its deadline lies before this ends.
+    // The claim was made before this sleep begins, so its deadline has passed when the
+    // sleep ends.
     tokio::time::sleep(CLAIM_TIMEOUT).await;
     claimant.process.signal("CONT")?;
     let outcome = stopped.outcome.await?;
     assert_eq!(outcome.verdict(), Some(RunVerdict::NotRun), "{outcome:?}");
     assert!(fleet.runs(&stopped.key).is_empty());
-    // The withdrawal frees the key, and still it runs once only.
+    // The withdrawal makes the key usable again, and the request still runs only once.
     let host = fleet.callers(0);
     let request = format!("{}-back", stopped.key);
     fleet
@@ -293,11 +294,10 @@
     fleet.check()
 }
 
-/// Symptom: a request runs twice.
-/// Sequence: the claimant is killed between claim and dispatch, and a daemon
-/// starts on its host; the caller comes back to every host.
-/// Cause: a host takes the dead claimant's claim for void, though the claimant
-/// may have sent the request before it died.
+/// Guards against a request that runs twice, because a host treats the claim of a dead
+/// claimant as void, although the claimant may have forwarded the request before it died.
+/// The claimant is killed between claim and dispatch, a daemon restarts on its host, and
+/// the caller retries at every host.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_claim_of_a_killed_claimant_is_never_taken_over() -> TestResult {
     let fleet = ClaimFleet::start(1, STOPPED_CLAIMANT_TIMING).await?;
@@ -326,11 +326,10 @@
     fleet.check()
 }
 
-/// Symptom: a request runs a second time long after the first.
-/// Sequence: a key comes back after its window, when its claim has expired
-/// from the log, to a host that knew it and to one that started later; or its
-/// claim has expired too early and it comes to one that started later.
-/// Cause: a key without a claim is taken for a new one.
+/// Guards against a request that runs again long after the first time, because a key
+/// without a claim is taken for a new one. A key is reused after its window, when its
+/// claim has left the log, at a host that knew it and at one that started later; another
+/// claim leaves the log too early, and its key is sent to the host that started later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_key_reused_after_its_window_is_refused() -> TestResult {
     const WINDOW: Duration = Duration::from_secs(60);
@@ -349,9 +348,12 @@
             (body.verdict, body.reason) == (RunVerdict::NotRun, RefusalReason::KeyExpired)
         })
     };
-    eventually("the key is too old", || expired(host, "old-again")).await?;
-    // Later claims push those on both keys out of the log; the declarations,
-    // which are fewer, stay.
+    eventually("the key is refused as expired", || {
+        expired(host, "old-again")
+    })
+    .await?;
+    // Later claims push the claims on both keys out of the log. The declarations are
+    // fewer and stay.
     let kept = fleet.fleet.platform.record("declarations").len() as u64;
     for number in 10..10 + kept {
         let key = new_key(number);
@@ -370,10 +372,10 @@
     fleet.check()
 }
 
-/// Symptom: a key stays blocked, or its answer unknown, after a shutdown.
-/// Sequence: a daemon is told to stop while a request runs and the log is slow.
-/// Cause: it exits once its caller is answered, before the log shows how the
-/// request ended.
+/// Guards against a key that stays blocked, or whose response is unknown, after a
+/// shutdown, because the daemon exits once the caller has its response and before the
+/// outcome is in the log. A daemon receives a signal to stop while a request runs and the
+/// log is slow.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_shutdown_waits_until_outcomes_are_in_the_log() -> TestResult {
     let mut fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
@@ -390,18 +392,18 @@
         let claimed = eventually("the key is claimed", || async { fleet.is_claimed(&key) });
         assert!(claimed.await.is_ok());
         faults.update(|faults| faults.delay_ms = SLOW_PLATFORM_MS);
-        let thaw = async {
+        let unfreeze = async {
             tokio::task::yield_now().await;
             service.update(|faults| faults.frozen = false);
         };
-        tokio::join!(stopping.shutdown(), thaw);
+        tokio::join!(stopping.shutdown(), unfreeze);
     });
     assert!(outcome.is_response(), "{outcome:?}");
     let records = fleet.fleet.platform.record("claims");
     let is_outcome = |text: &str| text.contains("outcome") && text.contains("\"ran\"");
     assert!(
         records.iter().any(|record| is_outcome(&record.body)),
-        "the daemon ended without an outcome in the log"
+        "the daemon exited before the outcome was in the log"
     );
     faults.update(|faults| faults.delay_ms = 0);
     let repeat = fleet.settle(fleet.callers(0), "repeat", &key).await;
@@ -409,10 +411,9 @@
     fleet.check()
 }
 
-/// Symptom: a draft is written twice under one key.
-/// Sequence: the balancer sends one marked generation to two hosts at once,
-/// and once more after it has ended.
-/// Cause: only calls of services are claimed.
+/// Guards against a generation that runs twice under one key, because only calls of
+/// services are claimed. A load balancer sends one keyed generation to two hosts at once,
+/// and again after it has ended.
 #[tokio::test(flavor = "multi_thread")]
 async fn concurrent_generations_with_one_key_run_once() -> TestResult {
     let fleet = ClaimFleet::start(2, LONG_CLAIM_TIMEOUT).await?;
@@ -429,7 +430,7 @@
         );
         let host = fleet.callers(number as usize % 2);
         let third = fleet.generate(host, &requests[2], Some(&key), 5).await;
-        let refusal = third.refused().ok_or("a repeat was let through")?;
+        let refusal = third.refused().ok_or("a retry was not refused")?;
         assert_eq!(refusal.reason, RefusalReason::ClaimedElsewhere);
         let runs = requests
             .iter()
@@ -439,11 +440,9 @@
     fleet.check()
 }
 
-/// Symptom: a caller is told "not run" of a request that ran, takes a new key,
-/// and it runs again.
-/// Sequence: the answer is lost on its way; the caller repeats the request
-/// while its organisation has no room left.
-/// Cause: the repeat is refused before anybody looks at its key.
+/// Guards against a request that runs twice because its retry is refused as "not run", so
+/// that the caller picks a new key. The response is lost, and the caller retries while
+/// its organisation has no capacity left; the key must be checked before the capacity.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_retry_of_a_completed_request_is_not_refused_as_not_run() -> TestResult {
     let settings = format!("{LONG_CLAIM_TIMEOUT}\n[limits]\nmax_queued_per_organisation = 0\n");
@@ -458,7 +457,7 @@
                 .await
         }
     };
-    eventually("the organisation has room here", || async {
+    eventually("the organisation has capacity on this host", || async {
         let outcome = fleet
             .query_balance(SMALL_ORGANISATION, host, "warm-up")
             .await;
@@ -473,7 +472,7 @@
         fleet.query_balance(SMALL_ORGANISATION, host, "blocker"),
         async {
             let is_full = || async { fleet.in_flight(daemon).await > 0 };
-            let is_full = eventually("no room is left", is_full).await;
+            let is_full = eventually("the capacity is used up", is_full).await;
             let outcomes = [settle("repeat", &key).await, settle("new", &other).await];
             faults.update(|faults| faults.frozen = false);
             is_full.map(|()| outcomes)
--- a/standins/tests/claim_fleet/mod.rs
+++ b/standins/tests/claim_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet whose callers' non-idempotent requests are written down.
+//! A small fleet that records the requests of its callers.
 
 #![allow(
     unreachable_pub,
@@ -35,7 +35,7 @@
 pub const MODEL: &str = "receipt-reader";
 pub const ORGANISATION: &str = "desk";
 pub const OTHER_ORGANISATION: &str = "office";
-/// Has one request at a time.
+/// May run one request at a time.
 pub const SMALL_ORGANISATION: &str = "stall";
 pub const SETTLE: &str = "ledger/settle";
 pub const BALANCE: &str = "ledger/balance";
@@ -43,27 +43,27 @@
 pub const LAYERS: u32 = 4;
 const GENERATION_DEADLINE_MS: u64 = 4_000;
 
-/// A fleet with what its callers sent and heard.
+/// A fleet with the requests and responses of its callers.
 pub struct ClaimFleet {
     pub fleet: Fleet,
     pub recorder: Arc<CallRecorder>,
 }
 
-/// What callers sent and heard.
+/// Requests that callers sent, with their responses.
 #[derive(Debug, Default)]
 pub struct CallRecorder {
     sent_calls: Mutex<Vec<CallHistory>>,
     generations: Mutex<Vec<GenerationHistory>>,
 }
 
-/// What a caller was told about one call.
+/// Outcome of one call, as its caller sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallOutcome {
-    /// An answer of the service.
+    /// Response of the service.
     Response(Vec<u8>),
-    /// A refusal.
+    /// Refusal by the router or the target.
     Refused(RefusalBody),
-    /// Nothing: the connection broke.
+    /// No response, because the connection broke.
     NoResponse,
 }
 
@@ -75,7 +75,7 @@
     pub fn response(&self) -> Result<&[u8], TestError> {
         match self {
             Self::Response(body) => Ok(body),
-            other => Err(format!("not answered: {other:?}").into()),
+            other => Err(format!("no response: {other:?}").into()),
         }
     }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// A key made at `created`; keys of different `number`s differ.
+/// Returns a key created at `created`; keys with different `number`s differ.
 pub fn key_created_at(created: SystemTime, number: u64) -> String {
     let age = created.duration_since(UNIX_EPOCH).unwrap_or_default();
     let millis = u64::try_from(age.as_millis()).unwrap_or_default();
@@ -104,7 +104,7 @@
     uuid.hyphenated().to_string()
 }
 
-/// A key made now.
+/// Returns a key created now.
 pub fn new_key(number: u64) -> String {
     key_created_at(SystemTime::now(), number)
 }
@@ -153,11 +153,11 @@
     }
 }
 
-/// Waits until a host serves both organisations: it holds a part of what each
-/// bought.
+/// Waits until a host serves both organisations, which shows that it holds a share of the
+/// capacity of each.
 async fn wait_for_grants(host: SocketAddr) -> TestResult {
     for organisation in [ORGANISATION, OTHER_ORGANISATION] {
-        eventually("the host holds grants", || async {
+        eventually("the host has capacity", || async {
             let caller = CallerClient::open(organisation);
             let body = GenerateBody {
                 model: MODEL.into(),
@@ -175,7 +175,7 @@
 }
 
 impl ClaimFleet {
-    /// Starts entry hosts that know each other.
+    /// Starts a fleet and waits until its entry hosts reach each other.
     pub async fn start(entry_hosts: usize, extra_settings: &str) -> Result<Self, TestError> {
         let fleet = Fleet::start(small_layout(entry_hosts, extra_settings)).await?;
         for daemon in &fleet.daemons {
@@ -195,7 +195,7 @@
         })
     }
 
-    /// Starts a further entry host as a process of its own, without peers.
+    /// Starts another entry host as a separate process without peers.
     pub async fn start_process(
         &self,
         host: &str,
@@ -205,7 +205,7 @@
         let daemon = DaemonProcess::spawn(&place.to_toml(extra_settings))?;
         let first = self.fleet.daemons.first().ok_or("no daemon")?.operators;
         let version = operator::read::<StatusView>(first, "/v1/status").await?;
-        eventually("the declarations are in force", || async {
+        eventually("the declarations are in effect", || async {
             let status = operator::read::<StatusView>(daemon.operators, "/v1/status").await;
             status.is_ok_and(|status| status.ready && status.applied >= version.applied)
         })
@@ -222,7 +222,7 @@
         &self.fleet.services[0].server
     }
 
-    /// Sends a settlement under a key and writes down what is heard.
+    /// Sends a settlement under a key and records its outcome.
     pub async fn settle(&self, host: SocketAddr, request: &str, key: &str) -> CallOutcome {
         self.settle_as(ORGANISATION, host, request, key).await
     }
@@ -237,8 +237,7 @@
         self.recorder.settle(organisation, host, request, key).await
     }
 
-    /// Sends a settlement again and again, each time as a request of its own,
-    /// until the service's answer comes.
+    /// Retries a settlement until the service responds, each time with a new request id.
     pub async fn settle_until_answered(
         &self,
         host: SocketAddr,
@@ -254,7 +253,7 @@
         .await
     }
 
-    /// Sends a call that may be repeated and writes down what is heard.
+    /// Sends an idempotent call and records its outcome.
     pub async fn query_balance(
         &self,
         organisation: &str,
@@ -269,8 +268,7 @@
         self.recorder.send(organisation, host, request, call).await
     }
 
-    /// Asks for a generation, under a key if there is one, and writes down
-    /// what is heard.
+    /// Requests a generation, with a key if there is one, and records the response.
     pub async fn generate(
         &self,
         host: SocketAddr,
@@ -304,7 +302,7 @@
         response
     }
 
-    /// Steps that the engine ran for a request of a caller.
+    /// Counts the steps that the engine ran for a request of a caller.
     pub fn steps_of(&self, request: &str) -> usize {
         let run = format!("{request}~");
         let records = self.engine().record();
@@ -316,7 +314,7 @@
         &self.fleet.engines[0].server
     }
 
-    /// Calls of a host that its targets have not answered.
+    /// Counts the calls of a host that are in flight to its targets.
     pub async fn in_flight(&self, daemon: &FleetDaemon) -> u64 {
         let status = operator::read::<StatusView>(daemon.operators, "/v1/status").await;
         status.map_or(0, |status| {
@@ -325,20 +323,20 @@
         })
     }
 
-    /// Calls that ran under a key.
+    /// Returns the calls that ran under a key.
     pub fn runs(&self, key: &str) -> Vec<CallRecord> {
         let is_own = |record: &CallRecord| record.idempotency_key.as_deref() == Some(key);
         let records = self.service().record();
         records.into_iter().filter(is_own).collect()
     }
 
-    /// Whether a claim on the key stands in the log.
+    /// Returns whether the log has a claim on the key.
     pub fn is_claimed(&self, key: &str) -> bool {
         let records = self.fleet.platform.record("claims");
         records.iter().any(|record| record.body.contains(key))
     }
 
-    /// Withdrawals and outcomes in the log.
+    /// Counts the withdrawals and outcomes in the log.
     pub fn settlements(&self) -> usize {
         let records = self.fleet.platform.record("claims");
         let settles = records.iter().filter(|record| {
@@ -349,8 +347,8 @@
         settles.count()
     }
 
-    /// Checks the whole history: no key ran twice, nothing ran whose caller was
-    /// told that it did not, and all answers under one key are the same.
+    /// Checks the whole history: no key ran twice, no request ran that was reported as
+    /// not run, and all responses under one key are equal.
     pub fn check(&self) -> TestResult {
         let history = RunHistory {
             calls: self.service().record(),
@@ -379,7 +377,7 @@
                 let name = (call.organisation.clone(), call.key.clone());
                 let first = responses.entry(name).or_insert_with(|| body.clone());
                 if *first != body {
-                    return Err(format!("{:?}: two different answers", call.key).into());
+                    return Err(format!("{:?}: two different responses", call.key).into());
                 }
             }
         }
@@ -398,7 +396,7 @@
 }
 
 impl CallRecorder {
-    /// Sends a settlement under a key and writes down what is heard.
+    /// Sends a settlement under a key and records its outcome.
     pub async fn settle(
         &self,
         organisation: &str,
--- a/standins/tests/configuration.rs
+++ b/standins/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration is accepted once and never reverted, under the failures of the
-//! platform and of those who write to its log.
+//! Checks that configuration is accepted once and never reverted while the platform or
+//! the writers to its log fail.
 
 mod support;
 
@@ -17,9 +17,9 @@
 use support::hosts::{ReversionDetector, TestHost, accepted, organisation};
 use support::{TestError, TestResult, eventually};
 
-// Symptom: an operator's change vanishes, or two hosts serve different ones.
-// Events: two operators change what both have seen, through two hosts, at the
-// same time. Cause: a host takes the last change written, or its own.
+/// Guards against an operator's change that is lost, or hosts that serve different ones,
+/// because a host applies the last change written, or its own. Two operators change the
+/// same version through two hosts at the same time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn of_two_concurrent_changes_one_is_accepted_and_the_other_gets_a_conflict() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
@@ -58,11 +58,10 @@
     Ok(())
 }
 
-// Symptom: a change is accepted twice, or an operator is told of a failure
-// and the change is in force all the same.
-// Events: an append takes effect, its answer is lost; the writer appends
-// again, or a first attempt that was paused arrives after later changes.
-// Cause: the answer of the append decides instead of the record in the log.
+/// Guards against a change that is accepted twice, or that is in effect although the
+/// operator got an error, because the response to the append decides instead of the
+/// record in the log. An append takes effect but its response is lost; the writer appends
+/// again, and a copy of the record arrives after later changes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn an_append_with_a_lost_response_is_accepted_once() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
@@ -75,7 +74,7 @@
         let host = &hosts[round as usize % 3];
         let change = organisation("desk", round);
         let version = accepted(&operator::apply(host.operators, &change, based_on).await?)?;
-        // So long as some are left, no append was answered meanwhile.
+        // While the counter is not used up, every response to an append is lost.
         assert!(platform.faults().get().lose_append_answers > 0);
         platform
             .faults()
@@ -84,7 +83,11 @@
         based_on = Some(version);
         let mut records = platform.record(DECLARATION_STREAM).into_iter();
         let stored = records.find(|record| record.offset == version);
-        append(&platform, stored.ok_or("not in the log")?.body).await?;
+        append(
+            &platform,
+            stored.ok_or("the change is not in the log")?.body,
+        )
+        .await?;
     }
     let end = append(&platform, "the end".to_owned()).await?;
     for host in &hosts {
@@ -99,10 +102,10 @@
     Ok(())
 }
 
-// Symptom: an operator is told that a change was not written; it turns up.
-// Events: the platform refuses for some seconds, then takes appends and
-// answers none, so that the operator's time ends during an append.
-// Cause: the verdict is that of the attempts that were answered.
+/// Guards against a change that takes effect after it was reported as not written,
+/// because the verdict rests only on the attempts that got a response. The platform
+/// refuses calls for some seconds and then accepts appends without a response, so that
+/// the operator's deadline expires during an append.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_change_during_an_outage_gets_a_correct_verdict() -> TestResult {
     let (refused, hung, both) = tokio::join!(
@@ -112,12 +115,13 @@
     );
     assert_eq!(refused?, RunVerdict::NotRun);
     assert_eq!(hung?, RunVerdict::MayHaveRun);
-    // Either is right; that the first was not untrue is checked inside.
+    // Both verdicts are possible here; `change_in_outage` checks that the verdict is
+    // true.
     both.map(|_| ())
 }
 
-/// Gives the verdict of a change while the platform refuses and, if so asked,
-/// then hangs. Fails if it is told as not written and yet comes to be.
+/// Returns the verdict on a change while the platform refuses calls and, after `refused`,
+/// hangs. Fails if the change is reported as not run and is accepted all the same.
 async fn change_in_outage(refused: Option<Duration>) -> Result<RunVerdict, TestError> {
     let platform = start_platform(u64::MAX).await?;
     let host = TestHost::start("entry-1", "vake", platform.local_addr(), &[]).await?;
@@ -145,20 +149,20 @@
     platform
         .faults()
         .update(|faults| (faults.hanging, faults.outage) = (false, false));
-    // Whatever was on its way is in the log before this one is accepted.
+    // All appends in flight are in the log before this change is accepted.
     let later = host.declare("desk", 2).await?;
     host.wait_until_serving(&key("desk"), later).await?;
     match host.version(&key("other")).await {
         Some(found) if verdict == RunVerdict::NotRun => {
-            Err(format!("told not run, and accepted as {found}").into())
+            Err(format!("reported as not run, but accepted as version {found}").into())
         }
         _ => Ok(verdict),
     }
 }
 
-// Symptom: after a writer wakes from a long pause, deleted resources are back.
-// Events: it appends a checkpoint of the state before its pause.
-// Cause: readers take the content of any checkpoint that they meet.
+/// Guards against deleted resources that return, because hosts apply the content of every
+/// checkpoint in the log. A writer resumes after a long pause and appends a checkpoint of
+/// the state before the pause.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_stale_checkpoint_is_ignored_and_a_wrong_one_reported() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
@@ -192,7 +196,7 @@
     }
     append(&platform, checkpoint("wrong", &wrong)?).await?;
     for host in &hosts {
-        let what = "the wrong checkpoint is told";
+        let what = "the wrong checkpoint is counted";
         eventually(what, || async {
             metric(host, DIFFERING_CHECKPOINTS).await == Some(1)
         })
@@ -202,9 +206,9 @@
     detector.finish()
 }
 
-// Symptom: after an upgrade of half the hosts the others serve what they make
-// of records that they can't judge. Events: a record of newer rules is read.
-// Cause: the host goes on, or takes it for a malformed one.
+/// Guards against hosts that serve a configuration from records that they cannot
+/// evaluate, because they continue or treat the record as malformed. During an upgrade a
+/// host reads a record with newer rules.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_record_with_newer_rules_makes_hosts_unready() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
@@ -214,10 +218,7 @@
     let record = format!("{{\"id\":\"newer\",\"rules\":{}}}", JUDGING_RULES + 1);
     append(&platform, record).await?;
     for host in &hosts {
-        eventually("the host takes no work", || async {
-            !host.is_ready().await
-        })
-        .await?;
+        eventually("the host is not ready", || async { !host.is_ready().await }).await?;
     }
     let reply = operator::apply(hosts[0].operators, &organisation("x", 1), None).await?;
     let refusal: RefusalBody = reply.json()?;
--- a/standins/tests/configuration_hosts.rs
+++ b/standins/tests/configuration_hosts.rs
@@ -1,5 +1,5 @@
-//! Configuration comes to be in force on every host and is never reverted,
-//! whatever becomes of hosts and links.
+//! Checks that configuration takes effect on every host and is never reverted while hosts
+//! and links fail.
 
 mod support;
 
@@ -37,10 +37,10 @@
     }
 }
 
-// Symptom: an old configuration is back, or a deleted resource.
-// Events: the log keeps few records and never stops changing, while every
-// host is replaced, twice. Cause: a new host takes an old checkpoint for the
-// whole state, or goes on behind a checkpoint and loses what lies between.
+/// Guards against an old configuration or a deleted resource that returns, because a new
+/// host takes an old checkpoint for the whole state, or continues after a checkpoint and
+/// misses the records before it. The log keeps few records and changes all the time while
+/// every host is replaced twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn configuration_survives_log_retention_and_host_replacement() -> TestResult {
     let platform = start_platform(24).await?;
@@ -78,11 +78,11 @@
     let horizon = platform.record(DECLARATION_STREAM).len() as u64 - 24;
     assert!(
         deletion < horizon,
-        "{deletion} is still kept from {horizon} on"
+        "the deletion {deletion} is still in the log, which starts at {horizon}"
     );
-    // Without peers a new host has the log alone. Its zone is one whose shares
-    // somebody divides: with expired lease records it could begin to do so
-    // itself only after the longest lease, and is not ready before.
+    // Without peers a new host has only the log. It starts in a zone where another host
+    // divides the shares: with expired lease records the new host could divide them
+    // itself only after the longest lease, and would not be ready before.
     let alone = TestHost::start("alone", "vake", platform.local_addr(), &[]).await?;
     detector.add(&alone);
     alone.wait_until_serving(&key("desk"), version).await?;
@@ -91,10 +91,9 @@
     detector.finish()
 }
 
-// Symptom: a host that starts during an outage serves an old configuration,
-// or none, to callers. Events: the platform is down; a new host hears first
-// of a peer that has been cut off for long, or of no peer at all.
-// Cause: it takes work as soon as it holds anything.
+/// Guards against a host that serves an old configuration, or none, because it becomes
+/// ready as soon as it has any state. The platform is down, and a new host first reaches
+/// a peer that has been disconnected for long, or no peer at all.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_host_started_during_an_outage_waits_for_the_newest_state() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
@@ -120,12 +119,15 @@
     )
     .await?;
     let isolated = TestHost::start("b", "didube", platform.local_addr(), &[]).await?;
-    eventually("the old state has come", || async {
+    eventually("the host has the old state", || async {
         started.version(&key("desk")).await == Some(before)
     })
     .await?;
     for _ in 0..20 {
-        assert!(!started.is_ready().await, "takes work on the old state");
+        assert!(
+            !started.is_ready().await,
+            "the host is ready with the old state"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     new.peer_link.set(LinkState::Open);
@@ -135,8 +137,8 @@
     assert_eq!(reply.json::<RefusalBody>()?.verdict, RunVerdict::NotRun);
     let ready = standins::json_client::call(Method::GET, isolated.callers, "/readyz", &()).await?;
     assert_eq!(ready.status, StatusCode::SERVICE_UNAVAILABLE);
-    // Without configuration it knows no organisation either; a caller that
-    // was told so would not come back.
+    // Without configuration the host knows no organisation either. A caller that gets
+    // "unknown organisation" would not retry.
     let caller = CallerClient::open("desk");
     let response = caller
         .generate(isolated.callers, "early", &generation())
@@ -148,10 +150,10 @@
     isolated.wait_until_serving(&key("desk"), after).await
 }
 
-// Symptom: a zone keeps an old configuration for as long as the platform is
-// out of its reach, or stops serving, or goes back after the rejoin.
-// Events: the zone loses the platform, then also its peers, then has them back.
-// Cause: the log is the only way for records, or what is unknown counts as new.
+/// Guards against a zone that keeps an old configuration, stops serving, or reverts after
+/// it has reconnected, because records arrive only through the log or unknown state
+/// counts as new. The zone loses the platform, then also its peers, and then reconnects
+/// to both.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_disconnected_zone_follows_its_peers_or_keeps_its_configuration() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
@@ -170,7 +172,7 @@
 
     link.set(LinkState::Cut);
     let mut by_peers = first;
-    // Heard by their own calls, one peer after the other does not answer.
+    // Each peer in turn is unreachable for the host, but calls the host itself.
     for unreachable in [&hosts[1], &hosts[2]] {
         unreachable.peer_link.set(LinkState::Cut);
         by_peers = hosts[1].declare("desk", 2).await?;
@@ -182,7 +184,7 @@
     append(&platform, checkpoint("wrong", &wrong)?).await?;
     let reports_difference = || async { metric(&hosts[0], DIFFERING_CHECKPOINTS).await == Some(1) };
     eventually(
-        "the cut-off host tells of the wrong checkpoint",
+        "the disconnected host counts the wrong checkpoint",
         reports_difference,
     )
     .await?;
@@ -197,7 +199,7 @@
         let view = operator::read::<ForceView>(hosts[0].operators, "/v1/force").await;
         view.is_ok_and(|view| view.hosts.iter().filter(|host| host.reachable).count() == 1)
     };
-    eventually("the cut-off host hears nobody", is_isolated).await?;
+    eventually("the disconnected host reaches no peer", is_isolated).await?;
     for _ in 0..50 {
         assert!(hosts[0].is_ready().await, "stopped serving");
         assert_eq!(hosts[0].version(&desk).await, Some(by_peers));
@@ -214,11 +216,10 @@
     detector.finish()
 }
 
-// Symptom: `watch` never ends, or ends while a host is behind.
-// Events: a fleet of 8 hosts in 3 zones, in which a host hears only 2 hosts of
-// each other zone; a host is restarted again and again under its name.
-// Cause: what is not heard directly counts as unreachable for ever; or a new
-// incarnation is taken for an old one and not listened to.
+/// Guards against a `watch` that never ends, or ends while a host is behind, because a
+/// host without a direct connection counts as unreachable for ever, or a new incarnation
+/// is taken for the old one. In a fleet of 8 hosts in 3 zones each host is connected to
+/// only 2 hosts of each other zone, and hosts restart under their names.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn the_force_view_lists_every_host_after_restarts() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
@@ -235,7 +236,10 @@
         platform.set_hosts(host_list(&hosts));
         let version = hosts[round as usize % 8].declare("desk", round).await?;
         for host in &hosts {
-            let what = format!("{} sees version {version} in force on 8 hosts", host.name);
+            let what = format!(
+                "{} reports version {version} in effect on 8 hosts",
+                host.name
+            );
             eventually(&what, || async {
                 let view = operator::read::<ForceView>(host.operators, "/v1/force").await;
                 view.is_ok_and(|view| {
@@ -273,10 +277,9 @@
     }
 }
 
-// Symptom: callers' streams break whenever an operator changes something.
-// Events: the engine, model and organisation of a running stream are declared
-// anew while it runs, and the platform goes down. Cause: tables are built
-// anew and lose what is in flight.
+/// Guards against streams that break when an operator changes a resource, because tables
+/// are rebuilt and lose the runs in flight. The engine, model and organisation of a
+/// running stream are declared again while it runs, and the platform fails.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_stream_survives_changes_of_its_resources() -> TestResult {
     let platform = start_platform(u64::MAX).await?;
@@ -335,7 +338,7 @@
     assert!(response.is_whole(), "{response:?}");
     assert_eq!(response.tokens(), expected);
     assert!(change_count? > 0, "nothing changed while the stream ran");
-    // The platform is down by now; the configuration stays in force.
+    // The platform is down, and the configuration stays in effect.
     let response = caller.generate(hosts[0].callers, "after", &body).await;
     assert_eq!(response.tokens(), expected);
     Ok(())
--- a/standins/tests/force_time.rs
+++ b/standins/tests/force_time.rs
@@ -1,6 +1,5 @@
-//! Measures how long a change takes until it is in force on every host.
-//!
-//! Not run with the tests: it prints figures and asserts nothing about time.
+//! Measures how long a change takes until it is in effect on every host. The test is
+//! ignored by default: it prints times and asserts nothing about them.
 
 mod support;
 
--- a/standins/tests/leaving.rs
+++ b/standins/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! A leaving target gets no new work after a few seconds, however it is known
-//! that it leaves, and what runs on it ends whole.
+//! Checks that a leaving target gets no new work after a few seconds, whichever way its
+//! leave becomes known, and that runs on it complete.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -17,11 +17,11 @@
 type TestError = Box<dyn std::error::Error + Send + Sync>;
 type TestResult = Result<(), TestError>;
 
-/// The few seconds of the promise.
+/// Time within which new work must stop.
 const GRACE: Duration = Duration::from_secs(3);
-/// How long the load goes on after that.
+/// Duration of the load after the grace.
 const AFTER_GRACE: Duration = Duration::from_millis(1_500);
-/// Requests that must have begun and ended well after the grace.
+/// Minimum number of requests that are sent after the grace.
 const MIN_REQUESTS_AFTER_GRACE: usize = 10;
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const ENGINE: &str = "engine-1-0";
@@ -31,9 +31,9 @@
 const LONG_TOKENS: u64 = 160;
 const SEND_INTERVAL: Duration = Duration::from_millis(60);
 
-/// An entry host in each of two zones. The engine that leaves is the fastest
-/// of its stage, so that it is in use. `didube` has engines unless all are to
-/// be in `vake`.
+/// Starts a fleet with an entry host in each of two zones. The engine that leaves is the
+/// fastest of its stage, so that it is in use. `didube` has engines unless both of
+/// `engines_in` are `vake`.
 async fn start_fleet(engines_in: [&str; 2]) -> Result<Fleet, TestError> {
     let zone = |name: &str| ZonePlan {
         name: name.to_owned(),
@@ -62,7 +62,7 @@
     Fleet::start(layout).await
 }
 
-/// A target in `didube` that nothing uses.
+/// Declares a target in `didube` that nothing uses.
 fn spare_target() -> Declaration {
     let place = StageTarget {
         name: "spare".to_owned(),
@@ -109,15 +109,15 @@
     }
 }
 
-/// What the callers heard.
+/// Responses that the callers received.
 #[derive(Default)]
 struct LoadResult {
     generations: Vec<GenerationHistory>,
     calls: Vec<Result<HeardReply, String>>,
 }
 
-/// Short requests and calls at a steady rate through all running daemons,
-/// beside a long stream through each.
+/// Short requests and calls at a steady rate through all running daemons, with some long
+/// streams through each.
 struct SteadyLoad {
     stop: watch::Sender<bool>,
     task: JoinHandle<LoadResult>,
@@ -171,8 +171,8 @@
     }
 }
 
-/// Waits until runs are on the engine that is to leave, and gives the service
-/// target with the most calls, which is to leave too.
+/// Waits until the engine that leaves has runs, and returns the index of the service
+/// target with the most calls, which leaves too.
 async fn wait_until_used(fleet: &Fleet) -> Result<usize, TestError> {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     let engine = fleet.engine(ENGINE).ok_or("no such engine")?;
@@ -187,8 +187,8 @@
     }
 }
 
-/// Lets the load go on past the grace after the engine and the service target
-/// were put down as leaving, then checks every promise.
+/// Continues the load past the grace after the engine and the service target were marked
+/// as leaving, and checks that both get no new work and that all requests succeed.
 async fn check_leave(fleet: &Fleet, load: SteadyLoad, service: usize) -> TestResult {
     let at_micros = now_micros();
     tokio::time::sleep(GRACE).await;
@@ -220,14 +220,21 @@
     let latest = at_micros + GRACE.as_micros() as u64;
     let calls = fleet.services[service].server.record();
     let late_calls = calls.iter().filter(|call| call.at_micros > latest);
-    assert_eq!(late_calls.count(), 0, "the service target still gets calls");
-    // Work that a target has to refuse is work that it still gets.
+    assert_eq!(
+        late_calls.count(),
+        0,
+        "the service target still gets calls after the grace"
+    );
+    // A refused step is also new work for a target.
     let refused = refused_as_leaving(fleet).await?;
-    assert_eq!(refused, refused_until_then, "new work is still offered");
+    assert_eq!(
+        refused, refused_until_then,
+        "leaving targets still get new work"
+    );
     Ok(())
 }
 
-/// Steps that all daemons sent elsewhere because a target was leaving.
+/// Counts the retries of all daemons that were caused by a leaving target.
 async fn refused_as_leaving(fleet: &Fleet) -> Result<u64, TestError> {
     let mut refused = 0;
     for daemon in fleet.running() {
@@ -260,9 +267,9 @@
     Ok(())
 }
 
-/// Symptom: runs begin on a target that the operators drain.
-/// Sequence: engine and service target are declared as draining under load.
-/// Cause: a host goes on with what was declared before.
+/// Guards against runs that begin on a draining target, because a host continues with the
+/// previous declaration. An engine and a service target are declared as draining under
+/// load.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_declared_as_draining_gets_no_new_work() -> TestResult {
     let mut fleet = start_fleet(["didube", "vake"]).await?;
@@ -290,10 +297,9 @@
     Ok(())
 }
 
-/// Symptom: runs begin on a target that the platform takes away.
-/// Sequence: the platform's list calls the targets leaving; the zone's host is
-/// cut off from the platform at that moment, but not from the other zone's.
-/// Cause: the list is not the only way to know: the other zone's host has it.
+/// Guards against runs that begin on a target that the platform removes, because a host
+/// learns about it from the platform's list only. The list marks the targets as leaving
+/// when the host of their zone loses the platform, but not the host of the other zone.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_cut_from_the_platform_learns_from_its_peers() -> TestResult {
     let mut fleet = start_fleet(["didube", "vake"]).await?;
@@ -310,9 +316,9 @@
     Ok(())
 }
 
-/// Symptom: runs are offered to a target that refuses them, again and again.
-/// Sequence: the list is down, so that only the targets say that they leave.
-/// Cause: what one host hears from a target must reach the others.
+/// Guards against runs that are offered again and again to a target that refuses them,
+/// because a host does not pass on what a target reports. The platform is down, so that
+/// only the targets report that they leave.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_refuses_work_gets_no_new_work() -> TestResult {
     let mut fleet = start_fleet(["didube", "vake"]).await?;
@@ -328,15 +334,13 @@
     Ok(())
 }
 
-/// Symptom: as above, for as long as the target's zone has no entry host.
-/// Sequence: the hosts of the targets' zone die; the list is down; targets
-/// refuse by themselves.
-/// Cause: hosts poll targets of their own zone only, so nobody polls these.
-/// The refusal of a step must count as the target's word.
+/// Guards against the same fault in a zone without entry hosts: hosts poll only targets
+/// of their own zone, so the refusal of a step must count as the target's report. The
+/// hosts of the targets' zone die, the platform is down, and the targets refuse work.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_marks_a_target_that_no_host_polls_as_leaving() -> TestResult {
     let mut fleet = start_fleet(["vake", "vake"]).await?;
-    // Capacity is split over the zones that have a target.
+    // Capacity is divided among the zones that have a target.
     fleet.declare(&[spare_target()]).await?;
     fleet.daemons[0].kill().await;
     let load = SteadyLoad::spawn(&fleet);
--- a/standins/tests/not_run.rs
+++ b/standins/tests/not_run.rs
@@ -1,4 +1,4 @@
-//! What a caller is told not to have run did not run.
+//! Checks that a request that is reported as not run did not run.
 
 mod claim_fleet;
 mod support;
@@ -13,18 +13,17 @@
 use standins::service::{DeathPoint, ServiceFaults};
 use support::{TestResult, eventually};
 
-/// Short enough for targets that hang.
+/// Short timeouts for targets that hang.
 const SHORT_TARGET_TIMEOUTS: &str =
     "\n[timing]\nconnect_timeout = \"200ms\"\nstep_timeout = \"400ms\"\n";
-/// Slows a call of 5 ms far beyond the step timeout.
+/// Slows a call of 5 ms far beyond the step timeout of 400 ms.
 const SLOW_FACTOR: f64 = 300.0;
-/// Tokens of the generations here.
+/// Tokens of a generation that completes.
 const TOKENS: u64 = 6;
-/// Tokens of one that does not end by itself before it is cut.
+/// Tokens of a generation that does not end before it is interrupted.
 const LONG_TOKENS: u64 = 1_000;
 
-/// What a fault leaves behind: the verdict that is due and whether the call
-/// takes effect.
+/// A fault of the service, with the expected verdict and whether the call takes effect.
 struct CallCase {
     name: &'static str,
     faults: ServiceFaults,
@@ -50,7 +49,7 @@
         case("overloaded", NotRun, false, |faults| {
             faults.refuse_calls = 9;
         }),
-        case("misread", NotRun, false, |faults| {
+        case("malformed", NotRun, false, |faults| {
             faults.refuse_calls = 9;
             faults.refusal = TargetRefusalKind::Malformed;
         }),
@@ -64,25 +63,23 @@
         case("dies after", MayHaveRun, true, |faults| {
             faults.die_at = Some(DeathPoint::After);
         }),
-        case("answer lost", MayHaveRun, true, |faults| {
+        case("response lost", MayHaveRun, true, |faults| {
             faults.lose_answers = 9;
         }),
         case("frozen", MayHaveRun, true, |faults| faults.frozen = true),
-        case("crawls", MayHaveRun, true, |faults| {
+        case("slow", MayHaveRun, true, |faults| {
             faults.slow_factor = SLOW_FACTOR;
         }),
-        case("far away", MayHaveRun, true, |faults| {
+        case("long link delay", MayHaveRun, true, |faults| {
             faults.link_delay_ms = 1_500;
         }),
     ]
 }
 
-/// Symptom: a traveller is told that a settlement was not made, settles again
-/// and pays twice.
-/// Sequence: the service is dead, refuses, dies before, during or after the
-/// call, loses the call or the answer, hangs, or is slow.
-/// Cause: a failure after the call was sent is taken for one before; or the
-/// key of a call that may have run is let through again.
+/// Guards against a settlement that runs twice because it was reported as not run, when a
+/// failure after the send is taken for one before it, or the key of a call that may have
+/// run is accepted again. The service is dead, refuses, dies before, during or after the
+/// call, loses the call or the response, hangs, or is slow.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_settlement_reported_not_run_did_not_run() -> TestResult {
     let results = join_all(call_cases().into_iter().map(try_settlement)).await;
@@ -134,9 +131,8 @@
     Ok(())
 }
 
-/// Symptom and causes as above, for a call that may be repeated.
-/// Sequence: the same failures; the router may try again where it is allowed,
-/// and what it says must cover every try.
+/// Guards against the same fault for an idempotent call. The router may retry it where
+/// that is allowed, and its verdict must cover every attempt.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_call_reported_not_run_did_not_run() -> TestResult {
     let results = join_all(call_cases().into_iter().map(try_plain_call)).await;
@@ -167,7 +163,7 @@
     Ok(())
 }
 
-/// What a fault of the engine leaves behind.
+/// A fault of the engine, with the expected verdict.
 struct RunCase {
     name: &'static str,
     faults: EngineFaults,
@@ -190,11 +186,11 @@
         case("leaving", NotRun, |faults| faults.leaving = true),
         case("overloaded", NotRun, |faults| faults.refuse_steps = 999),
         case("lost", MayHaveRun, |faults| faults.lose_steps = 999),
-        case("answers lost", MayHaveRun, |faults| {
+        case("responses lost", MayHaveRun, |faults| {
             faults.lose_answers = 999;
         }),
         case("frozen", MayHaveRun, |faults| faults.frozen = true),
-        case("crawls", MayHaveRun, |faults| faults.slow_factor = 9_999.0),
+        case("slow", MayHaveRun, |faults| faults.slow_factor = 9_999.0),
     ]
 }
 
@@ -202,11 +198,10 @@
     response.refused().map(|body| body.verdict)
 }
 
-/// Symptom: a team is told that its draft was not run, though an engine ran it.
-/// Sequence: the engine is dead, refuses, loses orders or answers, hangs, or is
-/// slow, for generations that may be repeated and for those that may not.
-/// Cause: the verdict is taken from the last failure alone, or the key of a
-/// run that may have begun is let through again.
+/// Guards against a generation that is reported as not run although an engine ran it,
+/// because the verdict rests on the last failure alone, or the key of a run that may have
+/// begun is accepted again. The engine is dead, refuses, loses requests or responses,
+/// hangs, or is slow, for generations with and without a key.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_generation_reported_not_run_did_not_run() -> TestResult {
     let results = join_all(run_cases().into_iter().map(try_generation)).await;
@@ -237,8 +232,8 @@
     Ok(())
 }
 
-/// After "not run" the key serves for one more run; after anything else for
-/// none.
+/// Checks that the key can be used for one more run after "not run", and for none after
+/// any other verdict.
 async fn check_key_after(
     fleet: &ClaimFleet,
     verdict: RunVerdict,
@@ -256,13 +251,12 @@
         })
         .await;
     }
-    // While the claim is not settled, its holder answers for it; after that
-    // the log does.
+    // Until the claim is settled its holder gives the verdict; after that the log does.
     eventually("the claim is settled", || async { fleet.settlements() > 0 }).await?;
     for (number, host) in (0..6).zip([1, 0].into_iter().cycle()) {
         let (request, host) = (format!("again-{number}"), fleet.callers(host));
         let response = fleet.generate(host, &request, Some(key), tokens).await;
-        let refusal = response.refused().ok_or("the key was let through")?;
+        let refusal = response.refused().ok_or("the key was accepted again")?;
         assert_eq!(refusal.reason, RefusalReason::ClaimedElsewhere);
         assert_ne!(refusal.verdict, RunVerdict::NotRun);
         assert_eq!(fleet.steps_of(&request), 0);
@@ -270,9 +264,8 @@
     Ok(())
 }
 
-/// Symptom: as above. Sequence: the engine dies in mid-answer, or the caller's
-/// time is up while a step is under way.
-/// Cause: what has been delivered is not counted as run.
+/// Guards against the same fault in the middle of a stream, because delivered tokens do
+/// not count as run. The engine dies while it responds.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_interrupted_generation_is_never_reported_not_run() -> TestResult {
     let fleet = ClaimFleet::start(2, SHORT_TARGET_TIMEOUTS).await?;
@@ -300,9 +293,9 @@
     fleet.check()
 }
 
-/// Symptom: as above. Sequence: the engine hangs in mid-answer and the
-/// caller's time is up while the step is under way.
-/// Cause: a step without an answer is not counted as run.
+/// Guards against the same fault when the deadline of the caller expires during a step,
+/// because a step without a response does not count as run. The engine hangs while it
+/// responds.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_timed_out_generation_is_never_reported_not_run() -> TestResult {
     let fleet = ClaimFleet::start(1, "\n[timing]\nstep_timeout = \"20s\"\n").await?;
@@ -317,7 +310,7 @@
         }
     );
     hung?;
-    let refusal = response.refused().ok_or("not refused")?;
+    let refusal = response.refused().ok_or("the generation was not refused")?;
     assert_eq!(refusal.verdict, RunVerdict::MayHaveRun, "{refusal:?}");
     fleet.check()
 }
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Engines are ordered to hold what is declared, whoever holds the lease, and
-//! a change of version loses no request.
+//! Checks that engines are ordered to load what is declared, whichever host holds the
+//! lease, and that a change of version loses no request.
 
 mod support;
 
@@ -37,8 +37,8 @@
 const ORGANISATION: &str = "desk";
 const PROMPT: [u64; 3] = [5, 6, 7];
 const SHORT_TOKENS: u64 = 3;
-/// Tokens of an answer that takes more than a second, and less than ranges are
-/// kept after they are no longer declared.
+/// Tokens of a response that takes more than a second, but less time than a range stays
+/// loaded after its declaration is deleted.
 const LONG_TOKENS: u64 = 100;
 const STEP_TIME: Duration = Duration::from_millis(5);
 const SEND_INTERVAL: Duration = Duration::from_millis(50);
@@ -49,8 +49,8 @@
     daemons: Vec<DaemonProcess>,
 }
 
-/// Two stages with two engines each, of which the second ignores fencing
-/// numbers, and two daemons of one zone.
+/// Starts two stages with two engines each, of which the second ignores fencing numbers,
+/// and two daemons in one zone.
 async fn start_fleet(load_time: Duration) -> Result<SmallFleet, TestError> {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformServer::bind(any_port, PlatformSettings::default()).await?;
@@ -109,7 +109,7 @@
         daemons,
     };
     for daemon in &fleet.daemons {
-        eventually("a request is answered", || async {
+        eventually("a request completes", || async {
             let caller = CallerClient::open(ORGANISATION);
             let response = caller.generate(daemon.callers, "first", &body(1)).await;
             response.is_whole()
@@ -119,8 +119,8 @@
     Ok(fleet)
 }
 
-/// Finds a port for each host's peers, on a loopback address from which no
-/// connection goes out, so that the ports stay free until the daemons listen.
+/// Finds a peer port for each host, on a loopback address from which no connection goes
+/// out, so that the ports stay free until the daemons listen.
 fn reserve_peer_addresses() -> Result<Vec<SeedPlace>, TestError> {
     let [.., high, low] = std::process::id().to_be_bytes();
     let mut held = Vec::new();
@@ -148,14 +148,17 @@
     }
 }
 
-/// Runs a request; its history names the version that the answer began with.
+/// Runs a request. Its history has the version that the response started with.
 async fn run(host: SocketAddr, request: String, max_tokens: u64) -> GenerationHistory {
     let caller = CallerClient::open(ORGANISATION);
     let response = caller.generate(host, &request, &body(max_tokens)).await;
-    let version = response.events.iter().find_map(|heard| match &heard.event {
-        StreamEvent::Started { version, .. } => Some(version.clone()),
-        _ => None,
-    });
+    let version = response
+        .events
+        .iter()
+        .find_map(|received| match &received.event {
+            StreamEvent::Started { version, .. } => Some(version.clone()),
+            _ => None,
+        });
     GenerationHistory {
         request: request.as_str().into(),
         organisation: ORGANISATION.into(),
@@ -201,7 +204,7 @@
 }
 
 impl SmallFleet {
-    /// The stages' shape, as a pipeline of another version.
+    /// Returns a pipeline with the same stages in the next version.
     fn next_pipeline(&self) -> Declaration {
         let stage = |index: usize| StageSpec {
             first_layer: index as u32 * LAYERS / 2,
@@ -225,7 +228,7 @@
         Ok(reply.json()?)
     }
 
-    /// Waits until every engine holds its range in exactly these versions.
+    /// Waits until every engine has loaded its range in exactly these versions.
     async fn wait_for_versions(&self, versions: &[&str]) -> TestResult {
         eventually(&format!("engines hold {versions:?}"), || async {
             for engine in 0..self.engines.len() {
@@ -256,7 +259,8 @@
         }
     }
 
-    /// The daemon that wrote the last record of the lease on orders.
+    /// Returns the index of the daemon that wrote the last record of the lease for
+    /// orders.
     async fn lease_holder(&self) -> Result<usize, TestError> {
         let of_orders = format!("orders/{ZONE}");
         let last = || -> Option<usize> {
@@ -297,11 +301,10 @@
     }
 }
 
-/// Symptom: requests are refused or cut while a version is rolled out.
-/// Sequence: a second version is declared and loaded, offered, and the first
-/// one's pipeline deleted, under load and with a long run on the first.
-/// Cause: work sent to an engine that has not loaded the version, or a version
-/// unloaded under the runs that it serves.
+/// Guards against requests that fail during a rollout, because work goes to an engine
+/// that has not loaded the version, or a version is unloaded while it has runs. A second
+/// version is declared, loaded and offered, and the pipeline of the first one is deleted,
+/// under load and with a long run on the first version.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_is_rolled_out_without_a_lost_request() -> TestResult {
     let fleet = start_fleet(Duration::from_millis(300)).await?;
@@ -318,7 +321,7 @@
     .await?;
     operator::declare_all(operators, &[model(NEXT_VERSION)]).await?;
     delete_first_pipeline(operators).await?;
-    eventually("the next version answers", || async {
+    eventually("the next version responds", || async {
         run(callers, "probe".to_owned(), 1).await.version == NEXT_VERSION
     })
     .await?;
@@ -347,11 +350,10 @@
     Ok(())
 }
 
-/// Symptom: a caller is told that its request may have run, or waits in vain.
-/// Sequence: a version is offered in the moment in which it is declared, and
-/// its weights take their time.
-/// Cause: no engine has loaded it; all refuse, and the caller must hear that
-/// nothing ran and when to come back.
+/// Guards against a caller that gets "may have run" or no response while no engine has
+/// loaded the version. The version is offered as soon as it is declared, and its weights
+/// take a second to load. All engines refuse, and the caller must get "not run" with a
+/// time for its retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_offered_too_early_is_refused_as_not_run() -> TestResult {
     let fleet = start_fleet(Duration::from_secs(1)).await?;
@@ -371,11 +373,16 @@
         tokio::time::sleep(SEND_INTERVAL).await;
     }
     let refused = &generations[..generations.len() - 1];
-    assert!(!refused.is_empty(), "the weights came too early");
+    assert!(
+        !refused.is_empty(),
+        "the weights were loaded before the first request"
+    );
     for (number, generation) in refused.iter().enumerate() {
-        let refusal = generation.refusal().ok_or("neither whole nor refused")?;
+        let refusal = generation
+            .refusal()
+            .ok_or("a response is neither complete nor refused")?;
         assert!(refusal.retry_after_ms.is_some());
-        // Later on the first stage may be loaded and run before the second.
+        // Later the first stage may be loaded, and run, before the second.
         assert!(
             number > 0 || refusal.verdict == RunVerdict::NotRun,
             "{generation:?}"
@@ -387,12 +394,11 @@
     Ok(())
 }
 
-/// Symptom: an engine holds what an earlier change declared, and stays so.
-/// Sequence: the lease holder is frozen past its lease, another host takes
-/// over and orders a change, the first wakes up; an order under its old
-/// fencing number reaches both kinds of engines.
-/// Cause: the host does not know that it was frozen; an order may have been on
-/// its way, and some engines carry out whichever comes last.
+/// Guards against an engine that stays in the state of an earlier change, because the
+/// holder does not know that it was stopped, or an engine executes a delayed order. The
+/// lease holder is stopped past its lease, another host takes over and orders a change,
+/// the first host resumes, and an order with its old fencing number reaches both kinds of
+/// engines.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stale_order_of_a_resumed_holder_is_corrected() -> TestResult {
     let fleet = start_fleet(Duration::from_millis(100)).await?;
@@ -402,7 +408,11 @@
     let change = [model(VERSION), fleet.next_pipeline()];
     operator::declare_all(fleet.daemons[other].operators, &change).await?;
     fleet.wait_for_versions(&[VERSION, NEXT_VERSION]).await?;
-    let fencing = fleet.state(0).await?.fencing.ok_or("no order came")?;
+    let fencing = fleet
+        .state(0)
+        .await?
+        .fencing
+        .ok_or("the engine got no order")?;
     fleet.daemons[holder].process.signal("CONT")?;
     for engine in 0..fleet.engines.len() {
         let state = fleet.state(engine).await?;
@@ -421,14 +431,14 @@
         assert_eq!(reply.status, expected);
     }
     fleet.wait_for_versions(&[VERSION, NEXT_VERSION]).await?;
-    // Longer than the woken host needs to look around and give an order.
+    // Longer than the resumed host needs to read the state and send an order.
     tokio::time::sleep(Duration::from_secs(2)).await;
     fleet.wait_for_versions(&[VERSION, NEXT_VERSION]).await
 }
 
-/// Symptom: nobody orders a zone's engines any more.
-/// Sequence: the lease holder is killed, then a change is declared.
-/// Cause: the lease stays with the dead host, or the other one does not go on.
+/// Guards against a zone whose engines get no orders any more, because the lease stays
+/// with a dead host or the other one does not take over. The lease holder is killed, then
+/// a change is declared.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_other_host_takes_over_after_the_holder_is_killed() -> TestResult {
     let mut fleet = start_fleet(Duration::from_millis(100)).await?;
--- a/standins/tests/shutdown.rs
+++ b/standins/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! A graceful shutdown cuts off nothing: daemons as separate processes, ended
-//! by a signal under load.
+//! Checks that a graceful shutdown interrupts no request. The daemons are separate
+//! processes that are terminated by a signal under load.
 
 mod support;
 
@@ -33,16 +33,16 @@
 const ZONE: &str = "anfa";
 const HOSTS: [&str; 2] = ["entry-1", "entry-2"];
 const PROMPT: [u64; 3] = [5, 6, 7];
-/// Tokens of an answer that takes about two seconds.
+/// Tokens of a response that takes about two seconds.
 const LONG_TOKENS: u64 = 120;
 const STREAMS: usize = 6;
 const STEP_TIME: Duration = Duration::from_millis(5);
 const CALL_TIME: Duration = Duration::from_secs(1);
-/// May run one request at a time, so that others wait in the queue.
+/// May run one request at a time, so that other requests wait in the queue.
 const NARROW: &str = "narrow";
 const WIDE: &str = "wide";
-/// Far longer than the patience of these tests: who gets the lease sooner was
-/// handed it.
+/// Far longer than the timeouts of these tests, so that a host that gets the lease in
+/// time got it by a release.
 const LEASE_DURATION: &str = "30s";
 
 struct SmallFleet {
@@ -52,7 +52,7 @@
     daemons: Vec<DaemonProcess>,
 }
 
-/// Two stages with two engines each, a service, two daemons of one zone.
+/// Starts two stages with two engines each, a service, and two daemons in one zone.
 async fn start_fleet(drain_timeout: &str) -> Result<SmallFleet, TestError> {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformServer::bind(any_port, PlatformSettings::default()).await?;
@@ -106,7 +106,7 @@
         daemons,
     };
     for daemon in &fleet.daemons {
-        eventually("a request is answered", || async {
+        eventually("a request completes", || async {
             let caller = CallerClient::open(WIDE);
             let response = caller.generate(daemon.callers, "first", &body(1)).await;
             response.is_whole()
@@ -116,7 +116,8 @@
     Ok(fleet)
 }
 
-/// Brings the one unit of [`NARROW`]'s capacity to a host: the other may hold it.
+/// Waits until the host holds the one unit of capacity of [`NARROW`], which the other
+/// host may hold at first.
 async fn wait_for_narrow_capacity(host: SocketAddr) -> TestResult {
     eventually("the narrow organisation is served", || async {
         let caller = CallerClient::open(NARROW);
@@ -190,7 +191,7 @@
 }
 
 impl SmallFleet {
-    /// Steps that ran so far, engine by engine.
+    /// Returns the steps that each engine has run.
     fn steps(&self) -> Vec<TargetSteps> {
         let steps = self.engines.iter().map(|(target, server)| TargetSteps {
             target: target.name.as_str().into(),
@@ -218,7 +219,7 @@
     Ok(records)
 }
 
-/// The host that took the lease on ordering targets first.
+/// Returns the index of the host that first acquired the lease for orders.
 async fn lease_holder(platform: &PlatformServer) -> Result<usize, TestError> {
     let first = || -> Option<usize> {
         let records = lease_records(platform).ok()?;
@@ -229,7 +230,7 @@
     first().ok_or_else(|| "no host holds the lease".into())
 }
 
-/// Waits until the other host has taken the lease after it was released.
+/// Waits until the other host has acquired the lease after its release.
 async fn wait_for_handover(platform: &PlatformServer, from: usize) -> TestResult {
     let other = HOSTS[1 - from];
     eventually("the other host takes the lease", || async {
@@ -246,7 +247,7 @@
     .await
 }
 
-/// The exit status of a daemon that was told to end.
+/// Waits for a terminated daemon and returns its exit status.
 fn wait_for_exit(daemon: &mut DaemonProcess) -> Result<Option<i32>, TestError> {
     tokio::task::block_in_place(|| daemon.process.wait())
 }
@@ -257,8 +258,8 @@
     reply.is_ok_and(|reply| reply.status == StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// Ends the lease holder by a signal under load; `after_signal` happens right after
-/// the signal. Everything that it had taken in must end whole.
+/// Terminates the lease holder by a signal under load and calls `after_signal` right
+/// after it. Every request that was accepted before must complete.
 async fn terminate_under_load<F>(after_signal: F) -> TestResult
 where
     F: FnOnce(&SmallFleet),
@@ -293,8 +294,10 @@
         .generate(host, "late", &body(1))
         .await;
     let is_in_flight = streams.iter().any(|stream| !stream.is_finished());
-    assert!(is_in_flight, "the streams are too short to show anything");
-    let refusal = late.refusal.ok_or("a request was taken while draining")?;
+    assert!(is_in_flight, "the streams ended before the check");
+    let refusal = late
+        .refusal
+        .ok_or("a request was accepted while draining")?;
     assert_eq!(refusal.reason, RefusalReason::Draining);
     assert_eq!(refusal.verdict, RunVerdict::NotRun);
     assert!(refusal.retry_after_ms.is_some());
@@ -320,18 +323,16 @@
     wait_for_handover(&fleet.platform, holder).await
 }
 
-/// Symptom: callers see their streams cut when a host is replaced.
-/// Sequence: SIGTERM while long streams run, requests wait in the queue and a
-/// service call is in flight.
-/// Cause: the process ends, or closes connections, before they are done.
+/// Guards against streams that break when a host is replaced, because the process ends or
+/// closes connections too early. SIGTERM arrives while long streams run, requests wait in
+/// the queue and a service call is in flight.
 #[tokio::test(flavor = "multi_thread")]
 async fn termination_under_load_completes_all_requests() -> TestResult {
     terminate_under_load(|_| {}).await
 }
 
-/// Symptom: as above, for the streams on one stage.
-/// Sequence: right after the SIGTERM one engine of the second stage dies.
-/// Cause: a daemon that drains must still repair the runs that it finishes.
+/// Guards against a draining daemon that does not repair its runs. Right after SIGTERM
+/// one engine of the second stage dies.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stage_that_dies_while_draining_is_replaced() -> TestResult {
     terminate_under_load(|fleet| {
@@ -345,9 +346,8 @@
     .await
 }
 
-/// Symptom: a caller sees its connection break and cannot tell what ran.
-/// Sequence: a stream is longer than the time that draining may take.
-/// Cause: the process ends with the stream open instead of closing it.
+/// Guards against a caller whose connection breaks without a verdict, because the process
+/// ends with the stream open. A stream takes longer than the drain timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_that_takes_too_long_ends_streams_with_a_verdict() -> TestResult {
     let mut fleet = start_fleet("300ms").await?;
@@ -358,7 +358,7 @@
     let has_begun = || async { fleet.has_run("long") && fleet.has_run("running") };
     eventually("the streams run", has_begun).await?;
     let waiting = start_run(host, NARROW, "waiting".to_owned(), LONG_TOKENS);
-    // Nothing tells from outside that a request stands in the queue.
+    // No interface shows that the request is in the queue.
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet.daemons[0].process.signal("TERM")?;
     for cut in [stream.await?, running.await?] {
@@ -370,7 +370,9 @@
         assert!(!response.tokens().is_empty());
     }
     let refused = waiting.await?;
-    let refusal = refused.refusal().ok_or("the queued request hung")?;
+    let refusal = refused
+        .refusal()
+        .ok_or("the queued request was not refused")?;
     assert_eq!(refusal.reason, RefusalReason::Draining);
     assert_eq!(refusal.verdict, RunVerdict::NotRun);
     assert!(!fleet.has_run("waiting"));
@@ -378,11 +380,9 @@
     Ok(())
 }
 
-/// Symptom: nobody orders a zone's targets for a whole lease after a host was
-/// replaced.
-/// Sequence: SIGTERM to an idle lease holder.
-/// Cause: with nothing in flight the process ends before it has handed the
-/// lease back.
+/// Guards against a zone whose targets get no orders for a whole lease, because a process
+/// without requests in flight ends before it has released the lease. An idle lease holder
+/// gets SIGTERM.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_idle_host_releases_its_leases() -> TestResult {
     let mut fleet = start_fleet("60s").await?;
@@ -392,9 +392,8 @@
     wait_for_handover(&fleet.platform, holder).await
 }
 
-/// Appends records of another lease all the time, so that each read of the
-/// stream is answered as soon as its delay has passed, and not by the record
-/// that a test waits for.
+/// Appends records of another lease all the time, so that each read of the stream returns
+/// as soon as its delay has passed, and not because of the record that a test waits for.
 fn keep_readers_busy(platform: SocketAddr) -> JoinHandle<()> {
     tokio::spawn(async move {
         loop {
@@ -423,10 +422,9 @@
     })
 }
 
-/// Symptom: as above.
-/// Sequence: SIGTERM right after the host's acquisition has reached the log,
-/// before the host has read it there.
-/// Cause: the host does not know yet that it holds what it has to hand back.
+/// Guards against a lease that is not released because its host does not know yet that it
+/// holds it. SIGTERM arrives after the acquisition has reached the log and before the
+/// host has read it there.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_newly_acquired_lease_is_released() -> TestResult {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
--- a/standins/tests/support/configuration.rs
+++ b/standins/tests/support/configuration.rs
@@ -1,4 +1,4 @@
-//! What the tests of configuration share.
+//! Helpers of the tests of configuration.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use super::hosts::TestHost;
 use super::{TestError, TestResult};
 
-/// Counter of checkpoints that contradict a host's state.
+/// Metric that counts checkpoints that differ from the state of a host.
 pub const DIFFERING_CHECKPOINTS: &str = "jackdawwick_differing_checkpoints_total";
 
 pub type ChangeRecord = LogRecord<DeclarationBody>;
@@ -32,7 +32,7 @@
     Ok(PlatformServer::bind(any_port(), settings).await?)
 }
 
-/// Three hosts in two zones that know each other.
+/// Starts three hosts in two zones that know each other.
 pub async fn start_hosts(platform: SocketAddr) -> Result<[TestHost; 3], TestError> {
     let first = TestHost::start("entry-1", "vake", platform, &[]).await?;
     let second = TestHost::start("entry-2", "vake", platform, &[&first]).await?;
@@ -55,15 +55,15 @@
     Ok(())
 }
 
-/// Appends to the log beside every host, as a writer does that was paused.
+/// Appends to the log from outside all hosts, like a writer that was paused.
 pub async fn append(platform: &PlatformServer, record: String) -> Result<LogOffset, TestError> {
     let timeouts = PlatformTimeouts {
         connect: Duration::from_secs(5),
         response: Duration::from_secs(5),
     };
     let client = PlatformClient::open(platform.local_addr(), timeouts);
-    let answer = client.append(DECLARATION_STREAM, vec![record]).await?;
-    Ok(answer.first_offset)
+    let response = client.append(DECLARATION_STREAM, vec![record]).await?;
+    Ok(response.first_offset)
 }
 
 pub async fn metric(host: &TestHost, name: &str) -> Option<u64> {
@@ -73,7 +73,7 @@
     line.split(' ').nth(1)?.parse().ok()
 }
 
-/// The state at the end of the log, and another that misses the last record.
+/// Returns the state at the end of the log, and a wrong one that lacks the last record.
 pub fn correct_and_wrong_tables(
     platform: &PlatformServer,
 ) -> Result<[DeclarationTable; 2], TestError> {
@@ -90,7 +90,7 @@
     Ok([correct, wrong])
 }
 
-/// The text of a record with the state of a table.
+/// Returns a checkpoint record with the state of a table, as text.
 pub fn checkpoint(id: &str, table: &DeclarationTable) -> Result<String, TestError> {
     let record = ChangeRecord {
         id: id.into(),
--- a/standins/tests/support/forwarder.rs
+++ b/standins/tests/support/forwarder.rs
@@ -1,4 +1,4 @@
-//! A TCP forwarder that stands for the link to one server and can be cut.
+//! A TCP forwarder that serves as the link to one server and can be cut.
 
 use std::net::SocketAddr;
 
@@ -7,17 +7,17 @@
 
 use super::TestError;
 
-/// What the link does.
+/// State of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkState {
     Open,
-    /// New connections are taken and carry nothing until the state changes.
+    /// New connections are accepted but transfer no data until the state changes.
     Held,
     /// Every connection is closed, and new ones are closed at once.
     Cut,
 }
 
-/// Dropping it cuts the link.
+/// A link to one server. Dropping it cuts the link.
 pub struct TestLink {
     pub address: SocketAddr,
     state: watch::Sender<LinkState>,
@@ -25,7 +25,7 @@
 }
 
 impl TestLink {
-    /// A link to a server that is named later.
+    /// Opens a link; [`Self::forward_to`] sets its server.
     pub async fn bind() -> Result<Self, TestError> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
--- a/standins/tests/support/hosts.rs
+++ b/standins/tests/support/hosts.rs
@@ -1,5 +1,5 @@
-//! Entry hosts in the test's own process, behind links that can be cut, and a
-//! watcher that sees to it that no host goes back to an older configuration.
+//! Entry hosts in the process of the test, behind links that can be cut, and a detector
+//! of hosts that revert to an older configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -42,7 +42,8 @@
         Self::start_with(name, zone, platform, seeds, "").await
     }
 
-    /// As [`Self::start`], with further lines for the section of times.
+    /// Starts a host like [`Self::start`], with additional lines for the section
+    /// `timing`.
     pub async fn start_with(
         name: &str,
         zone: &str,
@@ -95,18 +96,19 @@
         self.status().await.is_some_and(|status| status.ready)
     }
 
-    /// Version of a resource; `None` if it is not declared here.
+    /// Returns the version of a resource, or `None` if it is not declared on this host.
     pub async fn version(&self, key: &ResourceKey) -> Option<LogOffset> {
         let view = operator::read::<ResourceView>(self.operators, &operator::path_of(key)).await;
         view.ok().map(|view| view.version)
     }
 
-    /// Declares an organisation that may use so much, and gives its version.
+    /// Declares an organisation with a capacity and returns the version of the
+    /// declaration.
     pub async fn declare(&self, name: &str, capacity: u32) -> Result<LogOffset, TestError> {
         operator::declare_all(self.operators, &[organisation(name, capacity)]).await
     }
 
-    /// Waits until the host takes work under this version of a resource.
+    /// Waits until the host is ready and has this version of a resource.
     pub async fn wait_until_serving(&self, key: &ResourceKey, version: LogOffset) -> TestResult {
         let what = format!("{} serves {key} as of {version}", self.name);
         eventually(&what, || async {
@@ -127,21 +129,21 @@
     }
 }
 
-/// What was in force everywhere, and what any host was seen to serve since.
+/// Versions that were in effect everywhere, and versions that the hosts served since.
 #[derive(Default)]
 struct DetectorState {
-    /// Latest change that was in force everywhere, and whether it deleted.
+    /// Latest change that was in effect everywhere, and whether it was a deletion.
     minimums: BTreeMap<ResourceKey, (LogOffset, bool)>,
     hosts: Vec<(String, SocketAddr)>,
-    /// Highest version seen, by host and resource.
+    /// Last version seen, by host and resource.
     seen: BTreeMap<(String, ResourceKey), LogOffset>,
     polls: usize,
     reverted: Vec<String>,
 }
 
-/// Looks at every host all the time: on a host that takes work no resource
-/// may have an older version than before on that host, or than was in force
-/// everywhere, and nothing deleted may be back.
+/// Polls all hosts. A ready host must not serve an older version of a resource than
+/// before, or than the one that was in effect everywhere, and must not serve a deleted
+/// resource.
 pub struct ReversionDetector {
     state: Arc<Mutex<DetectorState>>,
     task: JoinHandle<()>,
@@ -159,19 +161,20 @@
         state.hosts.push((host.name.clone(), host.operators));
     }
 
-    /// Notes a change that is in force everywhere.
+    /// Records a change that is in effect everywhere, as the minimum for all hosts.
     pub fn set_minimum(&self, key: &ResourceKey, version: LogOffset, deleted: bool) {
         let mut state = self.state.lock();
         state.minimums.insert(key.clone(), (version, deleted));
     }
 
-    /// Fails if any host went back, or if hardly anything was looked at.
+    /// Stops the polling. Fails if a host reverted a change, or after fewer than 10
+    /// polls.
     pub fn finish(self) -> TestResult {
         self.task.abort();
         let state = self.state.lock();
         match &state.reverted[..] {
             [] if state.polls >= 10 => Ok(()),
-            [] => Err(format!("only {} looks", state.polls).into()),
+            [] => Err(format!("only {} polls", state.polls).into()),
             reverted => Err(format!("reverted: {reverted:?}").into()),
         }
     }
@@ -184,7 +187,7 @@
             let minimums = state.lock().minimums.clone();
             let status = operator::read::<StatusView>(address, "/v1/status").await;
             let listed = operator::read::<Vec<ResourceView>>(address, "/v1/resources").await;
-            // A host that is gone or takes no work serves nothing old.
+            // A host that has stopped or is not ready serves no configuration.
             let (true, Ok(views)) = (status.is_ok_and(|status| status.ready), listed) else {
                 continue;
             };
@@ -205,7 +208,8 @@
         match views.iter().find(|view| view.key == *key) {
             Some(view) if view.version < *minimum => {
                 let found = view.version;
-                let text = format!("{host}: {key} is {found}, {minimum} was in force");
+                let text =
+                    format!("{host}: {key} has version {found}, but {minimum} was in effect");
                 state.reverted.push(text);
             }
             None if !deleted => state.reverted.push(format!("{host}: {key} is missing")),
--- a/standins/tests/support/mod.rs
+++ b/standins/tests/support/mod.rs
@@ -20,7 +20,7 @@
 pub type TestResult = Result<(), Box<dyn std::error::Error + Send + Sync>>;
 pub type TestError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Bound on waiting for something that is expected to come.
+/// Timeout for conditions that are expected to become true.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A process that is killed when dropped.
@@ -43,13 +43,13 @@
         })
     }
 
-    /// The address in the next line, which begins with `prefix`.
+    /// Reads the address from the next line, which begins with `prefix`.
     pub fn address(&mut self, prefix: &str) -> Result<SocketAddr, TestError> {
         let mut line = String::new();
         self.lines.read_line(&mut line)?;
         let rest = line
             .strip_prefix(prefix)
-            .ok_or_else(|| format!("{prefix}: {line:?}"))?;
+            .ok_or_else(|| format!("expected a line with {prefix:?}, got {line:?}"))?;
         Ok(rest.trim().parse()?)
     }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Waits for the process to end by itself and gives its exit status.
+    /// Waits for the process to end by itself and returns its exit status.
     pub fn wait(&mut self) -> Result<Option<i32>, TestError> {
         Ok(self.child.wait()?.code())
     }
@@ -87,8 +87,8 @@
     }
 }
 
-/// The programs stand beside the stand-ins' own; `cargo test --workspace`
-/// builds both packages' programs.
+/// Returns the path of a program. It is in the same directory as the programs of the
+/// stand-ins; `cargo test --workspace` builds the programs of both packages.
 fn program_path(program: &str) -> Result<PathBuf, TestError> {
     let own = PathBuf::from(env!("CARGO_BIN_EXE_engine"));
     let folder = own.parent().ok_or("no folder of programs")?;
@@ -99,7 +99,7 @@
     }
 }
 
-/// A daemon with its settings file.
+/// A daemon process with its settings file.
 pub struct DaemonProcess {
     pub process: TestProcess,
     pub callers: SocketAddr,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Polls until `check` holds, within [`WAIT_TIMEOUT`].
+/// Polls until `check` returns true, for at most [`WAIT_TIMEOUT`].
 pub async fn eventually<C, F>(what: &str, mut check: C) -> TestResult
 where
     C: FnMut() -> F,
@@ -137,5 +137,5 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    Err(format!("{what}: not within {WAIT_TIMEOUT:?}").into())
+    Err(format!("{what}: not true within {WAIT_TIMEOUT:?}").into())
 }
--- a/standins/tests/support/soaks.rs
+++ b/standins/tests/support/soaks.rs
@@ -1,4 +1,4 @@
-//! Settings of games with entry hosts as processes.
+//! Settings of simulations with entry hosts as processes.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -8,7 +8,8 @@
 
 use super::{TestError, eventually};
 
-/// Settings of a game with so many hosts and nothing drawn; its files go with the folder.
+/// Returns the settings of a simulation with `hosts` hosts and no random faults or load.
+/// Its files are deleted with the returned directory.
 pub async fn soak_settings(hosts: usize) -> Result<(SoakSettings, TempDir), TestError> {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_soak"));
     let program = program.with_file_name("jackdawwickd");
--- a/standins/tests/whole_answers.rs
+++ b/standins/tests/whole_answers.rs
@@ -1,5 +1,5 @@
-//! Every layer exactly once, in order, and the whole answer to its own
-//! request, while stages, answers and entry hosts fail.
+//! Checks that every layer runs exactly once and in order, and that each request gets its
+//! own complete response, while stages, responses and entry hosts fail.
 
 use std::time::{Duration, Instant};
 
@@ -18,18 +18,18 @@
 const PROMPT: [u64; 6] = [3, 1, 4, 1, 5, 9];
 const TOKENS: u64 = 12;
 const LAYERS: u32 = 12;
-/// Tokens of an answer that takes some seconds.
+/// Tokens of a response that takes some seconds.
 const LONG_RESPONSE_TOKENS: u64 = 300;
 type NamedFault = (&'static str, fn(&mut EngineFaults));
 
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Where in a run a fault strikes, as the position that is being worked on.
+/// Positions of a run at which a fault is injected.
 const PREFILL: u64 = 0;
 const FIRST_TOKEN: u64 = 6;
 const MIDDLE: u64 = 11;
 const LAST_TOKEN: u64 = 16;
 
-/// Two entry hosts in two zones; three stages with three engines each.
+/// Starts two entry hosts in two zones, and three stages with three engines each.
 async fn start_fleet() -> Result<Fleet, TestError> {
     let zone = |name: &str| ZonePlan {
         name: name.to_owned(),
@@ -91,7 +91,8 @@
     assert!(broken.is_empty(), "{broken:?}");
 }
 
-/// The engine that has run the highest position of a request on a stage.
+/// Returns the engine of a stage that has run the highest position of a request, with
+/// that position.
 fn engine_at<'f>(fleet: &'f Fleet, request: &str, stage: usize) -> Option<(&'f FleetEngine, u64)> {
     let prefix = format!("{request}~");
     let engines = fleet.engines.iter().filter(|engine| engine.stage == stage);
@@ -108,7 +109,7 @@
         .max_by_key(|(_, position)| *position)
 }
 
-/// Waits until a stage has run `position` and gives the engine that did.
+/// Waits until a stage has run `position` and returns the engine that ran it.
 async fn wait_for<'f>(
     fleet: &'f Fleet,
     request: &str,
@@ -125,8 +126,8 @@
     Err(format!("{request}: stage {stage} has not run position {position}").into())
 }
 
-/// Runs one request and strikes the engines of `stages` once the first of
-/// them has run `position`.
+/// Runs one request and injects a fault into the engines of `stages` once the first of
+/// these stages has run `position`.
 async fn run_with_fault<F>(
     fleet: &Fleet,
     request: &str,
@@ -150,11 +151,11 @@
     Ok(response.await?)
 }
 
-/// Symptom: an answer that stops, repeats tokens or goes on with wrong ones.
-/// Sequence: the engine of one stage dies for good while it serves a request,
-/// at the prefill, the first token, in the middle or near the last token.
-/// Cause: its KV cache is gone; what was delivered must not be run into the
-/// answer again and the rest must rest on every earlier position.
+/// Guards against a response that stops, repeats tokens or continues with wrong ones
+/// after the KV cache of a stage is lost. The engine of one stage dies while it serves a
+/// request, at the prefill, the first token, in the middle or near the last token.
+/// Delivered tokens must not appear again, and the remaining ones must depend on every
+/// earlier position.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stage_that_dies_is_replaced_at_any_point() -> TestResult {
     for stage in 0..3 {
@@ -176,10 +177,9 @@
     Ok(())
 }
 
-/// Symptom: as above, or a run that fails because no survivor is left to
-/// replay from.
-/// Sequence: the engines of two stages die in the same moment.
-/// Cause: the stage before the replaced one has lost its outputs too.
+/// Guards against wrong tokens, or a run that fails because no stage is left to replay
+/// from: the stage before the replaced one has lost its outputs too. The engines of two
+/// stages die at the same time.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_stages_that_die_at_once_are_replaced() -> TestResult {
     let mut fleet = start_fleet().await?;
@@ -199,11 +199,10 @@
     Ok(())
 }
 
-/// Symptom: a position run twice, or a token of another position.
-/// Sequence: an answer is lost after its step ran; a second one answers with
-/// another session's answer; a third repeats its previous answer.
-/// Cause: the step took effect, so it must be asked for again and not sent
-/// anew, and an answer that does not match what is awaited must be dropped.
+/// Guards against a position that runs twice and a token of another position. A response
+/// is lost after its step ran, so it must be requested again instead of the step; a
+/// second engine returns the response of another session, and a third repeats its
+/// previous response, and both must be discarded.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_swapped_and_repeated_responses_do_not_corrupt_results() -> TestResult {
     let mut fleet = start_fleet().await?;
@@ -236,10 +235,9 @@
     Ok(())
 }
 
-/// Symptom: tokens of a session that was given up turn up in the answer.
-/// Sequence: an engine freezes, its stage is replaced, the engine wakes and
-/// goes on with what it had been asked.
-/// Cause: the frozen engine does not know that it was replaced.
+/// Guards against tokens of an abandoned session in the response, because a frozen engine
+/// does not know that it was replaced. An engine freezes, its stage is replaced, and the
+/// engine resumes its earlier requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_engine_that_resumes_does_not_corrupt_results() -> TestResult {
     let mut fleet = start_fleet().await?;
@@ -264,10 +262,10 @@
     Ok(())
 }
 
-/// Symptom: a caller whose stream broke gets tokens twice or not at all.
-/// Sequence: the entry host is killed in mid-stream; the caller goes to
-/// another host with the tokens that it holds.
-/// Cause: hosts keep nothing, so only the caller knows what was delivered.
+/// Guards against tokens that are delivered twice or not at all after a stream broke.
+/// Hosts store nothing, so only the caller knows what was delivered. The entry host is
+/// killed in the middle of a stream, and the caller continues at another host with the
+/// tokens that it has.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_resumes_on_another_host() -> TestResult {
     let mut fleet = start_fleet().await?;
@@ -297,7 +295,7 @@
     let numbers: Vec<u64> = second
         .events
         .iter()
-        .filter_map(|heard| match heard.event {
+        .filter_map(|received| match received.event {
             StreamEvent::Token { number, .. } => Some(number),
             _ => None,
         })
@@ -309,9 +307,9 @@
     Ok(())
 }
 
-/// Symptom: engines go on working for a caller that has gone.
-/// Sequence: the caller closes its connection in mid-stream.
-/// Cause: nobody tells the engines; wasted steps are lost throughput.
+/// Guards against engines that continue to work for a disconnected caller, because
+/// nothing cancels the run; the wasted steps cost throughput. The caller closes its
+/// connection in the middle of a stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_run_ends_when_its_caller_goes() -> TestResult {
     let mut fleet = start_fleet().await?;
@@ -339,12 +337,12 @@
         if count(&fleet) == before {
             break;
         }
-        assert!(Instant::now() < deadline, "the run goes on");
+        assert!(Instant::now() < deadline, "the run continues");
     }
     let (_, reached) = engine_at(&fleet, "gone", 0).ok_or("no engine ran it")?;
     assert!(
         reached < LONG_RESPONSE_TOKENS / 2,
-        "the run went on to position {reached}"
+        "the run continued to position {reached}"
     );
     fleet.shutdown().await;
     Ok(())
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path, in separate processes on the loopback address.
+//! Checks the whole path of a request in separate processes on the loopback address.
 
 mod support;
 
@@ -19,7 +19,7 @@
 const LAYERS: u32 = 12;
 const PROMPT: [u64; 5] = [11, 22, 33, 44, 55];
 const TOKENS: u64 = 9;
-/// Time of a step on the three stages, in microseconds: mixed speeds.
+/// Step times of the three stages in microseconds, with mixed speeds.
 const STEP_TIMES: [u64; 3] = [200, 1_000, 400];
 
 /// Entry hosts and their availability zones.
@@ -35,7 +35,7 @@
     daemons: Vec<DaemonProcess>,
 }
 
-/// A platform, an engine a stage, a service and three daemons in two zones.
+/// Starts a platform, one engine per stage, a service and three daemons in two zones.
 async fn start_fleet() -> Result<ProcessFleet, TestError> {
     let mut processes = Vec::new();
     let mut start = |program: &str, arguments: &[String]| -> Result<SocketAddr, TestError> {
@@ -89,7 +89,7 @@
     resources.push(declarations::organisation("desk", 100, 1_000));
     let version = operator::declare_all(daemons[0].operators, &resources).await?;
     for daemon in &daemons {
-        eventually("the declarations are in force", || async {
+        eventually("the declarations are in effect", || async {
             let status = operator::read::<StatusView>(daemon.operators, "/v1/status").await;
             status.is_ok_and(|status| status.ready && status.applied > version)
         })
@@ -120,7 +120,8 @@
     }
 }
 
-/// Both zones have engines: capacity is split over the zones with targets.
+/// Returns the zone of an engine. Both zones have engines, since capacity is divided
+/// among the zones with targets.
 fn zone_of(index: u32) -> &'static str {
     match index {
         1 => "didube",
@@ -149,8 +150,8 @@
     }
 }
 
-/// Checks against the engines' record that every layer ran exactly once for
-/// each position of a run, stage after stage.
+/// Checks in the records of the engines that every layer ran exactly once for each
+/// position of a run, in the order of the stages.
 fn check_layers(records: &[Vec<StepRecord>], request: &str) -> Result<(), TestError> {
     let positions = PROMPT.len() as u64 + TOKENS - 1;
     for position in 0..positions {
@@ -209,10 +210,8 @@
     Ok(())
 }
 
-/// Symptom: an answer of the right length with wrong tokens.
-/// Sequence: an engine leaves one layer of its range out for every step.
-/// Cause: nothing in the protocol shows it; the proof must come from the
-/// engines' record, and the checker above must be able to fail.
+/// Guards against a checker that cannot fail. An engine skips one layer of its range in
+/// every step; the protocol does not show it, only the records of the engines do.
 #[tokio::test]
 async fn the_checker_detects_a_skipped_layer() -> TestResult {
     let fleet = start_fleet().await?;
