--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -1,5 +1,5 @@
-//! Engines are ordered to hold what is declared, whoever holds the lease, and
-//! a change of version loses no request.
+//! Checks that engines are ordered to load what is declared, whichever host holds the
+//! lease, and that a change of version loses no request.
 
 mod support;
 
@@ -26,7 +26,7 @@
 use standins::json_client::call;
 use standins::operator::{self, Declaration};
 use standins::platform::{PlatformServer, PlatformSettings};
-use support::{DaemonProcess, PATIENCE, TestError, TestResult, eventually};
+use support::{DaemonProcess, TestError, TestResult, WAIT_TIMEOUT, eventually};
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
@@ -37,12 +37,12 @@
 const HOSTS: [&str; 2] = ["entry-1", "entry-2"];
 const ORGANISATION: &str = "desk";
 const PROMPT: [u64; 3] = [5, 6, 7];
-const SHORT: u64 = 3;
-/// Tokens of an answer that takes more than a second, and less than ranges are
-/// kept after they are no longer declared.
-const LONG: u64 = 100;
+const SHORT_TOKENS: u64 = 3;
+/// Tokens of a response that takes more than a second, but less time than a range stays
+/// loaded after its declaration is deleted.
+const LONG_TOKENS: u64 = 100;
 const STEP_TIME: Duration = Duration::from_millis(5);
-const PAUSE: Duration = Duration::from_millis(50);
+const SEND_INTERVAL: Duration = Duration::from_millis(50);
 
 struct SmallFleet {
     platform: PlatformServer,
@@ -50,8 +50,8 @@
     daemons: Vec<DaemonProcess>,
 }
 
-/// Two stages with two engines each, of which the second ignores fencing
-/// numbers, and two daemons of one zone.
+/// Starts two stages with two engines each, of which the second ignores fencing numbers,
+/// and two daemons in one zone.
 async fn start_fleet(load_time: Duration) -> Result<SmallFleet, TestError> {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformServer::bind(any_port, PlatformSettings::default()).await?;
@@ -83,7 +83,7 @@
             targets: targets.map(|(target, _)| target.clone()).collect(),
         });
     }
-    let places = peer_places()?;
+    let places = reserve_peer_addresses()?;
     let mut daemons = Vec::new();
     for place in &places {
         let settings = DaemonConfig {
@@ -110,19 +110,19 @@
         daemons,
     };
     for daemon in &fleet.daemons {
-        eventually("a request is answered", || async {
+        eventually("a request completes", || async {
             let caller = CallerClient::open(ORGANISATION);
-            let answer = caller.generate(daemon.callers, "first", &body(1)).await;
-            answer.is_whole()
+            let response = caller.generate(daemon.callers, "first", &body(1)).await;
+            response.is_whole()
         })
         .await?;
     }
     Ok(fleet)
 }
 
-/// Finds a port for each host's peers, on a loopback address from which no
-/// connection goes out, so that the ports stay free until the daemons listen.
-fn peer_places() -> Result<Vec<SeedPeer>, TestError> {
+/// Finds a peer port for each host, on a loopback address from which no connection goes
+/// out, so that the ports stay free until the daemons listen.
+fn reserve_peer_addresses() -> Result<Vec<SeedPeer>, TestError> {
     let [.., high, low] = std::process::id().to_be_bytes();
     let mut held = Vec::new();
     let mut places = Vec::new();
@@ -149,14 +149,17 @@
     }
 }
 
-/// Runs a request; its history names the version that the answer began with.
+/// Runs a request. Its history has the version that the response started with.
 async fn run(host: SocketAddr, request: String, max_tokens: u64) -> GenerationHistory {
     let caller = CallerClient::open(ORGANISATION);
-    let answer = caller.generate(host, &request, &body(max_tokens)).await;
-    let version = answer.events.iter().find_map(|heard| match &heard.event {
-        StreamEvent::Started { version, .. } => Some(version.clone()),
-        _ => None,
-    });
+    let response = caller.generate(host, &request, &body(max_tokens)).await;
+    let version = response
+        .events
+        .iter()
+        .find_map(|received| match &received.event {
+            StreamEvent::Started { version, .. } => Some(version.clone()),
+            _ => None,
+        });
     GenerationHistory {
         request: request.as_str().into(),
         organisation: ORGANISATION.into(),
@@ -165,7 +168,7 @@
         layers: LAYERS,
         prompt: PROMPT.to_vec(),
         max_tokens,
-        answers: vec![answer],
+        answers: vec![response],
     }
 }
 
@@ -185,10 +188,10 @@
             let mut number = 0;
             while !*stopped.borrow() {
                 for host in &hosts {
-                    runs.spawn(run(*host, format!("run-{number}"), SHORT));
+                    runs.spawn(run(*host, format!("run-{number}"), SHORT_TOKENS));
                     number += 1;
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(SEND_INTERVAL).await;
             }
             runs.join_all().await
         });
@@ -202,7 +205,7 @@
 }
 
 impl SmallFleet {
-    /// The stages' shape, as a pipeline of another version.
+    /// Returns a pipeline with the same stages in the next version.
     fn next_pipeline(&self) -> Declaration {
         let stage = |index: usize| StageSpec {
             first_layer: index as u32 * LAYERS / 2,
@@ -226,14 +229,15 @@
         Ok(reply.json()?)
     }
 
-    /// Waits until every engine holds its range in exactly these versions.
+    /// Waits until every engine has loaded its range in exactly these versions.
     async fn wait_for_versions(&self, versions: &[&str]) -> TestResult {
         eventually(&format!("engines hold {versions:?}"), || async {
             for engine in 0..self.engines.len() {
                 let Ok(state) = self.state(engine).await else {
                     return false;
                 };
-                let mut held: Vec<&str> = state.loaded.iter().map(|one| &*one.version).collect();
+                let mut held: Vec<&str> =
+                    state.loaded.iter().map(|range| &*range.version).collect();
                 held.sort_unstable();
                 if held != versions || !state.loading.is_empty() {
                     return false;
@@ -256,7 +260,8 @@
         }
     }
 
-    /// The daemon that wrote the last record of the lease on orders.
+    /// Returns the index of the daemon that wrote the last record of the lease for
+    /// orders.
     async fn lease_holder(&self) -> Result<usize, TestError> {
         let of_orders = format!("orders/{ZONE}");
         let last = || -> Option<usize> {
@@ -297,11 +302,10 @@
     }
 }
 
-/// Symptom: requests are refused or cut while a version is rolled out.
-/// Sequence: a second version is declared and loaded, offered, and the first
-/// one's pipeline deleted, under load and with a long run on the first.
-/// Cause: work sent to an engine that has not loaded the version, or a version
-/// unloaded under the runs that it serves.
+/// Guards against requests that fail during a rollout, because work goes to an engine
+/// that has not loaded the version, or a version is unloaded while it has runs. A second
+/// version is declared, loaded and offered, and the pipeline of the first one is deleted,
+/// under load and with a long run on the first version.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_is_rolled_out_without_a_lost_request() -> TestResult {
     let fleet = start_fleet(Duration::from_millis(300)).await?;
@@ -309,7 +313,7 @@
     let load = SteadyLoad::spawn(&fleet);
     operator::declare_all(operators, &[model(VERSION), fleet.next_pipeline()]).await?;
     fleet.wait_for_versions(&[VERSION, NEXT_VERSION]).await?;
-    let long = tokio::spawn(run(callers, "long".to_owned(), LONG));
+    let long = tokio::spawn(run(callers, "long".to_owned(), LONG_TOKENS));
     eventually("the long run has begun", || async {
         let steps = fleet.history(Vec::new()).steps;
         let mut records = steps.iter().flat_map(|engine| &engine.records);
@@ -318,7 +322,7 @@
     .await?;
     operator::declare_all(operators, &[model(NEXT_VERSION)]).await?;
     delete_first_pipeline(operators).await?;
-    eventually("the next version answers", || async {
+    eventually("the next version responds", || async {
         run(callers, "probe".to_owned(), 1).await.version == NEXT_VERSION
     })
     .await?;
@@ -327,11 +331,19 @@
     assert_eq!(long.version, VERSION);
     fleet.wait_for_versions(&[NEXT_VERSION]).await?;
     let mut generations = load.end().await?;
-    assert!(generations.iter().any(|one| one.version == VERSION));
-    assert!(generations.iter().any(|one| one.version == NEXT_VERSION));
+    assert!(
+        generations
+            .iter()
+            .any(|generation| generation.version == VERSION)
+    );
+    assert!(
+        generations
+            .iter()
+            .any(|generation| generation.version == NEXT_VERSION)
+    );
     generations.push(long);
-    for one in &generations {
-        assert!(one.answers[0].is_whole(), "{one:?}");
+    for generation in &generations {
+        assert!(generation.answers[0].is_whole(), "{generation:?}");
     }
     let history = fleet.history(generations);
     assert_eq!(check_layers(&history), []);
@@ -339,38 +351,42 @@
     Ok(())
 }
 
-/// Symptom: a caller is told that its request may have run, or waits in vain.
-/// Sequence: a version is offered in the moment in which it is declared, and
-/// its weights take their time.
-/// Cause: no engine has loaded it; all refuse, and the caller must hear that
-/// nothing ran and when to come back.
+/// Guards against a caller that gets "may have run" or no response while no engine has
+/// loaded the version. The version is offered as soon as it is declared, and its weights
+/// take a second to load. All engines refuse, and the caller must get "not run" with a
+/// time for its retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_version_offered_too_early_is_refused_as_not_run() -> TestResult {
     let fleet = start_fleet(Duration::from_secs(1)).await?;
     let (operators, callers) = (fleet.daemons[0].operators, fleet.daemons[0].callers);
     operator::declare_all(operators, &[model(NEXT_VERSION), fleet.next_pipeline()]).await?;
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let mut generations = Vec::new();
     loop {
         let request = format!("early-{}", generations.len());
-        let generation = run(callers, request, SHORT).await;
+        let generation = run(callers, request, SHORT_TOKENS).await;
         let is_whole = generation.answers[0].is_whole();
         generations.push(generation);
         if is_whole {
             break;
         }
         assert!(Instant::now() < deadline, "{generations:?}");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(SEND_INTERVAL).await;
     }
     let refused = &generations[..generations.len() - 1];
-    assert!(!refused.is_empty(), "the weights came too early");
-    for (number, one) in refused.iter().enumerate() {
-        let refusal = one.refusal().ok_or("neither whole nor refused")?;
+    assert!(
+        !refused.is_empty(),
+        "the weights were loaded before the first request"
+    );
+    for (number, generation) in refused.iter().enumerate() {
+        let refusal = generation
+            .refusal()
+            .ok_or("a response is neither complete nor refused")?;
         assert!(refusal.retry_after_ms.is_some());
-        // Later on the first stage may be loaded and run before the second.
+        // Later the first stage may be loaded, and run, before the second.
         assert!(
             number > 0 || refusal.verdict == RunVerdict::NotRun,
-            "{one:?}"
+            "{generation:?}"
         );
     }
     let history = fleet.history(generations);
@@ -379,14 +395,13 @@
     Ok(())
 }
 
-/// Symptom: an engine holds what an earlier change declared, and stays so.
-/// Sequence: the lease holder is frozen past its lease, another host takes
-/// over and orders a change, the first wakes up; an order under its old
-/// fencing number reaches both kinds of engines.
-/// Cause: the host does not know that it was frozen; an order may have been on
-/// its way, and some engines carry out whichever comes last.
+/// Guards against an engine that stays in the state of an earlier change, because the
+/// holder does not know that it was stopped, or an engine executes a delayed order. The
+/// lease holder is stopped past its lease, another host takes over and orders a change,
+/// the first host resumes, and an order with its old fencing number reaches both kinds of
+/// engines.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stale_order_of_a_woken_holder_does_not_stick() -> TestResult {
+async fn a_stale_order_of_a_resumed_holder_is_corrected() -> TestResult {
     let fleet = start_fleet(Duration::from_millis(100)).await?;
     let holder = fleet.lease_holder().await?;
     let other = 1 - holder;
@@ -394,7 +409,11 @@
     let change = [model(VERSION), fleet.next_pipeline()];
     operator::declare_all(fleet.daemons[other].operators, &change).await?;
     fleet.wait_for_versions(&[VERSION, NEXT_VERSION]).await?;
-    let fencing = fleet.state(0).await?.fencing.ok_or("no order came")?;
+    let fencing = fleet
+        .state(0)
+        .await?
+        .fencing
+        .ok_or("the engine got no order")?;
     fleet.daemons[holder].process.signal("CONT")?;
     for engine in 0..fleet.engines.len() {
         let state = fleet.state(engine).await?;
@@ -413,16 +432,16 @@
         assert_eq!(reply.status, expected);
     }
     fleet.wait_for_versions(&[VERSION, NEXT_VERSION]).await?;
-    // Longer than the woken host needs to look around and give an order.
+    // Longer than the resumed host needs to read the state and send an order.
     tokio::time::sleep(Duration::from_secs(2)).await;
     fleet.wait_for_versions(&[VERSION, NEXT_VERSION]).await
 }
 
-/// Symptom: nobody orders a zone's engines any more.
-/// Sequence: the lease holder is killed, then a change is declared.
-/// Cause: the lease stays with the dead host, or the other one does not go on.
+/// Guards against a zone whose engines get no orders any more, because the lease stays
+/// with a dead host or the other one does not take over. The lease holder is killed, then
+/// a change is declared.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_other_host_goes_on_after_the_holder_is_killed() -> TestResult {
+async fn the_other_host_takes_over_after_the_holder_is_killed() -> TestResult {
     let mut fleet = start_fleet(Duration::from_millis(100)).await?;
     let holder = fleet.lease_holder().await?;
     fleet.daemons[holder].process.kill()?;
--- a/standins/tests/shutdown.rs
+++ b/standins/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! A graceful shutdown cuts off nothing: daemons as separate processes, ended
-//! by a signal under load.
+//! Checks that a graceful shutdown interrupts no request. The daemons are separate
+//! processes that are terminated by a signal under load.
 
 mod support;
 
@@ -33,17 +33,17 @@
 const ZONE: &str = "anfa";
 const HOSTS: [&str; 2] = ["entry-1", "entry-2"];
 const PROMPT: [u64; 3] = [5, 6, 7];
-/// Tokens of an answer that takes about two seconds.
-const LONG: u64 = 120;
+/// Tokens of a response that takes about two seconds.
+const LONG_TOKENS: u64 = 120;
 const STREAMS: usize = 6;
 const STEP_TIME: Duration = Duration::from_millis(5);
 const CALL_TIME: Duration = Duration::from_secs(1);
-/// May run one request at a time, so that others wait in the queue.
+/// May run one request at a time, so that other requests wait in the queue.
 const NARROW: &str = "narrow";
 const WIDE: &str = "wide";
-/// Far longer than the patience of these tests: who gets the lease sooner was
-/// handed it.
-const LEASE: &str = "30s";
+/// Far longer than the timeouts of these tests, so that a host that gets the lease in
+/// time got it by a release.
+const LEASE_DURATION: &str = "30s";
 
 struct SmallFleet {
     platform: PlatformServer,
@@ -52,7 +52,7 @@
     daemons: Vec<DaemonProcess>,
 }
 
-/// Two stages with two engines each, a service, two daemons of one zone.
+/// Starts two stages with two engines each, a service, and two daemons in one zone.
 async fn start_fleet(drain_timeout: &str) -> Result<SmallFleet, TestError> {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformServer::bind(any_port, PlatformSettings::default()).await?;
@@ -67,7 +67,7 @@
             };
             let server = EngineServer::bind(any_port, settings).await?;
             let name = format!("engine-{first_layer}-{number}");
-            engines.push((place(&name, server.local_addr()), server));
+            engines.push((stage_target(&name, server.local_addr()), server));
         }
         let targets = engines.iter().rev().take(2);
         stages.push(StageLayout {
@@ -94,7 +94,7 @@
         targets: Vec::new(),
     });
     let mut resources = declarations::pipeline(MODEL, &stages);
-    let targets = [place("artifacts-1", service.local_addr())];
+    let targets = [stage_target("artifacts-1", service.local_addr())];
     resources.extend(declarations::service("artifacts", &targets, &[]));
     resources.push(declarations::organisation(WIDE, 100, 1_000));
     resources.push(declarations::organisation(NARROW, 1, 1_000));
@@ -106,18 +106,19 @@
         daemons,
     };
     for daemon in &fleet.daemons {
-        eventually("a request is answered", || async {
+        eventually("a request completes", || async {
             let caller = CallerClient::open(WIDE);
-            let answer = caller.generate(daemon.callers, "first", &body(1)).await;
-            answer.is_whole()
+            let response = caller.generate(daemon.callers, "first", &body(1)).await;
+            response.is_whole()
         })
         .await?;
     }
     Ok(fleet)
 }
 
-/// Brings the one unit of [`NARROW`]'s capacity to a host: the other may hold it.
-async fn hold_narrow(host: SocketAddr) -> TestResult {
+/// Waits until the host holds the one unit of capacity of [`NARROW`], which the other
+/// host may hold at first.
+async fn wait_for_narrow_capacity(host: SocketAddr) -> TestResult {
     eventually("the narrow organisation is served", || async {
         let caller = CallerClient::open(NARROW);
         caller.generate(host, "hold", &body(1)).await.is_whole()
@@ -139,13 +140,14 @@
     platform: &PlatformServer,
     drain_timeout: &str,
 ) -> Result<DaemonProcess, TestError> {
-    let timing =
-        format!("\n[timing]\ndrain_timeout = {drain_timeout:?}\nlease_duration = {LEASE:?}\n");
+    let timing = format!(
+        "\n[timing]\ndrain_timeout = {drain_timeout:?}\nlease_duration = {LEASE_DURATION:?}\n"
+    );
     let settings = DaemonConfig::new(host, ZONE, platform.local_addr()).to_toml(&timing);
     DaemonProcess::spawn(&settings)
 }
 
-fn place(name: &str, address: SocketAddr) -> StageTarget {
+fn stage_target(name: &str, address: SocketAddr) -> StageTarget {
     StageTarget {
         name: name.to_owned(),
         zone: ZONE.into(),
@@ -174,7 +176,7 @@
 ) -> JoinHandle<GenerationHistory> {
     tokio::spawn(async move {
         let caller = CallerClient::open(organisation);
-        let answer = caller.generate(host, &request, &body(max_tokens)).await;
+        let response = caller.generate(host, &request, &body(max_tokens)).await;
         GenerationHistory {
             request: request.as_str().into(),
             organisation: organisation.into(),
@@ -183,13 +185,13 @@
             layers: LAYERS,
             prompt: PROMPT.to_vec(),
             max_tokens,
-            answers: vec![answer],
+            answers: vec![response],
         }
     })
 }
 
 impl SmallFleet {
-    /// Steps that ran so far, engine by engine.
+    /// Returns the steps that each engine has run.
     fn steps(&self) -> Vec<TargetSteps> {
         let steps = self.engines.iter().map(|(target, server)| TargetSteps {
             target: target.name.as_str().into(),
@@ -217,7 +219,7 @@
     Ok(records)
 }
 
-/// The host that took the lease on ordering targets first.
+/// Returns the index of the host that first acquired the lease for orders.
 async fn lease_holder(platform: &PlatformServer) -> Result<usize, TestError> {
     let first = || -> Option<usize> {
         let records = lease_records(platform).ok()?;
@@ -228,7 +230,7 @@
     first().ok_or_else(|| "no host holds the lease".into())
 }
 
-/// Waits until the other host has taken the lease after it was released.
+/// Waits until the other host has acquired the lease after its release.
 async fn wait_for_handover(platform: &PlatformServer, from: usize) -> TestResult {
     let other = HOSTS[1 - from];
     eventually("the other host takes the lease", || async {
@@ -245,7 +247,7 @@
     .await
 }
 
-/// The exit status of a daemon that was told to end.
+/// Waits for a terminated daemon and returns its exit status.
 fn wait_for_exit(daemon: &mut DaemonProcess) -> Result<Option<i32>, TestError> {
     tokio::task::block_in_place(|| daemon.process.wait())
 }
@@ -256,21 +258,21 @@
     reply.is_ok_and(|reply| reply.status == StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// Ends the lease holder by a signal under load; `strike` happens right after
-/// the signal. Everything that it had taken in must end whole.
-async fn end_under_load<F>(strike: F) -> TestResult
+/// Terminates the lease holder by a signal under load and calls `after_signal` right
+/// after it. Every request that was accepted before must complete.
+async fn terminate_under_load<F>(after_signal: F) -> TestResult
 where
     F: FnOnce(&SmallFleet),
 {
     let mut fleet = start_fleet("60s").await?;
     let holder = lease_holder(&fleet.platform).await?;
     let host = fleet.daemons[holder].callers;
-    hold_narrow(host).await?;
+    wait_for_narrow_capacity(host).await?;
     let streams: Vec<_> = (0..STREAMS)
-        .map(|number| start_run(host, WIDE, format!("wide-{number}"), LONG))
+        .map(|number| start_run(host, WIDE, format!("wide-{number}"), LONG_TOKENS))
         .collect();
     let queued: Vec<_> = (0..3)
-        .map(|number| start_run(host, NARROW, format!("narrow-{number}"), LONG / 4))
+        .map(|number| start_run(host, NARROW, format!("narrow-{number}"), LONG_TOKENS / 4))
         .collect();
     let download = tokio::spawn(async move {
         let call = OutgoingCall {
@@ -286,14 +288,16 @@
     })
     .await?;
     fleet.daemons[holder].process.signal("TERM")?;
-    strike(&fleet);
+    after_signal(&fleet);
     eventually("the daemon is not ready", || is_unready(host)).await?;
     let late = CallerClient::open(WIDE)
         .generate(host, "late", &body(1))
         .await;
     let is_in_flight = streams.iter().any(|stream| !stream.is_finished());
-    assert!(is_in_flight, "the streams are too short to show anything");
-    let refusal = late.refusal.ok_or("a request was taken while draining")?;
+    assert!(is_in_flight, "the streams ended before the check");
+    let refusal = late
+        .refusal
+        .ok_or("a request was accepted while draining")?;
     assert_eq!(refusal.reason, RefusalReason::Draining);
     assert_eq!(refusal.verdict, RunVerdict::NotRun);
     assert!(refusal.retry_after_ms.is_some());
@@ -319,21 +323,19 @@
     wait_for_handover(&fleet.platform, holder).await
 }
 
-/// Symptom: callers see their streams cut when a host is replaced.
-/// Sequence: SIGTERM while long streams run, requests wait in the queue and a
-/// service call is in flight.
-/// Cause: the process ends, or closes connections, before they are done.
+/// Guards against streams that break when a host is replaced, because the process ends or
+/// closes connections too early. SIGTERM arrives while long streams run, requests wait in
+/// the queue and a service call is in flight.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_signal_under_load_cuts_off_nothing() -> TestResult {
-    end_under_load(|_| {}).await
+async fn termination_under_load_completes_all_requests() -> TestResult {
+    terminate_under_load(|_| {}).await
 }
 
-/// Symptom: as above, for the streams on one stage.
-/// Sequence: right after the SIGTERM one engine of the second stage dies.
-/// Cause: a daemon that drains must still repair the runs that it finishes.
+/// Guards against a draining daemon that does not repair its runs. Right after SIGTERM
+/// one engine of the second stage dies.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stage_that_dies_while_draining_is_replaced() -> TestResult {
-    end_under_load(|fleet| {
+    terminate_under_load(|fleet| {
         let busiest = fleet.engines[2..]
             .iter()
             .max_by_key(|(_, server)| server.record().len());
@@ -344,32 +346,33 @@
     .await
 }
 
-/// Symptom: a caller sees its connection break and cannot tell what ran.
-/// Sequence: a stream is longer than the time that draining may take.
-/// Cause: the process ends with the stream open instead of closing it.
+/// Guards against a caller whose connection breaks without a verdict, because the process
+/// ends with the stream open. A stream takes longer than the drain timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_that_takes_too_long_ends_streams_with_a_verdict() -> TestResult {
     let mut fleet = start_fleet("300ms").await?;
     let host = fleet.daemons[0].callers;
-    hold_narrow(host).await?;
-    let stream = start_run(host, WIDE, "long".to_owned(), 10 * LONG);
-    let running = start_run(host, NARROW, "running".to_owned(), 10 * LONG);
+    wait_for_narrow_capacity(host).await?;
+    let stream = start_run(host, WIDE, "long".to_owned(), 10 * LONG_TOKENS);
+    let running = start_run(host, NARROW, "running".to_owned(), 10 * LONG_TOKENS);
     let has_begun = || async { fleet.has_run("long") && fleet.has_run("running") };
     eventually("the streams run", has_begun).await?;
-    let waiting = start_run(host, NARROW, "waiting".to_owned(), LONG);
-    // Nothing tells from outside that a request stands in the queue.
+    let waiting = start_run(host, NARROW, "waiting".to_owned(), LONG_TOKENS);
+    // No interface shows that the request is in the queue.
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet.daemons[0].process.signal("TERM")?;
     for cut in [stream.await?, running.await?] {
-        let answer = &cut.answers[0];
-        assert!(!answer.broken, "{answer:?}");
-        let refusal = answer.refused().ok_or("no error event")?;
+        let response = &cut.answers[0];
+        assert!(!response.broken, "{response:?}");
+        let refusal = response.refused().ok_or("no error event")?;
         assert_eq!(refusal.reason, RefusalReason::Draining);
         assert_eq!(refusal.verdict, RunVerdict::MayHaveRun);
-        assert!(!answer.tokens().is_empty());
+        assert!(!response.tokens().is_empty());
     }
     let refused = waiting.await?;
-    let refusal = refused.refusal().ok_or("the queued request hung")?;
+    let refusal = refused
+        .refusal()
+        .ok_or("the queued request was not refused")?;
     assert_eq!(refusal.reason, RefusalReason::Draining);
     assert_eq!(refusal.verdict, RunVerdict::NotRun);
     assert!(!fleet.has_run("waiting"));
@@ -377,13 +380,11 @@
     Ok(())
 }
 
-/// Symptom: nobody orders a zone's targets for a whole lease after a host was
-/// replaced.
-/// Sequence: SIGTERM to an idle lease holder.
-/// Cause: with nothing in flight the process ends before it has handed the
-/// lease back.
+/// Guards against a zone whose targets get no orders for a whole lease, because a process
+/// without requests in flight ends before it has released the lease. An idle lease holder
+/// gets SIGTERM.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_idle_host_hands_its_leases_back() -> TestResult {
+async fn an_idle_host_releases_its_leases() -> TestResult {
     let mut fleet = start_fleet("60s").await?;
     let holder = lease_holder(&fleet.platform).await?;
     fleet.daemons[holder].process.signal("TERM")?;
@@ -391,9 +392,8 @@
     wait_for_handover(&fleet.platform, holder).await
 }
 
-/// Appends records of another lease all the time, so that each read of the
-/// stream is answered as soon as its delay has passed, and not by the record
-/// that a test waits for.
+/// Appends records of another lease all the time, so that each read of the stream returns
+/// as soon as its delay has passed, and not because of the record that a test waits for.
 fn keep_readers_busy(platform: SocketAddr) -> JoinHandle<()> {
     tokio::spawn(async move {
         loop {
@@ -422,21 +422,20 @@
     })
 }
 
-/// Symptom: as above.
-/// Sequence: SIGTERM right after the host's acquisition has reached the log,
-/// before the host has read it there.
-/// Cause: the host does not know yet that it holds what it has to hand back.
+/// Guards against a lease that is not released because its host does not know yet that it
+/// holds it. SIGTERM arrives after the acquisition has reached the log and before the
+/// host has read it there.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lease_just_acquired_is_handed_back() -> TestResult {
+async fn a_newly_acquired_lease_is_released() -> TestResult {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let platform = PlatformServer::bind(any_port, PlatformSettings::default()).await?;
     platform.faults().update(|faults| faults.delay_ms = 400);
-    let noise = keep_readers_busy(platform.local_addr());
+    let background_appends = keep_readers_busy(platform.local_addr());
     let mut daemon = start_daemon(HOSTS[0], &platform, "60s")?;
     let holder = lease_holder(&platform).await?;
     daemon.process.signal("TERM")?;
     assert_eq!(wait_for_exit(&mut daemon)?, Some(0));
-    noise.abort();
+    background_appends.abort();
     platform.faults().update(|faults| faults.delay_ms = 0);
     let _other = start_daemon(HOSTS[1 - holder], &platform, "60s")?;
     wait_for_handover(&platform, holder).await
--- a/standins/tests/support/hosts.rs
+++ b/standins/tests/support/hosts.rs
@@ -1,5 +1,5 @@
-//! Entry hosts in the test's own process, behind links that can be cut, and a
-//! watcher that sees to it that no host goes back to an older configuration.
+//! Entry hosts in the process of the test, behind links that can be cut, and a detector
+//! of hosts that revert to an older configuration.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     pub zone: String,
     pub operators: SocketAddr,
     pub callers: SocketAddr,
-    pub from_peers: TestLink,
+    pub peer_link: TestLink,
     handle: DaemonHandle,
 }
 
@@ -42,7 +42,8 @@
         Self::start_with(name, zone, platform, seeds, "").await
     }
 
-    /// As [`Self::start`], with further lines for the section of times.
+    /// Starts a host like [`Self::start`], with additional lines for the section
+    /// `timing`.
     pub async fn start_with(
         name: &str,
         zone: &str,
@@ -50,13 +51,13 @@
         seeds: &[&TestHost],
         timing: &str,
     ) -> Result<Self, TestError> {
-        let from_peers = TestLink::bind().await?;
+        let peer_link = TestLink::bind().await?;
         let seeds = seeds.iter().map(|seed| SeedPeer {
             host: seed.name.clone(),
             zone: seed.zone.clone(),
-            address: seed.from_peers.address,
+            address: seed.peer_link.address,
         });
-        let place = DaemonConfig {
+        let seen_key = DaemonConfig {
             seeds: seeds.collect(),
             ..DaemonConfig::new(name, zone, platform)
         };
@@ -66,19 +67,19 @@
             "\n[[operators.credentials]]\noperator = \"operator-2\"\ntoken_digest = \"{digest}\"\n\
              \n[timing]\nheartbeat_interval = \"100ms\"\n{timing}\n"
         );
-        let listen = format!("[listen]\nadvertised_peers = \"{}\"\n", from_peers.address);
-        let text = place
+        let listen = format!("[listen]\nadvertised_peers = \"{}\"\n", peer_link.address);
+        let text = seen_key
             .to_toml(&extra)
             .replacen("[listen]\n", &listen, 1)
             .replacen("[platform]\n", "[platform]\ncheckpoint_records = 10\n", 1);
         let handle = daemon::spawn(DaemonOptions::from_toml(&text)?).await?;
-        from_peers.lead_to(handle.peer_address().ok_or("no address for peers")?);
+        peer_link.forward_to(handle.peer_address().ok_or("no address for peers")?);
         Ok(Self {
             name: name.to_owned(),
             zone: zone.to_owned(),
             operators: handle.operator_address(),
             callers: handle.caller_address(),
-            from_peers,
+            peer_link,
             handle,
         })
     }
@@ -95,19 +96,20 @@
         self.status().await.is_some_and(|status| status.ready)
     }
 
-    /// Version of a resource; `None` if it is not declared here.
+    /// Returns the version of a resource, or `None` if it is not declared on this host.
     pub async fn version(&self, key: &ResourceKey) -> Option<LogOffset> {
         let view = operator::read::<ResourceView>(self.operators, &operator::path_of(key)).await;
         view.ok().map(|view| view.version)
     }
 
-    /// Declares an organisation that may use so much, and gives its version.
+    /// Declares an organisation with a capacity and returns the version of the
+    /// declaration.
     pub async fn declare(&self, name: &str, capacity: u32) -> Result<LogOffset, TestError> {
         operator::declare_all(self.operators, &[organisation(name, capacity)]).await
     }
 
-    /// Waits until the host takes work under this version of a resource.
-    pub async fn serves(&self, key: &ResourceKey, version: LogOffset) -> TestResult {
+    /// Waits until the host is ready and has this version of a resource.
+    pub async fn wait_until_serving(&self, key: &ResourceKey, version: LogOffset) -> TestResult {
         let what = format!("{} serves {key} as of {version}", self.name);
         eventually(&what, || async {
             self.is_ready().await && self.version(key).await == Some(version)
@@ -127,29 +129,29 @@
     }
 }
 
-/// What was in force everywhere, and what any host was seen to serve since.
+/// Versions that were in effect everywhere, and versions that the hosts served since.
 #[derive(Default)]
-struct WatchState {
-    /// Latest change that was in force everywhere, and whether it deleted.
-    floor: BTreeMap<ResourceKey, (LogOffset, bool)>,
+struct DetectorState {
+    /// Latest change that was in effect everywhere, and whether it was a deletion.
+    minimums: BTreeMap<ResourceKey, (LogOffset, bool)>,
     hosts: Vec<(String, SocketAddr)>,
-    /// Highest version seen, by host and resource.
+    /// Last version seen, by host and resource.
     seen: BTreeMap<(String, ResourceKey), LogOffset>,
-    looks: usize,
+    polls: usize,
     reverted: Vec<String>,
 }
 
-/// Looks at every host all the time: on a host that takes work no resource
-/// may have an older version than before on that host, or than was in force
-/// everywhere, and nothing deleted may be back.
-pub struct ForceWatcher {
-    state: Arc<Mutex<WatchState>>,
+/// Polls all hosts. A ready host must not serve an older version of a resource than
+/// before, or than the one that was in effect everywhere, and must not serve a deleted
+/// resource.
+pub struct ReversionDetector {
+    state: Arc<Mutex<DetectorState>>,
     task: JoinHandle<()>,
 }
 
-impl ForceWatcher {
+impl ReversionDetector {
     pub fn spawn() -> Self {
-        let state = Arc::new(Mutex::new(WatchState::default()));
+        let state = Arc::new(Mutex::new(DetectorState::default()));
         let task = tokio::spawn(watch(Arc::clone(&state)));
         Self { state, task }
     }
@@ -159,53 +161,55 @@
         state.hosts.push((host.name.clone(), host.operators));
     }
 
-    /// Notes a change that is in force everywhere.
-    pub fn in_force(&self, key: &ResourceKey, version: LogOffset, deleted: bool) {
+    /// Records a change that is in effect everywhere, as the minimum for all hosts.
+    pub fn set_minimum(&self, key: &ResourceKey, version: LogOffset, deleted: bool) {
         let mut state = self.state.lock();
-        state.floor.insert(key.clone(), (version, deleted));
+        state.minimums.insert(key.clone(), (version, deleted));
     }
 
-    /// Fails if any host went back, or if hardly anything was looked at.
+    /// Stops the polling. Fails if a host reverted a change, or after fewer than 10
+    /// polls.
     pub fn finish(self) -> TestResult {
         self.task.abort();
         let state = self.state.lock();
         match &state.reverted[..] {
-            [] if state.looks >= 10 => Ok(()),
-            [] => Err(format!("only {} looks", state.looks).into()),
+            [] if state.polls >= 10 => Ok(()),
+            [] => Err(format!("only {} polls", state.polls).into()),
             reverted => Err(format!("reverted: {reverted:?}").into()),
         }
     }
 }
 
-async fn watch(state: Arc<Mutex<WatchState>>) {
+async fn watch(state: Arc<Mutex<DetectorState>>) {
     loop {
         let hosts = state.lock().hosts.clone();
         for (host, address) in hosts {
-            let floor = state.lock().floor.clone();
+            let minimums = state.lock().minimums.clone();
             let status = operator::read::<StatusView>(address, "/v1/status").await;
             let listed = operator::read::<Vec<ResourceView>>(address, "/v1/resources").await;
-            // A host that is gone or takes no work serves nothing old.
+            // A host that has stopped or is not ready serves no configuration.
             let (true, Ok(views)) = (status.is_ok_and(|status| status.ready), listed) else {
                 continue;
             };
-            compare(&mut state.lock(), &host, &floor, &views);
+            compare(&mut state.lock(), &host, &minimums, &views);
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
 fn compare(
-    state: &mut WatchState,
+    state: &mut DetectorState,
     host: &str,
-    floor: &BTreeMap<ResourceKey, (LogOffset, bool)>,
+    minimums: &BTreeMap<ResourceKey, (LogOffset, bool)>,
     views: &[ResourceView],
 ) {
-    state.looks += 1;
-    for (key, (least, deleted)) in floor {
+    state.polls += 1;
+    for (key, (minimum, deleted)) in minimums {
         match views.iter().find(|view| view.key == *key) {
-            Some(view) if view.version < *least => {
+            Some(view) if view.version < *minimum => {
                 let found = view.version;
-                let text = format!("{host}: {key} is {found}, {least} was in force");
+                let text =
+                    format!("{host}: {key} has version {found}, but {minimum} was in effect");
                 state.reverted.push(text);
             }
             None if !deleted => state.reverted.push(format!("{host}: {key} is missing")),
@@ -213,11 +217,11 @@
         }
     }
     for view in views {
-        let place = (host.to_owned(), view.key.clone());
-        let before = state.seen.insert(place, view.version);
-        if before.is_some_and(|before| before > view.version) {
+        let seen_key = (host.to_owned(), view.key.clone());
+        let previous = state.seen.insert(seen_key, view.version);
+        if previous.is_some_and(|previous| previous > view.version) {
             let (key, found) = (&view.key, view.version);
-            let text = format!("{host}: {key} went from {before:?} to {found}");
+            let text = format!("{host}: {key} went from {previous:?} to {found}");
             state.reverted.push(text);
         }
     }
--- a/standins/tests/support/mod.rs
+++ b/standins/tests/support/mod.rs
@@ -20,8 +20,8 @@
 pub type TestResult = Result<(), Box<dyn std::error::Error + Send + Sync>>;
 pub type TestError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Bound on waiting for something that is expected to come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for conditions that are expected to become true.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A process that is killed when dropped.
 pub struct TestProcess {
@@ -43,13 +43,13 @@
         })
     }
 
-    /// The address in the next line, which begins with `word`.
-    pub fn address(&mut self, word: &str) -> Result<SocketAddr, TestError> {
+    /// Reads the address from the next line, which begins with `prefix`.
+    pub fn address(&mut self, prefix: &str) -> Result<SocketAddr, TestError> {
         let mut line = String::new();
         self.lines.read_line(&mut line)?;
         let rest = line
-            .strip_prefix(word)
-            .ok_or_else(|| format!("{word}: {line:?}"))?;
+            .strip_prefix(prefix)
+            .ok_or_else(|| format!("expected a line with {prefix:?}, got {line:?}"))?;
         Ok(rest.trim().parse()?)
     }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Waits for the process to end by itself and gives its exit status.
+    /// Waits for the process to end by itself and returns its exit status.
     pub fn wait(&mut self) -> Result<Option<i32>, TestError> {
         Ok(self.child.wait()?.code())
     }
@@ -87,8 +87,8 @@
     }
 }
 
-/// The programs stand beside the stand-ins' own; `cargo test --workspace`
-/// builds both packages' programs.
+/// Returns the path of a program. It is in the same directory as the programs of the
+/// stand-ins; `cargo test --workspace` builds the programs of both packages.
 fn program_path(program: &str) -> Result<PathBuf, TestError> {
     let own = PathBuf::from(env!("CARGO_BIN_EXE_engine"));
     let folder = own.parent().ok_or("no folder of programs")?;
@@ -99,7 +99,7 @@
     }
 }
 
-/// A daemon with its settings file.
+/// A daemon process with its settings file.
 pub struct DaemonProcess {
     pub process: TestProcess,
     pub callers: SocketAddr,
@@ -124,18 +124,18 @@
     }
 }
 
-/// Polls until `check` holds, within [`PATIENCE`].
+/// Polls until `check` returns true, for at most [`WAIT_TIMEOUT`].
 pub async fn eventually<C, F>(what: &str, mut check: C) -> TestResult
 where
     C: FnMut() -> F,
     F: Future<Output = bool>,
 {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
         if check().await {
             return Ok(());
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    Err(format!("{what}: not within {PATIENCE:?}").into())
+    Err(format!("{what}: not true within {WAIT_TIMEOUT:?}").into())
 }
--- a/standins/tests/whole_answers.rs
+++ b/standins/tests/whole_answers.rs
@@ -1,5 +1,5 @@
-//! Every layer exactly once, in order, and the whole answer to its own
-//! request, while stages, answers and entry hosts fail.
+//! Checks that every layer runs exactly once and in order, and that each request gets its
+//! own complete response, while stages, responses and entry hosts fail.
 
 use std::time::{Duration, Instant};
 
@@ -18,18 +18,18 @@
 const PROMPT: [u64; 6] = [3, 1, 4, 1, 5, 9];
 const TOKENS: u64 = 12;
 const LAYERS: u32 = 12;
-/// Tokens of an answer that takes some seconds.
-const LONG_ANSWER: u64 = 300;
+/// Tokens of a response that takes some seconds.
+const LONG_RESPONSE_TOKENS: u64 = 300;
 type NamedFault = (&'static str, fn(&mut EngineFaults));
 
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Where in a run a fault strikes, as the position that is being worked on.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Positions of a run at which a fault is injected.
 const PREFILL: u64 = 0;
 const FIRST_TOKEN: u64 = 6;
 const MIDDLE: u64 = 11;
 const LAST_TOKEN: u64 = 16;
 
-/// Two entry hosts in two zones; three stages with three engines each.
+/// Starts two entry hosts in two zones, and three stages with three engines each.
 async fn start_fleet() -> Result<Fleet, TestError> {
     let zone = |name: &str| ZonePlan {
         name: name.to_owned(),
@@ -84,14 +84,15 @@
     }
 }
 
-fn assert_promises(history: &RunHistory) {
+fn assert_invariants(history: &RunHistory) {
     let mut broken = check_layers(history);
     broken.extend(check_complete_responses(history));
     broken.extend(check_single_response(history));
     assert!(broken.is_empty(), "{broken:?}");
 }
 
-/// The engine that has run the highest position of a request on a stage.
+/// Returns the engine of a stage that has run the highest position of a request, with
+/// that position.
 fn engine_at<'f>(fleet: &'f Fleet, request: &str, stage: usize) -> Option<(&'f FleetEngine, u64)> {
     let prefix = format!("{request}~");
     let engines = fleet.engines.iter().filter(|engine| engine.stage == stage);
@@ -108,14 +109,14 @@
         .max_by_key(|(_, position)| *position)
 }
 
-/// Waits until a stage has run `position` and gives the engine that did.
+/// Waits until a stage has run `position` and returns the engine that ran it.
 async fn wait_for<'f>(
     fleet: &'f Fleet,
     request: &str,
     stage: usize,
     position: u64,
 ) -> Result<&'f FleetEngine, TestError> {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while Instant::now() < deadline {
         match engine_at(fleet, request, stage) {
             Some((engine, reached)) if reached >= position => return Ok(engine),
@@ -125,9 +126,9 @@
     Err(format!("{request}: stage {stage} has not run position {position}").into())
 }
 
-/// Runs one request and strikes the engines of `stages` once the first of
-/// them has run `position`.
-async fn strike<F>(
+/// Runs one request and injects a fault into the engines of `stages` once the first of
+/// these stages has run `position`.
+async fn run_with_fault<F>(
     fleet: &Fleet,
     request: &str,
     stages: &[usize],
@@ -140,33 +141,33 @@
     let host = fleet.daemons[0].callers;
     let body = body(fleet);
     let name = request.to_owned();
-    let answer = tokio::spawn(async move { caller().generate(host, &name, &body).await });
+    let response = tokio::spawn(async move { caller().generate(host, &name, &body).await });
     wait_for(fleet, request, stages[0], position).await?;
     for stage in stages {
         if let Some((engine, _)) = engine_at(fleet, request, *stage) {
             fault(engine);
         }
     }
-    Ok(answer.await?)
+    Ok(response.await?)
 }
 
-/// Symptom: an answer that stops, repeats tokens or goes on with wrong ones.
-/// Sequence: the engine of one stage dies for good while it serves a request,
-/// at the prefill, the first token, in the middle or near the last token.
-/// Cause: its KV cache is gone; what was delivered must not be run into the
-/// answer again and the rest must rest on every earlier position.
+/// Guards against a response that stops, repeats tokens or continues with wrong ones
+/// after the KV cache of a stage is lost. The engine of one stage dies while it serves a
+/// request, at the prefill, the first token, in the middle or near the last token.
+/// Delivered tokens must not appear again, and the remaining ones must depend on every
+/// earlier position.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stage_that_dies_is_replaced_at_any_point() -> TestResult {
     for stage in 0..3 {
         let mut fleet = start_fleet().await?;
         for position in [PREFILL, FIRST_TOKEN, MIDDLE, LAST_TOKEN] {
             let request = format!("die-{stage}-{position}");
-            let answer = strike(&fleet, &request, &[stage], position, |engine| {
+            let response = run_with_fault(&fleet, &request, &[stage], position, |engine| {
                 engine.server.die();
             })
             .await?;
-            assert!(answer.is_whole(), "{request}: {answer:?}");
-            assert_promises(&history(&fleet, &request, vec![answer]));
+            assert!(response.is_whole(), "{request}: {response:?}");
+            assert_invariants(&history(&fleet, &request, vec![response]));
             for engine in &fleet.engines {
                 engine.server.revive();
             }
@@ -176,21 +177,20 @@
     Ok(())
 }
 
-/// Symptom: as above, or a run that fails because no survivor is left to
-/// replay from.
-/// Sequence: the engines of two stages die in the same moment.
-/// Cause: the stage before the replaced one has lost its outputs too.
+/// Guards against wrong tokens, or a run that fails because no stage is left to replay
+/// from: the stage before the replaced one has lost its outputs too. The engines of two
+/// stages die at the same time.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_stages_that_die_at_once_are_replaced() -> TestResult {
     let mut fleet = start_fleet().await?;
     for (number, stages) in [[0, 1], [1, 2], [0, 2]].iter().enumerate() {
         let request = format!("two-{number}");
-        let answer = strike(&fleet, &request, stages, MIDDLE, |engine| {
+        let response = run_with_fault(&fleet, &request, stages, MIDDLE, |engine| {
             engine.server.die();
         })
         .await?;
-        assert!(answer.is_whole(), "{request}: {answer:?}");
-        assert_promises(&history(&fleet, &request, vec![answer]));
+        assert!(response.is_whole(), "{request}: {response:?}");
+        assert_invariants(&history(&fleet, &request, vec![response]));
         for engine in &fleet.engines {
             engine.server.revive();
         }
@@ -199,13 +199,12 @@
     Ok(())
 }
 
-/// Symptom: a position run twice, or a token of another position.
-/// Sequence: an answer is lost after its step ran; a second one answers with
-/// another session's answer; a third repeats its previous answer.
-/// Cause: the step took effect, so it must be asked for again and not sent
-/// anew, and an answer that does not match what is awaited must be dropped.
+/// Guards against a position that runs twice and a token of another position. A response
+/// is lost after its step ran, so it must be requested again instead of the step; a
+/// second engine returns the response of another session, and a third repeats its
+/// previous response, and both must be discarded.
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_crossed_and_repeated_answers_do_no_harm() -> TestResult {
+async fn lost_swapped_and_repeated_responses_do_not_corrupt_results() -> TestResult {
     let mut fleet = start_fleet().await?;
     let faults: [NamedFault; 3] = [
         ("lost", |faults| faults.lose_answers = 1),
@@ -220,52 +219,53 @@
                 let name = format!("beside-{request}");
                 async move { caller().generate(host, &name, &body).await }
             });
-            let answer = strike(&fleet, &request, &[stage], FIRST_TOKEN, |engine| {
+            let response = run_with_fault(&fleet, &request, &[stage], FIRST_TOKEN, |engine| {
                 engine.server.faults().update(fault);
             })
             .await?;
-            let beside = other.await?;
-            assert!(answer.is_whole(), "{request}: {answer:?}");
-            assert!(beside.is_whole(), "beside {request}: {beside:?}");
-            assert_promises(&history(&fleet, &request, vec![answer]));
-            let beside_request = format!("beside-{request}");
-            assert_promises(&history(&fleet, &beside_request, vec![beside]));
+            let concurrent = other.await?;
+            assert!(response.is_whole(), "{request}: {response:?}");
+            assert!(concurrent.is_whole(), "beside {request}: {concurrent:?}");
+            assert_invariants(&history(&fleet, &request, vec![response]));
+            let concurrent_request = format!("beside-{request}");
+            assert_invariants(&history(&fleet, &concurrent_request, vec![concurrent]));
         }
     }
     fleet.shutdown().await;
     Ok(())
 }
 
-/// Symptom: tokens of a session that was given up turn up in the answer.
-/// Sequence: an engine freezes, its stage is replaced, the engine wakes and
-/// goes on with what it had been asked.
-/// Cause: the frozen engine does not know that it was replaced.
+/// Guards against tokens of an abandoned session in the response, because a frozen engine
+/// does not know that it was replaced. An engine freezes, its stage is replaced, and the
+/// engine resumes its earlier requests.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_engine_that_wakes_does_no_harm() -> TestResult {
+async fn a_frozen_engine_that_resumes_does_not_corrupt_results() -> TestResult {
     let mut fleet = start_fleet().await?;
     for stage in 0..3 {
         let request = format!("frozen-{stage}");
-        let woken = std::sync::Mutex::new(None);
-        let answer = strike(&fleet, &request, &[stage], MIDDLE, |engine| {
+        let frozen_faults = std::sync::Mutex::new(None);
+        let response = run_with_fault(&fleet, &request, &[stage], MIDDLE, |engine| {
             let faults = engine.server.faults();
             faults.update(|faults| faults.frozen = true);
-            *woken.lock().unwrap_or_else(|error| error.into_inner()) = Some(faults);
+            *frozen_faults
+                .lock()
+                .unwrap_or_else(|error| error.into_inner()) = Some(faults);
         })
         .await?;
-        assert!(answer.is_whole(), "{request}: {answer:?}");
-        let faults = woken.into_inner()?.ok_or("no engine was frozen")?;
+        assert!(response.is_whole(), "{request}: {response:?}");
+        let faults = frozen_faults.into_inner()?.ok_or("no engine was frozen")?;
         faults.update(|faults| faults.frozen = false);
         tokio::time::sleep(Duration::from_millis(50)).await;
-        assert_promises(&history(&fleet, &request, vec![answer]));
+        assert_invariants(&history(&fleet, &request, vec![response]));
     }
     fleet.shutdown().await;
     Ok(())
 }
 
-/// Symptom: a caller whose stream broke gets tokens twice or not at all.
-/// Sequence: the entry host is killed in mid-stream; the caller goes to
-/// another host with the tokens that it holds.
-/// Cause: hosts keep nothing, so only the caller knows what was delivered.
+/// Guards against tokens that are delivered twice or not at all after a stream broke.
+/// Hosts store nothing, so only the caller knows what was delivered. The entry host is
+/// killed in the middle of a stream, and the caller continues at another host with the
+/// tokens that it has.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_resumes_on_another_host() -> TestResult {
     let mut fleet = start_fleet().await?;
@@ -295,33 +295,35 @@
     let numbers: Vec<u64> = second
         .events
         .iter()
-        .filter_map(|heard| match heard.event {
+        .filter_map(|received| match received.event {
             StreamEvent::Token { number, .. } => Some(number),
             _ => None,
         })
         .collect();
     let expected: Vec<u64> = (delivered.len() as u64..TOKENS).collect();
     assert_eq!(numbers, expected);
-    assert_promises(&history(&fleet, request, vec![first, second]));
+    assert_invariants(&history(&fleet, request, vec![first, second]));
     fleet.shutdown().await;
     Ok(())
 }
 
-/// Symptom: engines go on working for a caller that has gone.
-/// Sequence: the caller closes its connection in mid-stream.
-/// Cause: nobody tells the engines; wasted steps are lost throughput.
+/// Guards against engines that continue to work for a disconnected caller, because
+/// nothing cancels the run; the wasted steps cost throughput. The caller closes its
+/// connection in the middle of a stream.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_run_ends_when_its_caller_goes() -> TestResult {
     let mut fleet = start_fleet().await?;
-    let fleet_body = GenerateBody {
-        max_tokens: LONG_ANSWER,
+    let request_body = GenerateBody {
+        max_tokens: LONG_RESPONSE_TOKENS,
         ..body(&fleet)
     };
     let host = fleet.daemons[0].callers;
-    let response = caller().start_generation(host, "gone", &fleet_body).await?;
+    let stream = caller()
+        .start_generation(host, "gone", &request_body)
+        .await?;
     wait_for(&fleet, "gone", 2, MIDDLE).await?;
-    drop(response);
-    let deadline = Instant::now() + PATIENCE;
+    drop(stream);
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     let count = |fleet: &Fleet| -> usize {
         fleet
             .engines
@@ -335,12 +337,12 @@
         if count(&fleet) == before {
             break;
         }
-        assert!(Instant::now() < deadline, "the run goes on");
+        assert!(Instant::now() < deadline, "the run continues");
     }
     let (_, reached) = engine_at(&fleet, "gone", 0).ok_or("no engine ran it")?;
     assert!(
-        reached < LONG_ANSWER / 2,
-        "the run went on to position {reached}"
+        reached < LONG_RESPONSE_TOKENS / 2,
+        "the run continued to position {reached}"
     );
     fleet.shutdown().await;
     Ok(())
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path, in separate processes on the loopback address.
+//! Checks the whole path of a request in separate processes on the loopback address.
 
 mod support;
 
@@ -19,11 +19,11 @@
 const LAYERS: u32 = 12;
 const PROMPT: [u64; 5] = [11, 22, 33, 44, 55];
 const TOKENS: u64 = 9;
-/// Time of a step on the three stages, in microseconds: mixed speeds.
+/// Step times of the three stages in microseconds, with mixed speeds.
 const STEP_TIMES: [u64; 3] = [200, 1_000, 400];
 
 /// Entry hosts and their availability zones.
-const PLACES: [(&str, &str); 3] = [
+const HOSTS: [(&str, &str); 3] = [
     ("entry-1", "vake"),
     ("entry-2", "vake"),
     ("entry-3", "didube"),
@@ -35,7 +35,7 @@
     daemons: Vec<DaemonProcess>,
 }
 
-/// A platform, an engine a stage, a service and three daemons in two zones.
+/// Starts a platform, one engine per stage, a service and three daemons in two zones.
 async fn start_fleet() -> Result<ProcessFleet, TestError> {
     let mut processes = Vec::new();
     let mut start = |program: &str, arguments: &[String]| -> Result<SocketAddr, TestError> {
@@ -58,17 +58,21 @@
         stages.push(StageLayout {
             first_layer: first,
             last_layer: last,
-            targets: vec![place(&format!("engine-{index}"), zone_of(index), address)],
+            targets: vec![stage_target(
+                &format!("engine-{index}"),
+                zone_of(index),
+                address,
+            )],
         });
     }
     let ledger = start("service", &[])?;
     let mut daemons = Vec::new();
-    for (host, zone) in PLACES {
+    for (host, zone) in HOSTS {
         let settings = DaemonConfig::new(host, zone, platform).to_toml("");
         daemons.push(DaemonProcess::spawn(&settings)?);
     }
     let hosts = HostList {
-        hosts: PLACES
+        hosts: HOSTS
             .iter()
             .zip(&daemons)
             .map(|((host, zone), daemon)| listed(host, zone, daemon))
@@ -79,13 +83,13 @@
     let mut resources = declarations::pipeline(MODEL, &stages);
     resources.extend(declarations::service(
         "ledger",
-        &[place("ledger-1", "vake", ledger)],
+        &[stage_target("ledger-1", "vake", ledger)],
         &["settle"],
     ));
     resources.push(declarations::organisation("desk", 100, 1_000));
     let version = operator::declare_all(daemons[0].operators, &resources).await?;
     for daemon in &daemons {
-        eventually("the declarations are in force", || async {
+        eventually("the declarations are in effect", || async {
             let status = operator::read::<StatusView>(daemon.operators, "/v1/status").await;
             status.is_ok_and(|status| status.ready && status.applied > version)
         })
@@ -116,7 +120,8 @@
     }
 }
 
-/// Both zones have engines: capacity is split over the zones with targets.
+/// Returns the zone of an engine. Both zones have engines, since capacity is divided
+/// among the zones with targets.
 fn zone_of(index: u32) -> &'static str {
     match index {
         1 => "didube",
@@ -124,7 +129,7 @@
     }
 }
 
-fn place(name: &str, zone: &str, address: SocketAddr) -> StageTarget {
+fn stage_target(name: &str, zone: &str, address: SocketAddr) -> StageTarget {
     StageTarget {
         name: name.to_owned(),
         zone: zone.into(),
@@ -145,8 +150,8 @@
     }
 }
 
-/// Checks against the engines' record that every layer ran exactly once for
-/// each position of a run, stage after stage.
+/// Checks in the records of the engines that every layer ran exactly once for each
+/// position of a run, in the order of the stages.
 fn check_layers(records: &[Vec<StepRecord>], request: &str) -> Result<(), TestError> {
     let positions = PROMPT.len() as u64 + TOKENS - 1;
     for position in 0..positions {
@@ -177,7 +182,7 @@
 #[tokio::test]
 async fn a_request_crosses_three_stages_through_any_daemon() -> TestResult {
     let fleet = start_fleet().await?;
-    let right = reference::generate(
+    let expected_tokens = reference::generate(
         MODEL,
         declarations::VERSION,
         LAYERS,
@@ -187,9 +192,9 @@
     let caller = CallerClient::open("desk");
     for (index, daemon) in fleet.daemons.iter().enumerate() {
         let request = format!("request-{index}");
-        let answer = caller.generate(daemon.callers, &request, &body()).await;
-        assert!(answer.is_whole(), "{answer:?}");
-        assert_eq!(answer.tokens(), right);
+        let response = caller.generate(daemon.callers, &request, &body()).await;
+        assert!(response.is_whole(), "{response:?}");
+        assert_eq!(response.tokens(), expected_tokens);
         check_layers(&engine_records(&fleet).await?, &request)?;
     }
     let plain = OutgoingCall {
@@ -205,12 +210,10 @@
     Ok(())
 }
 
-/// Symptom: an answer of the right length with wrong tokens.
-/// Sequence: an engine leaves one layer of its range out for every step.
-/// Cause: nothing in the protocol shows it; the proof must come from the
-/// engines' record, and the checker above must be able to fail.
+/// Guards against a checker that cannot fail. An engine skips one layer of its range in
+/// every step; the protocol does not show it, only the records of the engines do.
 #[tokio::test]
-async fn the_checker_notices_a_skipped_layer() -> TestResult {
+async fn the_checker_detects_a_skipped_layer() -> TestResult {
     let fleet = start_fleet().await?;
     let faults = EngineFaults {
         skip_layer: Some(5),
@@ -219,16 +222,16 @@
     call(Method::PUT, fleet.engines[1], "/control/faults", &faults).await?;
     let caller = CallerClient::open("desk");
     let daemon = &fleet.daemons[0];
-    let answer = caller.generate(daemon.callers, "skipped", &body()).await;
-    let right = reference::generate(
+    let response = caller.generate(daemon.callers, "skipped", &body()).await;
+    let expected_tokens = reference::generate(
         MODEL,
         declarations::VERSION,
         LAYERS,
         &PROMPT,
         TOKENS as usize,
     );
-    assert!(answer.is_whole());
-    assert_ne!(answer.tokens(), right);
+    assert!(response.is_whole());
+    assert_ne!(response.tokens(), expected_tokens);
     assert!(check_layers(&engine_records(&fleet).await?, "skipped").is_err());
     Ok(())
 }
