--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -5,7 +5,7 @@
 //! the tables and the order in which their locks are taken.
 
 mod activation;
-mod admitting;
+mod admission;
 mod callers;
 mod changes;
 mod checkpoints;
@@ -18,10 +18,10 @@
 mod members;
 mod operators;
 mod readiness;
-mod reconciling;
-mod relaying;
+mod reconciliation;
+mod record_relay;
 mod services;
-mod sharing;
+mod shares;
 mod spawn;
 mod step_observations;
 mod tables;
--- a/src/daemon/activation.rs
+++ b/src/daemon/activation.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use super::core::DaemonCore;
-use super::sharing::declare_shares;
+use super::shares::declare_shares;
 use crate::admission::ShareLimit;
 use crate::ids::{OrganisationId, ZoneId};
 use crate::membership::DeclaredTarget;
--- a/src/daemon/claims.rs
+++ b/src/daemon/claims.rs
@@ -16,6 +16,6 @@
 
 pub(super) use local_state::ClaimState;
 pub(super) use outcome_query::handle_outcome_query;
-pub(super) use reply::{known_answer, refusal_of, reply_of};
+pub(super) use reply::{known_response, refusal_of, reply_of};
 pub(super) use stream::{run_claims, wait_for_settlements};
 pub(super) use ticket::{ClaimSubject, ClaimTicket, DispatchedClaim};
--- a/src/daemon/claims/events.rs
+++ b/src/daemon/claims/events.rs
@@ -69,7 +69,7 @@
                 send_step(active, ClaimStep::QueryHolder(holder));
             }
             ClaimDecision::Respond(response) => {
-                record_answer(core, active, &response);
+                record_claim_response(core, active, &response);
                 send_step(active, ClaimStep::Respond(response));
             }
         }
@@ -144,7 +144,7 @@
 
 /// Counts the result of a claim that is not dispatched, and publishes to hosts that query
 /// the request that it was refused here.
-fn record_answer(core: &DaemonCore, active: &mut ActiveClaim, response: &ClaimResponse) {
+fn record_claim_response(core: &DaemonCore, active: &mut ActiveClaim, response: &ClaimResponse) {
     let ClaimResponse::Refused { refusal, .. } = response else {
         return record_loss(core, active);
     };
--- a/src/daemon/claims/reply.rs
+++ b/src/daemon/claims/reply.rs
@@ -23,7 +23,7 @@
 /// A repeat may be refused for a reason of its own, such as a full queue, before its key
 /// is looked up. If its caller received only that refusal, it would conclude that the
 /// original request was not run, and send it again under another key.
-pub(in crate::daemon) fn known_answer(
+pub(in crate::daemon) fn known_response(
     core: &DaemonCore,
     subject: &ClaimSubject,
 ) -> Option<ClaimResponse> {
--- a/src/daemon/declarations.rs
+++ b/src/daemon/declarations.rs
@@ -9,7 +9,7 @@
 
 use super::activation::activate_declarations;
 use super::core::{DaemonCore, DaemonPhase};
-use super::relaying::catch_up_from_peers;
+use super::record_relay::catch_up_from_peers;
 use super::tails::{READ_LIMIT, open_tail};
 use crate::platform::log_tail::TailEvent;
 use crate::platform::wire::StoredRecord;
--- a/src/daemon/generate.rs
+++ b/src/daemon/generate.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::mpsc;
 
-use super::admitting::{AdmissionSlot, admit};
+use super::admission::{AdmissionSlot, admit};
 use super::claims::{ClaimSubject, ClaimTicket, DispatchedClaim};
 use super::core::{DaemonCore, DaemonPhase};
 use super::step_observations::record_step;
@@ -67,7 +67,7 @@
     // The route is planned again, because targets may have come, gone or filled up while
     // the request waited.
     let route = plan_route(core, &call, deadline)?;
-    core.record_event(&call.request, routed(&route));
+    core.record_event(&call.request, routed_event(&route));
     core.tables.routes.write().run_started(&route);
     let (events, stream) = mpsc::channel(STREAM_BUFFER);
     let runner = GenerationRunner {
@@ -173,7 +173,7 @@
     prompt
 }
 
-fn routed(route: &PlannedRoute) -> JournalEvent {
+fn routed_event(route: &PlannedRoute) -> JournalEvent {
     JournalEvent::Routed {
         pipeline: route.pipeline.clone(),
         version: route.version.clone(),
--- a/src/daemon/generate/claimed.rs
+++ b/src/daemon/generate/claimed.rs
@@ -11,7 +11,9 @@
 use crate::api::backend::GenerateCall;
 use crate::api::wire::RefusalBody;
 use crate::claims::record::RequestFingerprint;
-use crate::daemon::claims::{ClaimSubject, ClaimTicket, DispatchedClaim, known_answer, refusal_of};
+use crate::daemon::claims::{
+    ClaimSubject, ClaimTicket, DispatchedClaim, known_response, refusal_of,
+};
 use crate::daemon::core::DaemonCore;
 use crate::daemon::services::required_key;
 use crate::ids::TokenValue;
@@ -62,7 +64,7 @@
     let request = subject.request.clone();
     match ClaimTicket::claim(core, subject).await {
         Ok(ticket) => Ok(Some(ticket)),
-        Err(answer) => Err(refusal_of(&answer, &request)),
+        Err(response) => Err(refusal_of(&response, &request)),
     }
 }
 
@@ -74,8 +76,8 @@
 ) -> RefusalBody {
     match subject {
         Some(subject) if refusal.verdict == RunVerdict::NotRun => {
-            match known_answer(core, subject) {
-                Some(answer) => refusal_of(&answer, &subject.request),
+            match known_response(core, subject) {
+                Some(response) => refusal_of(&response, &subject.request),
                 None => refusal,
             }
         }
@@ -104,9 +106,9 @@
     };
     match ticket.authorise().await {
         Ok(dispatched) => Ok(Some(dispatched)),
-        Err(answer) => Err(RunOutcome {
+        Err(response) => Err(RunOutcome {
             delivered: 0,
-            verdict: answer.verdict(),
+            verdict: response.verdict(),
             refusal: Some(RefusalReason::DeadlinePassed),
         }),
     }
--- a/src/daemon/members.rs
+++ b/src/daemon/members.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::core::{DaemonCore, DaemonPhase};
-use super::sharing::{
+use super::shares::{
     OutgoingReport, dividing_lease, grants_for_report, observe_holder, outgoing_report,
     receive_grants, record_removed_host,
 };
--- a/src/daemon/operators.rs
+++ b/src/daemon/operators.rs
@@ -46,14 +46,14 @@
 }
 
 /// Wraps a call that is answered from memory.
-fn query<C, R, F>(core: &Arc<DaemonCore>, answer: F) -> AsyncCall<C, R>
+fn query<C, R, F>(core: &Arc<DaemonCore>, read: F) -> AsyncCall<C, R>
 where
     C: 'static,
     R: Send + 'static,
     F: Fn(&DaemonCore, C) -> R + Send + Sync + 'static,
 {
     let core = Arc::clone(core);
-    Arc::new(move |call| futures::future::ready(answer(&core, call)).boxed())
+    Arc::new(move |call| futures::future::ready(read(&core, call)).boxed())
 }
 
 /// Wraps a call that has to wait.
--- a/src/daemon/reconciling.rs
+++ b/src/daemon/reconciliation.rs
@@ -31,7 +31,7 @@
 
 /// Observes and orders targets while this host holds the zone's lease, until the daemon
 /// ends.
-pub(super) async fn run_reconciling(core: Arc<DaemonCore>) {
+pub(super) async fn run_reconciliation(core: Arc<DaemonCore>) {
     let limits = ReconcileLimits {
         // The default deadline is the longest that a run without its own deadline can
         // have.
--- a/src/daemon/relaying.rs
+++ b/src/daemon/record_relay.rs
@@ -40,7 +40,7 @@
 ///
 /// Without this, a zone that is cut off from the platform but not from its peers would
 /// keep an old configuration while the other zones move on.
-pub(super) async fn run_relaying(core: Arc<DaemonCore>) {
+pub(super) async fn run_catch_up(core: Arc<DaemonCore>) {
     loop {
         core.peer_ahead.notified().await;
         tokio::time::sleep(LOG_HEAD_START).await;
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -7,7 +7,7 @@
 
 use http::{HeaderMap, HeaderValue, header::CONTENT_TYPE};
 
-use super::admitting::{AdmissionSlot, admit};
+use super::admission::{AdmissionSlot, admit};
 use super::core::DaemonCore;
 use super::generate::check_phase;
 use super::targets::mark_leaving;
@@ -63,9 +63,9 @@
     targets: &[TargetId],
 ) -> Result<ServiceResponse, RefusalBody> {
     let slot = admit_call(core, call).await?;
-    let reply = attempt_call(core, call, targets).await?;
+    let response = attempt_call(core, call, targets).await?;
     slot.complete();
-    Ok(reply)
+    Ok(response)
 }
 
 fn deadline_of(core: &DaemonCore, call: &ServiceCall) -> Instant {
@@ -117,7 +117,7 @@
             return Err(call_failure(call, RefusalReason::NoRoute, verdict));
         };
         let failure = match send_call(core, call, &target).await {
-            Ok(response) => return Ok(reply(response)),
+            Ok(response) => return Ok(service_response(response)),
             Err(failure) => failure,
         };
         verdict = verdict.join(failure.verdict());
@@ -204,7 +204,7 @@
     headers
 }
 
-fn reply(response: CallResponse) -> ServiceResponse {
+fn service_response(response: CallResponse) -> ServiceResponse {
     let content_type = response.headers.get(CONTENT_TYPE);
     ServiceResponse {
         status: response.status.as_u16(),
--- a/src/daemon/services/claimed.rs
+++ b/src/daemon/services/claimed.rs
@@ -7,14 +7,14 @@
 
 use super::{
     MAX_CALL_ATTEMPTS, admit_call, call_failure, call_headers, choose_target, deadline_of,
-    record_failure, record_response, reply,
+    record_failure, record_response, service_response,
 };
 use crate::api::backend::{ServiceCall, ServiceResponse};
 use crate::api::wire::RefusalBody;
 use crate::claims::key::{TimedKey, parse_key};
 use crate::claims::record::RequestFingerprint;
 use crate::daemon::claims::{
-    ClaimSubject, ClaimTicket, DispatchedClaim, known_answer, refusal_of, reply_of,
+    ClaimSubject, ClaimTicket, DispatchedClaim, known_response, refusal_of, reply_of,
 };
 use crate::daemon::core::DaemonCore;
 use crate::ids::{IdempotencyKey, RequestId, TargetId};
@@ -59,8 +59,8 @@
     let result = core.in_flight.spawn(running).await;
     match result.unwrap_or_else(|_| Err(aborted_call(&request))) {
         Err(refusal) if refusal.verdict == RunVerdict::NotRun => {
-            match known_answer(&core, &subject) {
-                Some(answer) => reply_of(answer, &request),
+            match known_response(&core, &subject) {
+                Some(response) => reply_of(response, &request),
                 None => Err(refusal),
             }
         }
@@ -94,9 +94,9 @@
     subject: ClaimSubject,
 ) -> Result<ServiceResponse, RefusalBody> {
     let slot = admit_call(&core, &call).await?;
-    let reply = call_under_claim(&core, &call, &targets, subject).await?;
+    let response = call_under_claim(&core, &call, &targets, subject).await?;
     slot.complete();
-    Ok(reply)
+    Ok(response)
 }
 
 async fn call_under_claim(
@@ -107,19 +107,19 @@
 ) -> Result<ServiceResponse, RefusalBody> {
     let ticket = match ClaimTicket::claim(core, subject).await {
         Ok(ticket) => ticket,
-        Err(answer) => return reply_of(answer, &call.request),
+        Err(response) => return reply_of(response, &call.request),
     };
     // If the ticket is dropped on an error, it withdraws the claim: nothing was sent.
     let (target, connection) = connect(core, call, targets).await?;
     let dispatched = match ticket.authorise().await {
         Ok(dispatched) => dispatched,
-        Err(answer) => {
+        Err(response) => {
             core.tables.routes.write().step_abandoned(&target);
-            return Err(refusal_of(&answer, &call.request));
+            return Err(refusal_of(&response, &call.request));
         }
     };
-    let answer = send(core, call, &target, connection).await;
-    finish(call, dispatched, answer)
+    let response = send(core, call, &target, connection).await;
+    finish(call, dispatched, response)
 }
 
 /// Connects to one target after another until one accepts the connection.
@@ -181,22 +181,22 @@
         use_pool: false,
     };
     let began = Instant::now();
-    let answer = connection.send(order).await;
-    record_response(core, call, target, &answer, began.elapsed());
-    answer
+    let response = connection.send(order).await;
+    record_response(core, call, target, &response, began.elapsed());
+    response
 }
 
 /// Records the outcome in the log, then responds.
 fn finish(
     call: &ServiceCall,
     dispatched: DispatchedClaim,
-    answer: Result<CallResponse, CallFailure>,
+    response: Result<CallResponse, CallFailure>,
 ) -> Result<ServiceResponse, RefusalBody> {
-    match answer {
-        Ok(answer) => {
-            let status = answer.status.as_u16();
-            dispatched.finish(RunVerdict::Ran, status, &answer.body);
-            Ok(reply(answer))
+    match response {
+        Ok(response) => {
+            let status = response.status.as_u16();
+            dispatched.finish(RunVerdict::Ran, status, &response.body);
+            Ok(service_response(response))
         }
         Err(failure) => {
             let verdict = failure.verdict();
--- a/src/daemon/sharing.rs
+++ b/src/daemon/shares.rs
@@ -53,7 +53,7 @@
 
 /// Follows the stream, reports demand and applies the grants to admission, until the
 /// daemon ends.
-pub(super) async fn run_sharing(core: Arc<DaemonCore>, appends: Arc<AppendQueue>, seed: u64) {
+pub(super) async fn run_shares(core: Arc<DaemonCore>, appends: Arc<AppendQueue>, seed: u64) {
     let mut tail = open_tail(&core, ALLOTMENT_STREAM, 0, seed);
     let mut ticks = tokio::time::interval(SHARES_TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
--- a/src/daemon/spawn.rs
+++ b/src/daemon/spawn.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::admitting::run_admission;
+use super::admission::run_admission;
 use super::callers::caller_backend;
 use super::checkpoints::run_checkpoints;
 use super::claims::{handle_outcome_query, run_claims, wait_for_settlements};
@@ -18,9 +18,9 @@
 use super::leases::{release_leases, run_leases};
 use super::members::{handle_heartbeat, run_members};
 use super::operators::operator_backend;
-use super::reconciling::run_reconciling;
-use super::relaying::{relay_records, run_relaying};
-use super::sharing::run_sharing;
+use super::reconciliation::run_reconciliation;
+use super::record_relay::{relay_records, run_catch_up};
+use super::shares::run_shares;
 use super::tables::{SharedTables, TableSettings};
 use super::targets::{run_host_list, run_load_polls};
 use crate::admission::AdmissionSettings;
@@ -116,15 +116,15 @@
     ));
     let workers = vec![
         tokio::spawn(run_declarations(Arc::clone(&core), seed)),
-        tokio::spawn(run_relaying(Arc::clone(&core))),
+        tokio::spawn(run_catch_up(Arc::clone(&core))),
         tokio::spawn(run_checkpoints(Arc::clone(&core), seed)),
         tokio::spawn(run_leases(
             Arc::clone(&core),
             Arc::clone(&lease_appends),
             seed,
         )),
-        tokio::spawn(run_reconciling(Arc::clone(&core))),
-        tokio::spawn(run_sharing(Arc::clone(&core), allotment_appends, seed)),
+        tokio::spawn(run_reconciliation(Arc::clone(&core))),
+        tokio::spawn(run_shares(Arc::clone(&core), allotment_appends, seed)),
         tokio::spawn(run_claims(Arc::clone(&core), seed)),
         tokio::spawn(run_admission(Arc::clone(&core))),
         tokio::spawn(run_members(Arc::clone(&core))),
--- a/src/daemon/step_observations.rs
+++ b/src/daemon/step_observations.rs
@@ -86,10 +86,10 @@
         }
         StepObservation::ResponseDropped { target } => {
             let cause = DropCause::Unmatched;
-            core.metrics.answer_dropped(cause);
+            core.metrics.response_dropped(cause);
             core.record_event(
                 request,
-                JournalEvent::AnswerDropped {
+                JournalEvent::ResponseDropped {
                     target: target.clone(),
                     cause,
                 },
--- a/src/daemon/tables.rs
+++ b/src/daemon/tables.rs
@@ -15,7 +15,7 @@
 
 use super::claims::ClaimState;
 use super::leases::LeaseState;
-use super::sharing::SharesState;
+use super::shares::SharesState;
 use crate::admission::{AdmissionDecision, AdmissionSettings, AdmissionTable};
 use crate::claims::window::ClaimWindow;
 use crate::collections::FastMap;
--- a/src/forward/attempt_policy.rs
+++ b/src/forward/attempt_policy.rs
@@ -121,7 +121,7 @@
             late:% = ResponseLateness::of(&self.matched.route, took, times).name();
             "answered"
         );
-        self.tables.metrics.answered(status, took);
+        self.tables.metrics.response_forwarded(status, took);
     }
 
     /// Returns the deadline for the head of the response of an attempt.
--- a/src/journal/event.rs
+++ b/src/journal/event.rs
@@ -78,7 +78,7 @@
         next_position: Option<TokenPosition>,
     },
     /// A response of a target was dropped.
-    AnswerDropped {
+    ResponseDropped {
         /// Target that sent the response.
         target: TargetId,
         /// Reason.
@@ -176,7 +176,7 @@
                 to,
                 next_position,
             } => cache_moved_text(from, to, *next_position),
-            Self::AnswerDropped { target, cause } => {
+            Self::ResponseDropped { target, cause } => {
                 format!("response of {target} dropped ({})", cause.name())
             }
             Self::Delivered { count } => format!("{count} tokens delivered to the caller"),
--- a/src/metrics/commands.rs
+++ b/src/metrics/commands.rs
@@ -60,8 +60,8 @@
     }
 
     /// Counts a response of a target that was dropped.
-    pub fn answer_dropped(&self, cause: DropCause) {
-        self.dropped_answers
+    pub fn response_dropped(&self, cause: DropCause) {
+        self.dropped_responses
             .get_or_create(&CauseLabel {
                 cause: cause.name(),
             })
--- a/src/metrics/serving.rs
+++ b/src/metrics/serving.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct ServingMetrics {
     registry: Registry,
-    answers: Family<CauseLabel, Counter>,
+    responses: Family<CauseLabel, Counter>,
     refusals: Family<ReasonLabel, Counter>,
     attempt_failures: Family<CauseLabel, Counter>,
     ejections: Family<CauseLabel, Counter>,
@@ -38,7 +38,7 @@
     fn default() -> Self {
         let mut metrics = Self {
             registry: Registry::with_prefix(PREFIX),
-            answers: Family::default(),
+            responses: Family::default(),
             refusals: Family::default(),
             attempt_failures: Family::default(),
             ejections: Family::default(),
@@ -69,7 +69,7 @@
             (
                 "answers",
                 "Responses of targets passed to callers, by status class",
-                &self.answers,
+                &self.responses,
             ),
             (
                 "attempt_failures",
@@ -151,13 +151,13 @@
     }
 
     /// Counts a response of a target that was passed to the caller, by its status.
-    pub fn answered(&self, status: u16, took: Duration) {
+    pub fn response_forwarded(&self, status: u16, took: Duration) {
         let cause = match status {
             200..300 => "success",
             400..500 => "client_error",
             _ => "server_error",
         };
-        count(&self.answers, cause);
+        count(&self.responses, cause);
         self.whole_request.observe(took.as_secs_f64());
     }
 
@@ -178,13 +178,13 @@
     }
 
     /// Counts a request that was moved, resumed or cut.
-    pub fn repaired(&self, done: &'static str) {
-        count(&self.repairs, done);
+    pub fn repaired(&self, action: &'static str) {
+        count(&self.repairs, action);
     }
 
     /// Counts an order to an engine.
-    pub fn order_sent(&self, answer: &'static str) {
-        count(&self.orders, answer);
+    pub fn order_sent(&self, result: &'static str) {
+        count(&self.orders, result);
     }
 
     /// Counts a record of a topic that cannot be parsed.
@@ -200,20 +200,20 @@
 
     /// Counts a response that changes the known limit of a target or carries an unusable
     /// one.
-    pub fn limit_reported(&self, what: &'static str) {
-        count(&self.target_limits, what);
+    pub fn limit_reported(&self, kind: &'static str) {
+        count(&self.target_limits, kind);
     }
 
     /// Counts a request for permits by its reply, or a caller's request that was refused
     /// because no permit was available.
-    pub fn permit_requested(&self, answer: &'static str) {
-        count(&self.permits, answer);
+    pub fn permit_requested(&self, reply: &'static str) {
+        count(&self.permits, reply);
     }
 
     /// Observes a call to the log service, or counts it as an error if it was not
     /// answered.
-    pub fn store_called(&self, topic: &'static str, took: Duration, answered: bool) {
-        match answered {
+    pub fn store_called(&self, topic: &'static str, took: Duration, succeeded: bool) {
+        match succeeded {
             true => self.store_call.observe(took.as_secs_f64()),
             false => count(&self.store_errors, topic),
         }
--- a/src/metrics/set.rs
+++ b/src/metrics/set.rs
@@ -34,7 +34,7 @@
     pub(super) tokens: Counter,
     pub(super) first_token: Histogram,
     pub(super) between_tokens: Histogram,
-    pub(super) dropped_answers: Family<CauseLabel, Counter>,
+    pub(super) dropped_responses: Family<CauseLabel, Counter>,
     pub(super) claims: Family<ClaimLabel, Counter>,
     pub(super) appends: Family<AppendLabels, Counter>,
     pub(super) applied_offset: Gauge,
@@ -54,7 +54,7 @@
             tokens: Counter::default(),
             first_token: latency_histogram(),
             between_tokens: latency_histogram(),
-            dropped_answers: Family::default(),
+            dropped_responses: Family::default(),
             claims: Family::default(),
             appends: Family::default(),
             applied_offset: Gauge::default(),
@@ -112,7 +112,7 @@
         registry.register(
             "dropped_answers",
             "Responses of targets that were dropped, by cause",
-            self.dropped_answers.clone(),
+            self.dropped_responses.clone(),
         );
     }
 
@@ -167,7 +167,7 @@
             init_series(&self.retries, &ReasonLabel { reason });
         }
         for cause in DropCause::ALL.map(DropCause::name) {
-            init_series(&self.dropped_answers, &CauseLabel { cause });
+            init_series(&self.dropped_responses, &CauseLabel { cause });
         }
         for result in ClaimResult::ALL.map(ClaimResult::name) {
             init_series(&self.claims, &ClaimLabel { result });
--- a/src/peer/convert/permits.rs
+++ b/src/peer/convert/permits.rs
@@ -11,15 +11,15 @@
 const NO_LIMIT: f64 = -1.0;
 
 /// Encodes a delta of limits.
-pub(super) fn write_limits(mut builder: wire::limit_listing::Builder<'_>, listing: &LimitDelta) {
-    builder.set_from(listing.bounds.from);
-    builder.set_to(listing.bounds.to);
-    builder.set_seen_to(listing.bounds.seen_to);
-    if listing.records.is_empty() {
+pub(super) fn write_limits(mut builder: wire::limit_listing::Builder<'_>, delta: &LimitDelta) {
+    builder.set_from(delta.bounds.from);
+    builder.set_to(delta.bounds.to);
+    builder.set_seen_to(delta.bounds.seen_to);
+    if delta.records.is_empty() {
         return;
     }
-    let mut entries = builder.init_words(length(listing.records.len()));
-    for (index, record) in (0..).zip(&listing.records) {
+    let mut entries = builder.init_words(length(delta.records.len()));
+    for (index, record) in (0..).zip(&delta.records) {
         write_limit_record(entries.reborrow().get(index), record);
     }
 }
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -179,29 +179,29 @@
 }
 
 /// Encodes evidence as one list per field, as [`write_usage`] does.
-fn write_poison(mut builder: wire::poison_listing::Builder<'_>, listing: &PoisonDelta) {
-    builder.set_from(listing.bounds.from);
-    builder.set_to(listing.bounds.to);
-    builder.set_seen_to(listing.bounds.seen_to);
-    let count = length(listing.evidence.len());
+fn write_poison(mut builder: wire::poison_listing::Builder<'_>, delta: &PoisonDelta) {
+    builder.set_from(delta.bounds.from);
+    builder.set_to(delta.bounds.to);
+    builder.set_seen_to(delta.bounds.seen_to);
+    let count = length(delta.evidence.len());
     if count == 0 {
         return;
     }
     let mut requests = builder.reborrow().init_requests(count);
-    for (index, note) in (0..).zip(&listing.evidence) {
-        requests.set(index, note.request);
+    for (index, item) in (0..).zip(&delta.evidence) {
+        requests.set(index, item.request);
     }
     let mut targets = builder.reborrow().init_targets(count);
-    for (index, note) in (0..).zip(&listing.evidence) {
-        let target = match note.event {
+    for (index, item) in (0..).zip(&delta.evidence) {
+        let target = match item.event {
             PoisonEvent::Ended(target) => target,
             PoisonEvent::Survived => SURVIVED,
         };
         targets.set(index, target);
     }
     let mut ages = builder.init_ages_ms(count);
-    for (index, note) in (0..).zip(&listing.evidence) {
-        ages.set(index, short_milliseconds(note.age));
+    for (index, item) in (0..).zip(&delta.evidence) {
+        ages.set(index, short_milliseconds(item.age));
     }
 }
 
--- a/src/platform/log_calls.rs
+++ b/src/platform/log_calls.rs
@@ -62,7 +62,7 @@
 pub struct LogClient {
     address: SocketAddr,
     connection: Option<hyper::client::conn::http1::SendRequest<Full<Bytes>>>,
-    limits: CallTimeouts,
+    timeouts: CallTimeouts,
 }
 
 /// Timeouts of the parts of a call.
@@ -101,11 +101,11 @@
 
 impl LogClient {
     /// Creates a client; it connects on its first call.
-    pub fn open(address: SocketAddr, limits: CallTimeouts) -> Self {
+    pub fn open(address: SocketAddr, timeouts: CallTimeouts) -> Self {
         Self {
             address,
             connection: None,
-            limits,
+            timeouts,
         }
     }
 
@@ -126,7 +126,7 @@
                 .map(|key| format!("&after={}", utf8_percent_encode(key, NON_ALPHANUMERIC)))
                 .unwrap_or_default();
             let path = format!("/jackdawwick/log-newest?topic={topic}&part=0{from}");
-            let bytes = self.get(path, self.limits.newest).await?;
+            let bytes = self.get(path, self.timeouts.newest).await?;
             let body: NewestBody = serde_json::from_slice(&bytes)
                 .map_err(|error| LogError::Malformed(error.to_string()))?;
             next.get_or_insert(body.end_offset);
@@ -159,7 +159,7 @@
         let wait_ms = wait.as_millis();
         let path =
             format!("/jackdawwick/log-read?topic={topic}&part=0&from={from}&wait_ms={wait_ms}");
-        let bytes = self.get(path, self.limits.response + wait).await?;
+        let bytes = self.get(path, self.timeouts.response + wait).await?;
         decode_records(from, &bytes)
     }
 
@@ -182,7 +182,7 @@
             path: format!("/jackdawwick/log-append?topic={topic}&part=0"),
             body: record.into(),
         };
-        self.call(call, self.limits.response).await.map(|_| ())
+        self.call(call, self.timeouts.response).await.map(|_| ())
     }
 
     async fn get(&mut self, path: String, limit: Duration) -> Result<Bytes, LogError> {
@@ -244,7 +244,7 @@
     async fn connect(
         &self,
     ) -> Result<hyper::client::conn::http1::SendRequest<Full<Bytes>>, LogError> {
-        let connected = socket::connect(self.address, self.limits.connect).await;
+        let connected = socket::connect(self.address, self.timeouts.connect).await;
         let stream = connected.map_err(|error| LogError::Connect(error.to_string()))?;
         let io = hyper_util::rt::TokioIo::new(stream);
         let negotiated = hyper::client::conn::http1::handshake(io).await;
--- a/src/platform/poison_record.rs
+++ b/src/platform/poison_record.rs
@@ -37,11 +37,11 @@
 /// # Errors
 ///
 /// Fails if the value cannot be encoded; the text gives the reason.
-pub fn poison_value(notes: &[PoisonEvidence], now: SystemTime) -> Result<Vec<u8>, String> {
-    let ends = notes.iter().filter_map(|note| match note.event {
+pub fn poison_value(evidence: &[PoisonEvidence], now: SystemTime) -> Result<Vec<u8>, String> {
+    let ends = evidence.iter().filter_map(|item| match item.event {
         PoisonEvent::Ended(target) => Some(EndBody {
             target,
-            at_ms: unix_ms(now.checked_sub(note.age)?),
+            at_ms: unix_ms(now.checked_sub(item.age)?),
         }),
         PoisonEvent::Survived => None,
     });
@@ -62,13 +62,13 @@
     now: SystemTime,
 ) -> Result<Vec<PoisonEvidence>, String> {
     let body = serde_json::from_slice::<PoisonBody>(value).map_err(|error| error.to_string())?;
-    let notes = body.ends.into_iter().map(|end| PoisonEvidence {
+    let evidence = body.ends.into_iter().map(|end| PoisonEvidence {
         request,
         event: PoisonEvent::Ended(end.target),
         // The clocks of hosts differ; a time in the future counts as age zero.
         age: Duration::from_millis(unix_ms(now).saturating_sub(end.at_ms)),
     });
-    Ok(notes.collect())
+    Ok(evidence.collect())
 }
 
 fn unix_ms(at: SystemTime) -> u64 {
--- a/src/reason.rs
+++ b/src/reason.rs
@@ -108,7 +108,8 @@
     /// The connection could not be established; nothing was sent.
     ConnectFailed,
     /// The connection broke or timed out after bytes were sent.
-    AnswerLost,
+    #[serde(rename = "answer_lost")]
+    ResponseLost,
     /// The target refused the order.
     TargetRefused,
     /// The target has lost the session.
@@ -116,29 +117,30 @@
     /// The target is leaving or draining.
     TargetLeaving,
     /// The target responded with something that does not match the order.
-    AnswerMismatched,
+    #[serde(rename = "answer_mismatched")]
+    ResponseMismatched,
 }
 
 impl RetryReason {
     /// All reasons, for registering one counter each.
     pub const ALL: [Self; 6] = [
         Self::ConnectFailed,
-        Self::AnswerLost,
+        Self::ResponseLost,
         Self::TargetRefused,
         Self::SessionLost,
         Self::TargetLeaving,
-        Self::AnswerMismatched,
+        Self::ResponseMismatched,
     ];
 
     /// Returns the name used in metrics, logs and response bodies.
     pub fn name(self) -> &'static str {
         match self {
             Self::ConnectFailed => "connect_failed",
-            Self::AnswerLost => "answer_lost",
+            Self::ResponseLost => "answer_lost",
             Self::TargetRefused => "target_refused",
             Self::SessionLost => "session_lost",
             Self::TargetLeaving => "target_leaving",
-            Self::AnswerMismatched => "answer_mismatched",
+            Self::ResponseMismatched => "answer_mismatched",
         }
     }
 }
--- a/src/replay/start.rs
+++ b/src/replay/start.rs
@@ -63,52 +63,52 @@
 
     /// Processes an answer of the log and returns the next step. The first answer may
     /// start at any offset, because only its bounds are needed.
-    pub fn on_read(&mut self, answer: &ReadResponse) -> StartDecision {
-        for record in &answer.records {
+    pub fn on_read(&mut self, response: &ReadResponse) -> StartDecision {
+        for record in &response.records {
             self.bodies.insert(record.offset, record.body.clone());
         }
         let mut scan_from = match self.scan_from {
             Some(scan_from) => scan_from,
-            None => self.lookback_start(answer),
+            None => self.lookback_start(response),
         };
-        if let Some(missing) = self.first_missing(scan_from, answer.end_offset) {
-            if missing >= answer.first_offset {
+        if let Some(missing) = self.first_missing(scan_from, response.end_offset) {
+            if missing >= response.first_offset {
                 self.scan_from = Some(scan_from);
                 return StartDecision::ReadFrom(missing);
             }
             // The missing records have expired in the meantime, so the records below them
             // are no longer contiguous with what can be read.
-            scan_from = answer.first_offset;
+            scan_from = response.first_offset;
         }
         self.scan_from = Some(scan_from);
-        match self.first_missing(scan_from, answer.end_offset) {
+        match self.first_missing(scan_from, response.end_offset) {
             Some(missing) => StartDecision::ReadFrom(missing),
-            None => self.decide(scan_from, answer),
+            None => self.decide(scan_from, response),
         }
     }
 
     /// Returns the next step when all records from `scan_from` to the end are available.
-    fn decide(&mut self, scan_from: LogOffset, answer: &ReadResponse) -> StartDecision {
+    fn decide(&mut self, scan_from: LogOffset, response: &ReadResponse) -> StartDecision {
         if let Some(table) = self.restore_newest_checkpoint(scan_from) {
             return self.replay(table);
         }
         if scan_from == 0 {
             return self.replay(DeclarationTable::new(self.windows));
         }
-        if scan_from <= answer.first_offset {
+        if scan_from <= response.first_offset {
             return StartDecision::NotReady(StartError::NoUsableCheckpoint {
-                first_offset: answer.first_offset,
+                first_offset: response.first_offset,
             });
         }
         self.lookback = self.lookback.saturating_mul(2);
-        let scan_from = self.lookback_start(answer);
+        let scan_from = self.lookback_start(response);
         self.scan_from = Some(scan_from);
         StartDecision::ReadFrom(scan_from)
     }
 
-    fn lookback_start(&self, answer: &ReadResponse) -> LogOffset {
-        let wanted = answer.end_offset.saturating_sub(self.lookback);
-        wanted.max(answer.first_offset)
+    fn lookback_start(&self, response: &ReadResponse) -> LogOffset {
+        let wanted = response.end_offset.saturating_sub(self.lookback);
+        wanted.max(response.first_offset)
     }
 
     fn first_missing(&self, from: LogOffset, end: LogOffset) -> Option<LogOffset> {
--- a/src/routing/commands.rs
+++ b/src/routing/commands.rs
@@ -102,9 +102,9 @@
         entry.steps = entry.steps.saturating_sub(1);
         match reason {
             RetryReason::ConnectFailed
-            | RetryReason::AnswerLost
+            | RetryReason::ResponseLost
             | RetryReason::SessionLost
-            | RetryReason::AnswerMismatched => {
+            | RetryReason::ResponseMismatched => {
                 entry.health.failed(&self.settings.ejection, now);
             }
             // The target is healthy and responded; its load and phase are reported
--- a/src/run/driver.rs
+++ b/src/run/driver.rs
@@ -132,7 +132,7 @@
                     label: order.label.clone(),
                     position: order.position,
                     failure: StepFailure {
-                        reason: RetryReason::AnswerMismatched,
+                        reason: RetryReason::ResponseMismatched,
                         timed_out: false,
                         verdict: RunVerdict::MayHaveRun,
                         refusal: None,
--- a/src/run/machine/repair.rs
+++ b/src/run/machine/repair.rs
@@ -66,7 +66,7 @@
             }
             (_, Some(TargetRefusalKind::Overloaded)) if may_resend => StepRepair::Resend,
             (_, Some(_)) => StepRepair::Replace,
-            (RetryReason::AnswerLost | RetryReason::AnswerMismatched, None) if may_resend => {
+            (RetryReason::ResponseLost | RetryReason::ResponseMismatched, None) if may_resend => {
                 StepRepair::Resend
             }
             _ => StepRepair::Replace,
--- a/src/target/failure.rs
+++ b/src/target/failure.rs
@@ -13,7 +13,7 @@
     Connect(String),
     /// The connection broke after bytes may have been sent.
     #[error("no response: {0}")]
-    AnswerLost(String),
+    ResponseLost(String),
     /// No complete response arrived in time.
     #[error("no answer in time")]
     TimedOut,
@@ -38,7 +38,7 @@
     pub fn verdict(&self) -> RunVerdict {
         match self {
             Self::Connect(_) | Self::Refused(_) => RunVerdict::NotRun,
-            Self::AnswerLost(_) | Self::TimedOut | Self::Unusable(_) => RunVerdict::MayHaveRun,
+            Self::ResponseLost(_) | Self::TimedOut | Self::Unusable(_) => RunVerdict::MayHaveRun,
         }
     }
 
@@ -46,9 +46,9 @@
     pub fn reason(&self) -> RetryReason {
         match self {
             Self::Connect(_) => RetryReason::ConnectFailed,
-            Self::AnswerLost(_) | Self::TimedOut => RetryReason::AnswerLost,
+            Self::ResponseLost(_) | Self::TimedOut => RetryReason::ResponseLost,
             Self::Refused(refusal) => refusal_reason(refusal),
-            Self::Unusable(_) => RetryReason::AnswerMismatched,
+            Self::Unusable(_) => RetryReason::ResponseMismatched,
         }
     }
 }
--- a/src/target/transport.rs
+++ b/src/target/transport.rs
@@ -135,14 +135,14 @@
 fn send_failure(error: &hyper_util::client::legacy::Error) -> TargetFailure {
     match error.is_connect() {
         true => TargetFailure::Connect(describe(error)),
-        false => TargetFailure::AnswerLost(describe(error)),
+        false => TargetFailure::ResponseLost(describe(error)),
     }
 }
 
 fn body_failure(error: &(dyn Error + Send + Sync + 'static)) -> TargetFailure {
     match error.is::<http_body_util::LengthLimitError>() {
         true => TargetFailure::Unusable(error.to_string()),
-        false => TargetFailure::AnswerLost(describe(error)),
+        false => TargetFailure::ResponseLost(describe(error)),
     }
 }
 
--- a/src/target/transport/fresh.rs
+++ b/src/target/transport/fresh.rs
@@ -50,7 +50,7 @@
         request.headers_mut().insert(header::HOST, host);
         let exchange = async {
             let sent = self.sender.send_request(request).await;
-            let response = sent.map_err(|error| TargetFailure::AnswerLost(describe(&error)))?;
+            let response = sent.map_err(|error| TargetFailure::ResponseLost(describe(&error)))?;
             read_response(response, max_bytes).await
         };
         match tokio::time::timeout(timeout, exchange).await {
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -25,7 +25,7 @@
     JournalEvent::Retried {
         stage,
         target: "vake-1".into(),
-        reason: RetryReason::AnswerLost,
+        reason: RetryReason::ResponseLost,
     }
 }
 
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -35,10 +35,10 @@
     set.request_begun(RequestKind::Generate);
     set.request_ended(RequestKind::Generate, RequestOutcome::Whole);
     set.refused(RefusalReason::QueueFull);
-    set.retried(RetryReason::AnswerLost);
+    set.retried(RetryReason::ResponseLost);
     set.first_token(Duration::from_millis(3));
     set.next_token(Duration::from_millis(1));
-    set.answer_dropped(DropCause::Unmatched);
+    set.response_dropped(DropCause::Unmatched);
     set.claim_settled(ClaimResult::Won);
     set.appended("claims", AppendOutcome::Lost);
     set.appended("not-a-stream", AppendOutcome::Lost);
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -85,7 +85,7 @@
 fn fail(table: &mut RouteTable, target: usize, now: Instant) {
     for _ in 0..3 {
         table.step_sent(&name(target), now);
-        table.step_failed(&name(target), RetryReason::AnswerLost, now);
+        table.step_failed(&name(target), RetryReason::ResponseLost, now);
     }
 }
 
--- a/tests/run_model/simulation.rs
+++ b/tests/run_model/simulation.rs
@@ -284,7 +284,7 @@
         }
         self.apply(fault, target);
         let engine = self.engines.get_mut(target).expect("known target");
-        let lost = || (RetryReason::AnswerLost, RunVerdict::MayHaveRun, None);
+        let lost = || (RetryReason::ResponseLost, RunVerdict::MayHaveRun, None);
         let failure = match fault {
             _ if engine.is_dead => (RetryReason::ConnectFailed, RunVerdict::NotRun, None),
             _ if engine.frozen_for > 0 => {
@@ -322,7 +322,11 @@
                             let response = mismatched_response(past_responses.response, part);
                             let event = RunEvent::ResponseReceived { target, response };
                             self.pending_events.push_back((event, None));
-                            (RetryReason::AnswerMismatched, RunVerdict::MayHaveRun, None)
+                            (
+                                RetryReason::ResponseMismatched,
+                                RunVerdict::MayHaveRun,
+                                None,
+                            )
                         }
                         _ => {
                             let event = RunEvent::ResponseReceived {
--- a/tests/target_client.rs
+++ b/tests/target_client.rs
@@ -72,14 +72,14 @@
 /// whichever point the call fails, and the library must not resend the request.
 #[tokio::test]
 async fn verdict_is_not_run_only_if_certain() {
-    use RetryReason::{AnswerLost, AnswerMismatched, TargetRefused};
+    use RetryReason::{ResponseLost, ResponseMismatched, TargetRefused};
     use RunVerdict::{MayHaveRun, NotRun};
     let huge = step_response() + &" ".repeat(9 * 1024 * 1024);
     let cases = [
-        (TinyReply::ResetUnread, AnswerLost, MayHaveRun, 0),
-        (TinyReply::ResetRead, AnswerLost, MayHaveRun, 1),
-        (TinyReply::ResetMidResponse, AnswerLost, MayHaveRun, 1),
-        (TinyReply::Silence, AnswerLost, MayHaveRun, 1),
+        (TinyReply::ResetUnread, ResponseLost, MayHaveRun, 0),
+        (TinyReply::ResetRead, ResponseLost, MayHaveRun, 1),
+        (TinyReply::ResetMidResponse, ResponseLost, MayHaveRun, 1),
+        (TinyReply::Silence, ResponseLost, MayHaveRun, 1),
         (
             TinyReply::Response(503, REFUSAL.into()),
             TargetRefused,
@@ -94,25 +94,25 @@
         ),
         (
             TinyReply::Response(500, REFUSAL.into()),
-            AnswerMismatched,
+            ResponseMismatched,
             MayHaveRun,
             1,
         ),
         (
             TinyReply::Response(503, "busy".into()),
-            AnswerMismatched,
+            ResponseMismatched,
             MayHaveRun,
             1,
         ),
         (
             TinyReply::Response(200, "{}".into()),
-            AnswerMismatched,
+            ResponseMismatched,
             MayHaveRun,
             1,
         ),
         (
             TinyReply::Response(200, huge),
-            AnswerMismatched,
+            ResponseMismatched,
             MayHaveRun,
             1,
         ),
