--- a/src/claims/machine.rs
+++ b/src/claims/machine.rs
@@ -107,12 +107,12 @@
     request: ClaimRequest,
     owner: ClaimOwner,
     policy: ClaimPolicy,
-    state: ClaimState,
+    phase: ClaimPhase,
     settlement: Option<ClaimSettlement>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ClaimState {
+enum ClaimPhase {
     /// [`ClaimEvent::Begin`] has not been handled.
     New,
     /// The claim may have been appended; its record has not been replayed.
@@ -145,7 +145,7 @@
             request,
             owner,
             policy,
-            state: ClaimState::New,
+            phase: ClaimPhase::New,
             settlement: None,
         }
     }
@@ -163,11 +163,11 @@
 
     /// Whether all work is done, so that the state machine may be dropped.
     pub fn is_done(&self) -> bool {
-        self.state == ClaimState::Closed && self.settlement.is_none()
+        self.phase == ClaimPhase::Closed && self.settlement.is_none()
     }
 
     /// Whether the dispatch permit was issued.
     pub fn is_dispatched(&self) -> bool {
-        self.state == ClaimState::Dispatched
+        self.phase == ClaimPhase::Dispatched
     }
 }
--- a/src/claims/machine/transitions.rs
+++ b/src/claims/machine/transitions.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{ClaimDecision, ClaimEvent, ClaimMachine, ClaimSettlement, ClaimState, DispatchPermit};
+use super::{ClaimDecision, ClaimEvent, ClaimMachine, ClaimPhase, ClaimSettlement, DispatchPermit};
 use crate::claims::record::{ClaimBody, ClaimDetails, ClaimEntry, ClaimOutcome, ClaimRef};
 use crate::claims::response::{ClaimRefusal, ClaimResponse};
 use crate::claims::table::{ClaimHolder, ClaimJudgement, ClaimTable, KeyState};
@@ -23,34 +23,34 @@
         table: &ClaimTable,
         now: ClaimTime,
     ) -> Vec<ClaimDecision> {
-        match (self.state, event) {
-            (ClaimState::New, ClaimEvent::Begin { log_available }) => {
+        match (self.phase, event) {
+            (ClaimPhase::New, ClaimEvent::Begin { log_available }) => {
                 self.begin(log_available, table, now)
             }
-            (ClaimState::Waiting, ClaimEvent::AppendFailed(AppendVerdict::NotAppended)) => {
+            (ClaimPhase::Waiting, ClaimEvent::AppendFailed(AppendVerdict::NotAppended)) => {
                 self.refuse(ClaimRefusal::LogUnavailable, table, now)
             }
-            (ClaimState::Waiting, ClaimEvent::ClaimReplayed(judgement)) => {
+            (ClaimPhase::Waiting, ClaimEvent::ClaimReplayed(judgement)) => {
                 self.on_judgement(judgement, table, now)
             }
-            (ClaimState::Waiting, ClaimEvent::Tick) if self.is_past_deadline(now) => {
+            (ClaimPhase::Waiting, ClaimEvent::Tick) if self.is_past_deadline(now) => {
                 self.give_up(ClaimRefusal::NotConfirmed, table, now)
             }
-            (ClaimState::Won, ClaimEvent::Tick) if self.is_past_deadline(now) => {
+            (ClaimPhase::Won, ClaimEvent::Tick) if self.is_past_deadline(now) => {
                 self.give_up(ClaimRefusal::DeadlinePassed, table, now)
             }
-            (ClaimState::Querying { .. }, ClaimEvent::HolderReplied(outcome)) => {
+            (ClaimPhase::Querying { .. }, ClaimEvent::HolderReplied(outcome)) => {
                 self.respond(ClaimResponse::Known(outcome))
             }
-            (ClaimState::Querying { .. }, ClaimEvent::HolderUnavailable) => {
+            (ClaimPhase::Querying { .. }, ClaimEvent::HolderUnavailable) => {
                 self.respond_from_log(table, now)
             }
-            (ClaimState::Querying { until }, ClaimEvent::Tick) if until <= now.instant => {
+            (ClaimPhase::Querying { until }, ClaimEvent::Tick) if until <= now.instant => {
                 let mut decisions = self.respond_from_log(table, now);
                 decisions.extend(self.retry_settlement(table, now));
                 decisions
             }
-            (ClaimState::Dispatched, ClaimEvent::Finished(outcome)) => {
+            (ClaimPhase::Dispatched, ClaimEvent::Finished(outcome)) => {
                 self.finish(outcome, table, now)
             }
             (_, ClaimEvent::SettlementReplayed) => {
@@ -75,7 +75,7 @@
         table: &ClaimTable,
         now: ClaimTime,
     ) -> Result<DispatchPermit, Vec<ClaimDecision>> {
-        if self.state != ClaimState::Won {
+        if self.phase != ClaimPhase::Won {
             return Err(Vec::new());
         }
         // The daemon may have been suspended after its claim won. Meanwhile the deadline,
@@ -88,7 +88,7 @@
         if let Err(refusal) = table.admit(self.request.created, now.wall) {
             return Err(self.give_up(refusal, table, now));
         }
-        self.state = ClaimState::Dispatched;
+        self.phase = ClaimPhase::Dispatched;
         Ok(DispatchPermit {
             claim: self.request.claim.clone(),
         })
@@ -110,7 +110,7 @@
         if !log_available {
             return self.refuse(ClaimRefusal::LogUnavailable, table, now);
         }
-        self.state = ClaimState::Waiting;
+        self.phase = ClaimPhase::Waiting;
         let entry = ClaimEntry::Claim(ClaimDetails {
             name: self.request.name.clone(),
             request: self.request.request.clone(),
@@ -132,7 +132,7 @@
                 self.give_up(ClaimRefusal::DeadlinePassed, table, now)
             }
             ClaimJudgement::Won => {
-                self.state = ClaimState::Won;
+                self.phase = ClaimPhase::Won;
                 vec![ClaimDecision::Dispatch]
             }
             ClaimJudgement::Lost {
@@ -157,7 +157,7 @@
                 self.respond(ClaimResponse::Unknown)
             }
             KeyState::Held(holder) => {
-                self.state = ClaimState::Querying {
+                self.phase = ClaimPhase::Querying {
                     until: now.instant + self.policy.query_timeout,
                 };
                 vec![ClaimDecision::QueryHolder(holder)]
@@ -220,7 +220,7 @@
         table: &ClaimTable,
         now: ClaimTime,
     ) -> Vec<ClaimDecision> {
-        self.state = ClaimState::Closed;
+        self.phase = ClaimPhase::Closed;
         let claim = self.claim_ref();
         let entry = match outcome.verdict {
             // The target itself refused the request, so the caller may retry.
@@ -287,7 +287,7 @@
     }
 
     fn respond(&mut self, response: ClaimResponse) -> Vec<ClaimDecision> {
-        self.state = ClaimState::Closed;
+        self.phase = ClaimPhase::Closed;
         vec![ClaimDecision::Respond(response)]
     }
 
--- a/src/daemon/claims/outcome_query.rs
+++ b/src/daemon/claims/outcome_query.rs
@@ -13,7 +13,7 @@
 use crate::claims::table::ClaimHolder;
 use crate::daemon::core::DaemonCore;
 use crate::ids::RecordId;
-use crate::peer::{ClaimOutcome as PeerOutcome, ClaimQuery};
+use crate::peer::{ClaimQuery, ClaimQueryReply};
 use crate::verdict::RunVerdict;
 
 /// Queries the holder of a key for the outcome of its request, and waits until it has
@@ -64,7 +64,7 @@
         organisation: name.organisation,
     };
     match core.peers()?.claim_outcome(address, query, wait).await {
-        Ok(outcome) => from_peer_outcome(outcome),
+        Ok(outcome) => from_query_reply(outcome),
         Err(error) => {
             log::debug!(
                 "claim outcome query to host {} failed: {error}",
@@ -88,7 +88,7 @@
 pub(in crate::daemon) async fn handle_outcome_query(
     core: Arc<DaemonCore>,
     query: ClaimQuery,
-) -> PeerOutcome {
+) -> ClaimQueryReply {
     let name = ClaimName {
         organisation: query.organisation,
         key: query.key,
@@ -99,33 +99,33 @@
     };
     let wait = core.options.timing.claim_timeout + core.options.timing.step_timeout;
     match receiver {
-        Some(receiver) => to_peer_outcome(wait_for_end(receiver, wait).await),
-        None => PeerOutcome::Unknown,
+        Some(receiver) => to_query_reply(wait_for_end(receiver, wait).await),
+        None => ClaimQueryReply::Unknown,
     }
 }
 
-fn to_peer_outcome(outcome: Option<ClaimOutcome>) -> PeerOutcome {
+fn to_query_reply(outcome: Option<ClaimOutcome>) -> ClaimQueryReply {
     let Some(outcome) = outcome else {
-        return PeerOutcome::Unknown;
+        return ClaimQueryReply::Unknown;
     };
     let body = match (outcome.verdict, outcome.answer) {
         (_, StoredResponse::Whole(text)) => Bytes::from(text),
         // The querying host finds the digest in the log. An empty body would be taken for
         // the response.
-        (RunVerdict::Ran, StoredResponse::Digest(_)) => return PeerOutcome::Unknown,
+        (RunVerdict::Ran, StoredResponse::Digest(_)) => return ClaimQueryReply::Unknown,
         (_, StoredResponse::Digest(_)) => Bytes::new(),
     };
-    PeerOutcome::Known {
+    ClaimQueryReply::Known {
         verdict: outcome.verdict,
         status: outcome.status,
         body,
     }
 }
 
-fn from_peer_outcome(outcome: PeerOutcome) -> Option<ClaimOutcome> {
+fn from_query_reply(outcome: ClaimQueryReply) -> Option<ClaimOutcome> {
     match outcome {
-        PeerOutcome::Unknown => None,
-        PeerOutcome::Known {
+        ClaimQueryReply::Unknown => None,
+        ClaimQueryReply::Known {
             verdict,
             status,
             body,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -22,7 +22,7 @@
 pub use handle::{PeerHandle, spawn, spawn_on};
 pub use handlers::{EntryHandlers, PeerHandlers, ServedCalls};
 pub use message::{
-    ClaimOutcome, ClaimQuery, PeerDemand, PeerGrant, PeerHeartbeat, PeerLoad, PeerReply,
+    ClaimQuery, ClaimQueryReply, PeerDemand, PeerGrant, PeerHeartbeat, PeerLoad, PeerReply,
     RecordsRequest, RelayedRange, ZoneDigest,
 };
 pub use settings::PeerSettings;
--- a/src/peer/convert/claim.rs
+++ b/src/peer/convert/claim.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 
 use super::{string, text};
-use crate::peer::message::{ClaimOutcome, ClaimQuery};
+use crate::peer::message::{ClaimQuery, ClaimQueryReply};
 use crate::peer_capnp as wire;
 use crate::verdict::RunVerdict;
 
@@ -42,9 +42,9 @@
 /// Encodes the outcome of a claim.
 pub(in crate::peer) fn write_claim_outcome(
     mut builder: wire::peer_call_reply::Builder<'_>,
-    outcome: &ClaimOutcome,
+    outcome: &ClaimQueryReply,
 ) {
-    let ClaimOutcome::Known {
+    let ClaimQueryReply::Known {
         verdict,
         status,
         body,
@@ -65,11 +65,11 @@
 /// Fails as `read_heartbeat` does.
 pub(in crate::peer) fn read_claim_outcome(
     reader: wire::peer_call_reply::Reader<'_>,
-) -> capnp::Result<ClaimOutcome> {
+) -> capnp::Result<ClaimQueryReply> {
     if !reader.get_known() {
-        return Ok(ClaimOutcome::Unknown);
+        return Ok(ClaimQueryReply::Unknown);
     }
-    Ok(ClaimOutcome::Known {
+    Ok(ClaimQueryReply::Known {
         verdict: verdict_named(reader.get_verdict()?.to_str()?),
         status: reader.get_status(),
         body: Bytes::copy_from_slice(reader.get_body()?),
--- a/src/peer/handle.rs
+++ b/src/peer/handle.rs
@@ -9,7 +9,7 @@
 use super::error::PeerError;
 use super::handlers::ServedCalls;
 use super::message::{
-    ClaimOutcome, ClaimQuery, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
+    ClaimQuery, ClaimQueryReply, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
 };
 use super::settings::PeerSettings;
 use super::traffic::PeerTraffic;
@@ -133,7 +133,7 @@
         address: SocketAddr,
         query: ClaimQuery,
         wait: Duration,
-    ) -> Result<ClaimOutcome, PeerError> {
+    ) -> Result<ClaimQueryReply, PeerError> {
         self.send_command(|reply| PeerCommand::ClaimOutcome {
             address,
             query,
--- a/src/peer/handlers.rs
+++ b/src/peer/handlers.rs
@@ -6,7 +6,7 @@
 use futures::future::BoxFuture;
 
 use super::message::{
-    ClaimOutcome, ClaimQuery, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
+    ClaimQuery, ClaimQueryReply, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
 };
 use super::view::{FollowReply, FollowRequest, HostView};
 use crate::permits::{PermitReply, PermitRequest};
@@ -22,7 +22,7 @@
     /// Relays log records.
     pub records: Arc<dyn Fn(RecordsRequest) -> RelayedRange + Send + Sync>,
     /// Returns the outcome of a claimed request; may wait until the request has ended.
-    pub claim_outcome: Arc<dyn Fn(ClaimQuery) -> BoxFuture<'static, ClaimOutcome> + Send + Sync>,
+    pub claim_outcome: Arc<dyn Fn(ClaimQuery) -> BoxFuture<'static, ClaimQueryReply> + Send + Sync>,
 }
 
 impl fmt::Debug for PeerHandlers {
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -163,7 +163,7 @@
 
 /// Outcome of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ClaimOutcome {
+pub enum ClaimQueryReply {
     /// The queried host does not know the claim.
     Unknown,
     /// The claim is known, and its request has this verdict.
--- a/src/peer/worker.rs
+++ b/src/peer/worker.rs
@@ -15,7 +15,7 @@
 use super::link::TimeoutPolicy;
 use super::link_table::LinkTable;
 use super::message::{
-    ClaimOutcome, ClaimQuery, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
+    ClaimQuery, ClaimQueryReply, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
 };
 use super::server::accept_connections;
 use super::settings::PeerSettings;
@@ -46,7 +46,7 @@
         address: SocketAddr,
         query: ClaimQuery,
         wait: Duration,
-        reply: ReplySender<ClaimOutcome>,
+        reply: ReplySender<ClaimQueryReply>,
     },
     /// Exchanges views with an entry host.
     Exchange {
@@ -220,7 +220,7 @@
 fn send_claim_query(
     client: &peer::Client,
     query: &ClaimQuery,
-) -> impl Future<Output = capnp::Result<ClaimOutcome>> + use<> {
+) -> impl Future<Output = capnp::Result<ClaimQueryReply>> + use<> {
     let mut rpc_request = client.claim_outcome_request();
     convert::write_claim_query(rpc_request.get().init_call(), query);
     let response = rpc_request.send().promise;
--- a/tests/peer_rpc.rs
+++ b/tests/peer_rpc.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use jackdawwick::peer::{
-    self, ClaimOutcome, ClaimQuery, PeerDemand, PeerError, PeerGrant, PeerHandle, PeerHandlers,
+    self, ClaimQuery, ClaimQueryReply, PeerDemand, PeerError, PeerGrant, PeerHandle, PeerHandlers,
     PeerHeartbeat, PeerLoad, PeerReply, PeerSettings, RecordsRequest, RelayedRange, ZoneDigest,
 };
 use jackdawwick::platform::wire::StoredRecord;
@@ -115,7 +115,7 @@
             checkpoint: Some(request.stream),
         }),
         claim_outcome: Arc::new(|request| {
-            let outcome = ClaimOutcome::Known {
+            let outcome = ClaimQueryReply::Known {
                 verdict: RunVerdict::Ran,
                 status: 200,
                 body: Bytes::copy_from_slice(request.key.as_bytes()),
@@ -181,7 +181,7 @@
         .claim_outcome(address, request, WAIT_LIMIT)
         .await
         .expect("an outcome");
-    let expected = ClaimOutcome::Known {
+    let expected = ClaimQueryReply::Known {
         verdict: RunVerdict::Ran,
         status: 200,
         body: Bytes::from_static(b"k-1"),
