--- a/src/api/callers.rs
+++ b/src/api/callers.rs
@@ -177,7 +177,7 @@
 
 /// Runs a call to its end, even if its caller disconnects. If a non-idempotent call were
 /// dropped after its claim was won, the claim could never be settled, and every repeat
-/// with the same key would be answered with "may have run". This function does not know
+/// with the same key would get the verdict "may have run". This function does not know
 /// which calls are non-idempotent, since a service may declare them so.
 async fn execute_call(shared: &Shared, call: ServiceCall) -> Result<ServiceResponse, RefusalBody> {
     let caller = call.caller_disconnected.clone().drop_guard();
@@ -242,8 +242,8 @@
 /// Replaces a refusal by "not ready" while the daemon is not ready.
 ///
 /// A daemon with no configuration or an outdated one does not know every organisation. A
-/// caller that is told that its token is unknown gives up; one that is told that the host
-/// is not ready retries or tries another host.
+/// caller whose token is refused as unknown gives up; a caller that receives "not ready"
+/// retries or tries another host.
 fn not_ready_or(backend: &CallerBackend, refusal: RefusalBody) -> RefusalBody {
     match (backend.ready)() {
         true => refusal,
--- a/src/api/proxy.rs
+++ b/src/api/proxy.rs
@@ -1,11 +1,11 @@
 //! Reverse proxy that limits connections and requests before they reach the HTTP library.
 //!
 //! The library limits the length of bodies, but neither the number of connections, nor
-//! the time in which a head or a body must arrive, nor the size of a head; and it answers
-//! unknown paths with a body of its own format. This proxy accepts the connections,
-//! enforces these bounds, reads each body to its end and forwards the request to the
-//! library's listener on the loopback address. Event streams are not sent back over that
-//! connection: they are passed in memory.
+//! the time in which a head or a body must arrive, nor the size of a head; and it
+//! responds to unknown paths with a body of its own format. This proxy accepts the
+//! connections, enforces these bounds, reads each body to its end and forwards the
+//! request to the library's listener on the loopback address. Event streams are not sent
+//! back over that connection: they are passed in memory.
 
 mod accept;
 mod connection;
@@ -73,8 +73,8 @@
 }
 
 impl ProxyHandle {
-    /// Stops accepting connections and returns when every request in flight has been
-    /// answered.
+    /// Stops accepting connections and returns when every request in flight has received
+    /// its response.
     pub(super) async fn shutdown(self) {
         self.stop.cancel();
         if let Err(error) = self.running.await {
--- a/src/api/proxy/accept.rs
+++ b/src/api/proxy/accept.rs
@@ -13,7 +13,7 @@
 
 use super::{ProxyContext, connection};
 
-/// Maximum number of connections beyond the bound that are answered with 429 at the same
+/// Maximum number of connections beyond the bound that are refused with 429 at the same
 /// time.
 const MAX_REFUSED_CONNECTIONS: usize = 32;
 /// Delay after an error of the listener, as opposed to an error of one connection.
--- a/src/api/proxy/connection.rs
+++ b/src/api/proxy/connection.rs
@@ -19,7 +19,7 @@
 use crate::api::wire::RefusalBody;
 use crate::reason::RefusalReason;
 
-/// Maximum time for answering a connection beyond the bound.
+/// Maximum time for refusing a connection beyond the bound.
 const REFUSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time after which a caller refused for too many connections should retry.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -46,7 +46,7 @@
     }
 }
 
-/// Answers a connection beyond the bound with a refusal and closes it.
+/// Responds to a connection beyond the bound with a refusal and closes it.
 pub(super) async fn refuse(socket: TcpStream) {
     let service =
         service_fn(|_: Request<Incoming>| async { Ok::<_, Infallible>(too_many_connections()) });
--- a/src/api/proxy/forward.rs
+++ b/src/api/proxy/forward.rs
@@ -42,7 +42,7 @@
 }
 
 /// A connection to the inner listener. It is closed together with the caller's
-/// connection, which tells the endpoint that the caller has disconnected.
+/// connection, by which the endpoint notices that the caller has disconnected.
 struct InnerLink {
     sender: SendRequest<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
--- a/src/api/proxy/request_reader.rs
+++ b/src/api/proxy/request_reader.rs
@@ -42,7 +42,7 @@
 /// A request that exceeded a bound or could not be read.
 #[derive(Debug)]
 pub(super) struct RequestRefusal {
-    /// More specific than the status that belongs to the reason.
+    /// Status of the response; more specific than the one that belongs to the reason.
     status: StatusCode,
     body: RefusalBody,
 }
--- a/src/api/server.rs
+++ b/src/api/server.rs
@@ -69,7 +69,7 @@
 }
 
 impl ApiHandle {
-    /// Returns the address that it listens on.
+    /// Returns the address on which the listener accepts connections.
     pub fn local_address(&self) -> SocketAddr {
         self.address
     }
--- a/src/auth.rs
+++ b/src/auth.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// The known callers and the digests of their tokens.
+/// Names of token owners, each with the digest of its token.
 #[derive(Debug, Clone, Default)]
 pub struct CredentialTable {
     entries: Vec<CredentialEntry>,
--- a/src/claims/key.rs
+++ b/src/claims/key.rs
@@ -42,8 +42,8 @@
 /// # Errors
 ///
 /// Rejects keys that do not contain their creation time: once the records of a key have
-/// expired from the log, only its creation time tells an old key from a new one. Without
-/// it the request could run a second time.
+/// expired from the log, only its creation time distinguishes an old key from a new one.
+/// Without it the request could run a second time.
 pub fn parse_key(value: &str) -> Result<TimedKey, KeyError> {
     let value = value.trim();
     let text = value
--- a/src/claims/machine.rs
+++ b/src/claims/machine.rs
@@ -161,12 +161,12 @@
         format!("{}/settled", self.request.claim).into()
     }
 
-    /// Whether all work is done, so that the state machine may be dropped.
+    /// Returns whether all work is done, so that the state machine may be dropped.
     pub fn is_done(&self) -> bool {
         self.phase == ClaimPhase::Closed && self.settlement.is_none()
     }
 
-    /// Whether the dispatch permit was issued.
+    /// Returns whether the dispatch permit was issued.
     pub fn is_dispatched(&self) -> bool {
         self.phase == ClaimPhase::Dispatched
     }
--- a/src/claims/machine/transitions.rs
+++ b/src/claims/machine/transitions.rs
@@ -58,7 +58,7 @@
                 Vec::new()
             }
             (_, ClaimEvent::Tick) => self.retry_settlement(table, now),
-            // The event is late or repeated: its state has passed.
+            // The event is late or repeated: its phase has passed.
             _ => Vec::new(),
         }
     }
@@ -175,7 +175,7 @@
     fn respond_from_log(&mut self, table: &ClaimTable, now: ClaimTime) -> Vec<ClaimDecision> {
         match table.look_up(&self.request.name, &self.request.fingerprint) {
             KeyState::Held(_) => self.respond(ClaimResponse::Unknown),
-            // A pruned claim cannot be told from a withdrawn one.
+            // A pruned claim cannot be distinguished from a withdrawn one.
             KeyState::Free if table.admit(self.request.created, now.wall).is_err() => {
                 self.respond(ClaimResponse::Unknown)
             }
@@ -183,17 +183,17 @@
         }
     }
 
-    /// Whether a claim was made by an earlier incarnation of this daemon, which cannot
-    /// dispatch any more and cannot report whether it did.
+    /// Returns whether a claim was made by an earlier incarnation of this daemon, which
+    /// cannot dispatch any more and cannot report whether it did.
     fn is_previous_incarnation(&self, holder: &ClaimHolder) -> bool {
         holder.owner.host == self.owner.host && holder.owner.incarnation != self.owner.incarnation
     }
 
     /// Gives up a claim that is in the log or may still appear there.
     ///
-    /// The state is closed before the caller gets its response: only this daemon may
-    /// dispatch under the claim, and from here on it never does. The withdrawal frees the
-    /// key for the caller's next attempt.
+    /// The phase becomes `Closed` before the caller gets its response: only this daemon
+    /// may dispatch under the claim, and from here on it never does. The withdrawal frees
+    /// the key for the caller's next attempt.
     fn give_up(
         &mut self,
         refusal: ClaimRefusal,
--- a/src/claims/record.rs
+++ b/src/claims/record.rs
@@ -131,8 +131,8 @@
 }
 
 impl StoredResponse {
-    /// Stores a body whole if it is text of at most [`MAX_STORED_RESPONSE_BYTES`], or
-    /// else its digest.
+    /// Returns the stored form of a body: the whole body if it is text of at most
+    /// [`MAX_STORED_RESPONSE_BYTES`], otherwise its digest.
     pub fn of(body: &[u8]) -> Self {
         match std::str::from_utf8(body) {
             Ok(text) if text.len() <= MAX_STORED_RESPONSE_BYTES => Self::Whole(text.to_owned()),
--- a/src/claims/response.rs
+++ b/src/claims/response.rs
@@ -68,7 +68,7 @@
 }
 
 impl ClaimResponse {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn verdict(&self) -> RunVerdict {
         match self {
             Self::Refused { .. } => RunVerdict::NotRun,
--- a/src/claims/table.rs
+++ b/src/claims/table.rs
@@ -83,7 +83,7 @@
     Mismatched,
 }
 
-/// The result of applying a record.
+/// The result of applying a record of the claim stream under this program's rules.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimJudgement {
     /// The claim holds its key.
@@ -112,12 +112,12 @@
     UnknownRules,
 }
 
-/// The result of applying a record, with the record's id if it could be read.
+/// The judgement of a record, with the record's id if it could be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JudgedClaim {
     /// Id of the record.
     pub id: Option<RecordId>,
-    /// The result.
+    /// Judgement of the record.
     pub judgement: ClaimJudgement,
 }
 
--- a/src/claims/table/queries.rs
+++ b/src/claims/table/queries.rs
@@ -18,13 +18,13 @@
         self.claims.len()
     }
 
-    /// Whether no claim is known.
+    /// Returns whether no claim is known.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Whether every claim that is valid at `now` is known. Until then a host accepts no
-    /// non-idempotent requests.
+    /// Returns whether every claim that is valid at `now` is known. Until then a host
+    /// accepts no non-idempotent requests.
     pub fn covers(&self, now: SystemTime) -> bool {
         let complete_at = self.coverage.complete_at(&self.window);
         !self.saw_newer_rules && complete_at.is_some_and(|time| time < now)
@@ -81,15 +81,15 @@
         }
     }
 
-    /// Whether the stream has had no time mark for so long that one should be appended.
-    /// Each host adds its own `stagger`, so that not all hosts append one at the same
-    /// time.
+    /// Returns whether the stream has had no time mark for so long that one should be
+    /// appended. Each host adds its own `stagger`, so that not all hosts append one at
+    /// the same time.
     pub fn mark_due(&self, now: SystemTime, stagger: Duration) -> bool {
         self.last_mark + self.window.mark_interval() + stagger < now
     }
 
-    /// Whether state of a key may be dropped at `now`, because no host accepts the key
-    /// any more.
+    /// Returns whether state of a key may be dropped at `now`, because no host accepts
+    /// the key any more.
     pub fn is_prunable(&self, created: SystemTime, now: SystemTime) -> bool {
         created < self.window.prune_before(now)
     }
--- a/src/claims/window.rs
+++ b/src/claims/window.rs
@@ -50,12 +50,12 @@
         Ok(Self { window, skew })
     }
 
-    /// Whether a key created at `created` is too old at `now`.
+    /// Returns whether a key created at `created` is too old at `now`.
     pub fn is_expired(&self, created: SystemTime, now: SystemTime) -> bool {
         created + self.window < now
     }
 
-    /// Whether a key's creation time is further in the future than the clock skew
+    /// Returns whether a key's creation time is further in the future than the clock skew
     /// explains.
     pub fn is_from_future(&self, created: SystemTime, now: SystemTime) -> bool {
         created > now + self.skew
--- a/src/cli/client.rs
+++ b/src/cli/client.rs
@@ -25,8 +25,8 @@
 
 /// Maximum time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(3);
-/// Maximum time to a response. A change is answered only after this host has replayed it
-/// from the log.
+/// Maximum time to a response. The response to a change is sent only after the host has
+/// replayed the change from the log.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum length of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
--- a/src/daemon/admission.rs
+++ b/src/daemon/admission.rs
@@ -85,7 +85,7 @@
     let outcome = tokio::select! {
         // Polled first: streams that end when the drain timeout expires release their
         // slots to waiting requests. A request that was started then would be cut off at
-        // once, and its caller would be told that it may have run.
+        // once, and its caller would receive the verdict "may have run".
         biased;
         () = core.drain_expired.cancelled() => {
             return Err(refusal(slot.request.clone(), RefusalReason::Draining, IDLE_TICK));
@@ -153,7 +153,7 @@
             | AdmissionDecision::Refuse { request, .. } => request,
         };
         if let Some(waiter) = state.waiters.remove(request) {
-            // If the waiter is gone, its slot is released on drop.
+            // If the waiting request has ended, its slot is released on drop.
             let _ = waiter.send(decision);
         }
     }
--- a/src/daemon/changes.rs
+++ b/src/daemon/changes.rs
@@ -1,4 +1,4 @@
-//! Operators' changes, appended to the log and answered once they are judged.
+//! Appends operators' changes to the log and responds once their records are judged.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -91,7 +91,8 @@
     }
 }
 
-/// Returns once an append is confirmed.
+/// Appends the record until an append is confirmed. Meanwhile `verdict` states whether
+/// the change may have taken effect.
 async fn keep_appending(core: &DaemonCore, text: &str, verdict: &mut RunVerdict) {
     loop {
         if let Ok(appended) = core.declaration_appends.submit(text.to_owned()) {
--- a/src/daemon/claims/events.rs
+++ b/src/daemon/claims/events.rs
@@ -142,8 +142,8 @@
     }
 }
 
-/// Counts the result of a claim that is not dispatched, and publishes to hosts that query
-/// the request that it was refused here.
+/// Counts the result of a claim that is not dispatched, and publishes to querying hosts
+/// that the request was refused here.
 fn record_claim_response(core: &DaemonCore, active: &mut ActiveClaim, response: &ClaimResponse) {
     let ClaimResponse::Refused { refusal, .. } = response else {
         return record_loss(core, active);
--- a/src/daemon/claims/reply.rs
+++ b/src/daemon/claims/reply.rs
@@ -18,7 +18,8 @@
 /// Retry delay for callers when no better value is known.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Returns what is known about the request that holds the key, unless that was not run.
+/// Returns what is known about the request that holds the key, if that request ran, may
+/// have run or is in progress; otherwise `None`.
 ///
 /// A repeat may be refused for a reason of its own, such as a full queue, before its key
 /// is looked up. If its caller received only that refusal, it would conclude that the
@@ -81,7 +82,7 @@
         }
         ClaimResponse::Known(outcome) => outcome_refusal(outcome),
         ClaimResponse::Unknown => may_have_run(
-            "this idempotency key was claimed before, and what became of its request is not known",
+            "this idempotency key was claimed before, and the outcome of its request is not known",
         ),
     };
     body.for_request(request.clone())
@@ -102,8 +103,8 @@
             ..RefusalBody::not_run(
                 RefusalReason::ClaimedElsewhere,
                 format!(
-                    "the request under this idempotency key ran and was answered with status {}; \
-                     the answer is not kept",
+                    "the request under this idempotency key ran and ended with status {}; \
+                     its response is not stored",
                     outcome.status
                 ),
             )
--- a/src/daemon/claims/stream.rs
+++ b/src/daemon/claims/stream.rs
@@ -178,8 +178,8 @@
 
 /// Waits until the log shows the outcome of every claim of this host.
 ///
-/// If the daemon exits earlier, keys stay blocked although its callers were told that
-/// they may use them again.
+/// If the daemon exits earlier, keys stay blocked although their callers have received
+/// responses that allow a retry with the same key.
 pub(in crate::daemon) async fn wait_for_settlements(core: &DaemonCore) {
     while core.tables.claims.lock().unsettled() > 0 {
         tokio::time::sleep(SETTLEMENT_TICK).await;
--- a/src/daemon/claims/ticket.rs
+++ b/src/daemon/claims/ticket.rs
@@ -69,7 +69,7 @@
     /// Claims the key and waits until the claim has won.
     ///
     /// # Errors
-    /// Returns the answer for the caller if the claim does not win.
+    /// Returns the response for the caller if the claim does not win.
     pub(in crate::daemon) async fn claim(
         core: &Arc<DaemonCore>,
         subject: ClaimSubject,
@@ -84,7 +84,7 @@
                     handle_event(core, &ticket.claim, event);
                 }
                 Some(ClaimStep::Respond(response)) => return Err(response),
-                // Unreachable: a state machine answers before it is dropped.
+                // Unreachable: a state machine responds before it is dropped.
                 None => return Err(ClaimResponse::Unknown),
             }
         }
@@ -142,7 +142,7 @@
     /// Requests permission to send, immediately before the first byte is written.
     ///
     /// # Errors
-    /// Returns the answer for the caller if permission is no longer given.
+    /// Returns the response for the caller if permission is no longer given.
     pub(in crate::daemon) async fn authorise(mut self) -> Result<DispatchedClaim, ClaimResponse> {
         if self.try_authorise() {
             self.is_open = false;
--- a/src/daemon/core.rs
+++ b/src/daemon/core.rs
@@ -24,8 +24,8 @@
 use crate::replay::Readiness;
 use crate::target::client::TargetClient;
 
-/// Half of the calls to one peer that may be open at once, which leaves room for
-/// heartbeats.
+/// Maximum number of open claim queries: half of the calls that may be pending to one
+/// peer, which leaves room for heartbeats.
 const MAX_CLAIM_QUERIES: usize = 16;
 
 /// Phases of a daemon.
@@ -166,9 +166,9 @@
         self.order_lock.lock().await
     }
 
-    /// Whether the load balancer should send callers to this host: the configuration is
-    /// usable and, if any organisation is declared, some host divides the zone's
-    /// capacity.
+    /// Returns whether the load balancer should send callers to this host: the
+    /// configuration is usable and, if any organisation is declared, some host divides
+    /// the zone's capacity.
     pub(super) fn is_ready(&self) -> bool {
         if self.phase() != DaemonPhase::Serving {
             return false;
@@ -178,12 +178,12 @@
         is_divided || state.table.organisations().next().is_none()
     }
 
-    /// Whether the daemon accepts no new work because it is shutting down.
+    /// Returns whether the daemon accepts no new work because it is shutting down.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Whether at least one other host is known and all known ones are live.
+    /// Returns whether at least one other host is known and all known ones are live.
     pub(super) fn all_peers_live(&self) -> bool {
         let membership = self.tables.membership.lock();
         let mut members = membership.members().peekable();
--- a/src/daemon/declarations.rs
+++ b/src/daemon/declarations.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Whether the log, as far as is known, still keeps the next record.
+/// Returns whether the log, as far as is known, still keeps the next record.
 fn can_follow(core: &DaemonCore) -> bool {
     let declarations = core.tables.declarations.read();
     let is_confirmed = core.phase() != DaemonPhase::Starting;
--- a/src/daemon/force.rs
+++ b/src/daemon/force.rs
@@ -30,10 +30,11 @@
 
 /// Builds the view of one host.
 ///
-/// A host without a recent heartbeat counts as its zone's report says, if that covers all
-/// hosts of the zone known here. Only a few hosts of another zone send heartbeats to this
-/// one. Without the zone's report the others would always count as unreachable, and no
-/// change as in effect everywhere.
+/// The state of a host without a recent heartbeat is taken from its zone's report, if the
+/// report covers all hosts of the zone that are known here and counts none as
+/// unreachable. Only a few hosts of another zone send heartbeats to this one. Without the
+/// zone's report, the others would always count as unreachable, and no change would count
+/// as in effect everywhere.
 fn member_view(member: &HostMember, zones: &membership::ForceView) -> HostForceView {
     let reported = match member.phase {
         MemberPhase::Live => Some(member.applied_offset),
--- a/src/daemon/generate.rs
+++ b/src/daemon/generate.rs
@@ -64,8 +64,8 @@
     let slot = admit(core, request).await?;
     // If the ticket is dropped before the run begins, it withdraws the claim.
     let ticket = claimed::claim(core, subject).await?;
-    // The route is planned again, because targets may have come, gone or filled up while
-    // the request waited.
+    // The route is planned again, because targets may have joined, left or filled up
+    // while the request waited.
     let route = plan_route(core, &call, deadline)?;
     core.record_event(&call.request, routed_event(&route));
     core.tables.routes.write().run_started(&route);
@@ -389,7 +389,7 @@
     };
     let body = RefusalBody {
         verdict: outcome.verdict,
-        ..RefusalBody::not_run(reason, "the answer was cut short")
+        ..RefusalBody::not_run(reason, "the response was cut short")
     };
     StreamEvent::Error(
         body.retry_after(Duration::from_secs(1))
--- a/src/daemon/generate/claimed.rs
+++ b/src/daemon/generate/claimed.rs
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// Returns a refusal if the key is missing or unusable, and if the request resumes
-/// another: the rest of a response cannot be told from a second run.
+/// another: the rest of a response cannot be distinguished from a second run.
 pub(super) fn subject_of(
     call: &GenerateCall,
     deadline: Instant,
@@ -68,7 +68,8 @@
     }
 }
 
-/// Replaces a refusal that says less about the key's request than is known.
+/// Replaces a refusal by what is known about the request that holds the key, if that
+/// request ran, may have run or is in progress.
 pub(super) fn correct_refusal(
     core: &DaemonCore,
     subject: Option<&ClaimSubject>,
--- a/src/daemon/leases.rs
+++ b/src/daemon/leases.rs
@@ -22,7 +22,7 @@
 const LEASE_TICK: Duration = Duration::from_millis(100);
 /// Maximum time that a shutdown waits for its records to be replayed.
 const REPLAY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two checks whether its records have been replayed.
+/// Time between two checks whether the records of a shutdown have been replayed.
 const REPLAY_POLL: Duration = Duration::from_millis(10);
 /// Renewals within one lease duration.
 const RENEWALS_PER_DURATION: u32 = 3;
@@ -239,7 +239,7 @@
     }
 }
 
-/// Whether the log still shows the record's writer as the holder of the lease.
+/// Returns whether the log still shows the record's writer as the holder of the lease.
 fn is_held(core: &DaemonCore, record: &LogRecord<LeaseBody>) -> bool {
     let state = core.tables.leases.lock();
     let holder = state.table.holder(&record.body.name);
--- a/src/daemon/operators.rs
+++ b/src/daemon/operators.rs
@@ -45,7 +45,7 @@
     table
 }
 
-/// Wraps a call that is answered from memory.
+/// Wraps a function that reads the tables without waiting.
 fn query<C, R, F>(core: &Arc<DaemonCore>, read: F) -> AsyncCall<C, R>
 where
     C: 'static,
@@ -56,7 +56,7 @@
     Arc::new(move |call| futures::future::ready(read(&core, call)).boxed())
 }
 
-/// Wraps a call that has to wait.
+/// Wraps a function that waits for the log.
 fn command<C, R, F, A>(core: &Arc<DaemonCore>, run: F) -> AsyncCall<C, R>
 where
     C: 'static,
@@ -110,7 +110,9 @@
     if explanation.entries.is_empty() {
         return Err(RefusalBody::not_run(
             RefusalReason::Unknown,
-            format!("this host keeps no decision about {subject}; ask the other entry hosts"),
+            format!(
+                "this host has recorded no decision about {subject}; query the other entry hosts"
+            ),
         ));
     }
     let entries = explanation.entries.iter().map(explain_entry).collect();
--- a/src/daemon/readiness.rs
+++ b/src/daemon/readiness.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Learns that records up to an end offset exist.
+    /// Records that the log has records up to an end offset.
     pub(super) fn observe_end_offset(&self, end_offset: LogOffset, now: Instant) {
         self.state
             .lock()
@@ -45,7 +45,7 @@
             .observe_end_offset(end_offset, now);
     }
 
-    /// Updates the offset that the table has applied.
+    /// Updates the applied offset from the table.
     pub(super) fn observe_applied(&self, table: &DeclarationTable, now: Instant) {
         self.state.lock().tracker.observe_applied(table, now);
     }
@@ -59,7 +59,7 @@
         self.state.lock().confirmed = true;
     }
 
-    /// Whether the host may accept work now.
+    /// Returns whether the host may accept work now, and logs each change.
     pub(super) fn readiness(&self, now: Instant) -> Readiness {
         let mut state = self.state.lock();
         let readiness = match state.tracker.readiness(now) {
--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -42,7 +42,7 @@
     // A shutdown waits for this call from here on.
     let _in_flight = core.in_flight.token();
     // Admission checks the phase later, but a host without a usable configuration cannot
-    // tell that a service does not exist.
+    // know that a service does not exist.
     let service = declared_service(&core, &call).or_else(|unknown| {
         check_phase(&core, &call.request)?;
         Err(unknown)
@@ -220,7 +220,7 @@
     let message = match reason {
         RefusalReason::NoRoute => "no usable target",
         RefusalReason::RetryBudgetSpent => "the target failed and no retry is left",
-        _ => "the service did not answer",
+        _ => "the service did not respond",
     };
     RefusalBody {
         verdict,
--- a/src/daemon/services/claimed.rs
+++ b/src/daemon/services/claimed.rs
@@ -37,7 +37,7 @@
         None => "a non-idempotent request needs an Idempotency-Key header".to_owned(),
     };
     let message = format!(
-        "{problem}; draw a UUID of version 7 for each request, and send the same again with \
+        "{problem}; generate a UUID of version 7 for each request, and send the same one with \
          every repeat of it"
     );
     Err(RefusalBody::not_run(RefusalReason::Malformed, message).for_request(request.clone()))
@@ -82,7 +82,7 @@
 fn aborted_call(request: &RequestId) -> RefusalBody {
     RefusalBody {
         verdict: RunVerdict::MayHaveRun,
-        ..RefusalBody::not_run(RefusalReason::TargetFailed, "the call broke off")
+        ..RefusalBody::not_run(RefusalReason::TargetFailed, "the call was interrupted")
     }
     .for_request(request.clone())
 }
--- a/src/daemon/shares.rs
+++ b/src/daemon/shares.rs
@@ -1,6 +1,6 @@
 //! Divides the capacity that organisations bought, over zones and hosts.
 //!
-//! In its heartbeats this host reports its use and demand to the holder of the lease on
+//! In its heartbeats this host reports its usage and demand to the holder of the lease on
 //! its zone's shares. The replies carry grants, which limit admission.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,8 @@
 const SPLIT_INTERVAL: Duration = Duration::from_secs(2);
 /// Number of records after which the stream gets a checkpoint.
 const CHECKPOINT_RECORDS: u64 = 2_000;
-/// Minimum rate in requests per minute that a host requests while anything waits there.
+/// Minimum rate in requests per minute that a host reports as demand while requests wait
+/// on it.
 const MIN_WANTED_RATE: u32 = 60;
 /// Maximum time until an appended split takes effect.
 const MAX_APPEND_TIME: Duration = Duration::from_secs(2);
@@ -165,7 +166,7 @@
     }
 }
 
-/// Sets the declared capacity that was bought, and the zones with targets.
+/// Sets the bought capacity of each declared organisation, and the zones with targets.
 pub(super) fn declare_shares(
     core: &DaemonCore,
     bought: BTreeMap<OrganisationId, ShareUnits>,
@@ -269,7 +270,8 @@
     }
 }
 
-/// Removes incarnations from the division that ended before this host learned of them.
+/// Removes from the division the incarnations that had ended before this host learned of
+/// them.
 fn remove_ended_holders(core: &DaemonCore) {
     let now = Instant::now();
     let membership = core.tables.membership.lock();
--- a/src/daemon/spawn.rs
+++ b/src/daemon/spawn.rs
@@ -41,8 +41,8 @@
 use crate::shares::{GrantHolder, GrantSettings, ZoneShares};
 use crate::target::client::{TargetClient, TargetTimeouts};
 
-/// An organisation may start this many seconds of its rate at once on a host after a
-/// pause, because arrivals on one of many hosts are few and uneven.
+/// Burst that an organisation may start on a host after a pause, as time at its rate:
+/// arrivals on one of many hosts are few and uneven.
 const RATE_BURST: Duration = Duration::from_secs(2);
 /// How long requests may wait for a first grant: a few reports and their replies, since
 /// another host may first have to release the capacity.
@@ -55,7 +55,7 @@
 /// end first.
 const LEASE_RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Error when a daemon is started.
+/// Reason why a daemon could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     /// A listener could not be opened.
@@ -225,8 +225,8 @@
 /// Returns an incarnation number that is higher than those of the host's earlier
 /// incarnations.
 ///
-/// Peers take a lower number for a process that was frozen while its host was replaced,
-/// and ignore it until the other has been silent for a long time.
+/// Peers treat a lower number as that of a process that was frozen while its host was
+/// replaced, and ignore it until the other incarnation has been silent for a long time.
 fn new_incarnation(now: SystemTime) -> IncarnationId {
     let since_epoch = now.duration_since(UNIX_EPOCH).unwrap_or_default();
     let millis = u64::try_from(since_epoch.as_millis()).unwrap_or(0);
@@ -234,8 +234,8 @@
     (millis << 16) | u64::from(rand::random::<u16>())
 }
 
-/// Waits for `drained`. When the drain timeout expires, requests in flight are told to
-/// end.
+/// Waits for `drained`. When the drain timeout expires, requests in flight are cancelled
+/// and report their verdicts.
 async fn drain_with_timeout<F>(core: &DaemonCore, drained: F)
 where
     F: Future<Output = ()>,
@@ -244,8 +244,8 @@
     let allowed = core.options.timing.drain_timeout;
     if timeout(allowed, &mut drained).await.is_err() {
         log::error!("requests are still in flight after the drain timeout of {allowed:?}");
-        // If the process ended here, the connections would be cut and callers could not
-        // tell what ran.
+        // If the process ended here, the connections would be cut and callers would not
+        // learn what ran.
         core.drain_expired.cancel();
         drained.await;
     }
--- a/src/daemon/step_observations.rs
+++ b/src/daemon/step_observations.rs
@@ -10,7 +10,7 @@
 use crate::reason::RetryReason;
 use crate::run::StepObservation;
 
-/// Records one observation.
+/// Records one observation in the route table, the journal and the metrics.
 pub(super) fn record_step(core: &DaemonCore, request: &RequestId, observation: &StepObservation) {
     journal_step(core, request, observation);
     let now = Instant::now();
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -24,7 +24,7 @@
 /// Installs a logger to standard error for the whole process.
 ///
 /// # Errors
-/// If a logger is already installed.
+/// Returns an error if a logger is already installed.
 pub fn install(options: LogOptions) -> Result<(), SetLoggerError> {
     let (level, logger) = logger_to(options, std::io::stderr());
     log::set_boxed_logger(logger)?;
@@ -35,7 +35,7 @@
 /// Installs a JSON logger to standard output, through a bounded queue that never blocks.
 ///
 /// # Errors
-/// If a logger is already installed.
+/// Returns an error if a logger is already installed.
 pub fn install_bounded() -> Result<(), SetLoggerError> {
     let options = LogOptions {
         level: LevelFilter::Info,
--- a/src/metrics/serving.rs
+++ b/src/metrics/serving.rs
@@ -210,8 +210,7 @@
         count(&self.permits, reply);
     }
 
-    /// Observes a call to the log service, or counts it as an error if it was not
-    /// answered.
+    /// Observes a call to the log service, or counts an error if the call failed.
     pub fn store_called(&self, topic: &'static str, took: Duration, succeeded: bool) {
         match succeeded {
             true => self.store_call.observe(took.as_secs_f64()),
--- a/src/options/listen.rs
+++ b/src/options/listen.rs
@@ -34,7 +34,8 @@
 }
 
 /// Reports an address that two listeners share. The second listener would fail to bind
-/// after the first has already told the load balancer that the daemon is available.
+/// after the first has already reported to the load balancer that the daemon is
+/// available.
 fn check_distinct(
     section: &mut SectionReader<'_>,
     key: &str,
--- a/src/peer/convert/permits.rs
+++ b/src/peer/convert/permits.rs
@@ -7,7 +7,7 @@
 use crate::peer_capnp as wire;
 use crate::permits::{LimitDelta, LimitRecord, PermitReply, PermitRequest, RateLimit};
 
-/// Encodes an ended limit in the place of its rate.
+/// Value in place of a rate that stands for an ended limit.
 const NO_LIMIT: f64 = -1.0;
 
 /// Encodes a delta of limits.
--- a/src/peer/convert/view.rs
+++ b/src/peer/convert/view.rs
@@ -16,7 +16,7 @@
 use crate::permits::LimitDelta;
 use crate::poison::{PoisonDelta, PoisonEvent, PoisonEvidence};
 
-/// Encodes the event that a target survived a request, in the place of the target's key.
+/// Value in place of a target's key that stands for a target that survived the request.
 const SURVIVED: u64 = 0;
 
 /// Encodes a host's view.
--- a/src/peer/handle.rs
+++ b/src/peer/handle.rs
@@ -33,7 +33,8 @@
 /// Listens for peers and starts the RPC thread.
 ///
 /// # Errors
-/// [`PeerError::Start`] if the address cannot be bound or the thread cannot be started.
+/// Returns [`PeerError::Start`] if the address cannot be bound or the thread cannot be
+/// started.
 pub fn spawn<H>(settings: PeerSettings, handlers: H) -> Result<PeerHandle, PeerError>
 where
     H: Into<ServedCalls>,
@@ -45,7 +46,8 @@
 /// Like [`spawn`], but with an existing listener, for handlers that need its address.
 ///
 /// # Errors
-/// [`PeerError::Start`] if the listener cannot be used or the thread cannot be started.
+/// Returns [`PeerError::Start`] if the listener cannot be used or the thread cannot be
+/// started.
 pub fn spawn_on<H>(
     listener: TcpListener,
     settings: PeerSettings,
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -1,4 +1,4 @@
-//! The connection to one peer, made on demand and remade after a backoff.
+//! The connection to one peer, opened on demand and reopened after a backoff.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/src/peer/message.rs
+++ b/src/peer/message.rs
@@ -25,7 +25,7 @@
     pub sequence: u64,
     /// Offset after the last applied declaration record.
     pub applied_offset: LogOffset,
-    /// Whether it refuses new requests.
+    /// Whether the host refuses new requests.
     pub draining: bool,
     /// Address on which it listens to peers.
     pub peer_address: SocketAddr,
@@ -88,8 +88,8 @@
     pub requests_per_minute: u32,
     /// Grows with each grant of one holder.
     pub number: u64,
-    /// Time until it expires unless renewed, counted from when the host sent the
-    /// heartbeat that is replied to; `None` if it does not expire.
+    /// Time until the grant expires unless it is renewed, counted from when the host sent
+    /// the heartbeat that is replied to; `None` if the grant does not expire.
     pub expires_after: Option<Duration>,
 }
 
@@ -116,13 +116,13 @@
 pub struct PeerReply {
     /// The receiver's own heartbeat.
     pub heartbeat: PeerHeartbeat,
-    /// Lease under which the grants are given; `None` if it holds none.
+    /// Lease under which the grants are given; `None` if the receiver holds none.
     pub lease_offset: Option<LogOffset>,
     /// Grants to the caller.
     pub grants: Vec<PeerGrant>,
 }
 
-/// Requests log records that a peer has replayed.
+/// Request for log records that a peer has replayed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordsRequest {
     /// Stream of the log.
@@ -146,18 +146,18 @@
     pub checkpoint: Option<String>,
 }
 
-/// Queries the host that won a claim for the outcome of the request.
+/// Query to the host that won a claim, for the outcome of the claimed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimQuery {
-    /// The request of the querying host.
+    /// Id of the request for which the queried host claimed the key.
     pub request: RequestId,
-    /// Called service.
+    /// Called service; empty if the sender does not state it.
     pub service: ServiceId,
-    /// Called operation.
+    /// Called operation; empty if the sender does not state it.
     pub operation: String,
     /// Idempotency key of the claim.
     pub key: IdempotencyKey,
-    /// Organisation that pays.
+    /// Organisation that is charged for the request.
     pub organisation: OrganisationId,
 }
 
@@ -168,7 +168,7 @@
     Unknown,
     /// The claim is known, and its request has this verdict.
     Known {
-        /// Whether it may have run.
+        /// Whether the request may have run.
         verdict: RunVerdict,
         /// HTTP status of the response; zero while there is none.
         status: u16,
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -31,6 +31,7 @@
 /// Serves the calls on one connection.
 struct PeerServer {
     handlers: ServedCalls,
+    /// Maximum size of the records in a reply, in bytes.
     range_limit: usize,
 }
 
--- a/src/peer/view.rs
+++ b/src/peer/view.rs
@@ -39,11 +39,11 @@
     pub seen: SeenListing,
     /// Number of hosts of each zone that the sender has recently learned of.
     pub counts: Vec<ZoneCount>,
-    /// How long it has had the log of targets; `None` if it never had it.
+    /// How long the host has had the log of targets; `None` if it never had the log.
     pub log: Option<LogAges>,
     /// Evidence on requests during which targets ended.
     pub poison: PoisonDelta,
-    /// Limits that targets have named.
+    /// Limits that targets have stated.
     pub limits: LimitDelta,
 }
 
@@ -59,7 +59,7 @@
     pub hosts: Vec<KnownHost>,
 }
 
-/// Acknowledges the listings of a host that were applied.
+/// Acknowledgement of the listings of a host that were applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct SeenListing {
     /// Incarnation of the host; each incarnation counts its versions anew.
@@ -105,7 +105,7 @@
     pub silent: Duration,
 }
 
-/// Requests what a host reads from the platform's log.
+/// Request for what a host reads from the platform's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct FollowRequest {
     /// Version of the configuration that the requesting host has; 0 if none.
@@ -117,7 +117,7 @@
     pub from: u64,
     /// How long the reply may wait for updates.
     pub hold: Duration,
-    /// Whether the reply is to include the requests of other zones' hosts.
+    /// Whether the reply is to include the usage of targets by other zones' hosts.
     pub wants_remote: bool,
 }
 
@@ -126,7 +126,7 @@
 pub struct FollowReply {
     /// Incarnation of the replying host.
     pub incarnation: IncarnationId,
-    /// Whether it currently follows the log, directly or through another host.
+    /// Whether the host currently follows the log, directly or through another host.
     pub fresh: bool,
     /// Time since the log was last read, by this host or by the one that relayed it.
     pub age: Duration,
@@ -138,18 +138,19 @@
     pub targets: Vec<TargetChange>,
     /// Position from which the next request continues.
     pub next: u64,
-    /// Requests of other zones' hosts.
+    /// Usage of targets by other zones' hosts.
     pub remote: Vec<ZoneUsage>,
     /// Offset up to which the replying host has covered the log of targets.
     pub read_to: LogOffset,
-    /// How much of the log of targets it has; `None` if it never had it.
+    /// How much of the log of targets the host has; `None` if it never had the log.
     pub log: Option<FollowedLog>,
 }
 
 /// How much of the log of targets a host has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FollowedLog {
-    /// Time since it first had the log. It has evaluated all removals since then itself.
+    /// Time since the host first had the log. It has evaluated all removals since then
+    /// itself.
     pub first: Duration,
     /// Time since the log was last read.
     pub read: Duration,
--- a/src/platform/configuration_record.rs
+++ b/src/platform/configuration_record.rs
@@ -45,6 +45,7 @@
     stream_resume: bool,
 }
 
+/// Returns the default timeout of a route, in milliseconds.
 fn default_timeout() -> f64 {
     20_000.0
 }
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -35,7 +35,7 @@
     MayBeAppended,
 }
 
-/// An append without a usable response.
+/// Error of an append that got no usable response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("append failed ({verdict:?}): {failure}")]
 pub struct AppendError {
@@ -64,7 +64,7 @@
     }
 }
 
-/// A read or a listing without a usable response.
+/// Error of a read of the log or of the host list that got no usable response.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("read failed: {failure}")]
 pub struct ReadError {
--- a/src/platform/host_settings.rs
+++ b/src/platform/host_settings.rs
@@ -37,6 +37,7 @@
     limits: LimitsBody,
 }
 
+/// Returns the default interval between heartbeats, in milliseconds.
 fn default_beat() -> u64 {
     1200
 }
@@ -56,6 +57,7 @@
     1.0
 }
 
+/// Returns the default bandwidth of the host's link, in megabits per second.
 fn default_link() -> f64 {
     1000.0
 }
--- a/src/platform/limit_header.rs
+++ b/src/platform/limit_header.rs
@@ -1,4 +1,4 @@
-//! The header in which a target names its limit on the rate of requests.
+//! The header in which a target states its limit on the rate of requests.
 
 use http::HeaderMap;
 
--- a/src/platform/log_tail.rs
+++ b/src/platform/log_tail.rs
@@ -36,7 +36,7 @@
 /// Event of a followed stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TailEvent {
-    /// A read succeeded. `records` is empty if there was nothing new, which tells the
+    /// A read succeeded. `records` is empty if there was nothing new, which shows the
     /// consumer that it is up to date.
     Records {
         /// The records, in order, continuing from the previous ones.
--- a/src/records/checkpoint.rs
+++ b/src/records/checkpoint.rs
@@ -92,7 +92,7 @@
     pub offset: LogOffset,
     /// Id of the record.
     pub id: RecordId,
-    /// Its judgement.
+    /// Result of applying the record.
     #[serde(rename = "fate")]
     pub result: RecordResult,
 }
--- a/src/replay/check.rs
+++ b/src/replay/check.rs
@@ -12,6 +12,7 @@
     ServiceSpec, TargetKind, TargetSpec,
 };
 
+/// Allowed length of a resource's name, in bytes.
 const NAME_LENGTH: std::ops::RangeInclusive<usize> = 1..=128;
 
 /// Checks a change whose `based_on` is the latest version.
--- a/src/replay/checkpoint.rs
+++ b/src/replay/checkpoint.rs
@@ -88,7 +88,7 @@
     /// `as_of`, followed by all later ones.
     ///
     /// # Errors
-    /// If the checkpoint is damaged or was written by a newer program.
+    /// Returns an error if the checkpoint is damaged or was written by a newer program.
     pub fn from_checkpoint(checkpoint: &StateCheckpoint) -> Result<Self, CheckpointError> {
         Self::restore(WindowRules::CURRENT, checkpoint)
     }
@@ -97,7 +97,7 @@
     /// tests and simulations.
     ///
     /// # Errors
-    /// If the checkpoint is damaged or was written by a newer program.
+    /// Returns an error if the checkpoint is damaged or was written by a newer program.
     pub fn restore(
         windows: WindowRules,
         checkpoint: &StateCheckpoint,
@@ -136,8 +136,8 @@
     /// records in between have expired.
     ///
     /// # Errors
-    /// If the other table is not newer. This one is kept then, so that active
-    /// configuration is never reverted.
+    /// Returns an error if the other table is not newer. This one is kept then, so that
+    /// active configuration is never reverted.
     pub fn supersede(&mut self, newer: Self) -> Result<(), CheckpointError> {
         if newer.applied <= self.applied {
             return Err(CheckpointError::NotNewer {
--- a/src/replay/commands.rs
+++ b/src/replay/commands.rs
@@ -35,8 +35,8 @@
     /// Applies the record at an offset.
     ///
     /// # Errors
-    /// If records before this one are missing, or if it requires rules that this program
-    /// does not support.
+    /// Returns an error if records before this one are missing, or if it requires rules
+    /// that this program does not support.
     pub fn apply(
         &mut self,
         offset: LogOffset,
@@ -53,8 +53,8 @@
     /// a record as [`Judgement::Malformed`] and skips it.
     ///
     /// # Errors
-    /// If records before this one are missing, or if it requires rules that this program
-    /// does not support.
+    /// Returns an error if records before this one are missing, or if it requires rules
+    /// that this program does not support.
     pub fn apply_raw(&mut self, offset: LogOffset, body: &str) -> Result<Judgement, ApplyError> {
         if let OffsetPosition::Past = self.check_offset(offset)? {
             return Ok(Judgement::AlreadyApplied);
--- a/src/replay/hash.rs
+++ b/src/replay/hash.rs
@@ -1,6 +1,6 @@
 //! An incremental hash of the whole state that is updated in constant time.
 //!
-//! Each entry (resource, tombstone, remembered id) is hashed separately and the hashes
+//! Each entry (resource, tombstone, recent record) is hashed separately and the hashes
 //! are added, so that a change costs two hashes regardless of the size of the state. The
 //! sum detects faults and does not resist attackers: the records come from the system's
 //! own daemons.
@@ -14,7 +14,9 @@
 };
 use crate::resources::ResourceKey;
 
+/// Number of lanes of 64 bits in a state hash.
 const LANES: usize = 4;
+/// Size of a lane in bytes.
 const LANE_BYTES: usize = STATE_HASH_BYTES / LANES;
 
 /// One entry of the state. Its compact JSON is the text that is hashed.
--- a/src/replay/judgement.rs
+++ b/src/replay/judgement.rs
@@ -4,8 +4,8 @@
 use crate::records::{RecordResult, StateHash};
 use crate::resources::{ResourceKey, ResourceKind, SpecError};
 
-/// The judgement of a record. All readers judge a record alike, except for the comparison
-/// of a checkpoint with their own state.
+/// The result of applying a record of the log under the program's rules. All readers
+/// judge a record alike, except for the comparison of a checkpoint with their own state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Judgement {
     /// The change is in effect.
--- a/src/replay/relay.rs
+++ b/src/replay/relay.rs
@@ -136,7 +136,8 @@
     /// than this table, because the peer may lag itself.
     ///
     /// # Errors
-    /// If the checkpoint or a record is unusable; the records before it stay applied.
+    /// Returns an error if the checkpoint or a record is unusable; the records before it
+    /// stay applied.
     pub fn apply_range(&mut self, range: &RelayRange) -> Result<Vec<AppliedRecord>, RelayError> {
         if let Some(text) = &range.checkpoint {
             let checkpoint: StateCheckpoint = serde_json::from_str(text)?;
--- a/src/replay/start.rs
+++ b/src/replay/start.rs
@@ -11,9 +11,9 @@
 /// Next step of a start.
 #[derive(Debug)]
 pub enum StartDecision {
-    /// Read the log from this offset and pass the answer to the planner.
+    /// Read the log from this offset and pass the response to the planner.
     ReadFrom(LogOffset),
-    /// The state after all records up to the end of the last answer.
+    /// The state after all records up to the end of the log in the last response.
     Started(Box<DeclarationTable>),
     /// The log contains no usable state. Peers may have one, and so may the log once
     /// another host has appended a checkpoint.
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Processes an answer of the log and returns the next step. The first answer may
+    /// Processes a response of the log and returns the next step. The first response may
     /// start at any offset, because only its bounds are needed.
     pub fn on_read(&mut self, response: &ReadResponse) -> StartDecision {
         for record in &response.records {
--- a/src/resources/spec.rs
+++ b/src/resources/spec.rs
@@ -56,7 +56,8 @@
     /// Checks the values that can be checked without other resources.
     ///
     /// # Errors
-    /// If a value is outside its allowed range; the error names the first such field.
+    /// Returns an error if a value is outside its allowed range; the error names the
+    /// first such field.
     pub fn check(&self) -> Result<(), SpecError> {
         match self {
             Self::Model(model) => check_model(model),
--- a/src/resources/target.rs
+++ b/src/resources/target.rs
@@ -35,10 +35,12 @@
     pub phase: TargetPhase,
 }
 
+/// Returns the default declared rate, in tokens per second.
 fn default_rate() -> f64 {
     100.0
 }
 
+/// Returns the default number of concurrent steps or calls.
 fn default_concurrency() -> u32 {
     8
 }
--- a/src/run/event.rs
+++ b/src/run/event.rs
@@ -5,7 +5,7 @@
 use crate::target::wire::{StepLabel, StepResponse, TargetRefusal};
 use crate::verdict::RunVerdict;
 
-/// Something that happened and that the state machine has to handle.
+/// An input of the state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEvent {
     /// The run is started.
--- a/src/run/limits.rs
+++ b/src/run/limits.rs
@@ -24,9 +24,9 @@
     pub max_repairs: AttemptNumber,
     /// How often one step is sent again to the same target.
     pub resends_per_step: u32,
-    /// The same after a timeout. Each resend costs another timeout if the target is
-    /// frozen, so another target is chosen first; if there is none, `resends_per_step`
-    /// applies.
+    /// How often one step is sent again to the same target after a timeout. Each resend
+    /// costs another timeout if the target is frozen, so another target is chosen first;
+    /// if there is none, `resends_per_step` applies.
     pub resends_after_timeout: u32,
     /// Delay before the first resend; doubled for each further one.
     pub backoff_base: Duration,
--- a/src/run/machine/queries.rs
+++ b/src/run/machine/queries.rs
@@ -22,7 +22,7 @@
         self.attempt
     }
 
-    /// Whether the run has ended.
+    /// Returns whether the run has ended.
     pub fn is_finished(&self) -> bool {
         self.phase == RunPhase::Finished
     }
--- a/src/run/machine/repair.rs
+++ b/src/run/machine/repair.rs
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Whether the KV cache can be moved to the new target. A move is attempted only if
-    /// the old target itself has just responded: an export from a dead or frozen target
-    /// would cost a whole timeout before the replay that is needed anyway.
+    /// Returns whether the KV cache can be moved to the new target. A move is attempted
+    /// only if the old target itself has just responded: an export from a dead or frozen
+    /// target would cost a whole timeout before the replay that is needed anyway.
     fn can_move_cache(&self, stage: StageIndex, reason: RetryReason) -> bool {
         let still_responds = matches!(
             reason,
--- a/src/target/client.rs
+++ b/src/target/client.rs
@@ -22,9 +22,9 @@
 pub use single_call::SingleCall;
 
 const JSON_CONTENT: HeaderValue = HeaderValue::from_static("application/json");
-/// Maximum size of a response, except for exported caches.
+/// Maximum size of a response other than an exported cache, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
-/// Maximum size of an exported cache.
+/// Maximum size of an exported cache, in bytes.
 const MAX_EXPORT_BYTES: usize = 64 * 1024 * 1024;
 
 /// Timeouts of calls to targets.
--- a/src/target/failure.rs
+++ b/src/target/failure.rs
@@ -5,7 +5,7 @@
 use crate::target::wire::TargetRefusal;
 use crate::verdict::RunVerdict;
 
-/// A call to a target without a usable response.
+/// Reason why a call to a target returned no usable response.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum TargetFailure {
     /// The connection failed, so no byte was sent.
@@ -25,7 +25,7 @@
     Unusable(String),
 }
 
-/// A call to a plain service without a response.
+/// Reason why a call to a plain service returned no response.
 pub type CallFailure = TargetFailure;
 
 impl TargetFailure {
