--- a/src/daemon/shares.rs
+++ b/src/daemon/shares.rs
@@ -217,24 +217,31 @@
 }
 
 /// Returns the grants for a host of this zone that has just reported.
-pub(super) fn grants_for_report(core: &DaemonCore, beat: &PeerHeartbeat) -> Option<Vec<PeerGrant>> {
-    let lease = beat.demands_for?;
+pub(super) fn grants_for_report(
+    core: &DaemonCore,
+    heartbeat: &PeerHeartbeat,
+) -> Option<Vec<PeerGrant>> {
+    let lease = heartbeat.demands_for?;
     let from = GrantHolder {
-        host: beat.host.clone(),
-        incarnation: beat.incarnation,
+        host: heartbeat.host.clone(),
+        incarnation: heartbeat.incarnation,
     };
     let report = ShareReport {
         lease,
-        demands: beat.demands.clone(),
+        demands: heartbeat.demands.clone(),
     };
     // Requests that wait on a draining host are still served there, and need grants as
     // before.
     let is_waiting = report.demands.iter().any(|demand| demand.waiting > 0);
-    let is_drained = beat.draining && !is_waiting;
+    let is_drained = heartbeat.draining && !is_waiting;
     let mut state = core.tables.shares.lock();
-    state
-        .shares
-        .observe_report(&from, beat.sequence, &report, is_drained, Instant::now())
+    state.shares.observe_report(
+        &from,
+        heartbeat.sequence,
+        &report,
+        is_drained,
+        Instant::now(),
+    )
 }
 
 /// Applies the grants of a reply. Returns whether to report again at once, because
--- a/src/daemon/spawn.rs
+++ b/src/daemon/spawn.rs
@@ -298,7 +298,7 @@
     let records = Arc::clone(core);
     let claims = Arc::clone(core);
     PeerHandlers {
-        heartbeat: Arc::new(move |beat| handle_heartbeat(&heartbeats, &beat)),
+        heartbeat: Arc::new(move |heartbeat| handle_heartbeat(&heartbeats, &heartbeat)),
         records: Arc::new(move |request| relay_records(&records, &request)),
         claim_outcome: Arc::new(move |request| {
             handle_outcome_query(Arc::clone(&claims), request).boxed()
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -160,24 +160,29 @@
 }
 
 /// Encodes a heartbeat.
-pub(super) fn write_heartbeat(mut builder: wire::heartbeat::Builder<'_>, beat: &PeerHeartbeat) {
-    builder.set_host(&*beat.host);
-    builder.set_zone(&*beat.zone);
-    builder.set_incarnation(beat.incarnation);
-    builder.set_sequence(beat.sequence);
-    builder.set_applied_offset(beat.applied_offset);
-    builder.set_draining(beat.draining);
-    builder.set_peer_address(beat.peer_address.to_string());
-    builder.set_demands_for(write_offset(beat.demands_for));
+pub(super) fn write_heartbeat(
+    mut builder: wire::heartbeat::Builder<'_>,
+    heartbeat: &PeerHeartbeat,
+) {
+    builder.set_host(&*heartbeat.host);
+    builder.set_zone(&*heartbeat.zone);
+    builder.set_incarnation(heartbeat.incarnation);
+    builder.set_sequence(heartbeat.sequence);
+    builder.set_applied_offset(heartbeat.applied_offset);
+    builder.set_draining(heartbeat.draining);
+    builder.set_peer_address(heartbeat.peer_address.to_string());
+    builder.set_demands_for(write_offset(heartbeat.demands_for));
     write_loads(
-        builder.reborrow().init_loads(length(beat.loads.len())),
-        &beat.loads,
+        builder.reborrow().init_loads(length(heartbeat.loads.len())),
+        &heartbeat.loads,
     );
     write_demands(
-        builder.reborrow().init_demands(length(beat.demands.len())),
-        &beat.demands,
+        builder
+            .reborrow()
+            .init_demands(length(heartbeat.demands.len())),
+        &heartbeat.demands,
     );
-    if let Some(digest) = &beat.digest {
+    if let Some(digest) = &heartbeat.digest {
         write_digest(builder.init_digest(), digest);
     }
 }
@@ -208,25 +213,25 @@
 
 /// Encodes the reply to a heartbeat.
 pub(super) fn write_reply(mut builder: wire::heartbeat_reply::Builder<'_>, reply: &PeerReply) {
-    let beat = &reply.heartbeat;
-    builder.set_host(&*beat.host);
-    builder.set_zone(&*beat.zone);
-    builder.set_incarnation(beat.incarnation);
-    builder.set_sequence(beat.sequence);
-    builder.set_applied_offset(beat.applied_offset);
-    builder.set_draining(beat.draining);
-    builder.set_peer_address(beat.peer_address.to_string());
+    let heartbeat = &reply.heartbeat;
+    builder.set_host(&*heartbeat.host);
+    builder.set_zone(&*heartbeat.zone);
+    builder.set_incarnation(heartbeat.incarnation);
+    builder.set_sequence(heartbeat.sequence);
+    builder.set_applied_offset(heartbeat.applied_offset);
+    builder.set_draining(heartbeat.draining);
+    builder.set_peer_address(heartbeat.peer_address.to_string());
     builder.set_lease_offset(write_offset(reply.lease_offset));
     builder.set_leased_grants(reply.lease_offset.is_some());
     write_loads(
-        builder.reborrow().init_loads(length(beat.loads.len())),
-        &beat.loads,
+        builder.reborrow().init_loads(length(heartbeat.loads.len())),
+        &heartbeat.loads,
     );
     write_grants(
         builder.reborrow().init_grants(length(reply.grants.len())),
         &reply.grants,
     );
-    if let Some(digest) = &beat.digest {
+    if let Some(digest) = &heartbeat.digest {
         write_digest(builder.init_digest(), digest);
     }
 }
--- a/src/peer/handle.rs
+++ b/src/peer/handle.rs
@@ -97,12 +97,12 @@
     pub async fn heartbeat(
         &self,
         address: SocketAddr,
-        beat: PeerHeartbeat,
+        heartbeat: PeerHeartbeat,
     ) -> Result<PeerReply, PeerError> {
-        let beat = Box::new(beat);
+        let heartbeat = Box::new(heartbeat);
         self.send_command(|reply| PeerCommand::Heartbeat {
             address,
-            beat,
+            heartbeat,
             reply,
         })
         .await
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -41,8 +41,8 @@
         params: peer::HeartbeatParams,
         mut results: peer::HeartbeatResults,
     ) -> capnp::Result<()> {
-        let beat = convert::read_heartbeat(params.get()?.get_beat()?)?;
-        let reply = (self.handlers.daemon()?.heartbeat)(beat);
+        let heartbeat = convert::read_heartbeat(params.get()?.get_beat()?)?;
+        let reply = (self.handlers.daemon()?.heartbeat)(heartbeat);
         convert::write_reply(results.get().init_reply(), &reply);
         Ok(())
     }
--- a/src/peer/worker.rs
+++ b/src/peer/worker.rs
@@ -32,7 +32,7 @@
     /// Sends a heartbeat.
     Heartbeat {
         address: SocketAddr,
-        beat: Box<PeerHeartbeat>,
+        heartbeat: Box<PeerHeartbeat>,
         reply: ReplySender<PeerReply>,
     },
     /// Requests records.
@@ -125,10 +125,10 @@
     match command {
         PeerCommand::Heartbeat {
             address,
-            beat,
+            heartbeat,
             reply,
         } => {
-            let send = |client: &peer::Client| send_heartbeat(client, &beat);
+            let send = |client: &peer::Client| send_heartbeat(client, &heartbeat);
             call(table, address, TimeoutPolicy::CloseLink, send, reply).await;
         }
         PeerCommand::Records {
@@ -197,10 +197,10 @@
 
 fn send_heartbeat(
     client: &peer::Client,
-    beat: &PeerHeartbeat,
+    heartbeat: &PeerHeartbeat,
 ) -> impl Future<Output = capnp::Result<PeerReply>> + use<> {
     let mut rpc_request = client.heartbeat_request();
-    convert::write_heartbeat(rpc_request.get().init_beat(), beat);
+    convert::write_heartbeat(rpc_request.get().init_beat(), heartbeat);
     let response = rpc_request.send().promise;
     async move { convert::read_reply(response.await?.get()?.get_reply()?) }
 }
