--- a/src/daemon/claims/events.rs
+++ b/src/daemon/claims/events.rs
@@ -32,7 +32,7 @@
     handle_event_locked(core, &mut state, claim, event);
 }
 
-/// Like [`handle_event`], for a caller that already holds the lock.
+/// Passes an event as [`handle_event`] does, for a caller that already holds the lock.
 pub(super) fn handle_event_locked(
     core: &Arc<DaemonCore>,
     state: &mut ClaimState,
--- a/src/peer/handle.rs
+++ b/src/peer/handle.rs
@@ -43,7 +43,8 @@
     spawn_on(listener, settings, handlers)
 }
 
-/// Like [`spawn`], but with an existing listener, for handlers that need its address.
+/// Starts the RPC thread as [`spawn`] does, with an existing listener, for handlers that
+/// need its address.
 ///
 /// # Errors
 /// Returns [`PeerError::Start`] if the listener cannot be used or the thread cannot be
--- a/src/records/checkpoint.rs
+++ b/src/records/checkpoint.rs
@@ -72,7 +72,7 @@
 pub struct ResourceTombstone {
     /// Offset of the accepted deletion.
     pub version: LogOffset,
-    /// Operator who deleted it.
+    /// Operator who deleted the resource.
     pub operator: OperatorId,
 }
 
--- a/src/replay/judgement.rs
+++ b/src/replay/judgement.rs
@@ -14,7 +14,7 @@
     Lost {
         /// The latest change; `None` if the resource has none.
         winner: Option<LogOffset>,
-        /// Operator who made it.
+        /// Operator who made the latest change.
         operator: Option<OperatorId>,
     },
     /// An earlier record has the same id; this one has no effect.
--- a/src/replay/queries.rs
+++ b/src/replay/queries.rs
@@ -54,7 +54,7 @@
 pub struct LatestChange<'a> {
     /// Offset of the change; the next change must be based on it.
     pub version: LogOffset,
-    /// Operator who made it.
+    /// Operator who made the change.
     pub operator: &'a OperatorId,
 }
 
