--- a/src/daemon/claims/events.rs
+++ b/src/daemon/claims/events.rs
@@ -32,7 +32,7 @@
     handle_event_locked(core, &mut state, claim, event);
 }
 
-/// Like [`handle_event`], for a caller that already holds the lock.
+/// Passes an event as [`handle_event`] does, for a caller that already holds the lock.
 pub(super) fn handle_event_locked(
     core: &Arc<DaemonCore>,
     state: &mut ClaimState,
@@ -69,7 +69,7 @@
                 send_step(active, ClaimStep::QueryHolder(holder));
             }
             ClaimDecision::Respond(response) => {
-                record_answer(core, active, &response);
+                record_claim_response(core, active, &response);
                 send_step(active, ClaimStep::Respond(response));
             }
         }
@@ -142,9 +142,9 @@
     }
 }
 
-/// Counts the result of a claim that is not dispatched, and publishes to hosts that query
-/// the request that it was refused here.
-fn record_answer(core: &DaemonCore, active: &mut ActiveClaim, response: &ClaimResponse) {
+/// Counts the result of a claim that is not dispatched, and publishes to querying hosts
+/// that the request was refused here.
+fn record_claim_response(core: &DaemonCore, active: &mut ActiveClaim, response: &ClaimResponse) {
     let ClaimResponse::Refused { refusal, .. } = response else {
         return record_loss(core, active);
     };
--- a/src/daemon/declarations.rs
+++ b/src/daemon/declarations.rs
@@ -9,7 +9,7 @@
 
 use super::activation::activate_declarations;
 use super::core::{DaemonCore, DaemonPhase};
-use super::relaying::catch_up_from_peers;
+use super::record_relay::catch_up_from_peers;
 use super::tails::{READ_LIMIT, open_tail};
 use crate::platform::log_tail::TailEvent;
 use crate::platform::wire::StoredRecord;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Whether the log, as far as is known, still keeps the next record.
+/// Returns whether the log, as far as is known, still keeps the next record.
 fn can_follow(core: &DaemonCore) -> bool {
     let declarations = core.tables.declarations.read();
     let is_confirmed = core.phase() != DaemonPhase::Starting;
--- a/src/daemon/generate.rs
+++ b/src/daemon/generate.rs
@@ -8,7 +8,7 @@
 
 use tokio::sync::mpsc;
 
-use super::admitting::{AdmissionSlot, admit};
+use super::admission::{AdmissionSlot, admit};
 use super::claims::{ClaimSubject, ClaimTicket, DispatchedClaim};
 use super::core::{DaemonCore, DaemonPhase};
 use super::step_observations::record_step;
@@ -64,10 +64,10 @@
     let slot = admit(core, request).await?;
     // If the ticket is dropped before the run begins, it withdraws the claim.
     let ticket = claimed::claim(core, subject).await?;
-    // The route is planned again, because targets may have come, gone or filled up while
-    // the request waited.
+    // The route is planned again, because targets may have joined, left or filled up
+    // while the request waited.
     let route = plan_route(core, &call, deadline)?;
-    core.record_event(&call.request, routed(&route));
+    core.record_event(&call.request, routed_event(&route));
     core.tables.routes.write().run_started(&route);
     let (events, stream) = mpsc::channel(STREAM_BUFFER);
     let runner = GenerationRunner {
@@ -173,7 +173,7 @@
     prompt
 }
 
-fn routed(route: &PlannedRoute) -> JournalEvent {
+fn routed_event(route: &PlannedRoute) -> JournalEvent {
     JournalEvent::Routed {
         pipeline: route.pipeline.clone(),
         version: route.version.clone(),
@@ -389,7 +389,7 @@
     };
     let body = RefusalBody {
         verdict: outcome.verdict,
-        ..RefusalBody::not_run(reason, "the answer was cut short")
+        ..RefusalBody::not_run(reason, "the response was cut short")
     };
     StreamEvent::Error(
         body.retry_after(Duration::from_secs(1))
--- a/src/daemon/sharing.rs
+++ b/src/daemon/shares.rs
@@ -1,6 +1,6 @@
 //! Divides the capacity that organisations bought, over zones and hosts.
 //!
-//! In its heartbeats this host reports its use and demand to the holder of the lease on
+//! In its heartbeats this host reports its usage and demand to the holder of the lease on
 //! its zone's shares. The replies carry grants, which limit admission.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,8 @@
 const SPLIT_INTERVAL: Duration = Duration::from_secs(2);
 /// Number of records after which the stream gets a checkpoint.
 const CHECKPOINT_RECORDS: u64 = 2_000;
-/// Minimum rate in requests per minute that a host requests while anything waits there.
+/// Minimum rate in requests per minute that a host reports as demand while requests wait
+/// on it.
 const MIN_WANTED_RATE: u32 = 60;
 /// Maximum time until an appended split takes effect.
 const MAX_APPEND_TIME: Duration = Duration::from_secs(2);
@@ -53,7 +54,7 @@
 
 /// Follows the stream, reports demand and applies the grants to admission, until the
 /// daemon ends.
-pub(super) async fn run_sharing(core: Arc<DaemonCore>, appends: Arc<AppendQueue>, seed: u64) {
+pub(super) async fn run_shares(core: Arc<DaemonCore>, appends: Arc<AppendQueue>, seed: u64) {
     let mut tail = open_tail(&core, ALLOTMENT_STREAM, 0, seed);
     let mut ticks = tokio::time::interval(SHARES_TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -165,7 +166,7 @@
     }
 }
 
-/// Sets the declared capacity that was bought, and the zones with targets.
+/// Sets the bought capacity of each declared organisation, and the zones with targets.
 pub(super) fn declare_shares(
     core: &DaemonCore,
     bought: BTreeMap<OrganisationId, ShareUnits>,
@@ -216,24 +217,31 @@
 }
 
 /// Returns the grants for a host of this zone that has just reported.
-pub(super) fn grants_for_report(core: &DaemonCore, beat: &PeerHeartbeat) -> Option<Vec<PeerGrant>> {
-    let lease = beat.demands_for?;
+pub(super) fn grants_for_report(
+    core: &DaemonCore,
+    heartbeat: &PeerHeartbeat,
+) -> Option<Vec<PeerGrant>> {
+    let lease = heartbeat.demands_for?;
     let from = GrantHolder {
-        host: beat.host.clone(),
-        incarnation: beat.incarnation,
+        host: heartbeat.host.clone(),
+        incarnation: heartbeat.incarnation,
     };
     let report = ShareReport {
         lease,
-        demands: beat.demands.clone(),
+        demands: heartbeat.demands.clone(),
     };
     // Requests that wait on a draining host are still served there, and need grants as
     // before.
     let is_waiting = report.demands.iter().any(|demand| demand.waiting > 0);
-    let is_drained = beat.draining && !is_waiting;
+    let is_drained = heartbeat.draining && !is_waiting;
     let mut state = core.tables.shares.lock();
-    state
-        .shares
-        .observe_report(&from, beat.sequence, &report, is_drained, Instant::now())
+    state.shares.observe_report(
+        &from,
+        heartbeat.sequence,
+        &report,
+        is_drained,
+        Instant::now(),
+    )
 }
 
 /// Applies the grants of a reply. Returns whether to report again at once, because
@@ -269,7 +277,8 @@
     }
 }
 
-/// Removes incarnations from the division that ended before this host learned of them.
+/// Removes from the division the incarnations that had ended before this host learned of
+/// them.
 fn remove_ended_holders(core: &DaemonCore) {
     let now = Instant::now();
     let membership = core.tables.membership.lock();
--- a/src/daemon/spawn.rs
+++ b/src/daemon/spawn.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::admitting::run_admission;
+use super::admission::run_admission;
 use super::callers::caller_backend;
 use super::checkpoints::run_checkpoints;
 use super::claims::{handle_outcome_query, run_claims, wait_for_settlements};
@@ -18,9 +18,9 @@
 use super::leases::{release_leases, run_leases};
 use super::members::{handle_heartbeat, run_members};
 use super::operators::operator_backend;
-use super::reconciling::run_reconciling;
-use super::relaying::{relay_records, run_relaying};
-use super::sharing::run_sharing;
+use super::reconciliation::run_reconciliation;
+use super::record_relay::{relay_records, run_catch_up};
+use super::shares::run_shares;
 use super::tables::{SharedTables, TableSettings};
 use super::targets::{run_host_list, run_load_polls};
 use crate::admission::AdmissionSettings;
@@ -41,8 +41,8 @@
 use crate::shares::{GrantHolder, GrantSettings, ZoneShares};
 use crate::target::client::{TargetClient, TargetTimeouts};
 
-/// An organisation may start this many seconds of its rate at once on a host after a
-/// pause, because arrivals on one of many hosts are few and uneven.
+/// Burst that an organisation may start on a host after a pause, as time at its rate:
+/// arrivals on one of many hosts are few and uneven.
 const RATE_BURST: Duration = Duration::from_secs(2);
 /// How long requests may wait for a first grant: a few reports and their replies, since
 /// another host may first have to release the capacity.
@@ -55,7 +55,7 @@
 /// end first.
 const LEASE_RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Error when a daemon is started.
+/// Reason why a daemon could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum DaemonError {
     /// A listener could not be opened.
@@ -116,15 +116,15 @@
     ));
     let workers = vec![
         tokio::spawn(run_declarations(Arc::clone(&core), seed)),
-        tokio::spawn(run_relaying(Arc::clone(&core))),
+        tokio::spawn(run_catch_up(Arc::clone(&core))),
         tokio::spawn(run_checkpoints(Arc::clone(&core), seed)),
         tokio::spawn(run_leases(
             Arc::clone(&core),
             Arc::clone(&lease_appends),
             seed,
         )),
-        tokio::spawn(run_reconciling(Arc::clone(&core))),
-        tokio::spawn(run_sharing(Arc::clone(&core), allotment_appends, seed)),
+        tokio::spawn(run_reconciliation(Arc::clone(&core))),
+        tokio::spawn(run_shares(Arc::clone(&core), allotment_appends, seed)),
         tokio::spawn(run_claims(Arc::clone(&core), seed)),
         tokio::spawn(run_admission(Arc::clone(&core))),
         tokio::spawn(run_members(Arc::clone(&core))),
@@ -225,8 +225,8 @@
 /// Returns an incarnation number that is higher than those of the host's earlier
 /// incarnations.
 ///
-/// Peers take a lower number for a process that was frozen while its host was replaced,
-/// and ignore it until the other has been silent for a long time.
+/// Peers treat a lower number as that of a process that was frozen while its host was
+/// replaced, and ignore it until the other incarnation has been silent for a long time.
 fn new_incarnation(now: SystemTime) -> IncarnationId {
     let since_epoch = now.duration_since(UNIX_EPOCH).unwrap_or_default();
     let millis = u64::try_from(since_epoch.as_millis()).unwrap_or(0);
@@ -234,8 +234,8 @@
     (millis << 16) | u64::from(rand::random::<u16>())
 }
 
-/// Waits for `drained`. When the drain timeout expires, requests in flight are told to
-/// end.
+/// Waits for `drained`. When the drain timeout expires, requests in flight are cancelled
+/// and report their verdicts.
 async fn drain_with_timeout<F>(core: &DaemonCore, drained: F)
 where
     F: Future<Output = ()>,
@@ -244,8 +244,8 @@
     let allowed = core.options.timing.drain_timeout;
     if timeout(allowed, &mut drained).await.is_err() {
         log::error!("requests are still in flight after the drain timeout of {allowed:?}");
-        // If the process ended here, the connections would be cut and callers could not
-        // tell what ran.
+        // If the process ended here, the connections would be cut and callers would not
+        // learn what ran.
         core.drain_expired.cancel();
         drained.await;
     }
@@ -298,7 +298,7 @@
     let records = Arc::clone(core);
     let claims = Arc::clone(core);
     PeerHandlers {
-        heartbeat: Arc::new(move |beat| handle_heartbeat(&heartbeats, &beat)),
+        heartbeat: Arc::new(move |heartbeat| handle_heartbeat(&heartbeats, &heartbeat)),
         records: Arc::new(move |request| relay_records(&records, &request)),
         claim_outcome: Arc::new(move |request| {
             handle_outcome_query(Arc::clone(&claims), request).boxed()
--- a/src/daemon/step_observations.rs
+++ b/src/daemon/step_observations.rs
@@ -10,7 +10,7 @@
 use crate::reason::RetryReason;
 use crate::run::StepObservation;
 
-/// Records one observation.
+/// Records one observation in the route table, the journal and the metrics.
 pub(super) fn record_step(core: &DaemonCore, request: &RequestId, observation: &StepObservation) {
     journal_step(core, request, observation);
     let now = Instant::now();
@@ -86,10 +86,10 @@
         }
         StepObservation::ResponseDropped { target } => {
             let cause = DropCause::Unmatched;
-            core.metrics.answer_dropped(cause);
+            core.metrics.response_dropped(cause);
             core.record_event(
                 request,
-                JournalEvent::AnswerDropped {
+                JournalEvent::ResponseDropped {
                     target: target.clone(),
                     cause,
                 },
--- a/src/peer/handle.rs
+++ b/src/peer/handle.rs
@@ -9,7 +9,7 @@
 use super::error::PeerError;
 use super::handlers::ServedCalls;
 use super::message::{
-    ClaimOutcome, ClaimQuery, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
+    ClaimQuery, ClaimQueryReply, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
 };
 use super::settings::PeerSettings;
 use super::traffic::PeerTraffic;
@@ -33,7 +33,8 @@
 /// Listens for peers and starts the RPC thread.
 ///
 /// # Errors
-/// [`PeerError::Start`] if the address cannot be bound or the thread cannot be started.
+/// Returns [`PeerError::Start`] if the address cannot be bound or the thread cannot be
+/// started.
 pub fn spawn<H>(settings: PeerSettings, handlers: H) -> Result<PeerHandle, PeerError>
 where
     H: Into<ServedCalls>,
@@ -42,10 +43,12 @@
     spawn_on(listener, settings, handlers)
 }
 
-/// Like [`spawn`], but with an existing listener, for handlers that need its address.
+/// Starts the RPC thread as [`spawn`] does, with an existing listener, for handlers that
+/// need its address.
 ///
 /// # Errors
-/// [`PeerError::Start`] if the listener cannot be used or the thread cannot be started.
+/// Returns [`PeerError::Start`] if the listener cannot be used or the thread cannot be
+/// started.
 pub fn spawn_on<H>(
     listener: TcpListener,
     settings: PeerSettings,
@@ -95,12 +98,12 @@
     pub async fn heartbeat(
         &self,
         address: SocketAddr,
-        beat: PeerHeartbeat,
+        heartbeat: PeerHeartbeat,
     ) -> Result<PeerReply, PeerError> {
-        let beat = Box::new(beat);
+        let heartbeat = Box::new(heartbeat);
         self.send_command(|reply| PeerCommand::Heartbeat {
             address,
-            beat,
+            heartbeat,
             reply,
         })
         .await
@@ -133,7 +136,7 @@
         address: SocketAddr,
         query: ClaimQuery,
         wait: Duration,
-    ) -> Result<ClaimOutcome, PeerError> {
+    ) -> Result<ClaimQueryReply, PeerError> {
         self.send_command(|reply| PeerCommand::ClaimOutcome {
             address,
             query,
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -31,6 +31,7 @@
 /// Serves the calls on one connection.
 struct PeerServer {
     handlers: ServedCalls,
+    /// Maximum size of the records in a reply, in bytes.
     range_limit: usize,
 }
 
@@ -40,8 +41,8 @@
         params: peer::HeartbeatParams,
         mut results: peer::HeartbeatResults,
     ) -> capnp::Result<()> {
-        let beat = convert::read_heartbeat(params.get()?.get_beat()?)?;
-        let reply = (self.handlers.daemon()?.heartbeat)(beat);
+        let heartbeat = convert::read_heartbeat(params.get()?.get_beat()?)?;
+        let reply = (self.handlers.daemon()?.heartbeat)(heartbeat);
         convert::write_reply(results.get().init_reply(), &reply);
         Ok(())
     }
--- a/src/peer/worker.rs
+++ b/src/peer/worker.rs
@@ -15,7 +15,7 @@
 use super::link::TimeoutPolicy;
 use super::link_table::LinkTable;
 use super::message::{
-    ClaimOutcome, ClaimQuery, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
+    ClaimQuery, ClaimQueryReply, PeerHeartbeat, PeerReply, RecordsRequest, RelayedRange,
 };
 use super::server::accept_connections;
 use super::settings::PeerSettings;
@@ -32,7 +32,7 @@
     /// Sends a heartbeat.
     Heartbeat {
         address: SocketAddr,
-        beat: Box<PeerHeartbeat>,
+        heartbeat: Box<PeerHeartbeat>,
         reply: ReplySender<PeerReply>,
     },
     /// Requests records.
@@ -46,7 +46,7 @@
         address: SocketAddr,
         query: ClaimQuery,
         wait: Duration,
-        reply: ReplySender<ClaimOutcome>,
+        reply: ReplySender<ClaimQueryReply>,
     },
     /// Exchanges views with an entry host.
     Exchange {
@@ -125,10 +125,10 @@
     match command {
         PeerCommand::Heartbeat {
             address,
-            beat,
+            heartbeat,
             reply,
         } => {
-            let send = |client: &peer::Client| send_heartbeat(client, &beat);
+            let send = |client: &peer::Client| send_heartbeat(client, &heartbeat);
             call(table, address, TimeoutPolicy::CloseLink, send, reply).await;
         }
         PeerCommand::Records {
@@ -197,10 +197,10 @@
 
 fn send_heartbeat(
     client: &peer::Client,
-    beat: &PeerHeartbeat,
+    heartbeat: &PeerHeartbeat,
 ) -> impl Future<Output = capnp::Result<PeerReply>> + use<> {
     let mut rpc_request = client.heartbeat_request();
-    convert::write_heartbeat(rpc_request.get().init_beat(), beat);
+    convert::write_heartbeat(rpc_request.get().init_beat(), heartbeat);
     let response = rpc_request.send().promise;
     async move { convert::read_reply(response.await?.get()?.get_reply()?) }
 }
@@ -220,7 +220,7 @@
 fn send_claim_query(
     client: &peer::Client,
     query: &ClaimQuery,
-) -> impl Future<Output = capnp::Result<ClaimOutcome>> + use<> {
+) -> impl Future<Output = capnp::Result<ClaimQueryReply>> + use<> {
     let mut rpc_request = client.claim_outcome_request();
     convert::write_claim_query(rpc_request.get().init_call(), query);
     let response = rpc_request.send().promise;
--- a/src/records/checkpoint.rs
+++ b/src/records/checkpoint.rs
@@ -72,7 +72,7 @@
 pub struct ResourceTombstone {
     /// Offset of the accepted deletion.
     pub version: LogOffset,
-    /// Operator who deleted it.
+    /// Operator who deleted the resource.
     pub operator: OperatorId,
 }
 
@@ -92,7 +92,7 @@
     pub offset: LogOffset,
     /// Id of the record.
     pub id: RecordId,
-    /// Its judgement.
+    /// Result of applying the record.
     #[serde(rename = "fate")]
     pub result: RecordResult,
 }
--- a/src/replay/judgement.rs
+++ b/src/replay/judgement.rs
@@ -4,8 +4,8 @@
 use crate::records::{RecordResult, StateHash};
 use crate::resources::{ResourceKey, ResourceKind, SpecError};
 
-/// The judgement of a record. All readers judge a record alike, except for the comparison
-/// of a checkpoint with their own state.
+/// The result of applying a record of the log under the program's rules. All readers
+/// judge a record alike, except for the comparison of a checkpoint with their own state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Judgement {
     /// The change is in effect.
@@ -14,7 +14,7 @@
     Lost {
         /// The latest change; `None` if the resource has none.
         winner: Option<LogOffset>,
-        /// Operator who made it.
+        /// Operator who made the latest change.
         operator: Option<OperatorId>,
     },
     /// An earlier record has the same id; this one has no effect.
--- a/src/run/machine/repair.rs
+++ b/src/run/machine/repair.rs
@@ -66,7 +66,7 @@
             }
             (_, Some(TargetRefusalKind::Overloaded)) if may_resend => StepRepair::Resend,
             (_, Some(_)) => StepRepair::Replace,
-            (RetryReason::AnswerLost | RetryReason::AnswerMismatched, None) if may_resend => {
+            (RetryReason::ResponseLost | RetryReason::ResponseMismatched, None) if may_resend => {
                 StepRepair::Resend
             }
             _ => StepRepair::Replace,
@@ -153,9 +153,9 @@
         }
     }
 
-    /// Whether the KV cache can be moved to the new target. A move is attempted only if
-    /// the old target itself has just responded: an export from a dead or frozen target
-    /// would cost a whole timeout before the replay that is needed anyway.
+    /// Returns whether the KV cache can be moved to the new target. A move is attempted
+    /// only if the old target itself has just responded: an export from a dead or frozen
+    /// target would cost a whole timeout before the replay that is needed anyway.
     fn can_move_cache(&self, stage: StageIndex, reason: RetryReason) -> bool {
         let still_responds = matches!(
             reason,
