--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,28 +1,27 @@
 //! An entry host: reads the platform's log, serves callers and places layers on the
 //! engines.
 
-mod configuring;
+mod configuration_follower;
 mod follow_cursor;
-mod following;
 mod kept_records;
 mod log_continuity;
 mod log_copy;
 mod log_role;
-mod peering;
-mod permitting;
+mod peer_exchange;
+mod permit_requests;
 mod placement;
 mod poison_log;
 mod readiness;
+mod relay_follower;
 mod relayed_log;
-mod relaying;
 mod retry_share;
 mod run;
 mod settings;
 mod suspect_targets;
+mod target_follower;
 mod target_starts;
 
 pub use follow_cursor::FollowCursor;
-pub use following::{TargetFollower, TargetTiming, follow_targets};
 pub use kept_records::KeptRecords;
 pub use log_continuity::{LogContinuity, LogGap};
 pub use log_copy::LogCopy;
@@ -31,4 +30,5 @@
 pub use run::run_entry;
 pub use settings::{EntryBounds, EntrySettings};
 pub use suspect_targets::{ConfirmedRemoval, SuspectTargets};
+pub use target_follower::{TargetFollower, TargetTiming, follow_targets};
 pub use target_starts::{StartVerdict, TargetStarts};
--- a/src/entry/peering.rs
+++ b/src/entry/peer_exchange.rs
@@ -84,16 +84,16 @@
         idle_timeout: Duration::from_secs(20),
         ..PeerSettings::new(address)
     };
-    let exchanging = state.clone();
-    let following = state.clone();
-    let permitting = state.clone();
+    let exchange_state = state.clone();
+    let follow_state = state.clone();
+    let permit_state = state.clone();
     let handlers = EntryHandlers {
-        exchange: Arc::new(move |view| exchanging.handle_view(&view, Instant::now())),
+        exchange: Arc::new(move |view| exchange_state.handle_view(&view, Instant::now())),
         follow: Arc::new(move |request| {
-            let state = following.clone();
+            let state = follow_state.clone();
             Box::pin(async move { state.reply_follow(request).await })
         }),
-        permit: Arc::new(move |request| permitting.clone().request_permit(request)),
+        permit: Arc::new(move |request| permit_state.clone().request_permit(request)),
     };
     let handle = peer::spawn_on(listener, limits, handlers)?;
     state.handle.get_or_init(|| handle.clone());
@@ -144,14 +144,14 @@
     fn complete(
         &self,
         view: HostView,
-        listener: Option<&HostId>,
+        recipient: Option<&HostId>,
         is_neighbour: bool,
         now: Instant,
     ) -> HostView {
         let usage = match view.scope {
             // The load of a single host is of no use to another zone.
             UsageScope::Host if !is_neighbour => Vec::new(),
-            scope => self.tables.fleet.lock().usage(scope, listener),
+            scope => self.tables.fleet.lock().usage(scope, recipient),
         };
         HostView {
             configuration_version: self.copy.configuration_version(),
@@ -162,14 +162,14 @@
     }
 
     /// Adds the poison evidence that the host at an address has not received yet.
-    fn add_poison(&self, view: HostView, listener: SocketAddr, now: Instant) -> HostView {
-        let poison = self.tables.poison.lock().delta_for(listener, now);
+    fn add_poison(&self, view: HostView, recipient: SocketAddr, now: Instant) -> HostView {
+        let poison = self.tables.poison.lock().delta_for(recipient, now);
         HostView { poison, ..view }
     }
 
     /// Adds the limits that the host at an address has not received yet.
-    fn add_limits(&self, view: HostView, listener: SocketAddr, now: Instant) -> HostView {
-        let limits = self.tables.limits.lock().delta_for(listener, now);
+    fn add_limits(&self, view: HostView, recipient: SocketAddr, now: Instant) -> HostView {
+        let limits = self.tables.limits.lock().delta_for(recipient, now);
         HostView { limits, ..view }
     }
 
@@ -212,10 +212,10 @@
         }
     }
 
-    /// Returns up to `most` hosts of this zone that rank before this one and read the log
+    /// Returns up to `limit` hosts of this zone that rank before this one and read the log
     /// for it; empty if this host is the first.
-    pub(super) fn leaders(&self, now: Instant, most: usize) -> Vec<(HostId, SocketAddr)> {
-        self.gossip.lock().leaders(now, most)
+    pub(super) fn leaders(&self, now: Instant, limit: usize) -> Vec<(HostId, SocketAddr)> {
+        self.gossip.lock().leaders(now, limit)
     }
 
     /// Returns the other live hosts of this zone.
@@ -248,8 +248,8 @@
 
     /// Returns the part of a zone's limits that is issued by the hosts which this one
     /// considers alive.
-    pub(super) fn permit_part(&self, zone: &str, now: Instant) -> f64 {
-        self.gossip.lock().permit_part(zone, now)
+    pub(super) fn permit_share(&self, zone: &str, now: Instant) -> f64 {
+        self.gossip.lock().permit_share(zone, now)
     }
 
     /// Returns the name of this host.
--- a/src/entry/permitting.rs
+++ b/src/entry/permit_requests.rs
@@ -6,7 +6,7 @@
 
 use futures::future::BoxFuture;
 
-use crate::entry::peering::PeerState;
+use crate::entry::peer_exchange::PeerState;
 use crate::forward::PermitSource;
 use crate::permits::{PermitReply, PermitRequest};
 
@@ -38,8 +38,8 @@
             let now = Instant::now();
             match self.permit_address(&request, now) {
                 Some(address) if address == self.address() => {
-                    let part = self.permit_part(&request.zone, now);
-                    self.tables().issue_permits(&request, part, now)
+                    let share = self.permit_share(&request.zone, now);
+                    self.tables().issue_permits(&request, share, now)
                 }
                 Some(address) if !request.relayed => self.relay(address, request).await,
                 _ => UNANSWERED,
--- a/src/entry/placement.rs
+++ b/src/entry/placement.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 
 use crate::collections::FastMap;
-use crate::entry::peering::PeerState;
+use crate::entry::peer_exchange::PeerState;
 use crate::fleet::{FleetTable, LayerRange};
 use crate::forward::{ServingTables, call_target, fetch_report};
 use crate::ids::TargetId;
@@ -58,7 +58,7 @@
     service: Arc<ServiceSpec>,
     zone: ZoneId,
     snapshot: ZoneSnapshot,
-    incomplete_for: Duration,
+    uncovered_for: Duration,
 }
 
 struct PlacementWorker {
@@ -69,7 +69,7 @@
     /// Snapshots of zones that needed no change at the last check.
     unchanged_zones: FastMap<ZoneId, ZoneSnapshot>,
     /// Since when zones have been missing layers.
-    incomplete_since: FastMap<ZoneId, Instant>,
+    uncovered_since: FastMap<ZoneId, Instant>,
     known: usize,
     first_seen: Option<Instant>,
     changed_at: Instant,
@@ -88,7 +88,7 @@
         peer_state,
         issued: FastMap::default(),
         unchanged_zones: FastMap::default(),
-        incomplete_since: FastMap::default(),
+        uncovered_since: FastMap::default(),
         known: 0,
         first_seen: None,
         changed_at: Instant::now(),
@@ -165,11 +165,11 @@
 
     /// Returns whether this host has had enough time to discover the hosts of a zone.
     fn knows_hosts(&self, zone: &ZoneId, now: Instant) -> bool {
-        let patience = match *zone == self.tables.zone {
+        let start_delay = match *zone == self.tables.zone {
             true => START_DELAY,
             false => OTHER_ZONE_START_DELAY,
         };
-        now >= self.started + patience
+        now >= self.started + start_delay
     }
 
     /// Returns the engines of a service by zone, as the planner sees them.
@@ -214,14 +214,14 @@
         engines: Vec<EngineView>,
         now: Instant,
     ) -> Option<PlanningTask> {
-        let incomplete_for = self.incomplete_for(model, &zone, &engines, now);
-        let overdue = incomplete_for >= REPLAN_DELAY;
+        let uncovered_for = self.uncovered_for(model, &zone, &engines, now);
+        let overdue = uncovered_for >= REPLAN_DELAY;
         let snapshot = ZoneSnapshot { engines, overdue };
         (self.unchanged_zones.get(&zone) != Some(&snapshot)).then(|| PlanningTask {
             service: service.clone(),
             zone,
             snapshot,
-            incomplete_for,
+            uncovered_for,
         })
     }
 
@@ -236,7 +236,7 @@
         let planned = tokio::task::spawn_blocking(move || {
             let model = service.engine.as_ref();
             model.map_or_else(Vec::new, |model| {
-                plan_zone(model, &engines, task.incomplete_for)
+                plan_zone(model, &engines, task.uncovered_for)
             })
         });
         let planned = planned.await.unwrap_or_else(|error| {
@@ -246,7 +246,7 @@
         log::info!(
             zone:% = task.zone,
             engines = task.snapshot.engines.len(),
-            holed_ms = task.incomplete_for.as_millis() as u64,
+            holed_ms = task.uncovered_for.as_millis() as u64,
             changes = planned.len(),
             took_ms = started.elapsed().as_millis() as u64;
             "zone planned"
@@ -279,7 +279,7 @@
     }
 
     /// Returns for how long a zone has been missing layers.
-    fn incomplete_for(
+    fn uncovered_for(
         &mut self,
         model: &EngineModel,
         zone: &ZoneId,
@@ -287,10 +287,10 @@
         now: Instant,
     ) -> Duration {
         if !has_uncovered_layers(model, engines) {
-            self.incomplete_since.remove(zone);
+            self.uncovered_since.remove(zone);
             return Duration::ZERO;
         }
-        let since = *self.incomplete_since.entry(zone.clone()).or_insert(now);
+        let since = *self.uncovered_since.entry(zone.clone()).or_insert(now);
         now.saturating_duration_since(since)
     }
 
--- a/src/entry/poison_log.rs
+++ b/src/entry/poison_log.rs
@@ -57,7 +57,7 @@
         match read {
             Ok(read) => {
                 failures = 0;
-                take_records(&tables, &read);
+                apply_records(&tables, &read);
                 next = Some(read.next);
                 // Only now is it known which changes the log lacks.
                 tables.poison_updates.notify_waiters();
@@ -75,16 +75,16 @@
     }
 }
 
-fn take_records(tables: &ServingTables, read: &KeyedRead) {
+fn apply_records(tables: &ServingTables, read: &KeyedRead) {
     for record in &read.records {
-        if let Err(error) = take_record(tables, record) {
+        if let Err(error) = apply_record(tables, record) {
             tables.metrics.unreadable_record("poison");
             log::warn!(key:% = record.key, error:% = error; "poison request cannot be read");
         }
     }
 }
 
-fn take_record(tables: &ServingTables, record: &KeyedRecord) -> Result<(), String> {
+fn apply_record(tables: &ServingTables, record: &KeyedRecord) -> Result<(), String> {
     let request = poison_record::parse_key(&record.key)?;
     let evidence = match &record.value {
         None => Vec::new(),
--- a/src/entry/relaying.rs
+++ b/src/entry/relay_follower.rs
@@ -8,7 +8,7 @@
 
 use crate::entry::LogRole;
 use crate::entry::log_copy::LogCopy;
-use crate::entry::peering::{FRESH_AGE, PeerState};
+use crate::entry::peer_exchange::{FRESH_AGE, PeerState};
 use crate::entry::relayed_log::RelayedLog;
 use crate::forward::ServingTables;
 use crate::ids::HostId;
--- a/src/entry/retry_share.rs
+++ b/src/entry/retry_share.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::entry::EntryBounds;
-use crate::entry::peering::PeerState;
+use crate::entry::peer_exchange::PeerState;
 use crate::forward::ServingTables;
 use crate::retry::WindowSettings;
 
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -9,16 +9,16 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
 
-use crate::entry::configuring::follow_configuration;
-use crate::entry::following::{TargetTiming, follow_targets};
+use crate::entry::configuration_follower::follow_configuration;
 use crate::entry::log_copy::LogCopy;
-use crate::entry::permitting::permit_source;
+use crate::entry::permit_requests::permit_source;
 use crate::entry::placement::run_placement;
 use crate::entry::poison_log::{follow_poison, write_poison};
 use crate::entry::readiness::{serve_metrics, serve_readiness};
-use crate::entry::relaying::follow_leader;
+use crate::entry::relay_follower::follow_leader;
 use crate::entry::retry_share::{first_share, share_retries};
-use crate::entry::{EntrySettings, LogRole, peering};
+use crate::entry::target_follower::{TargetTiming, follow_targets};
+use crate::entry::{EntrySettings, LogRole, peer_exchange};
 use crate::forward::{ServingTables, serve};
 use crate::peer::PeerError;
 use crate::platform::host_settings::{SettingsError, read_settings};
@@ -33,7 +33,7 @@
 /// take a quarter of a second on a small host's link and longer when all hosts of a fleet
 /// read them at once. With a timeout of 0.6 s, hosts stay without a configuration for 1.6 s
 /// after a start of 195.
-const STORE_LIMITS: CallTimeouts = CallTimeouts {
+const LOG_TIMEOUTS: CallTimeouts = CallTimeouts {
     connect: Duration::from_millis(250),
     response: Duration::from_millis(600),
     newest: Duration::from_millis(1500),
@@ -106,14 +106,18 @@
     tables: &Arc<ServingTables>,
     settings: &EntrySettings,
 ) -> Result<SocketAddr, EntryError> {
-    let client = || LogClient::open(settings.store, STORE_LIMITS);
+    let client = || LogClient::open(settings.store, LOG_TIMEOUTS);
     let copy = Arc::new(LogCopy::new(tables.clone()));
     let first = match settings.is_first_start {
         true => LogRole::Follower,
         false => LogRole::Reader,
     };
-    let (role, reads) = watch::channel(first);
-    tokio::spawn(follow_configuration(copy.clone(), client(), reads.clone()));
+    let (role, role_receiver) = watch::channel(first);
+    tokio::spawn(follow_configuration(
+        copy.clone(),
+        client(),
+        role_receiver.clone(),
+    ));
     let timing = TargetTiming {
         drain: settings.bounds.drain,
         heartbeat: settings.heartbeat,
@@ -122,12 +126,16 @@
         copy.clone(),
         client(),
         timing,
-        reads.clone(),
+        role_receiver.clone(),
+    ));
+    tokio::spawn(follow_poison(
+        tables.clone(),
+        client(),
+        role_receiver.clone(),
     ));
-    tokio::spawn(follow_poison(tables.clone(), client(), reads.clone()));
-    tokio::spawn(write_poison(tables.clone(), client(), reads));
+    tokio::spawn(write_poison(tables.clone(), client(), role_receiver));
     let (peer_state, handle) =
-        peering::spawn(settings, settings.peers, tables.clone(), copy.clone())?;
+        peer_exchange::spawn(settings, settings.peers, tables.clone(), copy.clone())?;
     tables.set_permit_source(permit_source(peer_state.clone()));
     tokio::spawn(follow_leader(
         tables.clone(),
--- a/src/fleet/table.rs
+++ b/src/fleet/table.rs
@@ -116,7 +116,7 @@
     }
 
     /// Records that a target has processed a prompt that counted as `unread`.
-    pub fn observe_read(&mut self, id: &str, unread: f64) {
+    pub fn observe_prefill(&mut self, id: &str, unread: f64) {
         if let Some(state) = self.get_mut(id) {
             state.own.unread = (state.own.unread - unread).max(0.0);
         }
--- a/src/forward/probe.rs
+++ b/src/forward/probe.rs
@@ -51,7 +51,7 @@
         };
         tokio::pin!(exchange);
         tokio::select! {
-            answer = &mut exchange => answer,
+            result = &mut exchange => result,
             ended = connection => match ended {
                 Ok(()) => exchange.await,
                 Err(error) => Err(error.to_string()),
@@ -59,7 +59,7 @@
         }
     };
     match tokio::time::timeout(limit, call).await {
-        Ok(answer) => answer,
+        Ok(result) => result,
         Err(_) => Err("timeout".to_owned()),
     }
 }
--- a/src/forward/tables.rs
+++ b/src/forward/tables.rs
@@ -193,13 +193,13 @@
     }
 
     /// Records that the targets have read the request, as its first event shows.
-    pub fn observe_read(&mut self) {
+    pub fn observe_prefill(&mut self) {
         if self.loads.iter().all(|(_, load)| load.unread == 0.0) {
             return;
         }
         let mut fleet = self.tables.fleet.lock();
         for (target, load) in &mut self.loads {
-            fleet.observe_read(target, std::mem::take(&mut load.unread));
+            fleet.observe_prefill(target, std::mem::take(&mut load.unread));
         }
     }
 }
--- a/src/forward/watch.rs
+++ b/src/forward/watch.rs
@@ -76,7 +76,7 @@
     /// Records an event of the target.
     pub(super) fn observe_event(&mut self, now: Instant) {
         if let Some(guard) = &mut self.guard {
-            guard.observe_read();
+            guard.observe_prefill();
         }
         self.observe_progress(now);
         self.start.observe_event(now);
@@ -168,7 +168,7 @@
                 }
             };
             match step {
-                Ok(answer) => return answer,
+                Ok(response) => return response,
                 Err(_) if Instant::now() >= limit => return Err(timed_out),
                 Err(_) => match self.handle_silence().await {
                     SilenceVerdict::Waiting => {}
--- a/src/membership/gossip/roles.rs
+++ b/src/membership/gossip/roles.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns the part of a zone's limits that the live hosts of the zone issue.
-    pub fn permit_part(&self, zone: &str, now: Instant) -> f64 {
+    pub fn permit_share(&self, zone: &str, now: Instant) -> f64 {
         let is_own = usize::from(*self.zone == *zone);
         let members = self.members.values();
         let known = members.filter(|member| *member.zone == *zone).count() + is_own;
--- a/src/permits/table.rs
+++ b/src/permits/table.rs
@@ -150,12 +150,12 @@
         &mut self,
         address: SocketAddr,
         incarnation: IncarnationId,
-        listing: &LimitDelta,
+        delta: &LimitDelta,
         now: Instant,
     ) -> Vec<(TargetKey, LimitChange)> {
         self.progress
-            .observe(address, incarnation, listing.bounds, now);
-        let records = listing.records.iter();
+            .observe(address, incarnation, delta.bounds, now);
+        let records = delta.records.iter();
         let changes = records.filter_map(|record| {
             let change = self.observe(record.target, record.observation(now))?;
             Some((record.target, change))
--- a/standins/src/trial/run.rs
+++ b/standins/src/trial/run.rs
@@ -240,7 +240,7 @@
         for part in path {
             let unread = size.load(part.layers.width()).unread;
             let id = id_of(part.engine);
-            self.fleet.table.observe_read(&id, unread);
+            self.fleet.table.observe_prefill(&id, unread);
         }
     }
 
--- a/tests/paths.rs
+++ b/tests/paths.rs
@@ -195,7 +195,7 @@
     ]);
     fleet.observe_start("i-2", SIZE.load(40));
     fleet.observe_start("i-2", SIZE.load(40));
-    fleet.observe_read("i-2", 2.0 * SIZE.load(40).unread);
+    fleet.observe_prefill("i-2", 2.0 * SIZE.load(40).unread);
     let path = choose(&fleet, &model, &[], now).expect("a path");
     assert_eq!(&*path.hops[1].target, "i-1");
     let moved = TargetLoad {
@@ -206,7 +206,7 @@
     fleet.observe_start("i-1", moved);
     let path = choose(&fleet, &model, &[], now).expect("a path");
     assert_eq!(&*path.hops[1].target, "i-2");
-    fleet.observe_read("i-1", moved.unread);
+    fleet.observe_prefill("i-1", moved.unread);
     let path = choose(&fleet, &model, &[], now).expect("a path");
     assert_eq!(&*path.hops[1].target, "i-1");
 }
