--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -17,7 +17,7 @@
 ///
 /// Refusals have to count as pressure. After a stall the average is so long that every
 /// arrival is refused and the queue stays empty. If only waiting requests counted, no
-/// further interval would be measured, and the organisation would be refused for ever
+/// further interval would be measured, and the organisation would be refused forever
 /// although its slots become free.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct DrainRate {
@@ -34,7 +34,7 @@
         self.under_pressure = true;
     }
 
-    /// Records the end of a request; `waiting` says whether others wait.
+    /// Records the end of a request; `waiting` is true if others wait.
     pub(super) fn record_end(&mut self, waiting: bool, now: Instant) {
         if let Some(last) = self.last_end {
             let sample = now.saturating_duration_since(last).as_secs_f64();
--- a/src/admission/ticket.rs
+++ b/src/admission/ticket.rs
@@ -14,7 +14,7 @@
     pub organisation: OrganisationId,
     /// Estimated time to serve the request once started.
     pub service_time: Duration,
-    /// When a response is no longer of use.
+    /// Time after which a response is useless.
     pub deadline: Instant,
     /// Priority within the organisation; higher priorities start first.
     pub priority: u8,
--- a/src/delta_sync.rs
+++ b/src/delta_sync.rs
@@ -34,7 +34,7 @@
     received_to: u64,
     /// Version of this host's table up to which the peer has applied deltas.
     acknowledged_to: u64,
-    /// When the peer was last heard from.
+    /// When the last delta of the peer arrived.
     at: Instant,
 }
 
--- a/src/entry/follow_cursor.rs
+++ b/src/entry/follow_cursor.rs
@@ -4,8 +4,8 @@
 use crate::ids::{HostId, IncarnationId};
 use crate::peer::FollowRequest;
 
-/// Incarnation that no host has. It tells a host without a current log that the requesting
-/// host already knows targets, so that it need not send all of its own.
+/// Incarnation that no host has. It shows a host without a current log that the
+/// requesting host already knows targets, so that the whole list need not be sent.
 const FOREIGN_INCARNATION: IncarnationId = IncarnationId::MAX;
 
 /// Maximum number of hosts with a position; all positions are dropped when there are more.
--- a/src/entry/kept_records.rs
+++ b/src/entry/kept_records.rs
@@ -11,8 +11,8 @@
 /// Maximum number of changes that are kept for followers. A host polls twice a second; 100
 /// targets that all change layers make 200 changes in a few seconds.
 const MAX_CHANGES: usize = 2048;
-/// Maximum number of left targets that are remembered; the oldest is forgotten first. Each
-/// start of a target draws a new id: with 90 restarts a day this is weeks.
+/// Maximum number of targets that have left and are remembered; the oldest is forgotten
+/// first. Each start of a target draws a new id: with 90 restarts a day this is weeks.
 const MAX_LEFT: usize = 2048;
 
 /// A record and its offset in the log.
@@ -31,13 +31,13 @@
     }
 }
 
-/// The newest record of each target, and for targets that have left the offset at which
-/// they did.
+/// The newest record of each target, and for each target that has left, the offset at
+/// which it left.
 ///
 /// Hosts relay records to each other. A host that lags behind, or that waits for expired
 /// entries to return, still lists targets that this host knows to have left. Without the
 /// offsets this host would add them again and send requests to them seconds after they
-/// announced that they leave.
+/// announced that they are leaving.
 #[derive(Debug, Default)]
 pub struct KeptRecords {
     targets: FastMap<TargetId, KeptRecord>,
@@ -58,8 +58,8 @@
         left.max(kept).is_none_or(|known| offset > known)
     }
 
-    /// Applies a target's record. `changed` says whether it differs from the previous one,
-    /// so that followers are notified.
+    /// Applies a target's record. `changed` is true if it differs from the previous one;
+    /// followers are then notified.
     pub fn observe(&mut self, id: &TargetId, offset: LogOffset, value: Bytes, changed: bool) {
         if !self.is_newer(id, offset) {
             return;
--- a/src/entry/log_continuity.rs
+++ b/src/entry/log_continuity.rs
@@ -64,8 +64,8 @@
     }
 
     /// Records a read of the log by this host. Returns the gap in which entries that are
-    /// missing from this read may have expired: the gap that ends with it, if reads failed
-    /// in it. A host that was merely suspended has no outage.
+    /// missing from this read may have expired: the gap that ends with it, if reads
+    /// failed in it. A pause of this process without a failed read is no such gap.
     ///
     /// An entry expires three heartbeats after the last one, which came up to one heartbeat
     /// before the outage. After a shorter gap it can expire once the log is back, so that
@@ -112,7 +112,8 @@
         self.own.and_then(|own| own.gap)
     }
 
-    /// Records a read by another host of the zone that relays the log, like an own read.
+    /// Records a read by another host of the zone that relays the log, and returns the
+    /// gap that ends with it, like [`LogContinuity::observe_read`].
     pub fn observe_relayed_read(&mut self, read: Instant) -> Option<LogGap> {
         let before = self.last_read();
         let was_lost = before.is_some_and(|before| read >= before + MIN_RELAYED_GAP);
--- a/src/entry/log_copy.rs
+++ b/src/entry/log_copy.rs
@@ -103,8 +103,9 @@
             || request.from < self.state.lock().targets.next_change()
     }
 
-    /// Returns what the requesting host lacks. Its position counts only if it refers to the
-    /// current incarnation of this host.
+    /// Returns what the requesting host lacks. `is_known_start` is true if its position
+    /// refers to the current incarnation of this host; otherwise the reply lists all
+    /// targets.
     pub fn reply(&self, request: FollowRequest, is_known_start: bool, now: Instant) -> FollowReply {
         let version = self.configuration_version();
         let state = self.state.lock();
@@ -194,8 +195,8 @@
 
     /// Removes the target under whose id another writer left an unreadable record.
     ///
-    /// Only the first such record of an id is logged: a writer that goes on would flood the
-    /// log lines.
+    /// Only the first such record of an id is logged: a writer that continues would flood
+    /// the program's log.
     fn drop_unreadable(&self, id: &str, offset: LogOffset, error: &str) {
         let topic = LogTopic::Targets.name();
         self.tables.metrics.unreadable_record(topic);
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Removes a target that is gone according to the record at `offset`.
+    /// Removes a target that has left according to the record at `offset`.
     pub fn remove_target(&self, id: &str, offset: LogOffset, reason: &str) {
         let mut state = self.state.lock();
         if !state.targets.remove(id, offset) {
@@ -253,7 +254,7 @@
     }
 }
 
-/// Logs what a target newly reports of itself.
+/// Logs the changed entry of a target.
 fn log_target(entry: &TargetEntry, offset: LogOffset) {
     let layers = entry.layers.map_or("none".to_owned(), |layers| {
         format!("{}-{}", layers.from, layers.to)
--- a/src/entry/log_copy/dropping.rs
+++ b/src/entry/log_copy/dropping.rs
@@ -1,4 +1,5 @@
-//! Handling of entries that the log drops: which targets left, and which may be alive.
+//! Handling of entries that the log drops: which targets have left, and which may be
+//! alive.
 
 use std::time::{Duration, Instant};
 
@@ -28,7 +29,8 @@
         self.state.lock().continuity.last_gap()
     }
 
-    /// Records a read that another host of the zone relayed, like an own read.
+    /// Records a read that another host of the zone relayed; returns the gap that ended
+    /// with it, as for an own read.
     pub(in crate::entry) fn observe_relayed_read(&self, read: Instant) -> Option<LogGap> {
         let mut state = self.state.lock();
         let gap = state.continuity.observe_relayed_read(read)?;
@@ -95,8 +97,8 @@
 
     /// Drops the known targets that are missing from the list of a host that has read the
     /// log since `first`, with or without gaps. That host still lists its own suspect
-    /// targets. It has confirmed the removal of what it dropped since `first`; what was
-    /// gone before `first` it never knew, so that this host decides.
+    /// targets. It has confirmed the removal of what it dropped since `first`; it never
+    /// knew what had left before `first`, so that this host decides.
     pub(in crate::entry) fn apply_peer_list<'a, I>(
         &self,
         listed: I,
--- a/src/entry/log_role.rs
+++ b/src/entry/log_role.rs
@@ -43,7 +43,7 @@
 }
 
 /// Waits until the host has to read the log itself; returns `None` if the sender of roles
-/// is gone.
+/// was dropped.
 pub(super) async fn wait_for_reader_role(role: &mut watch::Receiver<LogRole>) -> Option<LogRole> {
     let current = role.wait_for(|role| role.is_reader()).await;
     current.ok().map(|current| *current)
--- a/src/entry/peer_exchange.rs
+++ b/src/entry/peer_exchange.rs
@@ -246,8 +246,8 @@
         }
     }
 
-    /// Returns the part of a zone's limits that is issued by the hosts which this one
-    /// considers alive.
+    /// Returns the share of a zone's limits that the hosts which this one considers alive
+    /// may issue, from 0 to 1.
     pub(super) fn permit_share(&self, zone: &str, now: Instant) -> f64 {
         self.gossip.lock().permit_share(zone, now)
     }
@@ -267,7 +267,8 @@
         &self.tables
     }
 
-    /// Returns the number of entry hosts heard from recently, including this one.
+    /// Returns the number of entry hosts of all zones that are not forgotten yet, live or
+    /// not, including this one.
     pub(super) fn known_count(&self) -> usize {
         self.gossip.lock().known_count()
     }
--- a/src/entry/placement.rs
+++ b/src/entry/placement.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, PartialEq)]
 struct ZoneSnapshot {
     engines: Vec<EngineView>,
-    /// Whether layers have been missing for so long that the zone may be replanned from
+    /// Whether layers have been uncovered for so long that the zone may be replanned from
     /// scratch.
     overdue: bool,
 }
@@ -68,7 +68,7 @@
     issued: FastMap<TargetId, IssuedOrder>,
     /// Snapshots of zones that needed no change at the last check.
     unchanged_zones: FastMap<ZoneId, ZoneSnapshot>,
-    /// Since when zones have been missing layers.
+    /// Since when zones have had uncovered layers.
     uncovered_since: FastMap<ZoneId, Instant>,
     known: usize,
     first_seen: Option<Instant>,
@@ -204,8 +204,8 @@
         zones
     }
 
-    /// Returns a task only if the zone has changed, as a plan takes milliseconds of the CPU
-    /// quota.
+    /// Returns the task of planning a zone, or `None` if the zone has not changed, as a
+    /// plan takes milliseconds of the CPU quota.
     fn task(
         &mut self,
         service: &Arc<ServiceSpec>,
@@ -228,8 +228,8 @@
     /// Plans a zone on a blocking thread.
     ///
     /// The first plan of a zone of 38 engines takes 0.2 s of a whole core, and a host has
-    /// an eighth of one. On the thread that carries requests it would pause all streams of
-    /// the host for that long, in the middle of a loss of engines.
+    /// an eighth of one. On the thread that carries requests it would pause all streams
+    /// of the host for that long, while engines are being lost.
     async fn plan(&mut self, task: PlanningTask) -> Vec<PlannedRange> {
         let (service, engines) = (task.service.clone(), task.snapshot.engines.clone());
         let started = Instant::now();
@@ -278,7 +278,7 @@
         planned.into_iter().filter(is_unchanged).collect()
     }
 
-    /// Returns for how long a zone has been missing layers.
+    /// Returns for how long a zone has had uncovered layers.
     fn uncovered_for(
         &mut self,
         model: &EngineModel,
--- a/src/entry/relay_follower.rs
+++ b/src/entry/relay_follower.rs
@@ -14,11 +14,11 @@
 use crate::ids::HostId;
 use crate::peer::PeerHandle;
 
-/// Time for which a request without updates is held. Updates end it, so that this only
-/// bounds how long the silence of the other host goes unnoticed.
+/// Time for which a request without updates is held. Updates end the wait, so that this
+/// only bounds how long the silence of the other host goes unnoticed.
 const FOLLOW_HOLD: Duration = Duration::from_millis(500);
-/// The same for a host that relays the log: its copy must not be older than a read and this
-/// time when other hosts request it.
+/// Like [`FOLLOW_HOLD`], for an aggregator, which relays the log: its copy must not be
+/// older than a read and this time when other hosts request it.
 const RELAY_HOLD: Duration = Duration::from_millis(200);
 /// Additional time for a reply before this host reads the log itself.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
@@ -29,10 +29,10 @@
 /// in a row are cut off one time in thirty. If every host read as soon as the first is cut
 /// off, 26 hosts of a zone would make 4,500 calls a minute instead of 1,100.
 const MAX_READERS: usize = 3;
-/// Time without the log after which any other host reads for itself. A first host counts as
-/// having the log for 1.1 s after it lost it; the sum is below the two seconds within which
-/// a leaving target has to be known. The next reader has read the log within 20 ms of
-/// noticing.
+/// Time without the log after which any other host reads the log for itself. A reader
+/// counts as having the log for 1.1 s after it lost the log; the sum is below the two
+/// seconds within which a leaving target has to be known. The next reader has read the
+/// log within 20 ms of noticing.
 const MAX_WITHOUT_LOG: Duration = Duration::from_millis(600);
 
 /// Time for which a host looks for others before it reads the log itself when the whole
@@ -44,6 +44,8 @@
 struct RelayFollower {
     copy: Arc<LogCopy>,
     log: RelayedLog,
+    /// The leader or aggregator that relays the log to this host; `None` while no host
+    /// does.
     leader: Option<HostId>,
     /// Whether this host is one of the first of its zone, which read for the others.
     reads_for_others: bool,
@@ -227,7 +229,8 @@
         others.get(self.neighbours_tried % others.len()).cloned()
     }
 
-    /// Returns whether no host has had the log for too long.
+    /// Returns whether no leader or aggregator has relayed the log to this host for
+    /// [`MAX_WITHOUT_LOG`].
     fn is_overdue(&self, now: Instant) -> bool {
         let since = self.without_log_since;
         since.is_some_and(|since| now >= since + MAX_WITHOUT_LOG)
--- a/src/entry/retry_share.rs
+++ b/src/entry/retry_share.rs
@@ -8,16 +8,17 @@
 use crate::forward::ServingTables;
 use crate::retry::WindowSettings;
 
-/// Number of hosts that the slack is divided among until others are known.
+/// Minimum number of hosts among which the slack is divided until the other hosts are
+/// known.
 const MIN_HOSTS: usize = 12;
 /// Fraction of the allowed retries that is used, as hosts count each other with a delay.
 const USED_SHARE: f64 = 0.9;
 /// Fraction of this host's share in the first window after a start: the previous process
 /// may have used its share already.
 const START_SHARE: f64 = 0.3;
-/// Interval between two counts of the hosts, and time after a start in which they become
-/// known.
+/// Interval between two counts of the hosts.
 const COUNT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after a start within which the other hosts become known.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// Returns this host's share right after its start.
@@ -34,7 +35,7 @@
 }
 
 /// Adjusts this host's share to the number of known hosts; runs forever. An isolated host
-/// still counts the hosts that it heard from recently.
+/// still counts the hosts that it has not forgotten.
 pub(super) async fn share_retries(
     tables: Arc<ServingTables>,
     peer_state: Arc<PeerState>,
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -64,7 +64,7 @@
     Start(#[from] std::io::Error),
 }
 
-/// Runs an entry host until it is told to stop.
+/// Runs an entry host until it receives SIGTERM and has drained.
 ///
 /// # Errors
 ///
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -43,7 +43,7 @@
     pub drain: Duration,
     /// Time between the request to stop and the end of the process.
     pub grace: Duration,
-    /// How long work waits for an engine that is gone.
+    /// How long work waits for a lost engine.
     pub stall: Duration,
     /// Retries that each request earns, over all hosts.
     pub retry_ratio: f64,
--- a/src/entry/suspect_targets.rs
+++ b/src/entry/suspect_targets.rs
@@ -17,6 +17,7 @@
     zone: ZoneId,
     /// Offset at which the log dropped the target.
     offset: LogOffset,
+    /// Gap in which the target was first missed, extended by later gaps.
     gap: LogGap,
 }
 
@@ -29,14 +30,14 @@
     }
 }
 
-/// A suspect target that is confirmed to be gone.
+/// A suspect target that is confirmed as removed.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ConfirmedRemoval {
     /// The platform's id of the target.
     pub id: TargetId,
     /// Offset at which the log dropped the target.
     pub offset: LogOffset,
-    /// Why it is considered gone.
+    /// Why it counts as removed.
     pub reason: &'static str,
 }
 
@@ -50,8 +51,7 @@
 }
 
 impl SuspectTargets {
-    /// Adds a target of a zone that is gone according to the record at `offset`, read after
-    /// `gap`.
+    /// Adds a target of a zone that the log dropped at `offset`, as read after `gap`.
     pub fn suspect(&mut self, id: &str, zone: ZoneId, offset: LogOffset, gap: LogGap) {
         let target = SuspectTarget { zone, offset, gap };
         self.targets.entry(TargetId::from(id)).or_insert(target);
@@ -63,7 +63,7 @@
         self.targets.get(id).map(|target| target.gap)
     }
 
-    /// Removes a target that has returned or is known to be gone.
+    /// Removes a target that has returned or is known to have left.
     pub fn forget(&mut self, id: &str) {
         self.targets.remove(id);
     }
@@ -94,9 +94,9 @@
     /// Removes and returns the targets that had not returned when they were due, as of the
     /// last read.
     ///
-    /// An earlier read says nothing of a target that returns last: a host that gets the log
-    /// relayed learns of it up to a second later, and no target can return while the log is
-    /// lost again.
+    /// An earlier read does not show a target that returns late: a host that gets the log
+    /// relayed learns of it up to a second later, and no target can return while the log
+    /// is lost again.
     pub fn take_due(&mut self, continuity: &LogContinuity) -> Vec<ConfirmedRemoval> {
         let Some(read) = continuity.last_read() else {
             return Vec::new();
--- a/src/entry/target_starts.rs
+++ b/src/entry/target_starts.rs
@@ -70,7 +70,7 @@
         self.known.get(name).map(|known| &known.id)
     }
 
-    /// Removes a target that is gone; returns its newest start.
+    /// Removes a target that has left; returns its newest start.
     pub fn remove(&mut self, name: &str) -> Option<TargetId> {
         self.known.remove(name).map(|known| known.id)
     }
--- a/src/fleet/path.rs
+++ b/src/fleet/path.rs
@@ -70,7 +70,7 @@
 }
 
 /// Chooses the cheapest path within one availability zone, or across zones if no zone has
-/// a complete path.
+/// a complete path. `draw` returns random numbers from 0 to 1.
 pub fn choose_path<D>(
     members: &ServiceMembers,
     query: PathQuery<'_>,
--- a/src/fleet/pick.rs
+++ b/src/fleet/pick.rs
@@ -15,7 +15,7 @@
 
 /// Chooses the target with the fewest requests, preferring the host's own availability
 /// zone. Targets in `avoid` and draining targets are left out; ejected targets are chosen
-/// only if no other is left.
+/// only if no other is left. `draw` is a random number from 0 to 1, which breaks ties.
 pub fn choose_target(
     members: &ServiceMembers,
     zone: &str,
--- a/src/fleet/table.rs
+++ b/src/fleet/table.rs
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Records that an engine holds other layers than its heartbeat says.
+    /// Records the layers that an engine holds, which may differ from its last heartbeat.
     pub fn observe_layers(&mut self, id: &str, layers: Option<LayerRange>) {
         if let Some(state) = self.get_mut(id) {
             state.entry.layers = layers;
--- a/src/forward/attempt_policy.rs
+++ b/src/forward/attempt_policy.rs
@@ -29,7 +29,7 @@
 const STREAM_HEAD_FACTOR: f64 = 2.4;
 
 impl Exchange {
-    /// Selects the target or path of the next attempt. `started` tells whether the caller
+    /// Selects the target or path of the next attempt. `started` is true if the caller
     /// already has a part of the response.
     pub(super) fn choose(
         &self,
@@ -56,7 +56,7 @@
         let no_route = || Refusal::not_run(RefusalReason::NoRoute, NO_ROUTE_RETRY);
         let chosen = chosen.ok_or_else(no_route)?;
         let full = chosen.path.as_ref().is_some_and(|path| path.full);
-        // A stream that has begun continues even if it has to wait for room: to cut it
+        // A stream that has begun continues even if it has to wait for room: cutting it
         // would waste the work done, and its caller would start over.
         if full && !started {
             let after = self.tables.count_refusal(now);
--- a/src/forward/choice.rs
+++ b/src/forward/choice.rs
@@ -43,7 +43,7 @@
     }
 
     /// Returns the loads after a move from the path `before`. Targets of that path have
-    /// read the request already.
+    /// processed the prompt already.
     pub(super) fn loads_after_move(&self, before: &EnginePath) -> Vec<(TargetId, TargetLoad)> {
         let was_passed = |id: &TargetId| before.hops.iter().any(|hop| hop.target == *id);
         let mut loads = self.loads();
--- a/src/forward/exchange.rs
+++ b/src/forward/exchange.rs
@@ -268,8 +268,9 @@
 impl Refusal {
     /// Adapts a refusal to the attempts that were made before.
     ///
-    /// A caller that receives `NotRun` may send a charge again. After an attempt that may
-    /// have run, the lack of another target does not make `NotRun` true.
+    /// A caller that receives `NotRun` may send a non-idempotent request, such as a
+    /// charge, again. After an attempt that may have run, the lack of another target does
+    /// not make `NotRun` true.
     fn after(self, tried: &TriedTargets) -> Self {
         match tried.may_have_run {
             true => Self::may_have_run(StatusCode::BAD_GATEWAY, self.reason),
--- a/src/forward/permit_wait.rs
+++ b/src/forward/permit_wait.rs
@@ -25,7 +25,7 @@
 
 impl Exchange {
     /// Selects the target or path of the next attempt, and waits until the request may be
-    /// sent there. `started` tells whether the caller already has a part of the response.
+    /// sent there. `started` is true if the caller already has a part of the response.
     pub(super) async fn choose_permitted(
         &self,
         avoid: &[TargetId],
--- a/src/forward/probe.rs
+++ b/src/forward/probe.rs
@@ -92,8 +92,8 @@
     }
 }
 
-/// Rejects a report of another start of the engine: it says nothing about this one,
-/// except that it has ended.
+/// Rejects a report of another start of the engine, which shows only that this start has
+/// ended.
 fn same_start(target: &TargetId, report: EngineReport) -> Result<EngineReport, String> {
     let reporting = target_record::start_id(target_record::platform_id(target), report.started_ms);
     match report.started_ms.is_none() || reporting == *target {
--- a/src/forward/repath.rs
+++ b/src/forward/repath.rs
@@ -19,9 +19,9 @@
 const MOVE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Longest time that a moved request waits for a permit: callers notice the pause.
 const MAX_PERMIT_WAIT: Duration = Duration::from_millis(100);
-/// Move orders for one request at most. Each executed order makes an engine read the
-/// tokens again, and each has a price. If an engine refuses for lack of room, another
-/// holder of its layers accepts, or none does.
+/// Maximum number of move orders for one request. Each executed order makes an engine
+/// process the tokens again, and each has a price. If an engine refuses for lack of room,
+/// another holder of its layers accepts, or none does.
 const MAX_MOVES: u32 = 5;
 
 impl PathWatch {
@@ -29,8 +29,8 @@
     /// refuses its part is excluded from the next attempt.
     ///
     /// The first engine holds the connection and cannot be replaced this way. The request
-    /// keeps what all other engines have read. A move spends no retry: the requests of
-    /// one lost engine would use up the retry budget of a few hundred.
+    /// keeps the tokens that all other engines have processed. A move spends no retry:
+    /// the requests of one lost engine would use up the retry budget of a few hundred.
     pub(super) async fn move_away(&mut self, failed: &TargetId) -> bool {
         let Some(path) = self.chosen.path.clone() else {
             return false;
--- a/src/forward/tables.rs
+++ b/src/forward/tables.rs
@@ -192,7 +192,7 @@
         Self { tables, loads }
     }
 
-    /// Records that the targets have read the request, as its first event shows.
+    /// Records that the targets have processed the prompt, as the first event shows.
     pub fn observe_prefill(&mut self) {
         if self.loads.iter().all(|(_, load)| load.unread == 0.0) {
             return;
--- a/src/forward/watch.rs
+++ b/src/forward/watch.rs
@@ -260,7 +260,7 @@
     /// One slow engine in the middle stalls all requests that pass it, while the first
     /// engine, which did its part, appears to be at fault. The cost of paths keeps new
     /// requests away from the slow engine. Running requests stay, since each move is an
-    /// order that has a price and makes an engine read all tokens again.
+    /// order that has a price and makes an engine process all tokens again.
     async fn update_paces(&self, path: &EnginePath, now: Instant) {
         let tables = &self.exchange.tables;
         let due = {
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -11,7 +11,7 @@
 pub type HostId = Arc<str>;
 /// Identifies one run of a daemon on a host; a new one is drawn at each start.
 pub type IncarnationId = u64;
-/// What a host has for work besides its callers' requests, in doublings: see
+/// Capacity of a host for roles in its zone, as a rounded base-2 logarithm: see
 /// [`crate::membership::host_weight`].
 pub type HostWeight = u32;
 /// Name of an availability zone.
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -65,7 +65,8 @@
     pub fencing: FencingNumber,
 }
 
-/// Judgement of a record.
+/// Judgement of a record: the result of applying it under the judging rules of this
+/// program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseJudgement {
     /// The record took effect.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,8 +1,10 @@
 //! Membership of hosts and monitoring of targets, as seen by one host.
 //!
-//! Every host exchanges heartbeats with all other hosts of its availability zone and with
-//! a few hosts of each other zone. The tables of this module decide which hosts to call,
-//! which hosts count as live and which targets take new work. They do no I/O.
+//! Every daemon exchanges heartbeats with all other hosts of its availability zone and
+//! with a few hosts of each other zone ([`MembershipTable`]). Entry hosts exchange views
+//! through the aggregators of their zone instead ([`GossipTable`]). The tables of this
+//! module decide which hosts to call, which hosts count as live and which targets take
+//! new work. They do no I/O.
 
 mod commands;
 mod decision;
--- a/src/membership/force_view.rs
+++ b/src/membership/force_view.rs
@@ -24,7 +24,7 @@
 
 /// Configuration progress by zone.
 ///
-/// Offsets only grow while a host lives, so an outdated value is too low and never too
+/// Offsets only grow while a host runs, so an outdated value is too low and never too
 /// high. The view may report a change as not yet in effect for too long. It reports a
 /// change as in effect everywhere too early only if a host is unknown to all others.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! The gossip table of an entry host on the users' platform.
+//! The gossip table of an entry host, by which entry hosts find each other.
 //!
 //! The platform lists targets but no entry hosts. The heaviest hosts of each availability
 //! zone are its aggregators: every other host reports to one of them and receives the
--- a/src/membership/gossip/roles.rs
+++ b/src/membership/gossip/roles.rs
@@ -9,9 +9,9 @@
 use crate::membership::role::{RoleCandidate, aggregator_count, rank_hosts};
 use crate::permits::{issued_share, issuing_host};
 
-/// Time after the start within which a host learns of the others, and time after which a
-/// host that knows no other is considered alone.
+/// Time after the start within which a host learns of the others.
 const JOIN_TIME: Duration = Duration::from_secs(1);
+/// Time after the start after which a host that knows no other is considered alone.
 const LONE_JOIN_TIME: Duration = Duration::from_secs(3);
 
 impl GossipTable {
@@ -86,7 +86,9 @@
         Some(chosen.unwrap_or_else(|| self.global_leader(now)))
     }
 
-    /// Returns the part of a zone's limits that the live hosts of the zone issue.
+    /// Returns the share of a zone's limits that the live hosts of the zone may issue,
+    /// from 0 to 1. If the zone has no live host, returns the share of the live hosts of
+    /// all zones.
     pub fn permit_share(&self, zone: &str, now: Instant) -> f64 {
         let is_own = usize::from(*self.zone == *zone);
         let members = self.members.values();
--- a/src/membership/gossip/views.rs
+++ b/src/membership/gossip/views.rs
@@ -12,8 +12,8 @@
 use crate::poison::PoisonDelta;
 
 impl GossipTable {
-    /// Creates the view to send to the host at an address. The caller adds the requests,
-    /// the suspected requests and the state of the log.
+    /// Creates the view to send to the host at an address. The caller adds the usage of
+    /// targets, the poison evidence, the limits of targets and the state of the log.
     pub fn request_view(&mut self, address: SocketAddr, now: Instant) -> HostView {
         let mut known = self.members.iter();
         let callee = known.find(|(_, member)| member.address == address);
@@ -149,7 +149,8 @@
 /// Returns the silence of a member as reported in a listing of `scope`.
 ///
 /// Aggregators report hosts to each other as live only if they have direct contact with
-/// them. Otherwise two aggregators could keep a third host alive for each other forever.
+/// them. Otherwise two aggregators could keep reporting a lost host to each other as live
+/// forever.
 ///
 /// The value reflects the recorded state of the member and not its current one. A member
 /// that falls silent and sends again before its state is recorded next does not change its
--- a/src/membership/gossip_member.rs
+++ b/src/membership/gossip_member.rs
@@ -17,7 +17,7 @@
 /// reach but this one does not would otherwise cost a late report at each attempt.
 const MAX_SUSPICION_DOUBLINGS: u32 = 3;
 
-/// A host's evidence that a member lives. It is valid while that host is live and does
+/// A host's evidence that a member is live. It is valid while that host is live and does
 /// not withdraw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct MemberWitness {
@@ -32,7 +32,8 @@
     failures: u32,
 }
 
-/// Witnesses kept for each member. The limit exceeds the number of aggregators of a zone.
+/// Maximum number of witnesses kept for each member. It exceeds the number of aggregators
+/// of a zone.
 const MAX_WITNESSES: usize = 16;
 
 /// Last recorded state of a member. A change of it is sent to other hosts.
@@ -189,8 +190,8 @@
     /// to receive it.
     ///
     /// A member that was once advertised stays advertised. When a whole zone is lost, its
-    /// hosts leave the first ranks as they die, and hosts of other zones that know them
-    /// would not learn of their deaths.
+    /// hosts leave the first ranks as they fail, and hosts of other zones that know them
+    /// would not learn of their failure.
     pub(super) fn record_state(&mut self, is_advertised: bool, now: Instant) -> bool {
         let is_advertised = is_advertised || self.recorded.is_advertised;
         let state = RecordedState {
--- a/src/membership/member.rs
+++ b/src/membership/member.rs
@@ -10,7 +10,7 @@
 use crate::platform::wire::ListedPhase;
 use crate::rendezvous::rendezvous_score;
 
-/// Ended incarnations that are remembered for each host.
+/// Number of ended incarnations that are remembered for each host.
 const ENDED_INCARNATIONS: usize = 8;
 
 /// Reachability of a host.
--- a/src/membership/queries.rs
+++ b/src/membership/queries.rs
@@ -6,7 +6,7 @@
 use crate::ids::{HostId, IncarnationId};
 use crate::peer::{PeerHeartbeat, PeerLoad, ZoneDigest};
 
-/// Unreachable hosts named in a digest; further ones are only counted.
+/// Maximum number of unreachable hosts named in a digest; further ones are only counted.
 const MAX_NAMED_UNREACHABLE: usize = 8;
 
 impl MembershipTable {
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Returns whether an incarnation named in the log has ended, as far as this host can
-    /// tell.
+    /// Returns whether an incarnation named in the log has ended, as far as this host
+    /// knows.
     ///
     /// A host that is not in the table counts as ended if the platform's list lacks
     /// it. The list must have been fetched at least `remove_after` after the start of
--- a/src/membership/role.rs
+++ b/src/membership/role.rs
@@ -4,13 +4,13 @@
 
 use crate::ids::{HostId, HostWeight};
 
-/// Mean number of hosts per aggregator at the most. Each host reports to its aggregator
-/// four times a second. In a zone of 80 hosts and 40 engines the busiest aggregator
-/// transfers 315 KB/s in both directions together, an eighth of a link of 20 Mbit/s.
+/// Maximum mean number of hosts per aggregator. Each host reports to its aggregator four
+/// times a second. In a zone of 80 hosts and 40 engines the busiest aggregator transfers
+/// 315 KB/s in both directions together, an eighth of a link of 20 Mbit/s.
 const HOSTS_PER_AGGREGATOR: usize = 24;
-/// Up to this many of the heaviest hosts are aggregators even where fewer could serve the
-/// zone. Aggregators exchange what they receive in one step, so that a zone of four hosts
-/// needs no second step.
+/// Maximum number of equally heavy hosts that are aggregators although fewer could serve
+/// the zone. Aggregators exchange what they receive in one step, so that a zone of four
+/// hosts needs no second step.
 const PREFERRED_AGGREGATORS: usize = 4;
 /// Thousandths of a core that weigh as much as one Mbit/s of a link. With this ratio the
 /// processor limits a host with an eighth of a core and 20 Mbit/s, and the link limits a
@@ -26,8 +26,9 @@
     pub weight: HostWeight,
 }
 
-/// Returns the weight of a host with so many cores and so fast a link. Weights count
-/// doublings, so that hosts of almost the same capacity weigh the same.
+/// Returns the weight of a host: the rounded base-2 logarithm of its capacity, which the
+/// scarcer of processor and link limits. Hosts of almost the same capacity weigh the
+/// same.
 pub fn host_weight(cores: f64, link_mbps: f64) -> HostWeight {
     let scarcer = (cores * 1000.0).min(link_mbps * MILLICORES_PER_MBPS);
     scarcer.max(1.0).log2().round() as HostWeight
--- a/src/membership/rotation.rs
+++ b/src/membership/rotation.rs
@@ -19,7 +19,8 @@
     Reported,
 }
 
-/// Signals that a target is leaving. Any one is enough.
+/// Signals that a target is leaving. One of them is enough to take the target out of
+/// rotation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct LeavingSignals {
     pub(super) declared: bool,
--- a/src/permits/assignment.rs
+++ b/src/permits/assignment.rs
@@ -4,7 +4,7 @@
 use crate::ids::{HostId, TargetKey};
 use crate::rendezvous::top_ranked;
 
-/// Hosts of a zone that issue permits.
+/// Number of hosts of a zone that issue permits.
 const ISSUING_HOSTS: usize = 4;
 /// Seed of the hash that distributes targets over these hosts.
 const ASSIGNMENT_SEED: u64 = 0x7065_726d;
@@ -21,8 +21,8 @@
 }
 
 /// Returns the share of a limit that a side of a partition with `live` of `known` hosts
-/// issues. The sides cannot tell a partition from the end of the other side, so together
-/// they may exceed the limit by a quarter at most.
+/// issues. The sides cannot distinguish a partition from a failure of the other side, so
+/// together they may exceed the limit by a quarter at most.
 pub fn issued_share(live: usize, known: usize) -> f64 {
     let share = live as f64 / known.max(live).max(1) as f64;
     (share / FULL_LIMIT_SHARE).min(1.0)
--- a/src/permits/issuer.rs
+++ b/src/permits/issuer.rs
@@ -15,9 +15,10 @@
 /// Requests per second that are sent even to a target that accepts fewer or none: only
 /// its responses show that its limit has ended.
 const PROBE_RATE: f64 = 0.25;
-/// Most requests to a target in a window, as a multiple of its limit and a number of
-/// requests in addition, including those sent before its limit was known.
+/// Most requests to a target in a window, as a multiple of its limit, including those
+/// sent before its limit was known.
 const WINDOW_FACTOR: f64 = 1.25;
+/// Number of requests to a target that a window admits in addition to [`WINDOW_FACTOR`].
 const WINDOW_SLACK: f64 = 3.0;
 /// How long a host whose request was withheld counts as waiting for a permit.
 const WAITING_TTL: Duration = Duration::from_secs(2);
--- a/src/permits/table.rs
+++ b/src/permits/table.rs
@@ -9,9 +9,9 @@
 use crate::delta_sync::{DeltaBounds, DeltaProgress};
 use crate::ids::{IncarnationId, TargetKey};
 
-/// Targets that are remembered at most; an entry takes about 60 bytes.
+/// Maximum number of targets that are remembered; an entry takes about 60 bytes.
 const MAX_ENTRIES: usize = 4096;
-/// Records in one delta at most: at 28 bytes each, four times a second in both
+/// Maximum number of records in one delta: at 28 bytes each, four times a second in both
 /// directions, 14 KB/s while there are always more updates.
 const MAX_DELTA_RECORDS: usize = 64;
 
--- a/src/placement/adjust.rs
+++ b/src/placement/adjust.rs
@@ -11,7 +11,7 @@
 use crate::placement::zone_estimate::{ZoneEstimate, uncovered_count};
 use crate::placement::{EngineView, PlannedRange};
 
-/// Least ratio of the score after a change of an engine that holds layers to the score
+/// Minimum ratio of the score after a change of an engine that holds layers to the score
 /// before. Each load is billed and takes bandwidth of the weights store, so small gains
 /// are not worth it; a zone that stays short of capacity gains for longer.
 const MIN_GAIN: f64 = 1.15;
--- a/src/poison.rs
+++ b/src/poison.rs
@@ -4,7 +4,7 @@
 //! runs there, for as long as its caller retries it at any host.
 //!
 //! - [`request_key`] identifies the attempts of one request.
-//! - [`RunStart`] tells whether a target ended as a request began to run there.
+//! - [`RunStart`] tracks whether a request has only just begun to run on a target.
 //! - [`PoisonTable`] holds the targets that ended under each request and decides which
 //!   requests are refused. Hosts exchange its changes with their views ([`PoisonDelta`]).
 //!   Refused requests are also kept in the platform's log, so that they outlive a restart
--- a/src/poison/record.rs
+++ b/src/poison/record.rs
@@ -18,9 +18,10 @@
 /// by the number of targets beyond [`ENDS_TO_REFUSE`].
 ///
 /// The evidence can be wrong: a service that loses all its targets three times in an hour
-/// incriminates a request that all callers send alike, and a request that is refused
-/// forever can never be cleared. It is therefore tried again at growing intervals: a poison
-/// request takes down three more targets on the first day and one a week after that.
+/// makes a request that all callers send alike look like poison, and a request that is
+/// refused forever can never be cleared. It is therefore tried again at growing
+/// intervals: a poison request takes down three more targets on the first day and one a
+/// week after that.
 const REFUSAL_TIMES: [Duration; 4] = [
     Duration::from_secs(600),
     Duration::from_secs(3600),
@@ -31,7 +32,7 @@
 /// replaced within weeks.
 const POISON_EXPIRY: Duration = Duration::from_secs(7 * 24 * 3600);
 /// Time for which targets that ended under a request count as evidence: callers retry
-/// within seconds, and people resend within the hour.
+/// within seconds, and users resend within the hour.
 const SUSPECT_EXPIRY: Duration = Duration::from_secs(3600);
 /// Time for which a survival is remembered. Evidence of an earlier end can still arrive,
 /// usually within seconds and from a partitioned zone within minutes.
--- a/src/poison/survivors.rs
+++ b/src/poison/survivors.rs
@@ -14,9 +14,9 @@
 
 /// A fixed-size cache of the requests that were survived recently.
 ///
-/// A target that ends takes everything with it that it has just begun. Without this cache,
-/// the loss of all targets of a service at once could refuse a request that all callers
-/// send alike, for everybody.
+/// A target that ends makes every request suspect that it has just begun. Without this
+/// cache, the loss of all targets of a service at once could refuse a request that all
+/// callers send alike, to all of them.
 #[derive(Debug)]
 pub(super) struct RecentSurvivors {
     slots: Vec<Option<(RequestKey, Instant)>>,
--- a/src/reconcile/decision.rs
+++ b/src/reconcile/decision.rs
@@ -21,10 +21,10 @@
 pub enum ReconcileDecision {
     /// Request the target's state.
     Observe {
-        /// Send an order, then read the state back.
+        /// Target to request.
         target: TargetId,
     },
-    /// Target to request.
+    /// Send an order, then read the state back.
     Order {
         /// Target that receives the order.
         target: TargetId,
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,7 +1,7 @@
 //! Choice of one target for each stage of a pipeline.
 //!
 //! [`RouteTable`] holds the declared pipelines and what this host knows about their
-//! targets. Commands record what happened; queries plan routes from it.
+//! targets. Commands record events; queries plan routes from the recorded state.
 
 mod affinity;
 mod commands;
--- a/src/routing/commands.rs
+++ b/src/routing/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that record what happened to targets and runs.
+//! Commands that record events of targets and runs.
 
 use std::time::{Duration, Instant};
 
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Removes a step or call that was abandoned without a response; this says nothing
-    /// about the target.
+    /// Removes a step or call that was abandoned without a response; it does not count
+    /// against the target.
     pub fn step_abandoned(&mut self, target: &TargetId) {
         if let Some(entry) = self.targets.get_mut(target) {
             entry.steps = entry.steps.saturating_sub(1);
--- a/src/shares/grant_table.rs
+++ b/src/shares/grant_table.rs
@@ -168,8 +168,8 @@
         // A host that reports is alive, whatever the platform says.
         entry.removed_at = None;
         entry.apply_report(demands, self.lease);
-        // Counted once: a host that was taken for ended and returns brings units that
-        // have been granted to others meanwhile.
+        // Counted once: a host that counted as ended and returns brings units that have
+        // been granted to others meanwhile.
         if self.reported_holders.insert(holder.clone()) {
             for demand in demands {
                 let held = ShareUnits::new(demand.held_grant, demand.held_rate);
--- a/src/shares/grant_user.rs
+++ b/src/shares/grant_user.rs
@@ -57,9 +57,9 @@
     /// Advances time. Must be called several times a second, and before any other use
     /// after a wait.
     ///
-    /// A process that was frozen may have been declared dead, and its units granted to
-    /// others. After a pause it uses nothing until the lease holder has replied to a
-    /// report sent since then.
+    /// A process that was frozen may count as ended at the other hosts, and its units may
+    /// have been granted to them. After a pause it uses nothing until the lease holder
+    /// has replied to a report sent since then.
     pub fn tick(&mut self, now: Instant) {
         let pause = now.saturating_duration_since(self.last_tick);
         if pause >= self.pause_limit {
