--- a/src/daemon/services.rs
+++ b/src/daemon/services.rs
@@ -168,7 +168,7 @@
     match response {
         Ok(_) => {
             let mut routes = core.tables.routes.write();
-            routes.step_answered(target, latency, 1, Instant::now());
+            routes.step_completed(target, latency, 1, Instant::now());
         }
         Err(failure) => record_failure(core, call, target, failure),
     }
--- a/src/daemon/step_observations.rs
+++ b/src/daemon/step_observations.rs
@@ -29,7 +29,7 @@
             target,
             positions,
             latency,
-        } => routes.step_answered(target, *latency, *positions, now),
+        } => routes.step_completed(target, *latency, *positions, now),
         StepObservation::Failed {
             target,
             reason,
--- a/src/entry/configuration_follower.rs
+++ b/src/entry/configuration_follower.rs
@@ -42,7 +42,7 @@
         let started = Instant::now();
         let read = read_next(&mut reader, next).await;
         // A read that waits for a change says nothing about the latency of the log.
-        let answered = matches!(read, Ok(_) | Err(LogError::Deleted));
+        let responded = matches!(read, Ok(_) | Err(LogError::Deleted));
         let now = Instant::now();
         let elapsed = now.saturating_duration_since(started);
         let elapsed = if next.is_none() {
@@ -50,7 +50,7 @@
         } else {
             Duration::ZERO
         };
-        copy.record_call(LogTopic::Configuration, elapsed, answered, now);
+        copy.record_call(LogTopic::Configuration, elapsed, responded, now);
         match read {
             Ok(read) => {
                 if std::mem::take(&mut failures) > 0 {
--- a/src/entry/log_copy.rs
+++ b/src/entry/log_copy.rs
@@ -62,13 +62,13 @@
         &self,
         topic: LogTopic,
         elapsed: Duration,
-        answered: bool,
+        responded: bool,
         now: Instant,
     ) {
         self.tables
             .metrics
-            .store_called(topic.name(), elapsed, answered);
-        if !answered {
+            .store_called(topic.name(), elapsed, responded);
+        if !responded {
             return;
         }
         let mut state = self.state.lock();
--- a/src/entry/target_follower.rs
+++ b/src/entry/target_follower.rs
@@ -71,11 +71,11 @@
             Some(next) => reader.read(names::TARGET_TOPIC, next, Duration::ZERO).await,
         };
         let now = Instant::now();
-        let answered = matches!(read, Ok(_) | Err(LogError::Deleted));
+        let responded = matches!(read, Ok(_) | Err(LogError::Deleted));
         let elapsed = now.saturating_duration_since(started);
         follower
             .copy
-            .record_call(LogTopic::Targets, elapsed, answered, now);
+            .record_call(LogTopic::Targets, elapsed, responded, now);
         let is_trimmed = matches!(read, Err(LogError::Deleted));
         follower.apply_read(read, now);
         let paused = match is_trimmed {
--- a/src/forward/exchange.rs
+++ b/src/forward/exchange.rs
@@ -116,7 +116,7 @@
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.tables.in_flight.fetch_sub(1, Ordering::Relaxed);
-        self.tables.answered.fetch_add(1, Ordering::Relaxed);
+        self.tables.completed.fetch_add(1, Ordering::Relaxed);
     }
 }
 
--- a/src/forward/tables.rs
+++ b/src/forward/tables.rs
@@ -49,7 +49,7 @@
     pub in_flight: AtomicUsize,
     /// Requests completed since the start, by which a drain detects that callers have
     /// left.
-    pub answered: AtomicUsize,
+    pub completed: AtomicUsize,
     overload: Mutex<OverloadGauge>,
     budgets: Mutex<FastMap<ServiceId, WindowBudget>>,
     budget_settings: Mutex<WindowSettings>,
@@ -81,7 +81,7 @@
             closing: AtomicBool::new(false),
             ending: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
-            answered: AtomicUsize::new(0),
+            completed: AtomicUsize::new(0),
             overload: Mutex::default(),
             budgets: Mutex::default(),
             budget_settings: Mutex::new(budget_settings),
--- a/src/retry/outlier.rs
+++ b/src/retry/outlier.rs
@@ -61,7 +61,7 @@
 
 impl TargetHealth {
     /// Counts a response that arrived within the expected time.
-    pub fn answered(&mut self, settings: &EjectionSettings, now: Instant) {
+    pub fn count_response(&mut self, settings: &EjectionSettings, now: Instant) {
         self.failures = 0;
         self.slow = 0;
         if self.weight(settings, now) >= 1.0 {
@@ -70,7 +70,7 @@
     }
 
     /// Counts a response that took much longer than expected.
-    pub fn answered_slowly(&mut self, settings: &EjectionSettings, now: Instant) {
+    pub fn count_slow_response(&mut self, settings: &EjectionSettings, now: Instant) {
         self.failures = 0;
         self.slow += 1;
         if self.slow >= settings.consecutive_slow {
@@ -79,7 +79,7 @@
     }
 
     /// Counts a failure.
-    pub fn failed(&mut self, settings: &EjectionSettings, now: Instant) {
+    pub fn count_failure(&mut self, settings: &EjectionSettings, now: Instant) {
         self.failures += 1;
         if self.failures >= settings.consecutive_failures {
             self.eject(settings, now);
--- a/src/routing/commands.rs
+++ b/src/routing/commands.rs
@@ -54,7 +54,7 @@
 
     /// Records a step or call that was answered with `tokens` positions after `latency`,
     /// which includes the link.
-    pub fn step_answered(
+    pub fn step_completed(
         &mut self,
         target: &TargetId,
         latency: Duration,
@@ -81,15 +81,15 @@
                     .step_seconds
                     .add(service_seconds, settings.rate_window, now);
                 match slow {
-                    true => entry.health.answered_slowly(&settings.ejection, now),
-                    false => entry.health.answered(&settings.ejection, now),
+                    true => entry.health.count_slow_response(&settings.ejection, now),
+                    false => entry.health.count_response(&settings.ejection, now),
                 }
             }
             _ => {
                 let prior = entry.spec.tokens_per_second.recip();
                 let sample = slot_seconds / tokens as f64;
                 MeasuredValue::add(&mut entry.prefill_seconds, prior, sample, now);
-                entry.health.answered(&settings.ejection, now);
+                entry.health.count_response(&settings.ejection, now);
             }
         }
     }
@@ -105,7 +105,7 @@
             | RetryReason::AnswerLost
             | RetryReason::SessionLost
             | RetryReason::AnswerMismatched => {
-                entry.health.failed(&self.settings.ejection, now);
+                entry.health.count_failure(&self.settings.ejection, now);
             }
             // The target is healthy and responded; its load and phase are reported
             // separately.
--- a/tests/entry_peers.rs
+++ b/tests/entry_peers.rs
@@ -97,7 +97,7 @@
     }
 }
 
-fn word(number: u64) -> LimitRecord {
+fn limit_record(number: u64) -> LimitRecord {
     LimitRecord {
         target: 1 << 60 | number,
         rate: RateLimit::new(6.3).filter(|_| number > 0),
@@ -107,16 +107,16 @@
 }
 
 /// Returns a reply that repeats fields of the request.
-fn answer_permit(question: &PermitRequest) -> PermitReply {
-    match question.wanted {
+fn reply_to(request: &PermitRequest) -> PermitReply {
+    match request.wanted {
         0 => PermitReply::Unlimited,
         1 => PermitReply::Withheld {
-            retry_after: question.max_wait,
+            retry_after: request.max_wait,
         },
-        wanted if !question.relayed => panic!("{wanted} permits, not relayed"),
+        wanted if !request.relayed => panic!("{wanted} permits, not relayed"),
         wanted => PermitReply::Granted {
-            permits: wanted + u32::from(question.unpermitted[0]),
-            delay: question.limit.received_age,
+            permits: wanted + u32::from(request.unpermitted[0]),
+            delay: request.limit.received_age,
             spacing: Duration::from_micros(158_730),
         },
     }
@@ -127,7 +127,7 @@
     let handlers = EntryHandlers {
         exchange: Arc::new(|view| view),
         follow: Arc::new(|_| async { remote_usage() }.boxed()),
-        permit: Arc::new(|question| async move { answer_permit(&question) }.boxed()),
+        permit: Arc::new(|request| async move { reply_to(&request) }.boxed()),
     };
     peer::spawn(PeerSettings::new(loopback(0)), handlers).expect("a free port")
 }
@@ -153,26 +153,26 @@
         },
         limits: LimitDelta {
             bounds: view("").poison.bounds,
-            records: (0..3).map(word).collect(),
+            records: (0..3).map(limit_record).collect(),
         },
         ..view("front-saburtalo-1")
     };
     let address = callee.local_address();
-    let answer = caller.exchange(address, sent.clone()).await;
-    assert_eq!(answer.expect("an answer"), sent);
-    let question = FollowRequest::default();
+    let reply = caller.exchange(address, sent.clone()).await;
+    assert_eq!(reply.expect("a reply"), sent);
+    let request = FollowRequest::default();
     let wait = Duration::from_secs(20);
-    let followed = caller.follow(address, question, wait).await;
-    assert_eq!(followed.expect("an answer"), remote_usage());
+    let followed = caller.follow(address, request, wait).await;
+    assert_eq!(followed.expect("a reply"), remote_usage());
     caller.shutdown().await;
     callee.shutdown().await;
 }
 
-fn permit_question(wanted: u32) -> PermitRequest {
+fn permit_request(wanted: u32) -> PermitRequest {
     PermitRequest {
         host: "front-saburtalo-1".into(),
         zone: "saburtalo".into(),
-        limit: word(1),
+        limit: limit_record(1),
         wanted,
         max_wait: Duration::from_millis(125),
         unpermitted: vec![4, 0, 2],
@@ -186,14 +186,14 @@
     let (caller, callee) = (spawn(), spawn());
     let address = callee.local_address();
     for wanted in 0..3 {
-        let question = permit_question(wanted);
-        let answer = caller.permit(address, question.clone(), WAIT).await;
-        assert_eq!(answer.expect("an answer"), answer_permit(&question));
+        let request = permit_request(wanted);
+        let reply = caller.permit(address, request.clone(), WAIT).await;
+        assert_eq!(reply.expect("a reply"), reply_to(&request));
     }
     let count = || caller.traffic().sent_bytes() + caller.traffic().received_bytes();
     let before = count();
-    let answer = caller.permit(address, permit_question(2), WAIT).await;
-    answer.expect("an answer");
+    let reply = caller.permit(address, permit_request(2), WAIT).await;
+    reply.expect("a reply");
     let bytes = count() - before;
     assert!(bytes <= 500, "{bytes}");
     caller.shutdown().await;
@@ -207,13 +207,13 @@
     let address = callee.local_address();
     let count = || caller.traffic().sent_bytes() + caller.traffic().received_bytes();
     for _ in 0..4 {
-        let answer = caller.exchange(address, view.clone()).await;
-        answer.expect("an answer");
+        let reply = caller.exchange(address, view.clone()).await;
+        reply.expect("a reply");
     }
     let before = count();
     for _ in 0..CALLS {
-        let answer = caller.exchange(address, view.clone()).await;
-        answer.expect("an answer");
+        let reply = caller.exchange(address, view.clone()).await;
+        reply.expect("a reply");
     }
     let bytes = (count() - before) / CALLS;
     caller.shutdown().await;
@@ -228,7 +228,7 @@
     const ITEMS: usize = 20;
     let both_ways = 2 * ITEMS as u64;
     let empty = exchange_bytes(&view("front-saburtalo-1")).await;
-    let with_uses = HostView {
+    let with_usage = HostView {
         usage: (0..ITEMS).map(used).collect(),
         ..view("front-saburtalo-1")
     };
@@ -250,17 +250,17 @@
     let with_limits = HostView {
         limits: LimitDelta {
             bounds: view("").poison.bounds,
-            records: (0..ITEMS as u64).map(word).collect(),
+            records: (0..ITEMS as u64).map(limit_record).collect(),
         },
         ..view("front-saburtalo-1")
     };
-    let by_word = (exchange_bytes(&with_limits).await - empty) / both_ways;
-    assert!(by_word <= 28, "{by_word}");
+    let by_limit = (exchange_bytes(&with_limits).await - empty) / both_ways;
+    assert!(by_limit <= 28, "{by_limit}");
     let by_evidence = (exchange_bytes(&with_evidence).await - empty) / both_ways;
     assert!(by_evidence <= 20, "{by_evidence}");
-    let by_use = (exchange_bytes(&with_uses).await - empty) / both_ways;
+    let by_usage = (exchange_bytes(&with_usage).await - empty) / both_ways;
     let by_host = (exchange_bytes(&with_hosts).await - empty) / both_ways;
     assert!((400..=840).contains(&empty), "{empty}");
-    assert!(by_use <= 22, "{by_use}");
+    assert!(by_usage <= 22, "{by_usage}");
     assert!(by_host <= 120, "{by_host}");
 }
--- a/tests/forwarding/limits.rs
+++ b/tests/forwarding/limits.rs
@@ -91,10 +91,10 @@
     let host = TestHost::open();
     host.add_plain("i-1", target.address);
     host.add_plain("i-2", other.address);
-    let mut tries = 0;
-    while named_limit(&host, "i-1").is_none() && tries < 50 {
+    let mut attempts = 0;
+    while named_limit(&host, "i-1").is_none() && attempts < 50 {
         host.call("GET", "/safe/", "").await;
-        tries += 1;
+        attempts += 1;
     }
     let before = target.seen().len();
     for _ in 0..20 {
--- a/tests/leaving_fleet/host.rs
+++ b/tests/leaving_fleet/host.rs
@@ -71,13 +71,13 @@
         self.read_ms.is_some_and(|read| now_ms < read + FRESH_MS)
     }
 
-    pub(super) fn answer(&self, question: FollowRequest, now_ms: u64, now: Instant) -> FollowReply {
-        let known = question.incarnation == self.incarnation;
+    pub(super) fn reply(&self, request: FollowRequest, now_ms: u64, now: Instant) -> FollowReply {
+        let known = request.incarnation == self.incarnation;
         FollowReply {
             incarnation: self.incarnation,
             fresh: self.is_fresh(now_ms),
             age: self.age(now_ms),
-            ..self.copy.reply(question, known, now)
+            ..self.copy.reply(request, known, now)
         }
     }
 
--- a/tests/leaving_fleet/world.rs
+++ b/tests/leaving_fleet/world.rs
@@ -234,12 +234,12 @@
 
     /// A following host requests updates from the leader of its zone.
     fn follow(&mut self, host: usize, leader: usize) {
-        let answer = self.ask(host, leader).filter(|answer| answer.fresh);
+        let reply = self.fetch(host, leader).filter(|reply| reply.fresh);
         let now_ms = self.now_ms;
-        match answer {
-            Some(answer) => {
-                let age = u64::try_from(answer.age.as_millis()).unwrap_or(u64::MAX);
-                self.take(host, leader, answer);
+        match reply {
+            Some(reply) => {
+                let age = u64::try_from(reply.age.as_millis()).unwrap_or(u64::MAX);
+                self.apply_reply(host, leader, reply);
                 let state = &mut self.hosts[host];
                 state.read_ms = state.read_ms.max(now_ms.checked_sub(age));
                 state.follows = true;
@@ -258,26 +258,26 @@
         if self.hosts[host].is_fresh(self.now_ms) {
             return;
         }
-        let answer = self.ask(host, neighbour);
-        if let Some(answer) = answer.filter(|answer| answer.fresh) {
-            self.take(host, neighbour, answer);
+        let reply = self.fetch(host, neighbour);
+        if let Some(reply) = reply.filter(|reply| reply.fresh) {
+            self.apply_reply(host, neighbour, reply);
         }
     }
 
-    fn ask(&self, host: usize, other: usize) -> Option<FollowReply> {
+    fn fetch(&self, host: usize, other: usize) -> Option<FollowReply> {
         if !self.reach_each_other(host, other) {
             return None;
         }
         let name = &self.hosts[other].name;
         let now = self.now();
         let request = self.hosts[host].relayed.request(name, Duration::ZERO, now);
-        Some(self.hosts[other].answer(request, self.now_ms, now))
+        Some(self.hosts[other].reply(request, self.now_ms, now))
     }
 
-    fn take(&mut self, host: usize, other: usize, answer: FollowReply) {
+    fn apply_reply(&mut self, host: usize, other: usize, reply: FollowReply) {
         let now = self.now();
         let name = self.hosts[other].name.clone();
-        self.hosts[host].relayed.apply(&name, answer, now);
+        self.hosts[host].relayed.apply(&name, reply, now);
     }
 
     fn exchange_log_ages(&mut self) {
--- a/tests/policy_compare.rs
+++ b/tests/policy_compare.rs
@@ -215,7 +215,7 @@
         self.targets[target].present -= 1;
         let id = self.targets[target].id.clone();
         let SimulatedRun { host, sent, .. } = self.runs[run];
-        self.tables[host].step_answered(&id, now - sent, 1, now);
+        self.tables[host].step_completed(&id, now - sent, 1, now);
         self.runs[run].stage = (self.runs[run].stage + 1) % STAGES;
         self.runs[run].token += u64::from(self.runs[run].stage == 0);
         if self.runs[run].token < TOKENS {
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -142,7 +142,7 @@
     assert!(is_ejected(&table, now + Duration::from_secs(3)));
     now += Duration::from_secs(10);
     table.step_sent(&name(0), now);
-    table.step_answered(&name(0), Duration::from_millis(80), 1, now);
+    table.step_completed(&name(0), Duration::from_millis(80), 1, now);
     fail(&mut table, 0, now);
     assert!(is_ejected(&table, now + Duration::from_secs(1)));
     assert!(!is_ejected(&table, now + Duration::from_secs(2)));
@@ -163,7 +163,7 @@
     assert_eq!(table.known_service_time(&route, now), Duration::ZERO);
     for target in 0..TARGETS {
         table.step_sent(&name(target), now);
-        table.step_answered(&name(target), Duration::from_secs(1), 1, now);
+        table.step_completed(&name(target), Duration::from_secs(1), 1, now);
     }
     let refusal = table.plan(&brief, now, &mut rng).expect_err("too slow");
     assert_eq!(refusal.reason, RefusalReason::DeadlineUnreachable);
@@ -222,7 +222,7 @@
     let idle = table.estimate(&request(now), &[name(0)], now);
     for target in 0..TARGETS {
         (0..20).for_each(|_| table.step_sent(&name(target), now));
-        table.step_answered(&name(target), Duration::from_millis(20), 1, now);
+        table.step_completed(&name(target), Duration::from_millis(20), 1, now);
     }
     let route = table.plan(&request(now), now, &mut rng).expect("a route");
     let busy = table.estimate(&request(now), &[name(0)], now);
--- a/tests/routing_model.rs
+++ b/tests/routing_model.rs
@@ -538,7 +538,7 @@
             match event {
                 Event::Sent => table.step_sent(&id, now),
                 Event::Answered { latency_ms, tokens } => {
-                    table.step_answered(&id, Duration::from_millis(latency_ms), tokens, now);
+                    table.step_completed(&id, Duration::from_millis(latency_ms), tokens, now);
                 }
                 Event::Failed(reason) => table.step_failed(&id, reason, now),
                 Event::Load { running, age_ms } => {
