--- a/src/entry/readiness.rs
+++ b/src/entry/readiness.rs
@@ -102,7 +102,7 @@
                     tokio::spawn(serve_stream(stream, respond.clone()));
                 }
                 Err(error) => {
-                    log::warn!(error:% = error; "cannot accept a connection");
+                    log::warn!(error:% = error; "cannot accept a readiness or metrics connection");
                     tokio::time::sleep(ACCEPT_PAUSE).await;
                 }
             }
--- a/src/forward/serve.rs
+++ b/src/forward/serve.rs
@@ -56,7 +56,7 @@
                 tokio::spawn(serve_connection(tables.clone(), stream));
             }
             Err(error) => {
-                log::warn!(error:% = error; "cannot accept connection");
+                log::warn!(error:% = error; "cannot accept a caller connection");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/src/forward/tables.rs
+++ b/src/forward/tables.rs
@@ -47,8 +47,7 @@
     pub ending: AtomicBool,
     /// Requests in flight.
     pub in_flight: AtomicUsize,
-    /// Requests completed since the start, by which a drain detects that callers have
-    /// left.
+    /// Number of requests completed since the start.
     pub completed: AtomicUsize,
     overload: Mutex<OverloadGauge>,
     budgets: Mutex<FastMap<ServiceId, WindowBudget>>,
--- a/src/membership/watch_queries.rs
+++ b/src/membership/watch_queries.rs
@@ -118,8 +118,8 @@
                 age,
                 leaving,
             }),
-            // A target that is leaving may no longer answer polls. It is still reported
-            // as leaving, with a load too old to be used.
+            // A target that is leaving may no longer respond to polls. It is still
+            // reported as leaving, with a load too old to be used.
             None if leaving => Some(PeerLoad {
                 target: name.clone(),
                 running: 0,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -90,8 +90,8 @@
     assert_eq!(table.waiting(&OrganisationId::from("a")), 10);
 }
 
-/// Guards against an organisation that is refused for ever although its slot becomes
-/// free. During a stall its requests end 5 s apart until that is the measured drain rate;
+/// Guards against an organisation that is refused forever although its slot becomes free.
+/// During a stall its requests end 5 s apart until that is the measured drain rate;
 /// afterwards each request has 600 ms left, too little to wait for such an end. If only
 /// ends with a waiting request were measured, none would be any more.
 #[test]
--- a/tests/entry_decisions.rs
+++ b/tests/entry_decisions.rs
@@ -228,8 +228,8 @@
     );
 }
 
-/// Guards against two hosts that order the same engines: the first host of a zone dies and
-/// must not count as the first any more.
+/// Guards against two hosts that order the same engines: the leader of a zone ends and
+/// must no longer count as its leader.
 #[test]
 fn silent_hosts_no_longer_count_as_live() {
     let now = Instant::now();
@@ -249,7 +249,7 @@
 }
 
 /// Guards against a fourfold increase of calls to the log while one host is cut off from
-/// it: only a few hosts may replace the first host of a zone as reader, not all of them.
+/// it: only a few hosts may replace the leader of a zone as reader, not all of them.
 #[test]
 fn next_hosts_in_the_ranking_replace_the_first_reader() {
     let now = Instant::now();
--- a/tests/fleet_in_memory/mod.rs
+++ b/tests/fleet_in_memory/mod.rs
@@ -19,7 +19,7 @@
 /// Time after which a call without a reply fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Bytes of a view, and of each usage, listed host, count and poison evidence in it. They
-/// are upper bounds of the encoded sizes, which `tests/peer_rpc.rs` measures.
+/// are upper bounds of the encoded sizes, which `tests/entry_peers.rs` checks.
 pub(crate) const VIEW_BYTES: usize = 420;
 pub(crate) const USAGE_BYTES: usize = 22;
 pub(crate) const LISTED_BYTES: usize = 120;
--- a/tests/kept_records.rs
+++ b/tests/kept_records.rs
@@ -62,8 +62,8 @@
 }
 
 /// Guards against a new target that is dropped and added in turns: this host has seen its
-/// first record, and the list of a host that has read less lacks it. A list says nothing of
-/// records after the offset up to which it was read.
+/// first record, and the list of a host that has read less lacks it. A list does not
+/// cover records after the offset up to which it was read.
 #[test]
 fn list_does_not_cover_later_records() {
     let mut kept = KeptRecords::default();
@@ -74,7 +74,7 @@
 
 proptest! {
     /// In whatever order and however often two readers relay the records of a log, the
-    /// result is what the log says last.
+    /// result is the last record of each target in the log.
     #[test]
     fn any_order_of_changes_gives_the_newest_records(
         log in prop::collection::vec((0..4_u8, any::<bool>()), 1..40),
--- a/tests/log_continuity.rs
+++ b/tests/log_continuity.rs
@@ -62,9 +62,9 @@
     name.into()
 }
 
-/// Guards against a request to a target 3.3 s after the log acknowledged that it leaves,
-/// and against a zone that serves nothing for a second after it was cut off: the reads in a
-/// target's own zone decide whether it could write during the cut.
+/// Guards against a request to a target 3.3 s after the log acknowledged that it is
+/// leaving, and against a zone that serves nothing for a second after it was cut off: the
+/// reads in a target's own zone decide whether it could write during the cut.
 #[test]
 fn reads_in_the_targets_zone_rule_out_expiry() {
     let mut scenario = Scenario::with_reader();
@@ -89,7 +89,7 @@
     let mut scenario = Scenario::with_reader();
     scenario.receive_report("own", 0, 9_900, 10_000);
     let gap = scenario.read_again(16_000);
-    // A report from before the cut says nothing of it.
+    // A report from before the cut shows nothing about it.
     assert!(!scenario.continuity.had_log("own", gap));
     scenario.receive_report("own", 0, 15_800, 16_100);
     assert!(scenario.continuity.had_log("own", gap));
@@ -155,7 +155,7 @@
     assert!(!scenario.continuity.had_log("third", gap));
 }
 
-/// A host that was suspended has no outage, and yet cannot report that it had the log
+/// A pause of a process is no gap, but its host cannot report that it had the log
 /// meanwhile.
 #[test]
 fn suspended_host_has_no_gap_and_starts_a_new_span() {
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -424,7 +424,7 @@
     }
 }
 
-/// Guards against targets without a watcher after a host's death, if watchers are fixed
+/// Guards against targets without a watcher after a host has ended, if watchers are fixed
 /// or hosts choose them differently. A zone of six hosts loses one.
 #[test]
 fn each_target_keeps_two_watchers_after_the_loss_of_a_host() {
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -141,8 +141,8 @@
     assert_eq!(after, PoisonVerdict::Suspect(1));
 }
 
-/// Guards against refusing a status page for everybody: all callers send the same request,
-/// and all targets of its service end at once as each begins to run it.
+/// Guards against refusing a status page to all callers: all callers send the same
+/// request, and all targets of its service end at once as each begins to run it.
 #[test]
 fn recently_survived_request_is_not_suspected() {
     let now = Instant::now();
@@ -238,8 +238,8 @@
     assert!(second.table.is_poison(7, now));
 }
 
-/// The reverse: a new incarnation counts its versions from zero, and its evidence must not
-/// be ignored because of the low versions.
+/// Guards against the reverse: a new incarnation counts its versions from zero, and its
+/// evidence must not be ignored because of the low versions.
 #[test]
 fn evidence_of_a_restarted_host_is_applied_despite_low_versions() {
     let now = Instant::now();
--- a/tests/reconcile.rs
+++ b/tests/reconcile.rs
@@ -382,7 +382,7 @@
 }
 
 /// Guards against a reconciler that loads nothing any more. As many engines as may load
-/// at once crash while loading and stay down; their loads must not count for ever.
+/// at once crash while loading and stay down; their loads must not count forever.
 #[test]
 fn loads_of_dead_engines_do_not_block_the_others() {
     let mut simulation = Simulation::new([0; ALL]);
--- a/tests/shares_model.rs
+++ b/tests/shares_model.rs
@@ -131,7 +131,7 @@
 
     /// Guards against an organisation that uses more than it bought because a unit counts
     /// in two places at once. Lease holders change, pause and resume; reports, replies
-    /// and appends are late, lost or duplicated; hosts die; splits move between zones.
+    /// and appends are late, lost or duplicated; hosts end; splits move between zones.
     #[test]
     fn units_in_use_never_exceed_bought_capacity(
         is_cold in prop::bool::weighted(0.2),
@@ -152,9 +152,9 @@
 proptest! {
     #![proptest_config(config(0x7175_6965, 150))]
 
-    /// Guards against capacity that is lost for ever after a fault because no place
-    /// counts it. Any history as above is followed by a time without faults and with a
-    /// new demand.
+    /// Guards against capacity that is lost forever after a fault because no place counts
+    /// it. Any history as above is followed by a time without faults and with a new
+    /// demand.
     #[test]
     fn division_without_faults_equals_that_of_a_central_allocator(
         steps in prop::collection::vec(model_step(), 1..120),
--- a/tests/shares_scenarios.rs
+++ b/tests/shares_scenarios.rs
@@ -61,9 +61,9 @@
     assert_eq!(model.used(), before);
 }
 
-/// Guards against exceeding the bought capacity after a freeze. A frozen host is taken
-/// for dead and its units are granted to others; when it resumes, partitioned, it must
-/// not trust its old grants.
+/// Guards against exceeding the bought capacity after a freeze. A frozen host counts as
+/// ended and its units are granted to others; when it resumes, partitioned, it must not
+/// trust its old grants.
 #[test]
 fn resumed_host_uses_nothing_until_the_lease_holder_replies() {
     let mut model = ShareModel::new();
