--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -21,6 +21,7 @@
 /// although its slots become free.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct DrainRate {
+    /// Moving average, in seconds.
     interval: f64,
     samples: u32,
     under_pressure: bool,
--- a/src/admission/organisation.rs
+++ b/src/admission/organisation.rs
@@ -21,8 +21,11 @@
     pub(super) drain: DrainRate,
     /// Virtual finish time of its last started request.
     pub(super) finish_tag: f64,
+    /// Refusals for lack of capacity, by demand window.
     pub(super) refusals: RecentCount,
+    /// Arrivals by demand window.
     pub(super) arrivals: RecentCount,
+    /// Arrivals by windows of `RATE_WINDOWS` demand windows, for the wanted rate.
     pub(super) arrivals_long: RecentCount,
     /// Start of the present grace period without a share.
     pub(super) shareless_since: Option<Instant>,
--- a/src/entry/peer_exchange.rs
+++ b/src/entry/peer_exchange.rs
@@ -156,7 +156,7 @@
         HostView {
             configuration_version: self.copy.configuration_version(),
             log: self.copy.log_ages(now),
-            usage: usage,
+            usage,
             ..view
         }
     }
--- a/src/fleet/path.rs
+++ b/src/fleet/path.rs
@@ -182,7 +182,9 @@
     /// Index among the engines that the path is chosen from.
     engine: usize,
     range: LayerRange,
+    /// Cost of one more hop, to this engine, in milliseconds per event.
     hop_ms: f64,
+    /// Cost of each layer that the engine runs, in milliseconds per event.
     layer_ms: f64,
     full: bool,
 }
--- a/src/forward/probe.rs
+++ b/src/forward/probe.rs
@@ -84,7 +84,10 @@
             let report = request_report(address).await;
             let report = report.and_then(|report| same_start(target, report));
             let report = report.map(Arc::new).map_err(|error| {
-                log::info!(target_id:% = target, address:% = address, error:% = error; "no report from engine");
+                log::info!(
+                    target_id:% = target, address:% = address, error:% = error;
+                    "no report from engine"
+                );
             });
             *cached = Some((Instant::now(), report.clone()));
             report
--- a/src/routing/commands.rs
+++ b/src/routing/commands.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Records a step or call that was answered with `tokens` positions after `latency`,
-    /// which includes the link.
+    /// Records the response to a step or call: `tokens` positions after `latency`, which
+    /// includes the link.
     pub fn step_completed(
         &mut self,
         target: &TargetId,
--- a/src/shares/grant_entry.rs
+++ b/src/shares/grant_entry.rs
@@ -66,6 +66,7 @@
 /// One incarnation of a host.
 #[derive(Debug, Clone)]
 pub(super) struct HolderEntry {
+    /// Sequence number of the last report.
     pub(super) sequence: u64,
     /// Whether the log names it, so that a later lease holder will wait for its report.
     pub(super) is_registered: bool,
--- a/src/shares/grant_table.rs
+++ b/src/shares/grant_table.rs
@@ -70,12 +70,17 @@
     is_opened: bool,
     is_closed: bool,
     opening_appended_at: Option<Instant>,
+    /// Incarnations that the log names and that have not reported under this lease.
     awaited: BTreeSet<GrantHolder>,
+    /// Incarnations whose first report is included in `reported`.
     reported_holders: BTreeSet<GrantHolder>,
+    /// When the whole share may be divided; `None` while incarnations are awaited.
     complete_at: Option<Instant>,
+    /// Units that hosts held at their first reports under this lease.
     reported: BTreeMap<OrganisationId, ShareUnits>,
     pub(super) shares: BTreeMap<OrganisationId, ShareUnits>,
     pub(super) entries: BTreeMap<GrantHolder, HolderEntry>,
+    /// Split and time of the last release record that was appended, by organisation.
     release_appends: BTreeMap<OrganisationId, (LogOffset, Instant)>,
     pub(super) next_number: u64,
 }
