--- a/src/forward.rs
+++ b/src/forward.rs
@@ -1,6 +1,6 @@
 //! The data path: forwards callers' requests to targets and returns the responses.
 //!
-//! [`serve`] accepts connections, `exchange` handles one request and `relay` one stream.
+//! [`serve()`] accepts connections, `exchange` handles one request and `relay` one stream.
 //! [`crate::ingress`], [`crate::fleet`] and [`crate::retry`] decide about routes, targets
 //! and retries.
 
--- a/tests/fleet_in_memory/mod.rs
+++ b/tests/fleet_in_memory/mod.rs
@@ -250,7 +250,7 @@
         let usage = host.fleet.usage(view.scope, listener);
         let poison = host.poison.delta_for(address, self.now);
         HostView {
-            usage: usage,
+            usage,
             poison,
             ..view
         }
