--- a/src/fleet/path.rs
+++ b/src/fleet/path.rs
@@ -70,7 +70,7 @@
 }
 
 /// Chooses the cheapest path within one availability zone, or across zones if no zone has
-/// a complete path.
+/// a complete path. `draw` returns random numbers from 0 to 1.
 pub fn choose_path<D>(
     members: &ServiceMembers,
     query: PathQuery<'_>,
@@ -182,7 +182,9 @@
     /// Index among the engines that the path is chosen from.
     engine: usize,
     range: LayerRange,
+    /// Cost of one more hop, to this engine, in milliseconds per event.
     hop_ms: f64,
+    /// Cost of each layer that the engine runs, in milliseconds per event.
     layer_ms: f64,
     full: bool,
 }
--- a/src/forward/probe.rs
+++ b/src/forward/probe.rs
@@ -51,7 +51,7 @@
         };
         tokio::pin!(exchange);
         tokio::select! {
-            answer = &mut exchange => answer,
+            result = &mut exchange => result,
             ended = connection => match ended {
                 Ok(()) => exchange.await,
                 Err(error) => Err(error.to_string()),
@@ -59,7 +59,7 @@
         }
     };
     match tokio::time::timeout(limit, call).await {
-        Ok(answer) => answer,
+        Ok(result) => result,
         Err(_) => Err("timeout".to_owned()),
     }
 }
@@ -84,7 +84,10 @@
             let report = request_report(address).await;
             let report = report.and_then(|report| same_start(target, report));
             let report = report.map(Arc::new).map_err(|error| {
-                log::info!(target_id:% = target, address:% = address, error:% = error; "no report");
+                log::info!(
+                    target_id:% = target, address:% = address, error:% = error;
+                    "no report from engine"
+                );
             });
             *cached = Some((Instant::now(), report.clone()));
             report
@@ -92,8 +95,8 @@
     }
 }
 
-/// Rejects a report of another start of the engine: it says nothing about this one,
-/// except that it has ended.
+/// Rejects a report of another start of the engine, which shows only that this start has
+/// ended.
 fn same_start(target: &TargetId, report: EngineReport) -> Result<EngineReport, String> {
     let reporting = target_record::start_id(target_record::platform_id(target), report.started_ms);
     match report.started_ms.is_none() || reporting == *target {
--- a/src/forward/tables.rs
+++ b/src/forward/tables.rs
@@ -47,9 +47,8 @@
     pub ending: AtomicBool,
     /// Requests in flight.
     pub in_flight: AtomicUsize,
-    /// Requests completed since the start, by which a drain detects that callers have
-    /// left.
-    pub answered: AtomicUsize,
+    /// Number of requests completed since the start.
+    pub completed: AtomicUsize,
     overload: Mutex<OverloadGauge>,
     budgets: Mutex<FastMap<ServiceId, WindowBudget>>,
     budget_settings: Mutex<WindowSettings>,
@@ -81,7 +80,7 @@
             closing: AtomicBool::new(false),
             ending: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
-            answered: AtomicUsize::new(0),
+            completed: AtomicUsize::new(0),
             overload: Mutex::default(),
             budgets: Mutex::default(),
             budget_settings: Mutex::new(budget_settings),
@@ -192,14 +191,14 @@
         Self { tables, loads }
     }
 
-    /// Records that the targets have read the request, as its first event shows.
-    pub fn observe_read(&mut self) {
+    /// Records that the targets have processed the prompt, as the first event shows.
+    pub fn observe_prefill(&mut self) {
         if self.loads.iter().all(|(_, load)| load.unread == 0.0) {
             return;
         }
         let mut fleet = self.tables.fleet.lock();
         for (target, load) in &mut self.loads {
-            fleet.observe_read(target, std::mem::take(&mut load.unread));
+            fleet.observe_prefill(target, std::mem::take(&mut load.unread));
         }
     }
 }
--- a/src/forward/watch.rs
+++ b/src/forward/watch.rs
@@ -76,7 +76,7 @@
     /// Records an event of the target.
     pub(super) fn observe_event(&mut self, now: Instant) {
         if let Some(guard) = &mut self.guard {
-            guard.observe_read();
+            guard.observe_prefill();
         }
         self.observe_progress(now);
         self.start.observe_event(now);
@@ -168,7 +168,7 @@
                 }
             };
             match step {
-                Ok(answer) => return answer,
+                Ok(response) => return response,
                 Err(_) if Instant::now() >= limit => return Err(timed_out),
                 Err(_) => match self.handle_silence().await {
                     SilenceVerdict::Waiting => {}
@@ -260,7 +260,7 @@
     /// One slow engine in the middle stalls all requests that pass it, while the first
     /// engine, which did its part, appears to be at fault. The cost of paths keeps new
     /// requests away from the slow engine. Running requests stay, since each move is an
-    /// order that has a price and makes an engine read all tokens again.
+    /// order that has a price and makes an engine process all tokens again.
     async fn update_paces(&self, path: &EnginePath, now: Instant) {
         let tables = &self.exchange.tables;
         let due = {
--- a/src/routing/commands.rs
+++ b/src/routing/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that record what happened to targets and runs.
+//! Commands that record events of targets and runs.
 
 use std::time::{Duration, Instant};
 
@@ -52,9 +52,9 @@
         }
     }
 
-    /// Records a step or call that was answered with `tokens` positions after `latency`,
-    /// which includes the link.
-    pub fn step_answered(
+    /// Records the response to a step or call: `tokens` positions after `latency`, which
+    /// includes the link.
+    pub fn step_completed(
         &mut self,
         target: &TargetId,
         latency: Duration,
@@ -81,15 +81,15 @@
                     .step_seconds
                     .add(service_seconds, settings.rate_window, now);
                 match slow {
-                    true => entry.health.answered_slowly(&settings.ejection, now),
-                    false => entry.health.answered(&settings.ejection, now),
+                    true => entry.health.count_slow_response(&settings.ejection, now),
+                    false => entry.health.count_response(&settings.ejection, now),
                 }
             }
             _ => {
                 let prior = entry.spec.tokens_per_second.recip();
                 let sample = slot_seconds / tokens as f64;
                 MeasuredValue::add(&mut entry.prefill_seconds, prior, sample, now);
-                entry.health.answered(&settings.ejection, now);
+                entry.health.count_response(&settings.ejection, now);
             }
         }
     }
@@ -105,7 +105,7 @@
             | RetryReason::ResponseLost
             | RetryReason::SessionLost
             | RetryReason::ResponseMismatched => {
-                entry.health.failed(&self.settings.ejection, now);
+                entry.health.count_failure(&self.settings.ejection, now);
             }
             // The target is healthy and responded; its load and phase are reported
             // separately.
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Removes a step or call that was abandoned without a response; this says nothing
-    /// about the target.
+    /// Removes a step or call that was abandoned without a response; it does not count
+    /// against the target.
     pub fn step_abandoned(&mut self, target: &TargetId) {
         if let Some(entry) = self.targets.get_mut(target) {
             entry.steps = entry.steps.saturating_sub(1);
--- a/src/shares/grant_table.rs
+++ b/src/shares/grant_table.rs
@@ -70,12 +70,17 @@
     is_opened: bool,
     is_closed: bool,
     opening_appended_at: Option<Instant>,
+    /// Incarnations that the log names and that have not reported under this lease.
     awaited: BTreeSet<GrantHolder>,
+    /// Incarnations whose first report is included in `reported`.
     reported_holders: BTreeSet<GrantHolder>,
+    /// When the whole share may be divided; `None` while incarnations are awaited.
     complete_at: Option<Instant>,
+    /// Units that hosts held at their first reports under this lease.
     reported: BTreeMap<OrganisationId, ShareUnits>,
     pub(super) shares: BTreeMap<OrganisationId, ShareUnits>,
     pub(super) entries: BTreeMap<GrantHolder, HolderEntry>,
+    /// Split and time of the last release record that was appended, by organisation.
     release_appends: BTreeMap<OrganisationId, (LogOffset, Instant)>,
     pub(super) next_number: u64,
 }
@@ -168,8 +173,8 @@
         // A host that reports is alive, whatever the platform says.
         entry.removed_at = None;
         entry.apply_report(demands, self.lease);
-        // Counted once: a host that was taken for ended and returns brings units that
-        // have been granted to others meanwhile.
+        // Counted once: a host that counted as ended and returns brings units that have
+        // been granted to others meanwhile.
         if self.reported_holders.insert(holder.clone()) {
             for demand in demands {
                 let held = ShareUnits::new(demand.held_grant, demand.held_rate);
--- a/standins/src/trial/run.rs
+++ b/standins/src/trial/run.rs
@@ -243,11 +243,11 @@
     }
 
     /// Records that the engines of the path have read the request.
-    fn observe_read(&mut self, path: &[PathPart], size: RequestSize) {
+    fn observe_prefill(&mut self, path: &[PathPart], size: RequestSize) {
         for part in path {
             let unread = size.load(part.layers.width()).unread;
             let id = id_of(part.engine);
-            self.fleet.table.observe_read(&id, unread);
+            self.fleet.table.observe_prefill(&id, unread);
         }
     }
 
@@ -275,7 +275,7 @@
                     match caller.first {
                         None => {
                             caller.first = Some(now - caller.sent_at);
-                            self.observe_read(&caller.path, caller.size);
+                            self.observe_prefill(&caller.path, caller.size);
                         }
                         Some(_) => {
                             caller.longest_pause =
@@ -301,7 +301,7 @@
     fn drop_caller(&mut self, id: &str) -> Option<CallerState> {
         let caller = self.callers.remove(id)?;
         if caller.first.is_none() {
-            self.observe_read(&caller.path, caller.size);
+            self.observe_prefill(&caller.path, caller.size);
         }
         self.update_load(&caller.path, caller.size, false);
         Some(caller)
