--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -118,7 +118,7 @@
         layers: fleet.layout.layers(),
         prompt: body.prompt,
         max_tokens: body.max_tokens,
-        answers: vec![response],
+        responses: vec![response],
     }
 }
 
@@ -185,7 +185,7 @@
             let record = engine.server.record();
             let mut steps = record.iter();
             if steps.any(|step| step.request.starts_with(&run) && step.position >= half_way) {
-                engine.server.die();
+                engine.server.crash();
                 return Ok(engine.target.name.clone());
             }
         }
@@ -214,8 +214,8 @@
         ..fleet.recorded()
     };
     let broken = check_all(&history, Duration::ZERO);
-    for promise in &broken {
-        println!("BROKEN: {promise}");
+    for violation in &broken {
+        println!("BROKEN: {violation}");
     }
     let refused = history
         .generations
--- a/standins/src/bin/load.rs
+++ b/standins/src/bin/load.rs
@@ -31,8 +31,8 @@
     let figures = run_load(options).await?;
     println!("{}", markdown_table(&figures));
     println!("{}", markdown_row(&figures));
-    for broken in figures.broken.iter().take(MAX_SHOWN) {
-        println!("BROKEN: {broken}");
+    for violation in figures.broken.iter().take(MAX_SHOWN) {
+        println!("BROKEN: {violation}");
     }
     if let Some(directory) = &options.out {
         write_report(directory, &figures)?;
--- a/standins/src/caller.rs
+++ b/standins/src/caller.rs
@@ -75,7 +75,7 @@
 
     /// Returns whether the closing event was received and its count matches the tokens
     /// received.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.events.iter().any(|received| match received.event {
             StreamEvent::Done { count } => count == self.tokens().len() as u64,
             _ => false,
--- a/standins/src/check/history.rs
+++ b/standins/src/check/history.rs
@@ -51,7 +51,7 @@
     pub max_tokens: u64,
     /// Responses received: more than one if an entry host ended and the caller resumed
     /// the request at another one.
-    pub answers: Vec<GenerationResponse>,
+    pub responses: Vec<GenerationResponse>,
 }
 
 impl GenerationHistory {
@@ -61,23 +61,28 @@
             StreamEvent::Token { number, token } => Some((*number, *token)),
             _ => None,
         };
-        let answers = self.answers.iter();
-        let events = answers.flat_map(|answer| &answer.events);
-        events.filter_map(|heard| token(&heard.event)).collect()
+        let responses = self.responses.iter();
+        let events = responses.flat_map(|response| &response.events);
+        events
+            .filter_map(|received| token(&received.event))
+            .collect()
     }
 
     /// Returns the refusal that ended the request.
     pub fn refusal(&self) -> Option<&RefusalBody> {
-        self.answers.last().and_then(GenerationResponse::refused)
+        self.responses.last().and_then(GenerationResponse::refused)
     }
 
     /// Returns the token count of the closing event, if the last response has one.
     pub fn closing_count(&self) -> Option<u64> {
-        let answer = self.answers.last()?;
-        answer.events.iter().find_map(|heard| match heard.event {
-            StreamEvent::Done { count } => Some(count),
-            _ => None,
-        })
+        let response = self.responses.last()?;
+        response
+            .events
+            .iter()
+            .find_map(|received| match received.event {
+                StreamEvent::Done { count } => Some(count),
+                _ => None,
+            })
     }
 }
 
@@ -98,7 +103,7 @@
 
 impl CallHistory {
     /// Returns whether the service responded successfully through any host.
-    pub fn is_answered(&self) -> bool {
+    pub fn is_successful(&self) -> bool {
         let mut replies = self.replies.iter().flatten();
         replies.any(|reply| reply.status.is_success())
     }
--- a/standins/src/check/refusals.rs
+++ b/standins/src/check/refusals.rs
@@ -22,7 +22,7 @@
     let generations = history.generations.iter().filter(|generation| {
         let refusal = generation.refusal();
         let is_refused = refusal.is_some_and(|body| body.verdict == RunVerdict::NotRun);
-        is_refused && generation.answers.len() == 1
+        is_refused && generation.responses.len() == 1
     });
     let ran = generations.filter_map(|generation| {
         let ran = steps.get(&*generation.request)?;
--- a/standins/src/check/responses.rs
+++ b/standins/src/check/responses.rs
@@ -19,21 +19,25 @@
 
 fn check_tokens(generation: &GenerationHistory) -> Result<(), String> {
     let received = generation.numbered_tokens();
-    let right = reference::generate(
+    let reference_tokens = reference::generate(
         &generation.model,
         &generation.version,
         generation.layers,
         &generation.prompt,
         received.len(),
     );
-    for ((number, token), (expected, right)) in received.iter().zip((0..).zip(right)) {
+    for ((number, token), (expected, reference_token)) in
+        received.iter().zip((0..).zip(reference_tokens))
+    {
         if *number != expected {
             return Err(format!(
                 "received token {number}, expected token {expected}"
             ));
         }
-        if *token != right {
-            return Err(format!("token {number} is {token}, expected {right}"));
+        if *token != reference_token {
+            return Err(format!(
+                "token {number} is {token}, expected {reference_token}"
+            ));
         }
     }
     let count = received.len() as u64;
@@ -54,8 +58,11 @@
 pub fn check_single_response(history: &RunHistory) -> Vec<Violation> {
     let guarantee = Guarantee::SingleResponse;
     let generations = history.generations.iter().filter_map(|generation| {
-        let finals = generation.answers.iter().filter(|answer| is_final(answer));
-        let is_last_final = generation.answers.last().is_some_and(is_final);
+        let finals = generation
+            .responses
+            .iter()
+            .filter(|response| is_final(response));
+        let is_last_final = generation.responses.last().is_some_and(is_final);
         let problem = match finals.count() {
             1 if is_last_final => return None,
             count => format!("{count} final responses"),
@@ -73,12 +80,12 @@
     generations.chain(calls).collect()
 }
 
-fn is_final(answer: &GenerationResponse) -> bool {
-    let has_closing = answer.events.iter().any(|received| {
+fn is_final(response: &GenerationResponse) -> bool {
+    let has_closing = response.events.iter().any(|received| {
         matches!(
             received.event,
             StreamEvent::Done { .. } | StreamEvent::Error(_)
         )
     });
-    has_closing || answer.refusal.is_some()
+    has_closing || response.refusal.is_some()
 }
--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -85,11 +85,11 @@
     }
 
     /// Simulates a crash: resets every connection and refuses new ones.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         self.calls.faults.update(|faults| faults.dead = true);
     }
 
-    /// Restarts the engine after [`EngineServer::die`], without sessions and cache. Wait
+    /// Restarts the engine after [`EngineServer::crash`], without sessions and cache. Wait
     /// before this until a call has failed, as otherwise no client notices the crash.
     pub fn revive(&self) {
         self.calls.steps.clear_state();
@@ -98,7 +98,7 @@
 
     /// Stops listening and closes every connection.
     pub fn shutdown(&self) {
-        self.die();
+        self.crash();
         self.http.shutdown();
         self.gauge_task.abort();
         self.calls.steps.clear_state();
--- a/standins/src/json_client.rs
+++ b/standins/src/json_client.rs
@@ -15,14 +15,14 @@
 
 /// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct JsonReply {
+pub struct JsonResponse {
     /// Status of the response.
     pub status: StatusCode,
     /// JSON text, or empty.
     pub body: Bytes,
 }
 
-impl JsonReply {
+impl JsonResponse {
     /// Parses the body as `T`.
     pub fn json<T>(&self) -> Result<T, serde_json::Error>
     where
@@ -38,7 +38,7 @@
     addr: SocketAddr,
     path: &str,
     body: &T,
-) -> Result<JsonReply, CallError>
+) -> Result<JsonResponse, CallError>
 where
     T: Serialize + ?Sized,
 {
@@ -55,5 +55,5 @@
     let response = client.request(request).await?;
     let status = response.status();
     let body = response.into_body().collect().await?.to_bytes();
-    Ok(JsonReply { status, body })
+    Ok(JsonResponse { status, body })
 }
--- a/standins/src/load/driver.rs
+++ b/standins/src/load/driver.rs
@@ -135,7 +135,7 @@
                 layers: self.layers,
                 prompt,
                 max_tokens: self.mix.max_tokens,
-                answers: Vec::new(),
+                responses: Vec::new(),
             },
         };
         let caller = &self.callers[planned.organisation];
@@ -148,7 +148,7 @@
                 break;
             };
             let is_lost = response.broken;
-            outcome.history.answers.push(response);
+            outcome.history.responses.push(response);
             if !is_lost {
                 break;
             }
@@ -233,7 +233,10 @@
 
 /// Returns the token with which a caller resumes at another host.
 fn resume_token(history: &GenerationHistory) -> Option<ResumeToken> {
-    let mut events = history.answers.iter().flat_map(|response| &response.events);
+    let mut events = history
+        .responses
+        .iter()
+        .flat_map(|response| &response.events);
     let version = events.find_map(|received| match &received.event {
         StreamEvent::Started { version, .. } => Some(version.clone()),
         _ => None,
--- a/standins/src/load/fault.rs
+++ b/standins/src/load/fault.rs
@@ -54,7 +54,7 @@
     match fault {
         LoadFault::StageKill => {
             let engine = fastest_engine(fleet)?;
-            engine.server.die();
+            engine.server.crash();
             injected.target = Some(engine.target.name.clone());
         }
         LoadFault::HostKill => {
--- a/standins/src/load/measure.rs
+++ b/standins/src/load/measure.rs
@@ -39,8 +39,8 @@
         let time = outcome.ended().map(|ended| ended - outcome.intended);
         let is_in_time = time.is_some_and(|time| time <= self.mix.deadline);
         match outcome.history.refusal() {
-            _ if outcome.is_whole() && is_in_time => GenerationEnd::InTime,
-            _ if outcome.is_whole() => GenerationEnd::Late,
+            _ if outcome.is_complete() && is_in_time => GenerationEnd::InTime,
+            _ if outcome.is_complete() => GenerationEnd::Late,
             Some(_) if outcome.token_times().is_empty() => GenerationEnd::Refused,
             Some(_) => GenerationEnd::Cut,
             None => GenerationEnd::Unanswered,
@@ -157,7 +157,7 @@
 /// Returns the quantiles of the times from the intended start to the end of a complete
 /// response.
 pub(super) fn complete_responses(generations: &[&GenerationOutcome]) -> Quantiles {
-    let whole = generations.iter().filter(|outcome| outcome.is_whole());
+    let whole = generations.iter().filter(|outcome| outcome.is_complete());
     Quantiles::of(whole.filter_map(|outcome| Some(outcome.ended()? - outcome.intended)))
 }
 
--- a/standins/src/load/outcome.rs
+++ b/standins/src/load/outcome.rs
@@ -22,18 +22,18 @@
 impl GenerationOutcome {
     /// Returns the time at which the last response ended.
     pub(super) fn ended(&self) -> Option<Instant> {
-        self.history.answers.last().map(|response| response.ended)
+        self.history.responses.last().map(|response| response.ended)
     }
 
     /// Returns whether the response is complete.
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.history.closing_count().is_some()
     }
 
     /// Returns the time at which each token was received, in order.
     pub(super) fn token_times(&self) -> Vec<Instant> {
-        let answers = self.history.answers.iter();
-        let events = answers.flat_map(|response| &response.events);
+        let responses = self.history.responses.iter();
+        let events = responses.flat_map(|response| &response.events);
         events
             .filter(|received| matches!(received.event, StreamEvent::Token { .. }))
             .map(|received| received.at)
--- a/standins/src/load/recovery.rs
+++ b/standins/src/load/recovery.rs
@@ -38,7 +38,7 @@
     /// Time from the death to the next token that needed a repair.
     time: Option<Duration>,
     best_possible: Duration,
-    is_whole: bool,
+    is_complete: bool,
 }
 
 /// Returns the recovery of the requests that were on the target or host that was killed.
@@ -57,7 +57,10 @@
     let best = Quantiles::of(repaired.iter().map(|request| request.best_possible));
     Some(RecoveryFigures {
         requests: repaired.len() as u64,
-        whole: repaired.iter().filter(|request| request.is_whole).count() as u64,
+        whole: repaired
+            .iter()
+            .filter(|request| request.is_complete)
+            .count() as u64,
         next_token: Quantiles::of(times()),
         best_possible_ms: best.p50_ms,
         ratio_p50: quantile(&ratios, 0.5),
@@ -97,7 +100,7 @@
         Some(RepairedRequest {
             time: received.map(|received| received.saturating_duration_since(input.injected.at)),
             best_possible: input.usual_wait() + replay_time(input.layout, last + 1),
-            is_whole: outcome.is_whole(),
+            is_complete: outcome.is_complete(),
         })
     });
     repaired.collect()
@@ -115,7 +118,7 @@
         RepairedRequest {
             time: after.next().map(|at| at - input.injected.at),
             best_possible: input.usual_wait(),
-            is_whole: outcome.is_whole(),
+            is_complete: outcome.is_complete(),
         }
     });
     repaired.collect()
@@ -124,7 +127,7 @@
 fn was_in_flight(outcome: &GenerationOutcome, at: Instant) -> bool {
     let began = outcome
         .history
-        .answers
+        .responses
         .first()
         .is_some_and(|response| response.sent < at);
     began && outcome.ended().is_some_and(|ended| ended > at)
--- a/standins/src/load/run.rs
+++ b/standins/src/load/run.rs
@@ -158,7 +158,7 @@
             .map(|call| call.history.refusals().count() as u64)
             .sum(),
         keyed_calls: keyed().count() as u64,
-        keyed_answered: keyed().filter(|call| call.is_answered()).count() as u64,
+        keyed_answered: keyed().filter(|call| call.is_successful()).count() as u64,
         doubled_calls: keyed().filter(|call| call.replies.len() > 1).count() as u64,
         refusals: by_reason(&run.after, "jackdawwick_refusals_total"),
         retries: by_reason(&run.after, "jackdawwick_retries_total"),
--- a/standins/src/operator.rs
+++ b/standins/src/operator.rs
@@ -13,7 +13,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::caller::token_of;
-use crate::json_client::{CallError, JsonReply};
+use crate::json_client::{CallError, JsonResponse};
 
 /// Operator known to every daemon that the stand-ins start.
 pub const OPERATOR: &str = "operator-1";
@@ -43,7 +43,7 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Result<JsonReply, CallError> {
+) -> Result<JsonResponse, CallError> {
     operate_as(OPERATOR, host, method, path, body).await
 }
 
@@ -54,7 +54,7 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-) -> Result<JsonReply, CallError> {
+) -> Result<JsonResponse, CallError> {
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{host}{path}"))
@@ -68,7 +68,7 @@
     let response = client.request(request).await?;
     let status = response.status();
     let body = response.into_body().collect().await?.to_bytes();
-    Ok(JsonReply { status, body })
+    Ok(JsonResponse { status, body })
 }
 
 /// Reads a path of the operators' interface and parses the response.
@@ -88,7 +88,7 @@
     host: SocketAddr,
     declaration: &Declaration,
     based_on: Option<LogOffset>,
-) -> Result<JsonReply, CallError> {
+) -> Result<JsonResponse, CallError> {
     apply_as(OPERATOR, host, declaration, based_on).await
 }
 
@@ -98,7 +98,7 @@
     host: SocketAddr,
     declaration: &Declaration,
     based_on: Option<LogOffset>,
-) -> Result<JsonReply, CallError> {
+) -> Result<JsonResponse, CallError> {
     let body = ApplyBody {
         spec: declaration.spec.clone(),
         based_on,
@@ -119,7 +119,7 @@
     host: SocketAddr,
     key: &ResourceKey,
     based_on: LogOffset,
-) -> Result<JsonReply, CallError> {
+) -> Result<JsonResponse, CallError> {
     let path = format!("{}?based_on={based_on}", path_of(key));
     operate(host, Method::DELETE, &path, Vec::new()).await
 }
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -72,7 +72,7 @@
     }
 
     /// Simulates a crash: resets every connection and refuses new ones.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         self.calls.faults.update(|faults| faults.dead = true);
     }
 
@@ -84,7 +84,7 @@
 
     /// Stops listening and closes every connection.
     pub fn shutdown(&self) {
-        self.die();
+        self.crash();
         self.http.shutdown();
         self.gauge_task.abort();
     }
--- a/standins/src/slopes/data_path.rs
+++ b/standins/src/slopes/data_path.rs
@@ -135,7 +135,7 @@
         };
         let request = format!("request-{stream}-{number}");
         let response = caller.generate(host, &request, &body).await;
-        match response.is_whole() {
+        match response.is_complete() {
             true => received += tokens,
             // Directly after the start the host has no share of the capacity yet.
             false if stream == 0 => tokio::time::sleep(RETRY_PAUSE).await,
--- a/standins/src/soak/departure.rs
+++ b/standins/src/soak/departure.rs
@@ -152,8 +152,10 @@
     let (late, before) = on_left.partition::<Vec<_>, _>(|ran| ran.at > known + DRAIN_BOUND);
     let own = LOCAL_TARGETS.map(|target| &run.targets[target].id);
     let on_expired = runs.iter().filter(|ran| own.contains(&&ran.target));
-    let is_answered = |outcome| matches!(outcome, CallOutcome::Answered { status: 200, .. });
-    let unanswered = records.iter().filter(|record| !is_answered(record.outcome));
+    let is_successful = |outcome| matches!(outcome, CallOutcome::Answered { status: 200, .. });
+    let unanswered = records
+        .iter()
+        .filter(|record| !is_successful(record.outcome));
     DepartureReport {
         late_runs: late.len(),
         runs_before: before.len(),
--- a/standins/src/soak/limit.rs
+++ b/standins/src/soak/limit.rs
@@ -113,8 +113,10 @@
         .iter()
         .filter(|at| (enforced_from..limit.until).contains(*at));
     let possible = PER_SECOND * (limit.until - enforced_from).as_secs_f64();
-    let is_answered = |outcome| matches!(outcome, CallOutcome::Answered { status: 200, .. });
-    let unanswered = records.iter().filter(|record| !is_answered(record.outcome));
+    let is_successful = |outcome| matches!(outcome, CallOutcome::Answered { status: 200, .. });
+    let unanswered = records
+        .iter()
+        .filter(|record| !is_successful(record.outcome));
     let violation = limit.worst_violation(&arrivals);
     Ok(LimitReport {
         violation: violation.map(|violation| (violation.arrived, violation.allowed)),
--- a/standins/tests/at_most_once.rs
+++ b/standins/tests/at_most_once.rs
@@ -425,7 +425,7 @@
             fleet.generate(fleet.callers(1), &requests[1], Some(&key), 5),
         );
         assert!(
-            first.is_whole() != second.is_whole(),
+            first.is_complete() != second.is_complete(),
             "{first:?}, {second:?}"
         );
         let host = fleet.callers(number as usize % 2);
--- a/standins/tests/checkers.rs
+++ b/standins/tests/checkers.rs
@@ -107,7 +107,7 @@
             layers: LAYERS,
             prompt: PROMPT.to_vec(),
             max_tokens: TOKENS,
-            answers: vec![answer(events)],
+            responses: vec![answer(events)],
         }],
         service_calls: vec![CallHistory {
             request: "call".into(),
@@ -159,7 +159,7 @@
 }
 
 fn events(history: &mut RunHistory) -> &mut Vec<ReceivedEvent> {
-    &mut history.generations[0].answers[0].events
+    &mut history.generations[0].responses[0].events
 }
 
 #[test]
@@ -252,7 +252,7 @@
 #[test]
 fn a_request_that_ran_although_refused_as_not_run_is_noticed() {
     let generation = violated_guarantees(|history| {
-        let answer = &mut history.generations[0].answers[0];
+        let answer = &mut history.generations[0].responses[0];
         answer.events.clear();
         answer.refusal = Some(refused());
     });
@@ -303,19 +303,19 @@
     let twice = violated_guarantees(|history| {
         let mut closing = answer(vec![StreamEvent::Done { count: TOKENS }]);
         closing.broken = false;
-        history.generations[0].answers.push(closing);
+        history.generations[0].responses.push(closing);
     });
     assert_eq!(twice, [Guarantee::SingleResponse]);
     let lost_call = violated_guarantees(|history| history.service_calls[0].replies = vec![None]);
     assert_eq!(lost_call, [Guarantee::SingleResponse]);
     // After an entry host ended, the caller resumes with the tokens that it holds.
     let resumed = violated_guarantees(|history| {
-        let answers = &mut history.generations[0].answers;
-        let rest = answers[0].events.split_off(1);
-        answers[0].broken = true;
+        let responses = &mut history.generations[0].responses;
+        let rest = responses[0].events.split_off(1);
+        responses[0].broken = true;
         let mut second = answer(Vec::new());
         second.events = rest;
-        answers.push(second);
+        responses.push(second);
     });
     assert_eq!(resumed, []);
 }
--- a/standins/tests/claim_fleet/mod.rs
+++ b/standins/tests/claim_fleet/mod.rs
@@ -167,7 +167,7 @@
                 priority: 0,
                 resume: None,
             };
-            caller.generate(host, "warm-up", &body).await.is_whole()
+            caller.generate(host, "warm-up", &body).await.is_complete()
         })
         .await?;
     }
@@ -297,7 +297,7 @@
             layers: LAYERS,
             prompt: PROMPT.to_vec(),
             max_tokens,
-            answers: vec![response.clone()],
+            responses: vec![response.clone()],
         });
         response
     }
--- a/standins/tests/configuration_hosts.rs
+++ b/standins/tests/configuration_hosts.rs
@@ -335,7 +335,7 @@
         &body.prompt,
         TOKENS as usize,
     );
-    assert!(response.is_whole(), "{response:?}");
+    assert!(response.is_complete(), "{response:?}");
     assert_eq!(response.tokens(), expected);
     assert!(change_count? > 0, "nothing changed while the stream ran");
     // The platform is down, and the configuration stays in effect.
--- a/standins/tests/engine.rs
+++ b/standins/tests/engine.rs
@@ -9,7 +9,7 @@
     TargetRefusal, TargetRefusalKind, TargetState,
 };
 use standins::engine::{EngineServer, EngineSettings, FencingMode, StepKind};
-use standins::json_client::{CallError, JsonReply, call};
+use standins::json_client::{CallError, JsonResponse, call};
 use standins::reference;
 use tokio::time::timeout;
 
@@ -45,11 +45,11 @@
     }
 }
 
-async fn step(engine: &EngineServer, order: &StepRequest) -> Result<JsonReply, CallError> {
+async fn step(engine: &EngineServer, order: &StepRequest) -> Result<JsonResponse, CallError> {
     call(Method::POST, engine.local_addr(), "/v1/steps", order).await
 }
 
-async fn get(engine: &EngineServer, path: &str) -> Result<JsonReply, CallError> {
+async fn get(engine: &EngineServer, path: &str) -> Result<JsonResponse, CallError> {
     call(Method::GET, engine.local_addr(), path, &()).await
 }
 
@@ -66,7 +66,7 @@
     timeout(DEADLINE, poll).await?
 }
 
-fn refusal(reply: &JsonReply) -> Result<TargetRefusalKind, serde_json::Error> {
+fn refusal(reply: &JsonResponse) -> Result<TargetRefusalKind, serde_json::Error> {
     Ok(reply.json::<TargetRefusal>()?.refused)
 }
 
--- a/standins/tests/leaving.rs
+++ b/standins/tests/leaving.rs
@@ -105,7 +105,7 @@
         layers: 8,
         prompt: PROMPT.to_vec(),
         max_tokens: request_body.max_tokens,
-        answers: vec![response],
+        responses: vec![response],
     }
 }
 
@@ -201,10 +201,10 @@
         assert_eq!(status, Ok(http::StatusCode::OK), "{call:?}");
     }
     for generation in &results.generations {
-        assert!(generation.answers[0].is_whole(), "{generation:?}");
+        assert!(generation.responses[0].is_complete(), "{generation:?}");
     }
     let late = results.generations.iter().filter(|generation| {
-        let sent = generation.answers[0].sent;
+        let sent = generation.responses[0].sent;
         sent > grace_over
     });
     assert!(late.count() >= MIN_REQUESTS_AFTER_GRACE);
--- a/standins/tests/not_run.rs
+++ b/standins/tests/not_run.rs
@@ -247,7 +247,7 @@
             attempts.set(attempts.get() + 1);
             let request = format!("again-{}", attempts.get());
             let response = fleet.generate(host, &request, Some(key), tokens).await;
-            response.is_whole()
+            response.is_complete()
         })
         .await;
     }
@@ -281,7 +281,7 @@
         async {
             let begun = || async { fleet.steps_of("broken") > 4 };
             let begun = eventually("the run has begun", begun).await;
-            engine.die();
+            engine.crash();
             begun
         }
     );
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -113,7 +113,7 @@
         eventually("a request completes", || async {
             let caller = CallerClient::open(ORGANISATION);
             let response = caller.generate(daemon.callers, "first", &body(1)).await;
-            response.is_whole()
+            response.is_complete()
         })
         .await?;
     }
@@ -168,7 +168,7 @@
         layers: LAYERS,
         prompt: PROMPT.to_vec(),
         max_tokens,
-        answers: vec![response],
+        responses: vec![response],
     }
 }
 
@@ -343,7 +343,7 @@
     );
     generations.push(long);
     for generation in &generations {
-        assert!(generation.answers[0].is_whole(), "{generation:?}");
+        assert!(generation.responses[0].is_complete(), "{generation:?}");
     }
     let history = fleet.history(generations);
     assert_eq!(check_layers(&history), []);
@@ -365,9 +365,9 @@
     loop {
         let request = format!("early-{}", generations.len());
         let generation = run(callers, request, SHORT_TOKENS).await;
-        let is_whole = generation.answers[0].is_whole();
+        let is_complete = generation.responses[0].is_complete();
         generations.push(generation);
-        if is_whole {
+        if is_complete {
             break;
         }
         assert!(Instant::now() < deadline, "{generations:?}");
--- a/standins/tests/shutdown.rs
+++ b/standins/tests/shutdown.rs
@@ -109,7 +109,7 @@
         eventually("a request completes", || async {
             let caller = CallerClient::open(WIDE);
             let response = caller.generate(daemon.callers, "first", &body(1)).await;
-            response.is_whole()
+            response.is_complete()
         })
         .await?;
     }
@@ -121,7 +121,7 @@
 async fn wait_for_narrow_capacity(host: SocketAddr) -> TestResult {
     eventually("the narrow organisation is served", || async {
         let caller = CallerClient::open(NARROW);
-        caller.generate(host, "hold", &body(1)).await.is_whole()
+        caller.generate(host, "hold", &body(1)).await.is_complete()
     })
     .await
 }
@@ -185,7 +185,7 @@
             layers: LAYERS,
             prompt: PROMPT.to_vec(),
             max_tokens,
-            answers: vec![response],
+            responses: vec![response],
         }
     })
 }
@@ -308,7 +308,7 @@
     assert_eq!(download.await??.status, StatusCode::OK);
     assert_eq!(wait_for_exit(&mut fleet.daemons[holder])?, Some(0));
     for generation in &generations {
-        assert!(generation.answers[0].is_whole(), "{generation:?}");
+        assert!(generation.responses[0].is_complete(), "{generation:?}");
     }
     assert!(!fleet.has_run("late"));
     let history = RunHistory {
@@ -340,7 +340,7 @@
             .iter()
             .max_by_key(|(_, server)| server.record().len());
         if let Some((_, server)) = busiest {
-            server.die();
+            server.crash();
         }
     })
     .await
@@ -362,7 +362,7 @@
     tokio::time::sleep(Duration::from_millis(200)).await;
     fleet.daemons[0].process.signal("TERM")?;
     for cut in [stream.await?, running.await?] {
-        let response = &cut.answers[0];
+        let response = &cut.responses[0];
         assert!(!response.broken, "{response:?}");
         let refusal = response.refused().ok_or("no error event")?;
         assert_eq!(refusal.reason, RefusalReason::Draining);
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -7,7 +7,7 @@
 use jackdawwick::platform::wire::{AppendBody, ReadResponse};
 use jackdawwick::target::wire::{StepLabel, StepRequest, StepResponse, TargetRefusal};
 use standins::engine::{EngineServer, EngineSettings, StepKind};
-use standins::json_client::{CallError, JsonReply, call};
+use standins::json_client::{CallError, JsonResponse, call};
 use standins::platform::{PlatformServer, PlatformSettings};
 use standins::reference;
 use standins::service::{ServiceResponse, ServiceServer, ServiceSettings};
@@ -45,7 +45,7 @@
     }
 }
 
-async fn step(addr: SocketAddr, order: &StepRequest) -> Result<JsonReply, CallError> {
+async fn step(addr: SocketAddr, order: &StepRequest) -> Result<JsonResponse, CallError> {
     call(Method::POST, addr, "/v1/steps", order).await
 }
 
@@ -155,7 +155,7 @@
     let engine = &engines[0];
     let prefill = order(0, 0, &PROMPT);
     step(engine.local_addr(), &prefill).await?;
-    engine.die();
+    engine.crash();
     let is_refused = async {
         while step(engine.local_addr(), &prefill).await.is_ok() {
             tokio::task::yield_now().await;
--- a/standins/tests/support/hosts.rs
+++ b/standins/tests/support/hosts.rs
@@ -122,7 +122,7 @@
     declarations::organisation(name, capacity, capacity)
 }
 
-pub fn accepted(reply: &standins::json_client::JsonReply) -> Result<LogOffset, TestError> {
+pub fn accepted(reply: &standins::json_client::JsonResponse) -> Result<LogOffset, TestError> {
     match reply.status {
         StatusCode::OK => Ok(reply.json::<AcceptedBody>()?.version),
         status => Err(format!("{status}: {:?}", reply.body).into()),
--- a/standins/tests/whole_answers.rs
+++ b/standins/tests/whole_answers.rs
@@ -68,7 +68,7 @@
     CallerClient::open("organisation-1")
 }
 
-fn history(fleet: &Fleet, request: &str, answers: Vec<GenerationResponse>) -> RunHistory {
+fn history(fleet: &Fleet, request: &str, responses: Vec<GenerationResponse>) -> RunHistory {
     RunHistory {
         generations: vec![GenerationHistory {
             request: request.into(),
@@ -78,7 +78,7 @@
             layers: LAYERS,
             prompt: PROMPT.to_vec(),
             max_tokens: TOKENS,
-            answers,
+            responses,
         }],
         ..fleet.recorded()
     }
@@ -163,10 +163,10 @@
         for position in [PREFILL, FIRST_TOKEN, MIDDLE, LAST_TOKEN] {
             let request = format!("die-{stage}-{position}");
             let response = run_with_fault(&fleet, &request, &[stage], position, |engine| {
-                engine.server.die();
+                engine.server.crash();
             })
             .await?;
-            assert!(response.is_whole(), "{request}: {response:?}");
+            assert!(response.is_complete(), "{request}: {response:?}");
             assert_invariants(&history(&fleet, &request, vec![response]));
             for engine in &fleet.engines {
                 engine.server.revive();
@@ -186,10 +186,10 @@
     for (number, stages) in [[0, 1], [1, 2], [0, 2]].iter().enumerate() {
         let request = format!("two-{number}");
         let response = run_with_fault(&fleet, &request, stages, MIDDLE, |engine| {
-            engine.server.die();
+            engine.server.crash();
         })
         .await?;
-        assert!(response.is_whole(), "{request}: {response:?}");
+        assert!(response.is_complete(), "{request}: {response:?}");
         assert_invariants(&history(&fleet, &request, vec![response]));
         for engine in &fleet.engines {
             engine.server.revive();
@@ -224,8 +224,8 @@
             })
             .await?;
             let concurrent = other.await?;
-            assert!(response.is_whole(), "{request}: {response:?}");
-            assert!(concurrent.is_whole(), "beside {request}: {concurrent:?}");
+            assert!(response.is_complete(), "{request}: {response:?}");
+            assert!(concurrent.is_complete(), "beside {request}: {concurrent:?}");
             assert_invariants(&history(&fleet, &request, vec![response]));
             let concurrent_request = format!("beside-{request}");
             assert_invariants(&history(&fleet, &concurrent_request, vec![concurrent]));
@@ -252,7 +252,7 @@
                 .unwrap_or_else(|error| error.into_inner()) = Some(faults);
         })
         .await?;
-        assert!(response.is_whole(), "{request}: {response:?}");
+        assert!(response.is_complete(), "{request}: {response:?}");
         let faults = frozen_faults.into_inner()?.ok_or("no engine was frozen")?;
         faults.update(|faults| faults.frozen = false);
         tokio::time::sleep(Duration::from_millis(50)).await;
--- a/standins/tests/whole_path.rs
+++ b/standins/tests/whole_path.rs
@@ -193,7 +193,7 @@
     for (index, daemon) in fleet.daemons.iter().enumerate() {
         let request = format!("request-{index}");
         let response = caller.generate(daemon.callers, &request, &body()).await;
-        assert!(response.is_whole(), "{response:?}");
+        assert!(response.is_complete(), "{response:?}");
         assert_eq!(response.tokens(), expected_tokens);
         check_layers(&engine_records(&fleet).await?, &request)?;
     }
@@ -230,7 +230,7 @@
         &PROMPT,
         TOKENS as usize,
     );
-    assert!(response.is_whole());
+    assert!(response.is_complete());
     assert_ne!(response.tokens(), expected_tokens);
     assert!(check_layers(&engine_records(&fleet).await?, "skipped").is_err());
     Ok(())
