--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -213,8 +213,8 @@
         service_calls: observed.service_calls,
         ..fleet.recorded()
     };
-    let broken = check_all(&history, Duration::ZERO);
-    for violation in &broken {
+    let violations = check_all(&history, Duration::ZERO);
+    for violation in &violations {
         println!("BROKEN: {violation}");
     }
     let refused = history
@@ -223,8 +223,8 @@
         .find(|generation| generation.closing_count().is_none());
     match refused {
         Some(generation) => Err(format!("{} did not complete", generation.request).into()),
-        None if broken.is_empty() => Ok(()),
-        None => Err(format!("{} guarantees were violated", broken.len()).into()),
+        None if violations.is_empty() => Ok(()),
+        None => Err(format!("{} guarantees were violated", violations.len()).into()),
     }
 }
 
--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -72,17 +72,17 @@
 }
 
 fn line(seed: u64, report: &SoakReport) -> String {
-    let answered = |range: std::ops::Range<u16>| {
+    let with_status = |range: std::ops::Range<u16>| {
         report.count(
-            |ended| matches!(ended, CallOutcome::Answered { status, .. } if range.contains(&status)),
+            |ended| matches!(ended, CallOutcome::Completed { status, .. } if range.contains(&status)),
         )
     };
     format!(
         "seed {seed}: {} faults, {} calls, {} served, {} refused or failed, {} interrupted, {} timed out; violations: {:?}",
         report.faults,
         report.history.calls.len(),
-        answered(200..300),
-        answered(300..600),
+        with_status(200..300),
+        with_status(300..600),
         report.count(|ended| ended == CallOutcome::Interrupted),
         report.count(|ended| ended == CallOutcome::TimedOut),
         report.violations,
--- a/standins/src/load/measure.rs
+++ b/standins/src/load/measure.rs
@@ -157,8 +157,8 @@
 /// Returns the quantiles of the times from the intended start to the end of a complete
 /// response.
 pub(super) fn complete_responses(generations: &[&GenerationOutcome]) -> Quantiles {
-    let whole = generations.iter().filter(|outcome| outcome.is_complete());
-    Quantiles::of(whole.filter_map(|outcome| Some(outcome.ended()? - outcome.intended)))
+    let complete = generations.iter().filter(|outcome| outcome.is_complete());
+    Quantiles::of(complete.filter_map(|outcome| Some(outcome.ended()? - outcome.intended)))
 }
 
 /// Returns Jain's index of the shares completed in time: 1 if all are equal, 1/n if one
--- a/standins/src/load/run.rs
+++ b/standins/src/load/run.rs
@@ -58,10 +58,10 @@
         engine_saturation,
         ..figures(options, &fleet, &run, &recorded)
     };
-    let broken = check_all(&history(run.outcomes, recorded), LEAVE_GRACE);
+    let violations = check_all(&history(run.outcomes, recorded), LEAVE_GRACE);
     fleet.shutdown().await;
     Ok(LoadFigures {
-        broken: broken.iter().map(ToString::to_string).collect(),
+        broken: violations.iter().map(ToString::to_string).collect(),
         ..figures
     })
 }
--- a/standins/src/pipeline/intake.rs
+++ b/standins/src/pipeline/intake.rs
@@ -69,7 +69,7 @@
     /// # Errors
     ///
     /// If the request does not exist, or an engine of a new part cannot accept it.
-    pub fn repath(
+    pub fn reroute(
         &mut self,
         id: &str,
         path: Vec<PathPart>,
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -133,7 +133,7 @@
             _ => CallKind::Stream,
         };
         let record = call(context, &mut connection, host, kind).await;
-        let continues = matches!(record.outcome, CallOutcome::Answered { .. });
+        let continues = matches!(record.outcome, CallOutcome::Completed { .. });
         context.history.lock().calls.push(record);
         if !continues || connection.is_closed() {
             return;
@@ -197,7 +197,7 @@
     };
     let body_matches =
         !(200..300).contains(&response.status) || response.body == expected.as_bytes();
-    CallOutcome::Answered {
+    CallOutcome::Completed {
         status: response.status,
         sealed: response.sealed,
         matching: body_matches && response.id.as_deref() == Some(id),
--- a/standins/src/soak/check.rs
+++ b/standins/src/soak/check.rs
@@ -106,7 +106,7 @@
 fn reports_not_run(outcome: CallOutcome) -> bool {
     matches!(
         outcome,
-        CallOutcome::Answered {
+        CallOutcome::Completed {
             status: 408 | 421 | 429 | 503,
             ..
         }
@@ -117,7 +117,7 @@
     let wrong = history.calls.iter().filter(|call| {
         matches!(
             call.outcome,
-            CallOutcome::Answered { status: 200..300, sealed, matching } if !(sealed && matching)
+            CallOutcome::Completed { status: 200..300, sealed, matching } if !(sealed && matching)
         )
     });
     wrong
@@ -129,17 +129,17 @@
     let mut served = HashMap::<(usize, u32), (u64, Instant)>::new();
     let mut violations = Vec::new();
     let mut probes = history.probes.iter().collect::<Vec<_>>();
-    probes.sort_by_key(|probe| probe.answered);
+    probes.sort_by_key(|probe| probe.received);
     for probe in probes {
         let known = served.entry((probe.host, probe.incarnation));
         if probe.active {
-            let known = known.or_insert((probe.version, probe.answered));
+            let known = known.or_insert((probe.version, probe.received));
             if probe.version > known.0 {
-                *known = (probe.version, probe.answered);
+                *known = (probe.version, probe.received);
             }
             continue;
         }
-        let known = known.or_insert((0, probe.answered));
+        let known = known.or_insert((0, probe.received));
         if probe.version <= known.0 && probe.sent > known.1 + REGRESSION_SLACK {
             violations.push(Violation::Regressed(probe.host, probe.version));
         }
@@ -217,7 +217,7 @@
                 history,
                 probe.host,
                 before(probe.published, UNDISTURBED_TIME),
-                probe.answered,
+                probe.received,
             )
     });
     late.map(|probe| Violation::LateVersion(probe.host, probe.version))
--- a/standins/src/soak/departure.rs
+++ b/standins/src/soak/departure.rs
@@ -38,7 +38,7 @@
     /// Requests that reached live targets while their entries were expired.
     pub runs_on_expired: usize,
     /// Calls without a successful response.
-    pub unanswered: usize,
+    pub unsuccessful: usize,
 }
 
 /// Calls a host without pauses until the callers are stopped.
@@ -152,14 +152,14 @@
     let (late, before) = on_left.partition::<Vec<_>, _>(|ran| ran.at > known + DRAIN_BOUND);
     let own = LOCAL_TARGETS.map(|target| &run.targets[target].id);
     let on_expired = runs.iter().filter(|ran| own.contains(&&ran.target));
-    let is_successful = |outcome| matches!(outcome, CallOutcome::Answered { status: 200, .. });
-    let unanswered = records
+    let is_successful = |outcome| matches!(outcome, CallOutcome::Completed { status: 200, .. });
+    let unsuccessful = records
         .iter()
         .filter(|record| !is_successful(record.outcome));
     DepartureReport {
         late_runs: late.len(),
         runs_before: before.len(),
         runs_on_expired: on_expired.filter(|ran| expired.contains(&ran.at)).count(),
-        unanswered: unanswered.count(),
+        unsuccessful: unsuccessful.count(),
     }
 }
--- a/standins/src/soak/history.rs
+++ b/standins/src/soak/history.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
     /// A complete response was received.
-    Answered {
+    Completed {
         /// Status code of the response.
         status: u16,
         /// Whether the response carries a target's proof.
@@ -102,7 +102,7 @@
     /// When the probe was sent.
     pub sent: Instant,
     /// When the response was received.
-    pub answered: Instant,
+    pub received: Instant,
 }
 
 /// What a disturbance affects.
--- a/standins/src/soak/limit.rs
+++ b/standins/src/soak/limit.rs
@@ -32,7 +32,7 @@
     /// Fraction of the limit that was used once it had to be kept.
     pub used: f64,
     /// Calls without a successful response.
-    pub unanswered: usize,
+    pub unsuccessful: usize,
     /// All calls.
     pub calls: usize,
 }
@@ -113,15 +113,15 @@
         .iter()
         .filter(|at| (enforced_from..limit.until).contains(*at));
     let possible = PER_SECOND * (limit.until - enforced_from).as_secs_f64();
-    let is_successful = |outcome| matches!(outcome, CallOutcome::Answered { status: 200, .. });
-    let unanswered = records
+    let is_successful = |outcome| matches!(outcome, CallOutcome::Completed { status: 200, .. });
+    let unsuccessful = records
         .iter()
         .filter(|record| !is_successful(record.outcome));
     let violation = limit.worst_violation(&arrivals);
     Ok(LimitReport {
         violation: violation.map(|violation| (violation.arrived, violation.allowed)),
         used: kept.count() as f64 / possible,
-        unanswered: unanswered.count(),
+        unsuccessful: unsuccessful.count(),
         calls: records.len(),
     })
 }
--- a/standins/src/soak/poison.rs
+++ b/standins/src/soak/poison.rs
@@ -101,11 +101,11 @@
 
     /// Sends the request to a host and replaces engines that crash meanwhile.
     async fn is_refused_by(&mut self, host: usize) -> io::Result<bool> {
-        let asked = tokio::spawn(is_refused(self.context.clone(), host));
-        while !asked.is_finished() {
+        let refusal = tokio::spawn(is_refused(self.context.clone(), host));
+        while !refusal.is_finished() {
             self.run_for(POLL_INTERVAL).await?;
         }
-        asked.await.map_err(io::Error::other)
+        refusal.await.map_err(io::Error::other)
     }
 
     /// Waits and replaces engines that crash meanwhile.
--- a/standins/src/soak/probe.rs
+++ b/standins/src/soak/probe.rs
@@ -96,7 +96,7 @@
     let request = build_request(&id, Method::GET, &path, RESPONSE_TIMEOUT);
     let sent = Instant::now();
     let response = tokio::time::timeout(RESPONSE_TIMEOUT, exchange(&mut connection, request)).await;
-    let answered = Instant::now();
+    let received = Instant::now();
     let status = match response {
         Ok(Some(response)) => Some(response.status),
         _ => None,
@@ -107,7 +107,7 @@
         kind: CallKind::Idempotent,
         host,
         sent,
-        ended: answered,
+        ended: received,
         outcome: CallOutcome::Probe,
     });
     // A host without any configuration responds with 503, which shows nothing about a
@@ -120,7 +120,7 @@
             active: status != 404,
             published: newest.at,
             sent,
-            answered,
+            received,
         });
     }
 }
--- a/standins/src/soak/run.rs
+++ b/standins/src/soak/run.rs
@@ -295,7 +295,7 @@
             let record = call(&self.context, &mut connection, index, kind).await;
             let outcome = record.outcome;
             self.context.history.lock().calls.push(record);
-            if !matches!(outcome, CallOutcome::Answered { status: 200, .. }) {
+            if !matches!(outcome, CallOutcome::Completed { status: 200, .. }) {
                 return false;
             }
         }
--- a/standins/tests/departures.rs
+++ b/standins/tests/departures.rs
@@ -12,7 +12,7 @@
 const HOSTS: usize = 4;
 
 fn has_no_late_runs(report: &DepartureReport) -> bool {
-    report.late_runs == 0 && report.runs_before > 0 && report.unanswered == 0
+    report.late_runs == 0 && report.runs_before > 0 && report.unsuccessful == 0
 }
 
 /// Guards against a host that alone loses the log and sends requests to a target that
--- a/standins/tests/limits.rs
+++ b/standins/tests/limits.rs
@@ -42,6 +42,6 @@
     let (settings, _folder) = soak_settings(HOSTS).await?;
     let report = run_rate_limit(settings).await?;
     assert_eq!(report.violation, None, "{report:?}");
-    assert_eq!(report.unanswered, 0, "{report:?}");
+    assert_eq!(report.unsuccessful, 0, "{report:?}");
     Ok(())
 }
--- a/standins/tests/pipeline.rs
+++ b/standins/tests/pipeline.rs
@@ -110,7 +110,7 @@
         .expect("taken");
     let before = run_until(&mut simulation, SECOND);
     simulation.kill(1, SECOND);
-    let moved = simulation.repath("r", path(2), SECOND + SECOND / 2);
+    let moved = simulation.reroute("r", path(2), SECOND + SECOND / 2);
     assert_eq!(moved, Ok(()));
     let after = run_until(&mut simulation, SECOND * 20);
     let lasts = after
@@ -124,7 +124,7 @@
             .any(|event| matches!(event, SimulationEvent::Cut { .. }))
     );
     assert_eq!(
-        simulation.repath("r", path(1), SECOND * 20),
+        simulation.reroute("r", path(1), SECOND * 20),
         Err(SubmitError::Unknown)
     );
 }
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -16,12 +16,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const SERVED: CallOutcome = CallOutcome::Answered {
+const SERVED: CallOutcome = CallOutcome::Completed {
     status: 200,
     sealed: true,
     matching: true,
 };
-const REFUSED: CallOutcome = CallOutcome::Answered {
+const REFUSED: CallOutcome = CallOutcome::Completed {
     status: 503,
     sealed: false,
     matching: true,
@@ -86,7 +86,7 @@
             active,
             published: self.at(published),
             sent: self.at(sent),
-            answered: self.at(sent + 5),
+            received: self.at(sent + 5),
         });
     }
 
@@ -132,7 +132,7 @@
 #[test]
 fn a_success_of_another_call_or_with_a_partial_body_is_found() {
     let mut builder = HistoryBuilder::new();
-    let partial = CallOutcome::Answered {
+    let partial = CallOutcome::Completed {
         status: 200,
         sealed: true,
         matching: false,
