--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -1,7 +1,7 @@
 //! Demonstrates a fleet: requests of both user organisations, a target that is killed
 //! during a stream, and the recorded decisions with their reasons.
 
-#![allow(clippy::print_stdout, reason = "a demo talks to whoever runs it")]
+#![allow(clippy::print_stdout, reason = "the demo reports on standard output")]
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant, SystemTime};
--- a/standins/src/bin/plans.rs
+++ b/standins/src/bin/plans.rs
@@ -65,7 +65,11 @@
             }
         }
     }
-    writeln!(out, "\non time, of what was asked:\n{}", plot_rows(&bars))
+    writeln!(
+        out,
+        "\nshare of requests completed on time:\n{}",
+        plot_rows(&bars)
+    )
 }
 
 fn parse_zone(index: usize, text: &str) -> ZoneEngines {
--- a/standins/src/check/layers.rs
+++ b/standins/src/check/layers.rs
@@ -93,7 +93,8 @@
     }
 }
 
-/// Returns whether `step` and steps before it ran the layers `0..end_layer` in order.
+/// Returns whether `step` and a chain of earlier steps ran the layers `0..end_layer` in
+/// order.
 fn is_chain(steps: &[&StepRecord], step: &StepRecord, end_layer: LayerIndex) -> bool {
     let count = step.layers.len() as LayerIndex;
     let Some(first) = end_layer.checked_sub(count).filter(|_| count > 0) else {
--- a/standins/src/engine/session.rs
+++ b/standins/src/engine/session.rs
@@ -14,7 +14,7 @@
 /// One session. Only one step at a time uses it.
 #[derive(Debug)]
 pub(super) struct EngineSession {
-    /// Locked for the whole of a step, so that a repeated step waits for the first one
+    /// Locked during the whole step, so that a repeated step waits for the first one
     /// and then finds its outputs.
     pub(super) data: tokio::sync::Mutex<SessionData>,
     closed: watch::Sender<bool>,
--- a/standins/src/fleet/zone_proxy.rs
+++ b/standins/src/fleet/zone_proxy.rs
@@ -72,7 +72,8 @@
     let Ok(mut upstream) = TcpStream::connect(platform).await else {
         return;
     };
-    // Small bodies would wait for the delayed acknowledgement of the receiver.
+    // Nagle's algorithm would delay small bodies until the receiver's delayed
+    // acknowledgement.
     let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
     tokio::select! {
         _ = tokio::io::copy_bidirectional(&mut downstream, &mut upstream) => {}
--- a/standins/src/http_server.rs
+++ b/standins/src/http_server.rs
@@ -53,7 +53,7 @@
         Some(value)
     }
 
-    /// Returns the text of a header, if it is present and readable.
+    /// Returns the text of a header, if it is present and visible ASCII.
     pub fn header_text(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
@@ -194,8 +194,8 @@
     }
 }
 
-/// Runs a call to its end even if the caller disconnects, as a real target would not
-/// notice. Only a simulated crash ends it early.
+/// Runs a call to its end even if the caller disconnects, as a real target does not
+/// notice this. Only a simulated crash ends the call early.
 async fn run_detached<F, R>(
     handling: R,
     faults: FaultSwitch<F>,
@@ -240,7 +240,8 @@
     H: Fn(ServedCall) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = CallOutcome> + Send + 'static,
 {
-    // Small responses would wait for the peer's delayed acknowledgement.
+    // Nagle's algorithm would delay small responses until the peer's delayed
+    // acknowledgement.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| serve_call(request, handler.clone()));
     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
--- a/standins/src/load/calibrate.rs
+++ b/standins/src/load/calibrate.rs
@@ -1,4 +1,4 @@
-//! Measures how close a stand-in engine alone comes to its declared rate.
+//! Measures the saturated rate of a single stand-in engine against its declared rate.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -48,7 +48,7 @@
     let sessions = (0..plan.concurrency * SESSIONS_PER_SLOT)
         .map(|session| keep_busy(&client, engine.local_addr(), layout, session, until));
     let steps: usize = join_all(sessions).await.into_iter().sum();
-    // Steps that are running when the time ends are counted, and so is their time.
+    // Steps that are running when the time ends are counted, as is their duration.
     let rate = steps as f64 / start.elapsed().as_secs_f64();
     Ok(rate / EnginePlan::tokens_per_second(plan))
 }
--- a/standins/src/load/figures.rs
+++ b/standins/src/load/figures.rs
@@ -15,11 +15,11 @@
 pub struct Quantiles {
     /// Number of values.
     pub count: u64,
-    /// Half of the values are at most this.
+    /// Median.
     pub p50_ms: f64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub p99_ms: f64,
     /// The largest.
     pub max_ms: f64,
@@ -92,7 +92,7 @@
     pub next_token: Quantiles,
     /// The best possible repair, median over the requests, in milliseconds: processing
     /// the positions so far on a replacement of mean speed, and half of the usual time
-    /// between tokens. After the death of a host: the latter alone.
+    /// between tokens. After the death of a host, only the latter.
     pub best_possible_ms: f64,
     /// Median of the ratio of each request's time to its best possible time.
     pub ratio_p50: f64,
@@ -103,11 +103,11 @@
 /// Resources that the daemons used in the measurement window.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize)]
 pub struct UsageFigures {
-    /// Mean number of cores that the request threads of a daemon used.
+    /// Mean number of cores that the threads of a daemon used, without the peer thread.
     pub cores_per_daemon: f64,
     /// Mean number of cores that the peer thread of a daemon used.
     pub peer_cores_per_daemon: f64,
-    /// Number of cores that the process used: daemons, stand-ins and callers.
+    /// Number of cores that the process with daemons, stand-ins and callers used.
     pub process_cores: f64,
     /// Memory of the process at the end, in megabytes, including all records.
     pub process_megabytes: f64,
@@ -161,8 +161,8 @@
     pub calls_refused: u64,
     /// Requests with an idempotency key.
     pub keyed_calls: u64,
-    /// Those of them that the service answered through any host. If they are few, they
-    /// prove little about keys never running twice.
+    /// Those of them that succeeded through any host. If they are few, the run hardly
+    /// shows that no key runs twice.
     pub keyed_answered: u64,
     /// Requests with an idempotency key that were sent to two hosts.
     pub doubled_calls: u64,
--- a/standins/src/load/recovery.rs
+++ b/standins/src/load/recovery.rs
@@ -155,7 +155,7 @@
     let before = count(steady_begin, fault) / (fault - steady_begin).as_secs_f64();
     let normal = before * INTERVAL.as_secs_f64() * RECOVERED_FRACTION;
     let mut from = fault;
-    // The last drop counts: after it no interval falls below the limit.
+    // Recovery ends with the last drop, after which no interval falls below the limit.
     let mut recovered_at = fault;
     while from + INTERVAL <= end {
         if count(from, from + INTERVAL) < normal {
--- a/standins/src/load/report.rs
+++ b/standins/src/load/report.rs
@@ -104,7 +104,7 @@
             triple(&figures.between_tokens),
         ),
         line(
-            "whole answer, p50/p95/p99 ms",
+            "complete response, p50/p95/p99 ms",
             triple(&figures.whole_answer),
         ),
         line(
@@ -117,7 +117,7 @@
         ),
         line("service calls refused", figures.calls_refused),
         line(
-            "requests with a key, of these answered, sent to two hosts",
+            "requests with a key, of these successful, sent to two hosts",
             format!(
                 "{}, {}, {}",
                 figures.keyed_calls, figures.keyed_answered, figures.doubled_calls
@@ -129,7 +129,7 @@
     ];
     lines.extend(recovery_lines(figures));
     lines.extend(usage_lines(figures));
-    lines.push(line("broken promises", figures.broken.len()));
+    lines.push(line("violations of guarantees", figures.broken.len()));
     lines
 }
 
@@ -137,11 +137,11 @@
     let mut lines = Vec::new();
     if let Some(recovery) = &figures.recovery {
         lines.push(line(
-            "requests on what died, of these whole",
+            "requests on the killed target or host, of these complete",
             format!("{}, {}", recovery.requests, recovery.whole),
         ));
         lines.push(line(
-            "next token after the death, p50/p95/p99 ms",
+            "next token after the kill, p50/p95/p99 ms",
             triple(&recovery.next_token),
         ));
         lines.push(line(
@@ -156,7 +156,7 @@
     if figures.fault != "none" {
         let back = figures.throughput_back_ms;
         let back = back.map_or("not within the run".to_owned(), |back| format!("{back:.0}"));
-        lines.push(line("throughput back at 90% after, ms", back));
+        lines.push(line("throughput recovered to 90% after, ms", back));
     }
     lines
 }
@@ -165,11 +165,11 @@
     let usage = &figures.usage;
     vec![
         line(
-            "a daemon's threads but for peers, cores",
+            "threads of a daemon except peer threads, cores",
             format!("{:.3}", usage.cores_per_daemon),
         ),
         line(
-            "a daemon's thread for peers, cores",
+            "peer thread of a daemon, cores",
             format!("{:.4}", usage.peer_cores_per_daemon),
         ),
         line(
@@ -181,7 +181,7 @@
             format!("{:.0}", usage.process_megabytes),
         ),
         line(
-            "a daemon's control bytes/s, sent and received",
+            "control bytes/s of a daemon, sent and received",
             format!(
                 "{:.0}, {:.0}",
                 usage.control_sent_per_daemon, usage.control_received_per_daemon
@@ -207,7 +207,7 @@
 fn counts(figures: &LoadFigures) -> String {
     let counts = &figures.counts;
     format!(
-        "{} offered: {} in time, {} late, {} refused, {} cut, {} unanswered",
+        "{} offered: {} in time, {} late, {} refused, {} cut, {} without a final response",
         counts.offered, counts.in_time, counts.late, counts.refused, counts.cut, counts.unanswered
     )
 }
--- a/standins/src/pipeline/simulation.rs
+++ b/standins/src/pipeline/simulation.rs
@@ -23,7 +23,7 @@
         /// Whether this is the last event.
         last: bool,
     },
-    /// The request was refused before its first token, as an engine is dead.
+    /// The request was refused before its first token because an engine is dead.
     Refused {
         /// The request.
         id: String,
--- a/standins/src/slopes/counting_proxy.rs
+++ b/standins/src/slopes/counting_proxy.rs
@@ -67,7 +67,8 @@
     let Ok(upstream) = TcpStream::connect(upstream).await else {
         return;
     };
-    // Small bodies would wait for the delayed acknowledgement of the receiver.
+    // Nagle's algorithm would delay small bodies until the receiver's delayed
+    // acknowledgement.
     let _ = (downstream.set_nodelay(true), upstream.set_nodelay(true));
     let kind = Arc::new(Mutex::new(PEER_KIND.to_owned()));
     let (downstream_read, downstream_write) = downstream.into_split();
--- a/standins/src/soak/check.rs
+++ b/standins/src/soak/check.rs
@@ -27,7 +27,7 @@
     RanTwice(String),
     /// A call ran though its caller received a response that it had not run.
     RanDespiteRefusal(String),
-    /// A successful response belongs to another call, has no proof of a target, or is
+    /// A successful response belongs to another call, lacks the target's proof, or is
     /// incomplete.
     WrongResponse(String),
     /// The path of a call did not hold every layer once, in order.
@@ -224,8 +224,8 @@
         .collect()
 }
 
-/// Finds limits that were exceeded. Only calls of hosts that were undisturbed for a while
-/// before count.
+/// Finds limits that were exceeded. Only calls of hosts that were undisturbed for
+/// [`UNDISTURBED_TIME`] before the call count.
 fn over_limits(history: &SoakHistory) -> Vec<Violation> {
     let calls = calls_by_id(history);
     let is_sound = |id: &str, at: Instant| {
--- a/standins/src/soak/poison.rs
+++ b/standins/src/soak/poison.rs
@@ -99,7 +99,8 @@
         Ok(refusing)
     }
 
-    /// Sends the request to a host and replaces engines that crash meanwhile.
+    /// Sends the request to a host, replaces engines that crash meanwhile, and returns
+    /// whether the host refused it.
     async fn is_refused_by(&mut self, host: usize) -> io::Result<bool> {
         let refusal = tokio::spawn(is_refused(self.context.clone(), host));
         while !refusal.is_finished() {
