--- a/standins/src/load_gauge.rs
+++ b/standins/src/load_gauge.rs
@@ -44,7 +44,7 @@
         self.tokens.fetch_add(tokens as u64, Ordering::Relaxed);
     }
 
-    /// Takes snapshots of `batch` at an interval of `lag`, without end.
+    /// Takes snapshots of `batch` at an interval of `lag`, until the task is dropped.
     pub(crate) async fn refresh_every(&self, lag: Duration, batch: &StepBatch) {
         let mut ticks = interval(lag.max(MIN_LAG));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/standins/src/soak/engines.rs
+++ b/standins/src/soak/engines.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone)]
 struct RunningPath {
     parts: Vec<PathPart>,
-    /// Distinguishes a stream from one that was resumed in its place.
+    /// Distinguishes a stream from an earlier one of the same call.
     number: u64,
 }
 
@@ -145,7 +145,7 @@
         paths.retain(|(other, _), path| other != id || path.number != number);
     }
 
-    /// Returns the engine that a running stream waits for.
+    /// Returns the first unreachable engine of a running stream, for which it waits.
     pub(super) fn stalled_at(&self, id: &str, number: u64) -> Option<SocketAddr> {
         let parts = {
             let paths = self.paths.lock();
--- a/standins/src/soak/target.rs
+++ b/standins/src/soak/target.rs
@@ -120,7 +120,7 @@
         self.link.set(super::link::LinkFault::Reset);
     }
 
-    /// Ends the process of the target: its port accepts no more connections.
+    /// Ends the process of the target, so that its port accepts no more connections.
     pub(super) fn exit(&self) {
         self.update(|state| state.reachable = false);
         self.abort();
@@ -187,7 +187,7 @@
     }
 }
 
-/// Makes hyper close the connection without a response.
+/// Error that makes hyper close the connection without a response.
 #[derive(Debug, thiserror::Error)]
 #[error("response dropped")]
 struct DroppedResponse;
@@ -317,7 +317,7 @@
     response
 }
 
-/// Refuses a request as not run, because of the server `at`.
+/// Creates a refusal of a request that was not run, with the server `at` as its cause.
 fn refusal(status: u16, at: SocketAddr) -> Response<TargetBody> {
     let mut response = json_response(status, &json!({}));
     let headers = response.headers_mut();
