--- a/standins/src/bin/demo.rs
+++ b/standins/src/bin/demo.rs
@@ -1,7 +1,7 @@
 //! Demonstrates a fleet: requests of both user organisations, a target that is killed
 //! during a stream, and the recorded decisions with their reasons.
 
-#![allow(clippy::print_stdout, reason = "a demo talks to whoever runs it")]
+#![allow(clippy::print_stdout, reason = "the demo reports on standard output")]
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant, SystemTime};
@@ -118,7 +118,7 @@
         layers: fleet.layout.layers(),
         prompt: body.prompt,
         max_tokens: body.max_tokens,
-        answers: vec![response],
+        responses: vec![response],
     }
 }
 
@@ -185,7 +185,7 @@
             let record = engine.server.record();
             let mut steps = record.iter();
             if steps.any(|step| step.request.starts_with(&run) && step.position >= half_way) {
-                engine.server.die();
+                engine.server.crash();
                 return Ok(engine.target.name.clone());
             }
         }
@@ -213,9 +213,9 @@
         service_calls: observed.service_calls,
         ..fleet.recorded()
     };
-    let broken = check_all(&history, Duration::ZERO);
-    for promise in &broken {
-        println!("BROKEN: {promise}");
+    let violations = check_all(&history, Duration::ZERO);
+    for violation in &violations {
+        println!("BROKEN: {violation}");
     }
     let refused = history
         .generations
@@ -223,8 +223,8 @@
         .find(|generation| generation.closing_count().is_none());
     match refused {
         Some(generation) => Err(format!("{} did not complete", generation.request).into()),
-        None if broken.is_empty() => Ok(()),
-        None => Err(format!("{} guarantees were violated", broken.len()).into()),
+        None if violations.is_empty() => Ok(()),
+        None => Err(format!("{} guarantees were violated", violations.len()).into()),
     }
 }
 
