--- a/standins/tests/checkers.rs
+++ b/standins/tests/checkers.rs
@@ -22,7 +22,7 @@
 const TOKENS: u64 = 3;
 const GRACE: Duration = Duration::from_secs(2);
 
-fn heard(event: StreamEvent) -> ReceivedEvent {
+fn received(event: StreamEvent) -> ReceivedEvent {
     let at = Instant::now();
     ReceivedEvent { at, event }
 }
@@ -31,7 +31,7 @@
     GenerationResponse {
         sent: Instant::now(),
         status: Some(StatusCode::OK),
-        events: events.into_iter().map(heard).collect(),
+        events: events.into_iter().map(received).collect(),
         refusal: None,
         broken: false,
         ended: Instant::now(),
@@ -224,10 +224,10 @@
     };
     let short = |history: &mut RunHistory| {
         events(history).drain(2..);
-        events(history).push(heard(StreamEvent::Done { count: 2 }));
+        events(history).push(received(StreamEvent::Done { count: 2 }));
     };
     let miscounted =
-        |history: &mut RunHistory| events(history)[3] = heard(StreamEvent::Done { count: 4 });
+        |history: &mut RunHistory| events(history)[3] = received(StreamEvent::Done { count: 4 });
     let faults: [fn(&mut RunHistory); 4] = [gap, twice, short, miscounted];
     for (index, fault) in faults.into_iter().enumerate() {
         assert_eq!(
@@ -238,7 +238,7 @@
     }
     // The token of another request is also one that no chain of this request returned.
     let foreign = violated_guarantees(|history| {
-        events(history)[1] = heard(StreamEvent::Token {
+        events(history)[1] = received(StreamEvent::Token {
             number: 1,
             token: 1,
         });
--- a/standins/tests/leaving.rs
+++ b/standins/tests/leaving.rs
@@ -334,9 +334,10 @@
     Ok(())
 }
 
-/// Guards against the same fault in a zone without entry hosts: hosts poll only targets
-/// of their own zone, so the refusal of a step must count as the target's report. The
-/// hosts of the targets' zone die, the platform is down, and the targets refuse work.
+/// Guards against runs that are offered again and again to a target that refuses them in a
+/// zone without entry hosts: hosts poll only targets of their own zone, so the refusal of
+/// a step must count as the target's report. The hosts of the targets' zone die, the
+/// platform is down, and the targets refuse work.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_marks_a_target_that_no_host_polls_as_leaving() -> TestResult {
     let mut fleet = start_fleet(["vake", "vake"]).await?;
--- a/standins/tests/not_run.rs
+++ b/standins/tests/not_run.rs
@@ -131,8 +131,9 @@
     Ok(())
 }
 
-/// Guards against the same fault for an idempotent call. The router may retry it where
-/// that is allowed, and its verdict must cover every attempt.
+/// Guards against an idempotent call that ran although it was reported as not run. The
+/// router may retry such a call where that is allowed, and its verdict must cover every
+/// attempt.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plain_call_reported_not_run_did_not_run() -> TestResult {
     let results = join_all(call_cases().into_iter().map(try_plain_call)).await;
@@ -264,8 +265,8 @@
     Ok(())
 }
 
-/// Guards against the same fault in the middle of a stream, because delivered tokens do
-/// not count as run. The engine dies while it responds.
+/// Guards against an interrupted stream that is reported as not run, because delivered
+/// tokens do not count as run. The engine dies while it responds.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_interrupted_generation_is_never_reported_not_run() -> TestResult {
     let fleet = ClaimFleet::start(2, SHORT_TARGET_TIMEOUTS).await?;
@@ -293,9 +294,9 @@
     fleet.check()
 }
 
-/// Guards against the same fault when the deadline of the caller expires during a step,
-/// because a step without a response does not count as run. The engine hangs while it
-/// responds.
+/// Guards against a generation that is reported as not run although its deadline expired
+/// during a step, because a step without a response does not count as run. The engine
+/// hangs while it responds.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_timed_out_generation_is_never_reported_not_run() -> TestResult {
     let fleet = ClaimFleet::start(1, "\n[timing]\nstep_timeout = \"20s\"\n").await?;
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -93,7 +93,7 @@
 /// Guards against an organisation that is refused forever although its slot becomes free.
 /// During a stall its requests end 5 s apart until that is the measured drain rate;
 /// afterwards each request has 600 ms left, too little to wait for such an end. If only
-/// ends with a waiting request were measured, none would be any more.
+/// ends during which another request waits were measured, the rate would never recover.
 #[test]
 fn drain_rate_recovers_after_a_stall() {
     let mut now = Instant::now();
--- a/tests/claims.rs
+++ b/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Cases of claims that the model test does not cover by themselves.
+//! Rules of claims that the model test in `claims_model.rs` does not check one by one.
 
 #![allow(clippy::unwrap_used)] // A test may panic on a missing value.
 
--- a/tests/paths.rs
+++ b/tests/paths.rs
@@ -214,7 +214,7 @@
 /// Guards against timeouts after one engine in the middle of the paths becomes slow. The
 /// host must request its pace and use it in the cost.
 #[test]
-fn a_slow_engine_is_passed_by() {
+fn a_slow_engine_is_avoided() {
     let model = model();
     let now = Instant::now();
     let mut fleet = fleet([
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -144,7 +144,7 @@
 /// two fast engines crashes, widening the other over its layers would reduce its capacity
 /// from 107 requests to four and cause 540 requests to be prefilled again.
 #[test]
-fn no_engine_is_widened_until_it_has_no_room() {
+fn a_widened_engine_keeps_capacity_for_requests() {
     let model = model();
     let mut engines = small_zone();
     engines.remove(0);
@@ -162,7 +162,7 @@
 /// Guards against a zone that stays without layers after the loss of a fast and a usual
 /// engine. No single change improves such a zone, so it must be replanned from scratch.
 #[test]
-fn a_zone_that_lost_two_large_engines_is_planned_anew() {
+fn a_zone_that_lost_two_large_engines_is_replanned() {
     let model = model();
     let mut engines = small_zone();
     engines.remove(2);
@@ -193,8 +193,8 @@
     assert!((0..model.layers).all(|layer| holders(&engines, layer) > 0));
 }
 
-/// Guards against the same fault when the crashed engine returns empty: the engine that
-/// was widened must be narrowed again.
+/// Guards against a widened engine that keeps its wide range, and so little capacity, when
+/// the crashed engine returns empty: the widened engine must be narrowed again.
 #[test]
 fn a_widened_engine_and_an_empty_one_are_placed_together() {
     let model = model();
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -238,8 +238,8 @@
     assert!(second.table.is_poison(7, now));
 }
 
-/// Guards against the reverse: a new incarnation counts its versions from zero, and its
-/// evidence must not be ignored because of the low versions.
+/// Guards against evidence of a restarted host that its peer ignores: the new incarnation
+/// counts its versions from zero, below those that the peer knows of the previous one.
 #[test]
 fn evidence_of_a_restarted_host_is_applied_despite_low_versions() {
     let now = Instant::now();
--- a/tests/shares_scenarios.rs
+++ b/tests/shares_scenarios.rs
@@ -275,7 +275,7 @@
     assert_within_bought(&model);
 }
 
-/// Guards against the same excess under a single lease holder: a late reply arrives after
+/// Guards against exceeding the sum under a single lease holder: a late reply arrives after
 /// a newer one that lowers the grant.
 #[test]
 fn reply_that_arrives_out_of_order_is_rejected() {
@@ -364,10 +364,10 @@
     assert_eq!(limit(&model, 1), 6);
 }
 
-/// Guards against the same double grant while the first lease holder is partitioned from
-/// the second. The first one has opened its lease, no other host is registered, and it
-/// still replies to a host on its side. A new lease holder must also await earlier
-/// holders, not only hosts with grants.
+/// Guards against two lease holders that grant the same units while the first one is
+/// partitioned from the second. The first one has opened its lease, no other host is
+/// registered, and the first one still replies to a host on its side. A new lease holder
+/// must also await earlier holders, not only hosts with grants.
 #[test]
 fn new_lease_holder_awaits_the_earlier_one() {
     let mut model = ShareModel::new();
