--- a/standins/tests/at_most_once.rs
+++ b/standins/tests/at_most_once.rs
@@ -138,7 +138,7 @@
     let keys: Vec<String> = (0..8).map(|number| new_key(100 + number)).collect();
     for key in &keys {
         let host = fleet.callers(1);
-        fleet.settle_until_answered(host, key, key).await?;
+        fleet.settle_until_response(host, key, key).await?;
         assert_eq!(fleet.runs(key).len(), 1);
     }
     fleet.check()
@@ -206,7 +206,7 @@
         }
         faults.update(|faults| faults.delay_ms = 0);
         let host = fleet.callers(1);
-        fleet.settle_until_answered(host, &key, &key).await?;
+        fleet.settle_until_response(host, &key, &key).await?;
         assert_eq!(fleet.runs(&key).len(), 1);
         assert!(fleet.runs(&key)[0].request.as_deref() != Some(&*request));
     }
@@ -258,7 +258,7 @@
         claimant.process.signal("CONT")?;
         outcome.await?;
         let (host, key) = (claimant.callers, new_key(1_000 + number));
-        fleet.settle_until_answered(host, &key, &key).await?;
+        fleet.settle_until_response(host, &key, &key).await?;
     }
     Err("the claimant was never stopped between claim and dispatch".into())
 }
@@ -288,7 +288,7 @@
     let host = fleet.callers(0);
     let request = format!("{}-back", stopped.key);
     fleet
-        .settle_until_answered(host, &request, &stopped.key)
+        .settle_until_response(host, &request, &stopped.key)
         .await?;
     assert_eq!(fleet.runs(&stopped.key).len(), 1);
     fleet.check()
--- a/standins/tests/checkers.rs
+++ b/standins/tests/checkers.rs
@@ -27,7 +27,7 @@
     ReceivedEvent { at, event }
 }
 
-fn answer(events: Vec<StreamEvent>) -> GenerationResponse {
+fn generation_response(events: Vec<StreamEvent>) -> GenerationResponse {
     GenerationResponse {
         sent: Instant::now(),
         status: Some(StatusCode::OK),
@@ -107,7 +107,7 @@
             layers: LAYERS,
             prompt: PROMPT.to_vec(),
             max_tokens: TOKENS,
-            answers: vec![answer(events)],
+            answers: vec![generation_response(events)],
         }],
         service_calls: vec![CallHistory {
             request: "call".into(),
@@ -252,9 +252,9 @@
 #[test]
 fn a_request_that_ran_although_refused_as_not_run_is_noticed() {
     let generation = violated_guarantees(|history| {
-        let answer = &mut history.generations[0].answers[0];
-        answer.events.clear();
-        answer.refusal = Some(refused());
+        let response = &mut history.generations[0].answers[0];
+        response.events.clear();
+        response.refusal = Some(refused());
     });
     assert_eq!(generation, [Guarantee::NotRun]);
     let call = violated_guarantees(|history| {
@@ -301,7 +301,7 @@
     let unanswered = violated_guarantees(|history| drop(events(history).pop()));
     assert_eq!(unanswered, [Guarantee::SingleResponse]);
     let twice = violated_guarantees(|history| {
-        let mut closing = answer(vec![StreamEvent::Done { count: TOKENS }]);
+        let mut closing = generation_response(vec![StreamEvent::Done { count: TOKENS }]);
         closing.broken = false;
         history.generations[0].answers.push(closing);
     });
@@ -313,7 +313,7 @@
         let answers = &mut history.generations[0].answers;
         let rest = answers[0].events.split_off(1);
         answers[0].broken = true;
-        let mut second = answer(Vec::new());
+        let mut second = generation_response(Vec::new());
         second.events = rest;
         answers.push(second);
     });
--- a/standins/tests/claim_fleet/mod.rs
+++ b/standins/tests/claim_fleet/mod.rs
@@ -238,7 +238,7 @@
     }
 
     /// Retries a settlement until the service responds, each time with a new request id.
-    pub async fn settle_until_answered(
+    pub async fn settle_until_response(
         &self,
         host: SocketAddr,
         request: &str,
--- a/standins/tests/limit_division/strategies.rs
+++ b/standins/tests/limit_division/strategies.rs
@@ -18,7 +18,7 @@
 /// Round-trip time of a call between two hosts.
 const ROUND_TRIP: Duration = Duration::from_millis(2);
 /// Delay after a request for permits that failed, and the time for which requests wait.
-const UNANSWERED_DELAY: Duration = Duration::from_millis(500);
+const FAILED_CALL_DELAY: Duration = Duration::from_millis(500);
 const MAX_WAIT: Duration = Duration::from_millis(100);
 
 /// A strategy that divides a limit.
@@ -229,7 +229,7 @@
     ) -> PermitReply {
         let (now, key) = (cluster.now, target as u64);
         let withheld = PermitReply::Withheld {
-            retry_after: UNANSWERED_DELAY,
+            retry_after: FAILED_CALL_DELAY,
         };
         let Some(issuer) = believed_issuer(cluster, host, key) else {
             return withheld;
--- a/standins/tests/not_run.rs
+++ b/standins/tests/not_run.rs
@@ -104,7 +104,7 @@
         RunVerdict::NotRun => {
             assert!(fleet.runs(&key).is_empty(), "{}", case.name);
             let host = fleet.callers(1);
-            fleet.settle_until_answered(host, "again", &key).await?;
+            fleet.settle_until_response(host, "again", &key).await?;
         }
         _ => {
             let settled = || async { fleet.settlements() > 0 };
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -83,13 +83,13 @@
             targets: targets.map(|(target, _)| target.clone()).collect(),
         });
     }
-    let places = reserve_peer_addresses()?;
+    let seeds = reserve_peer_addresses()?;
     let mut daemons = Vec::new();
-    for place in &places {
+    for seed in &seeds {
         let settings = DaemonConfig {
-            peers: place.address,
-            seeds: places.clone(),
-            ..DaemonConfig::new(&place.host, ZONE, platform.local_addr())
+            peers: seed.address,
+            seeds: seeds.clone(),
+            ..DaemonConfig::new(&seed.host, ZONE, platform.local_addr())
         };
         let timing = "\n[timing]\nlease_duration = \"2s\"\ndefault_deadline = \"4s\"\n";
         daemons.push(DaemonProcess::spawn(&settings.to_toml(timing))?);
@@ -125,17 +125,17 @@
 fn reserve_peer_addresses() -> Result<Vec<SeedPeer>, TestError> {
     let [.., high, low] = std::process::id().to_be_bytes();
     let mut held = Vec::new();
-    let mut places = Vec::new();
+    let mut seeds = Vec::new();
     for host in HOSTS {
         let listener = TcpListener::bind(SocketAddr::from(([127, high, low, 4], 0)))?;
-        places.push(SeedPeer {
+        seeds.push(SeedPeer {
             host: host.to_owned(),
             zone: ZONE.to_owned(),
             address: listener.local_addr()?,
         });
         held.push(listener);
     }
-    Ok(places)
+    Ok(seeds)
 }
 
 fn body(max_tokens: u64) -> GenerateBody {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Runs a request. Its history has the version that the response started with.
+/// Runs a request and returns its history, with the version named by the first event.
 async fn run(host: SocketAddr, request: String, max_tokens: u64) -> GenerationHistory {
     let caller = CallerClient::open(ORGANISATION);
     let response = caller.generate(host, &request, &body(max_tokens)).await;
@@ -263,13 +263,13 @@
     /// Returns the index of the daemon that wrote the last record of the lease for
     /// orders.
     async fn lease_holder(&self) -> Result<usize, TestError> {
-        let of_orders = format!("orders/{ZONE}");
+        let lease_name = format!("orders/{ZONE}");
         let last = || -> Option<usize> {
             let records = self.platform.record(LEASE_STREAM).into_iter();
             let mut parsed = records.filter_map(|record| {
                 serde_json::from_str::<LogRecord<LeaseBody>>(&record.body).ok()
             });
-            let last = parsed.rfind(|record| *record.body.name == *of_orders)?;
+            let last = parsed.rfind(|record| *record.body.name == *lease_name)?;
             HOSTS.iter().position(|host| **host == *last.writer)
         };
         eventually("a host takes the lease", || async { last().is_some() }).await?;
--- a/tests/admission_model.rs
+++ b/tests/admission_model.rs
@@ -80,14 +80,15 @@
     limit: Option<ShareLimit>,
     /// Changes of the rate, and tokens taken (`None`).
     tokens: Vec<(Instant, Option<u32>)>,
-    /// Ends since the limits changed, and whether each was followed by pressure.
+    /// Ends since the limits changed, each with whether requests waited or were refused
+    /// since the previous end.
     ends: Vec<(Instant, bool)>,
     under_pressure: bool,
 }
 
 impl NaiveHistory {
     fn parts(&self, now: Instant) -> u128 {
-        let room = |rate: u32| match rate {
+        let bucket_size = |rate: u32| match rate {
             0 => 0,
             _ => (u128::from(rate) * settings().rate_burst.as_nanos()).max(TOKEN),
         };
@@ -95,16 +96,16 @@
         for &(at, change) in &self.tokens {
             parts = match parts {
                 u128::MAX => u128::MAX,
-                _ => (parts + u128::from(rate) * (at - last).as_nanos()).min(room(rate)),
+                _ => (parts + u128::from(rate) * (at - last).as_nanos()).min(bucket_size(rate)),
             };
             rate = change.unwrap_or(rate);
             parts = match change {
-                Some(rate) => parts.min(room(rate)),
+                Some(rate) => parts.min(bucket_size(rate)),
                 None => parts - TOKEN,
             };
             last = at;
         }
-        (parts + u128::from(rate) * (now - last).as_nanos()).min(room(rate))
+        (parts + u128::from(rate) * (now - last).as_nanos()).min(bucket_size(rate))
     }
 
     fn interval(&self, now: Instant) -> Option<Duration> {
@@ -139,7 +140,7 @@
 enum Outcome {
     Start(String),
     Wait(String),
-    /// With the Retry-After before jitter.
+    /// Refusal with the Retry-After before jitter.
     Refuse(String, RefusalReason, Duration),
 }
 
@@ -406,7 +407,7 @@
     }
 }
 
-/// Compares decisions; jitter may add up to half to the naive Retry-After.
+/// Compares decisions. Jitter adds up to half to the Retry-After of the naive table.
 fn assert_same_decisions(
     decisions: &[AdmissionDecision],
     outcomes: &[Outcome],
--- a/tests/api/callers.rs
+++ b/tests/api/callers.rs
@@ -166,7 +166,7 @@
     let mut events_text = String::new();
     while !events_text.contains("data: ") {
         let mut bytes = [0; 512];
-        let count = caller.read(&mut bytes).await.expect("an answer");
+        let count = caller.read(&mut bytes).await.expect("a response");
         events_text.push_str(&String::from_utf8_lossy(&bytes[..count]));
     }
     assert!(!sender.is_closed());
--- a/tests/api/client.rs
+++ b/tests/api/client.rs
@@ -60,7 +60,7 @@
         .expect("a request");
     let client = Client::builder(TokioExecutor::new()).build_http();
     let response = async {
-        let response = client.request(request).await.expect("an answer");
+        let response = client.request(request).await.expect("a response");
         let (parts, body) = response.into_parts();
         let body = body.collect().await.expect("a whole body").to_bytes();
         Reply {
@@ -71,5 +71,5 @@
     };
     timeout(TEST_TIMEOUT, response)
         .await
-        .expect("an answer in time")
+        .expect("a response in time")
 }
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -600,7 +600,7 @@
                 assert!(now.instant < deadline, "{claim} dispatched too late");
                 assert!(
                     !self.reported_not_run.contains(&claim),
-                    "{claim} ran after the verdict that it did not"
+                    "{claim} ran after it was reported as not run"
                 );
                 let previous = self.dispatched.insert(key, claim.clone());
                 assert_eq!(previous, None, "key {key} dispatched again, by {claim}");
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -105,7 +105,7 @@
     }
 
     fn next_force(&mut self) -> ForceView {
-        let next = self.force.front().cloned().expect("a scripted answer");
+        let next = self.force.front().cloned().expect("a scripted response");
         if self.force.len() > 1 {
             self.force.pop_front();
         }
--- a/tests/forwarding/moves.rs
+++ b/tests/forwarding/moves.rs
@@ -266,7 +266,7 @@
     });
     let serving = host.call("POST", "/stream/", "Content-Length: 0\r\n");
     let response = bounded(serving).await;
-    leaving.await.expect("it has served");
+    leaving.await.expect("the engine has served the request");
     assert_eq!(response.event_ids(), [1, 2]);
     assert!(response.is_whole_stream());
 }
--- a/tests/forwarding/poison.rs
+++ b/tests/forwarding/poison.rs
@@ -193,10 +193,10 @@
         let host = TestHost::open();
         spawn_engines(&host, 0..2).await;
         host.call("POST", POISON, "Content-Length: 0\r\n").await;
-        let answering = StubTarget::spawn(script).await;
-        host.add_engine("i-9", answering.address, 0, 80);
+        let responding = StubTarget::spawn(script).await;
+        host.add_engine("i-9", responding.address, 0, 80);
         host.call("POST", POISON, "Content-Length: 0\r\n").await;
-        assert_eq!(answering.seen().len(), 1);
+        assert_eq!(responding.seen().len(), 1);
         host.tables.fleet.lock().remove("i-9");
         let third = spawn_engines(&host, 3..5).await;
         host.call("POST", POISON, "Content-Length: 0\r\n").await;
@@ -218,7 +218,7 @@
         drop((listener, stream));
     });
     host.call("POST", HEALTHY, "Content-Length: 0\r\n").await;
-    cut.await.expect("it was cut");
+    cut.await.expect("the connection was cut");
     assert_eq!(host.tables.poison.lock().len(), 1);
     let healed = TcpListener::bind(address).await.expect("the port again");
     host.tables.fleet.lock().observe_success("i-1");
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -125,8 +125,8 @@
         }
         let sent = self.table(from).next_heartbeat(remote, Vec::new());
         self.table(to).observe_heartbeat(&sent, now);
-        let answered = self.table(to).next_heartbeat(remote, Vec::new());
-        self.table(from).observe_heartbeat(&answered, now);
+        let reply = self.table(to).next_heartbeat(remote, Vec::new());
+        self.table(from).observe_heartbeat(&reply, now);
     }
 
     fn table(&mut self, host: &str) -> &mut MembershipTable {
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -182,7 +182,7 @@
 fn request_that_runs_for_seconds_is_not_suspected() {
     let now = Instant::now();
     let mut start = RunStart::default();
-    assert!(start.is_suspect(now + seconds(9)), "it never began");
+    assert!(start.is_suspect(now + seconds(9)), "no event yet");
     start.observe_event(now);
     assert!(start.is_suspect(now + Duration::from_millis(400)));
     assert!(!start.is_suspect(now + Duration::from_millis(500)));
--- a/tests/policy_compare.rs
+++ b/tests/policy_compare.rs
@@ -51,7 +51,7 @@
 enum Event {
     Arrival,
     Reached(usize),
-    Answered(usize),
+    Completed(usize),
     Reports,
 }
 
@@ -210,7 +210,7 @@
         self.send(self.runs.len() - 1, now);
     }
 
-    fn answered(&mut self, run: usize, now: Instant, latencies: &mut Vec<Duration>) {
+    fn step_done(&mut self, run: usize, now: Instant, latencies: &mut Vec<Duration>) {
         let target = self.target_of(run);
         self.targets[target].present -= 1;
         let id = self.targets[target].id.clone();
@@ -272,9 +272,9 @@
                     let is_slow = index % STEP_MS.len() == 1 && now >= slow_from;
                     let done = free.max(now) + target.step * if is_slow { 5 } else { 1 };
                     target.slots.push(Reverse(done));
-                    self.push(done + self.one_way(run), Event::Answered(run));
+                    self.push(done + self.one_way(run), Event::Completed(run));
                 }
-                Event::Answered(run) => self.answered(run, now, &mut latencies),
+                Event::Completed(run) => self.step_done(run, now, &mut latencies),
                 Event::Reports => {
                     self.report(now);
                     self.push(now + Duration::from_millis(REPORT_MS), Event::Reports);
--- a/tests/reconcile.rs
+++ b/tests/reconcile.rs
@@ -320,9 +320,9 @@
             let is_held = (0..ALL).any(|other| {
                 let holder = &self.engines[other];
                 let recently = |died: Instant| self.now - died < LIMITS.observe_interval;
-                let answers = !holder.is_dead || holder.died_at.is_some_and(recently);
+                let responds = !holder.is_dead || holder.died_at.is_some_and(recently);
                 let mut held = holder.loaded.iter();
-                answers
+                responds
                     && held.any(|held| {
                         let is_kept = other != index || order.loaded.contains(held);
                         is_kept && serves_as(held, dropped)
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -52,8 +52,8 @@
     organisation.capacity.concurrent_requests
 }
 
-/// Returns the answer of a log that retains the records from `first` on.
-fn answer(log: &[String], first: usize) -> ReadResponse {
+/// Returns the response of a log that retains the records from `first` on.
+fn read_response(log: &[String], first: usize) -> ReadResponse {
     let kept = log.iter().enumerate().skip(first);
     ReadResponse {
         first_offset: first as LogOffset,
@@ -68,7 +68,7 @@
 }
 
 fn start(log: &[String], first: usize) -> StartDecision {
-    StartPlanner::new(WindowRules::CURRENT, 1_000).on_read(&answer(log, first))
+    StartPlanner::new(WindowRules::CURRENT, 1_000).on_read(&read_response(log, first))
 }
 
 fn started(decision: StartDecision) -> DeclarationTable {
@@ -249,9 +249,12 @@
     );
     // Once another host appends a newer checkpoint, the same planner succeeds.
     let mut planner = StartPlanner::new(WindowRules::CURRENT, 1_000);
-    planner.on_read(&answer(&log, 4));
+    planner.on_read(&read_response(&log, 4));
     log.push(text(&checkpoint("new", replayed(&log).checkpoint())));
-    assert_eq!(bought(&started(planner.on_read(&answer(&log, 4)))), 5);
+    assert_eq!(
+        bought(&started(planner.on_read(&read_response(&log, 4)))),
+        5
+    );
 }
 
 // A host at offset 3 restarts from a checkpoint because the log has expired up to 6,
--- a/tests/replay_model.rs
+++ b/tests/replay_model.rs
@@ -395,7 +395,7 @@
     let start = usize::try_from(table.applied()).expect("small");
     for (offset, body) in log.iter().enumerate().skip(start) {
         let at = offset as LogOffset;
-        prop_assert!(table.apply_raw(at + 1, body).is_err(), "a gap was taken");
+        prop_assert!(table.apply_raw(at + 1, body).is_err(), "a gap was accepted");
         let judgement = table.apply_raw(at, body).expect("no gap");
         prop_assert_eq!(
             &outcome_of(&judgement),
@@ -576,7 +576,7 @@
         let mut reads = 0;
         while let StartDecision::ReadFrom(from) = decision {
             reads += 1;
-            prop_assert!(reads < 200, "it reads on and on");
+            prop_assert!(reads < 200, "the planner reads without end");
             decision = planner.on_read(&moving.read(&log, from));
         }
         match decision {
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -129,7 +129,7 @@
 /// after earlier ones. The length of an ejection grows with each one and must shrink
 /// again after good responses.
 #[test]
-fn good_answers_shorten_the_next_ejection() {
+fn good_responses_shorten_the_next_ejection() {
     let mut now = Instant::now();
     let mut table = table();
     let is_ejected = |table: &RouteTable, now| {
--- a/tests/routing_model.rs
+++ b/tests/routing_model.rs
@@ -27,7 +27,7 @@
     },
     EndRun,
     Sent,
-    Answered {
+    Completed {
         latency_ms: u64,
         tokens: u64,
     },
@@ -53,7 +53,7 @@
         4 => (0..TARGETS, 0..4usize).prop_map(|(excluded, policy)| Event::Plan { excluded, policy }),
         2 => Just(Event::EndRun),
         6 => Just(Event::Sent),
-        6 => (1..400u64, 0..4u64).prop_map(|(latency_ms, tokens)| Event::Answered { latency_ms, tokens }),
+        6 => (1..400u64, 0..4u64).prop_map(|(latency_ms, tokens)| Event::Completed { latency_ms, tokens }),
         6 => failures.prop_map(Event::Failed),
         3 => (0..9u32, 0..300u64).prop_map(|(running, age_ms)| Event::Load { running, age_ms }),
         1 => (50..5_000u64).prop_map(|micros| Event::Link { micros }),
@@ -172,7 +172,7 @@
     fn steps(&self, target: usize) -> f64 {
         self.counted(target, |recorded| match recorded.event {
             Event::Sent => 1,
-            Event::Answered { .. } | Event::Failed(_) => -1,
+            Event::Completed { .. } | Event::Failed(_) => -1,
             _ => 0,
         })
     }
@@ -246,15 +246,15 @@
     }
 
     /// Returns the time at the target and in the slot for the response at `index`.
-    fn answer_times(&self, index: usize) -> (f64, f64) {
+    fn response_times(&self, index: usize) -> (f64, f64) {
         let RecordedEvent {
             at,
             target,
             ref event,
             ..
         } = self.0[index];
-        let Event::Answered { latency_ms, .. } = event else {
-            panic!("not an answer")
+        let Event::Completed { latency_ms, .. } = event else {
+            panic!("not a response")
         };
         let before = self.before(index);
         let time = (*latency_ms as f64 / 1e3 - before.link(target, at)).max(1e-5);
@@ -262,10 +262,10 @@
         (time, time / crowding)
     }
 
-    fn answers(&self, target: usize, several: bool) -> Vec<(Instant, usize, u64)> {
+    fn responses(&self, target: usize, several: bool) -> Vec<(Instant, usize, u64)> {
         self.of(target)
             .filter_map(|(index, recorded)| match recorded.event {
-                Event::Answered { tokens, .. } if (tokens > 1) == several => {
+                Event::Completed { tokens, .. } if (tokens > 1) == several => {
                     Some((recorded.at, index, tokens))
                 }
                 _ => None,
@@ -276,8 +276,8 @@
     fn step_time(&self, target: usize, now: Instant) -> f64 {
         let length = settings(0).rate_window;
         let mut windows: Vec<(Instant, f64)> = Vec::new();
-        for (at, index, _) in self.answers(target, false) {
-            let time = self.answer_times(index).0;
+        for (at, index, _) in self.responses(target, false) {
+            let time = self.response_times(index).0;
             match windows.last_mut() {
                 Some((start, smallest)) if at - *start < length => *smallest = smallest.min(time),
                 _ => windows.push((at, time)),
@@ -298,9 +298,9 @@
 
     fn prefill_time(&self, target: usize, now: Instant) -> f64 {
         let samples: Vec<_> = self
-            .answers(target, true)
+            .responses(target, true)
             .into_iter()
-            .map(|(at, index, tokens)| (at, self.answer_times(index).1 / tokens as f64))
+            .map(|(at, index, tokens)| (at, self.response_times(index).1 / tokens as f64))
             .collect();
         self.average(&samples, RATE.recip(), now)
     }
@@ -313,9 +313,9 @@
         for (index, recorded) in self.of(target) {
             let at = recorded.at;
             let is_bad = match recorded.event {
-                Event::Answered { tokens, .. } => {
+                Event::Completed { tokens, .. } => {
                     let limit = ejection.slow_factor * SLOTS / RATE;
-                    let is_slow = tokens < 2 && self.answer_times(index).1 > limit;
+                    let is_slow = tokens < 2 && self.response_times(index).1 > limit;
                     let is_back = out.is_none_or(|out| at >= out.1 + ejection.slow_start);
                     slow = if is_slow { slow + 1 } else { 0 };
                     times = if is_back && !is_slow { 0 } else { times };
@@ -537,7 +537,7 @@
         for table in &mut tables {
             match event {
                 Event::Sent => table.step_sent(&id, now),
-                Event::Answered { latency_ms, tokens } => {
+                Event::Completed { latency_ms, tokens } => {
                     table.step_completed(&id, Duration::from_millis(latency_ms), tokens, now);
                 }
                 Event::Failed(reason) => table.step_failed(&id, reason, now),
--- a/tests/target_client.rs
+++ b/tests/target_client.rs
@@ -141,7 +141,7 @@
     assert_eq!(failure.verdict, NotRun);
 
     let (response, _) = send_step(TinyReply::Response(200, step_response())).await;
-    assert_eq!(response.expect("answered").outputs, [2]);
+    assert_eq!(response.expect("a response").outputs, [2]);
     let (response, _) = send_step(TinyReply::Response(
         409,
         r#"{"refused":"unknown_position"}"#.into(),
@@ -212,7 +212,7 @@
         });
         let server = server.await;
         let client = client(SHORT);
-        let mut answered = 0;
+        let mut succeeded = 0;
         for _ in 0..CALLS {
             let call = CallRequest {
                 operation: "charge".to_owned(),
@@ -221,14 +221,14 @@
                 use_pool,
             };
             match client.call(server.address, call).await {
-                Ok(_) => answered += 1,
+                Ok(_) => succeeded += 1,
                 Err(failure) => assert_eq!(failure.verdict(), RunVerdict::MayHaveRun),
             }
         }
         let seen = server.seen.lock().len();
-        assert!(answered <= seen && seen <= CALLS, "{answered} of {seen}");
+        assert!(succeeded <= seen && seen <= CALLS, "{succeeded} of {seen}");
         assert!(
-            use_pool || answered == CALLS,
+            use_pool || succeeded == CALLS,
             "a new connection is not stale"
         );
     }
--- a/tests/target_starts.rs
+++ b/tests/target_starts.rs
@@ -253,10 +253,10 @@
         observe(&copy, "i-1", 1, &heartbeat(Some(100)));
         done.send(())
     });
-    let answered = waiting.recv_timeout(Duration::from_secs(5));
+    let received = waiting.recv_timeout(Duration::from_secs(5));
     drop(fleet);
     writing.join().expect("a writer");
-    assert!(answered.is_ok(), "the copy's lock was held");
+    assert!(received.is_ok(), "the copy's lock was held");
     reading.join().expect("a reader").expect("a receiver");
 }
 
