--- a/standins/tests/claim_fleet/mod.rs
+++ b/standins/tests/claim_fleet/mod.rs
@@ -35,7 +35,7 @@
 pub const MODEL: &str = "receipt-reader";
 pub const ORGANISATION: &str = "desk";
 pub const OTHER_ORGANISATION: &str = "office";
-/// May run one request at a time.
+/// Organisation that may run one request at a time.
 pub const SMALL_ORGANISATION: &str = "stall";
 pub const SETTLE: &str = "ledger/settle";
 pub const BALANCE: &str = "ledger/balance";
@@ -201,8 +201,8 @@
         host: &str,
         extra_settings: &str,
     ) -> Result<DaemonProcess, TestError> {
-        let place = DaemonConfig::new(host, ZONE, self.fleet.platform.local_addr());
-        let daemon = DaemonProcess::spawn(&place.to_toml(extra_settings))?;
+        let config = DaemonConfig::new(host, ZONE, self.fleet.platform.local_addr());
+        let daemon = DaemonProcess::spawn(&config.to_toml(extra_settings))?;
         let first = self.fleet.daemons.first().ok_or("no daemon")?.operators;
         let version = operator::read::<StatusView>(first, "/v1/status").await?;
         eventually("the declarations are in effect", || async {
--- a/standins/tests/orders.rs
+++ b/standins/tests/orders.rs
@@ -124,7 +124,7 @@
 /// out, so that the ports stay free until the daemons listen.
 fn reserve_peer_addresses() -> Result<Vec<SeedPeer>, TestError> {
     let [.., high, low] = std::process::id().to_be_bytes();
-    let mut held = Vec::new();
+    let mut listeners = Vec::new();
     let mut seeds = Vec::new();
     for host in HOSTS {
         let listener = TcpListener::bind(SocketAddr::from(([127, high, low, 4], 0)))?;
@@ -133,7 +133,7 @@
             zone: ZONE.to_owned(),
             address: listener.local_addr()?,
         });
-        held.push(listener);
+        listeners.push(listener);
     }
     Ok(seeds)
 }
--- a/standins/tests/shutdown.rs
+++ b/standins/tests/shutdown.rs
@@ -38,7 +38,7 @@
 const STREAMS: usize = 6;
 const STEP_TIME: Duration = Duration::from_millis(5);
 const CALL_TIME: Duration = Duration::from_secs(1);
-/// May run one request at a time, so that other requests wait in the queue.
+/// Organisation that may run one request at a time, so that others wait in the queue.
 const NARROW: &str = "narrow";
 const WIDE: &str = "wide";
 /// Far longer than the timeouts of these tests, so that a host that gets the lease in
@@ -210,12 +210,12 @@
 
 fn lease_records(platform: &PlatformServer) -> Result<Vec<LogRecord<LeaseBody>>, TestError> {
     let stored = platform.record(LEASE_STREAM).into_iter();
-    let of_orders = format!("orders/{ZONE}");
+    let lease_name = format!("orders/{ZONE}");
     let parsed: Result<Vec<LogRecord<LeaseBody>>, _> = stored
         .map(|record| serde_json::from_str(&record.body))
         .collect();
     let mut records = parsed?;
-    records.retain(|record| *record.body.name == *of_orders);
+    records.retain(|record| *record.body.name == *lease_name);
     Ok(records)
 }
 
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -306,7 +306,7 @@
         }
     }
 
-    /// With a working log and no frozen host, one host holds the lease.
+    /// Ends all faults and checks that exactly one host then holds the lease.
     fn heal(&mut self) {
         self.outcome = AppendOutcome::Stored;
         while !self.delayed.is_empty() {
--- a/tests/reconcile.rs
+++ b/tests/reconcile.rs
@@ -15,9 +15,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Engines of the zone; one of another zone follows them.
-const OWN: usize = 4;
-const ALL: usize = OWN + 1;
+/// Number of engines of the zone. One engine of another zone has the index after them.
+const OWN_ENGINES: usize = 4;
+const ALL_ENGINES: usize = OWN_ENGINES + 1;
 const TICK: Duration = Duration::from_millis(250);
 const LOAD_TIME: Duration = Duration::from_secs(2);
 /// Enough ticks for every load, wait and retention after the last fault.
@@ -64,7 +64,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Advance { ticks: u8 },
-    ChangeDesired { masks: [u8; ALL] },
+    ChangeDesired { masks: [u8; ALL_ENGINES] },
     Crash { engine: usize },
     Restart { engine: usize },
     LoseOrder { engine: usize, takes_effect: bool },
@@ -77,9 +77,9 @@
     prop_oneof![
         4 => (1..12u8).prop_map(|ticks| Step::Advance { ticks }),
         3 => prop::array::uniform5(0..16u8).prop_map(|masks| Step::ChangeDesired { masks }),
-        1 => (0..ALL).prop_map(|engine| Step::Crash { engine }),
-        2 => (0..ALL).prop_map(|engine| Step::Restart { engine }),
-        2 => (0..OWN, any::<bool>())
+        1 => (0..ALL_ENGINES).prop_map(|engine| Step::Crash { engine }),
+        2 => (0..ALL_ENGINES).prop_map(|engine| Step::Restart { engine }),
+        2 => (0..OWN_ENGINES, any::<bool>())
             .prop_map(|(engine, takes_effect)| Step::LoseOrder { engine, takes_effect }),
         1 => Just(Step::OtherZoneLoads),
         1 => (0..6u8, any::<bool>())
@@ -139,16 +139,16 @@
 struct Simulation {
     now: Instant,
     engines: Vec<Engine>,
-    masks: [u8; ALL],
+    masks: [u8; ALL_ENGINES],
     table: ReconcileTable,
     lease: Option<OrderingLease>,
     is_ending: bool,
 }
 
 impl Simulation {
-    fn new(masks: [u8; ALL]) -> Self {
+    fn new(masks: [u8; ALL_ENGINES]) -> Self {
         let now = Instant::now();
-        let mut engines: Vec<Engine> = (0..ALL).map(|_| Engine::default()).collect();
+        let mut engines: Vec<Engine> = (0..ALL_ENGINES).map(|_| Engine::default()).collect();
         for (engine, mask) in engines.iter_mut().zip(masks) {
             engine.loaded = ranges(mask);
         }
@@ -180,8 +180,8 @@
             role: EngineRole::Mixed,
             fencing: fencing(engine),
         };
-        let own = (0..OWN).map(|engine| (name(engine), state(engine)));
-        let other_zones = (OWN..ALL).map(|engine| (name(engine), state(engine)));
+        let own = (0..OWN_ENGINES).map(|engine| (name(engine), state(engine)));
+        let other_zones = (OWN_ENGINES..ALL_ENGINES).map(|engine| (name(engine), state(engine)));
         let (own, other_zones) = (own.collect(), other_zones.collect());
         self.table.set_desired(own, other_zones, self.now);
     }
@@ -210,8 +210,8 @@
                 takes_effect,
             } => self.engines[*engine].lost_order = Some(*takes_effect),
             Step::OtherZoneLoads => {
-                let desired = ranges(self.masks[OWN]);
-                self.engines[OWN].loaded.extend(desired);
+                let desired = ranges(self.masks[OWN_ENGINES]);
+                self.engines[OWN_ENGINES].loaded.extend(desired);
             }
             Step::ChangeLease { gap, other_host } => {
                 let lease = self.lease.take();
@@ -256,7 +256,9 @@
     }
 
     fn observe(&mut self, target: &TargetId) {
-        let index = (0..ALL).find(|engine| name(*engine) == *target).unwrap();
+        let index = (0..ALL_ENGINES)
+            .find(|engine| name(*engine) == *target)
+            .unwrap();
         let engine = &mut self.engines[index];
         if engine.is_dead {
             return self.table.record_failure(target, self.now);
@@ -266,7 +268,9 @@
     }
 
     fn order(&mut self, target: &TargetId, order: &StateOrder, lease: OrderingLease) {
-        let index = (0..OWN).find(|engine| name(*engine) == *target).unwrap();
+        let index = (0..OWN_ENGINES)
+            .find(|engine| name(*engine) == *target)
+            .unwrap();
         self.check_times(index, lease);
         self.check_unloads(index, order);
         self.table.record_order(target, order, self.now);
@@ -313,11 +317,11 @@
                 let since = self.now - *until;
                 assert!(since >= LIMITS.retain_for, "unloaded while runs may use it");
             }
-            let is_wanted = (0..ALL).any(|other| {
+            let is_wanted = (0..ALL_ENGINES).any(|other| {
                 let desired = ranges(self.masks[other]);
                 desired.iter().any(|wanted| serves_as(wanted, dropped))
             });
-            let is_held = (0..ALL).any(|other| {
+            let is_held = (0..ALL_ENGINES).any(|other| {
                 let holder = &self.engines[other];
                 let recently = |died: Instant| self.now - died < LIMITS.observe_interval;
                 let responds = !holder.is_dead || holder.died_at.is_some_and(recently);
@@ -341,7 +345,7 @@
         // unloads within a second after it was observed.
         self.apply(&Step::OtherZoneLoads);
         (0..RECOVERY_TICKS).for_each(|_| self.tick());
-        for (index, engine) in self.engines[..OWN].iter().enumerate() {
+        for (index, engine) in self.engines[..OWN_ENGINES].iter().enumerate() {
             let desired = ranges(self.masks[index]);
             assert_eq!(engine.loaded, desired, "engine {index} did not converge");
         }
@@ -385,7 +389,7 @@
 /// at once crash while loading and stay down; their loads must not count forever.
 #[test]
 fn loads_of_dead_engines_do_not_block_the_others() {
-    let mut simulation = Simulation::new([0; ALL]);
+    let mut simulation = Simulation::new([0; ALL_ENGINES]);
     simulation.apply(&Step::ChangeDesired {
         masks: [1, 1, 1, 1, 0],
     });
@@ -403,13 +407,13 @@
         }
     }
     assert_eq!(loads(&simulation), LIMITS.concurrent_loads);
-    for engine in 0..OWN {
+    for engine in 0..OWN_ENGINES {
         if is_loading(&simulation.engines[engine]) {
             simulation.apply(&Step::Crash { engine });
         }
     }
     (0..RECOVERY_TICKS).for_each(|_| simulation.tick());
-    for engine in simulation.engines[..OWN]
+    for engine in simulation.engines[..OWN_ENGINES]
         .iter()
         .filter(|engine| !engine.is_dead)
     {
