--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -11,7 +11,7 @@
 
 /// Sizes of zones, in engines.
 const ZONES: [usize; 4] = [38, 96, 333, 1000];
-/// Engines of each kind among 20.
+/// Number of engines of each kind in every 20.
 const KINDS: [(&str, usize); 3] = [("fast", 2), ("usual", 7), ("slow", 11)];
 
 fn kind(name: &str) -> AcceleratorKind {
--- a/standins/tests/at_most_once.rs
+++ b/standins/tests/at_most_once.rs
@@ -267,7 +267,7 @@
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Guards against a request that runs long after another host has reported it as "may
-/// have run", because the claimant continues without a look at the time. The claimant is
+/// have run", because the claimant continues without checking the time. The claimant is
 /// stopped between claim and dispatch, another host receives the key, and the claimant
 /// resumes after the deadline of the claim.
 #[tokio::test(flavor = "multi_thread")]
--- a/standins/tests/leaving.rs
+++ b/standins/tests/leaving.rs
@@ -64,14 +64,14 @@
 
 /// Declares a target in `didube` that nothing uses.
 fn spare_target() -> Declaration {
-    let place = StageTarget {
+    let target = StageTarget {
         name: "spare".to_owned(),
         zone: "didube".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         tokens_per_second: 1.0,
         concurrency: 1,
     };
-    declarations::target(&place, TargetKind::Service)
+    declarations::target(&target, TargetKind::Service)
 }
 
 fn body(fleet: &Fleet, max_tokens: u64) -> GenerateBody {
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -685,10 +685,10 @@
 proptest! {
     #![proptest_config(config(42, 2000))]
 
-    /// Guards against a request that runs twice, or runs after its caller got the
-    /// response that it did not. One key arrives at several hosts, under lost, late and
-    /// duplicated appends, outages, claimants suspended between claim and dispatch,
-    /// restarts, expired records, and keys that return after their window.
+    /// Guards against a request that runs twice, or runs after it was reported as not run.
+    /// One key arrives at several hosts, under lost, late and duplicated appends, outages,
+    /// claimants suspended between claim and dispatch, restarts, expired records, and keys
+    /// that return after their window.
     #[test]
     fn claimants_dispatch_at_most_once(steps in prop::collection::vec(step(), 1..120)) {
         let mut model = Model::new();
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -264,7 +264,7 @@
 /// aggregators and one between zones, and the same steps again there.
 const ZONE_PROPAGATION: Duration = Duration::from_millis(750);
 const GLOBAL_PROPAGATION: Duration = Duration::from_millis(2000);
-/// Targets that end under a request.
+/// Targets that end while they run a request.
 const LOST_TARGETS: [u64; 3] = [11, 12, 13];
 
 /// Returns the live hosts that do not refuse a request.
@@ -296,8 +296,8 @@
     assert_eq!(hosts_without_poison(&fleet, 8).len(), 400);
 }
 
-/// Guards against a restarted host that accepts a request refused everywhere else, if a
-/// listing sent to a host counts as known to its next start.
+/// Guards against a restarted host that accepts a request refused everywhere else, if the
+/// evidence sent to a host counts as known to the next incarnation of the host.
 #[test]
 fn a_restarted_host_receives_the_poison_requests() {
     let mut fleet = settled(3, 40, 4);
--- a/tests/paths.rs
+++ b/tests/paths.rs
@@ -120,7 +120,7 @@
     }
     let path = choose(&fleet, &model, &[], now).expect("a path");
     assert_eq!(&*path.hops[0].target, "i-0");
-    // Without capacity in the own zone the other one serves.
+    // The other zone serves if the own zone has no capacity.
     for (id, layers) in [("i-0", 30), ("i-1", 30), ("i-2", 20)] {
         fleet.observe_start(id, load(400, layers));
     }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -130,8 +130,8 @@
         "{judgement:?}"
     );
     assert!(table.get(&organisation_key()).is_none());
-    let anew = put("anew", "tbilisi", Some(1), organisation('a', 1));
-    assert_eq!(table.apply(4, &anew), Ok(Judgement::Accepted));
+    let next = put("anew", "tbilisi", Some(1), organisation('a', 1));
+    assert_eq!(table.apply(4, &next), Ok(Judgement::Accepted));
 }
 
 // An upgraded host appends a record of newer rules whose body the other hosts cannot
--- a/tests/run_model/faults.rs
+++ b/tests/run_model/faults.rs
@@ -31,7 +31,7 @@
 }
 
 impl Fault {
-    /// Whether the run may end before the response is complete.
+    /// Returns whether the run may end before the response is complete.
     pub(crate) fn may_end_early(self) -> bool {
         matches!(
             self,
