--- a/standins/tests/checkers.rs
+++ b/standins/tests/checkers.rs
@@ -22,16 +22,16 @@
 const TOKENS: u64 = 3;
 const GRACE: Duration = Duration::from_secs(2);
 
-fn heard(event: StreamEvent) -> ReceivedEvent {
+fn received(event: StreamEvent) -> ReceivedEvent {
     let at = Instant::now();
     ReceivedEvent { at, event }
 }
 
-fn answer(events: Vec<StreamEvent>) -> GenerationResponse {
+fn generation_response(events: Vec<StreamEvent>) -> GenerationResponse {
     GenerationResponse {
         sent: Instant::now(),
         status: Some(StatusCode::OK),
-        events: events.into_iter().map(heard).collect(),
+        events: events.into_iter().map(received).collect(),
         refusal: None,
         broken: false,
         ended: Instant::now(),
@@ -107,7 +107,7 @@
             layers: LAYERS,
             prompt: PROMPT.to_vec(),
             max_tokens: TOKENS,
-            responses: vec![answer(events)],
+            responses: vec![generation_response(events)],
         }],
         service_calls: vec![CallHistory {
             request: "call".into(),
@@ -224,10 +224,10 @@
     };
     let short = |history: &mut RunHistory| {
         events(history).drain(2..);
-        events(history).push(heard(StreamEvent::Done { count: 2 }));
+        events(history).push(received(StreamEvent::Done { count: 2 }));
     };
     let miscounted =
-        |history: &mut RunHistory| events(history)[3] = heard(StreamEvent::Done { count: 4 });
+        |history: &mut RunHistory| events(history)[3] = received(StreamEvent::Done { count: 4 });
     let faults: [fn(&mut RunHistory); 4] = [gap, twice, short, miscounted];
     for (index, fault) in faults.into_iter().enumerate() {
         assert_eq!(
@@ -238,7 +238,7 @@
     }
     // The token of another request is also one that no chain of this request returned.
     let foreign = violated_guarantees(|history| {
-        events(history)[1] = heard(StreamEvent::Token {
+        events(history)[1] = received(StreamEvent::Token {
             number: 1,
             token: 1,
         });
@@ -252,9 +252,9 @@
 #[test]
 fn a_request_that_ran_although_refused_as_not_run_is_noticed() {
     let generation = violated_guarantees(|history| {
-        let answer = &mut history.generations[0].responses[0];
-        answer.events.clear();
-        answer.refusal = Some(refused());
+        let response = &mut history.generations[0].responses[0];
+        response.events.clear();
+        response.refusal = Some(refused());
     });
     assert_eq!(generation, [Guarantee::NotRun]);
     let call = violated_guarantees(|history| {
@@ -301,7 +301,7 @@
     let unanswered = violated_guarantees(|history| drop(events(history).pop()));
     assert_eq!(unanswered, [Guarantee::SingleResponse]);
     let twice = violated_guarantees(|history| {
-        let mut closing = answer(vec![StreamEvent::Done { count: TOKENS }]);
+        let mut closing = generation_response(vec![StreamEvent::Done { count: TOKENS }]);
         closing.broken = false;
         history.generations[0].responses.push(closing);
     });
@@ -313,7 +313,7 @@
         let responses = &mut history.generations[0].responses;
         let rest = responses[0].events.split_off(1);
         responses[0].broken = true;
-        let mut second = answer(Vec::new());
+        let mut second = generation_response(Vec::new());
         second.events = rest;
         responses.push(second);
     });
--- a/standins/tests/leaving.rs
+++ b/standins/tests/leaving.rs
@@ -64,14 +64,14 @@
 
 /// Declares a target in `didube` that nothing uses.
 fn spare_target() -> Declaration {
-    let place = StageTarget {
+    let target = StageTarget {
         name: "spare".to_owned(),
         zone: "didube".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 9)),
         tokens_per_second: 1.0,
         concurrency: 1,
     };
-    declarations::target(&place, TargetKind::Service)
+    declarations::target(&target, TargetKind::Service)
 }
 
 fn body(fleet: &Fleet, max_tokens: u64) -> GenerateBody {
@@ -334,9 +334,10 @@
     Ok(())
 }
 
-/// Guards against the same fault in a zone without entry hosts: hosts poll only targets
-/// of their own zone, so the refusal of a step must count as the target's report. The
-/// hosts of the targets' zone die, the platform is down, and the targets refuse work.
+/// Guards against runs that are offered again and again to a target that refuses them in a
+/// zone without entry hosts: hosts poll only targets of their own zone, so the refusal of
+/// a step must count as the target's report. The hosts of the targets' zone die, the
+/// platform is down, and the targets refuse work.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_marks_a_target_that_no_host_polls_as_leaving() -> TestResult {
     let mut fleet = start_fleet(["vake", "vake"]).await?;
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -600,7 +600,7 @@
                 assert!(now.instant < deadline, "{claim} dispatched too late");
                 assert!(
                     !self.reported_not_run.contains(&claim),
-                    "{claim} ran after the verdict that it did not"
+                    "{claim} ran after it was reported as not run"
                 );
                 let previous = self.dispatched.insert(key, claim.clone());
                 assert_eq!(previous, None, "key {key} dispatched again, by {claim}");
@@ -685,10 +685,10 @@
 proptest! {
     #![proptest_config(config(42, 2000))]
 
-    /// Guards against a request that runs twice, or runs after its caller got the
-    /// response that it did not. One key arrives at several hosts, under lost, late and
-    /// duplicated appends, outages, claimants suspended between claim and dispatch,
-    /// restarts, expired records, and keys that return after their window.
+    /// Guards against a request that runs twice, or runs after it was reported as not run.
+    /// One key arrives at several hosts, under lost, late and duplicated appends, outages,
+    /// claimants suspended between claim and dispatch, restarts, expired records, and keys
+    /// that return after their window.
     #[test]
     fn claimants_dispatch_at_most_once(steps in prop::collection::vec(step(), 1..120)) {
         let mut model = Model::new();
--- a/tests/poison.rs
+++ b/tests/poison.rs
@@ -182,7 +182,7 @@
 fn request_that_runs_for_seconds_is_not_suspected() {
     let now = Instant::now();
     let mut start = RunStart::default();
-    assert!(start.is_suspect(now + seconds(9)), "it never began");
+    assert!(start.is_suspect(now + seconds(9)), "no event yet");
     start.observe_event(now);
     assert!(start.is_suspect(now + Duration::from_millis(400)));
     assert!(!start.is_suspect(now + Duration::from_millis(500)));
@@ -238,8 +238,8 @@
     assert!(second.table.is_poison(7, now));
 }
 
-/// Guards against the reverse: a new incarnation counts its versions from zero, and its
-/// evidence must not be ignored because of the low versions.
+/// Guards against evidence of a restarted host that its peer ignores: the new incarnation
+/// counts its versions from zero, below those that the peer knows of the previous one.
 #[test]
 fn evidence_of_a_restarted_host_is_applied_despite_low_versions() {
     let now = Instant::now();
